--- a/src/main/java/wrenkeel/Control.java
+++ b/src/main/java/wrenkeel/Control.java
@@ -144,7 +144,7 @@
         shares = new Bucket[set.tenants().size()];
         Arrays.setAll(shares, i -> new Bucket());
         holds = new double[set.kinds().size()];
-        Arrays.fill(holds, set.allowed().keepAlive());
+        Arrays.fill(holds, set.limits().keepAlive());
         trusts = holds.clone();
         eases = new double[holds.length];
         Arrays.fill(eases, 1);
@@ -164,7 +164,7 @@
             take(Objects.requireNonNull(event, "event"));
         }
         // Only now: what the turn tells of later may have made room, or have ended the message given back.
-        for (int over = open - set.allowed().open(); over >= 0; over--) {
+        for (int over = open - set.limits().maxOpenMessages(); over >= 0; over--) {
             shed();
         }
         runAgenda();
@@ -179,41 +179,41 @@
     }
 
     /** How many endpoints that the list calls ready are out; a pause for a limit does not count. */
-    public int unavailable() {
+    public int unavailableEndpoints() {
         return avoided;
     }
 
     private void take(Event event) {
-        if (event instanceof Accepted e) {
+        if (event instanceof MessageAccepted e) {
             accept(e);
-        } else if (event instanceof Ended e) {
+        } else if (event instanceof AttemptEnded e) {
             attemptEnded(e);
-        } else if (event instanceof Listed e) {
+        } else if (event instanceof ListUpdated e) {
             listed(e);
-        } else if (event instanceof Introduced e) {
+        } else if (event instanceof DestinationIntroduced e) {
             e.endpoints().forEach(p -> listed(p, true));
-        } else if (event instanceof Release) {
+        } else if (event instanceof ReleaseRequested) {
             releasing = true;
-        } else if (event instanceof Retuned e) {
+        } else if (event instanceof SettingsChanged e) {
             retune(e.settings());
-        } else if (event instanceof ListAsked) {
+        } else if (event instanceof ListRequested) {
             listBy = now + LIST_WAIT;
-        } else if (event instanceof Leave) {
+        } else if (event instanceof HandoverStarted) {
             leaving = true;
             messages.values().stream().filter(m -> m.queued).toList().forEach(this::pass);
-        } else if (event instanceof Known e) {
+        } else if (event instanceof EndpointSnapshot e) {
             known(e);
-        } else if (event instanceof Elsewhere e) {
+        } else if (event instanceof ExternalCalls e) {
             Dest d = dest(e.destination());
             elsewhere += e.calls() - d.elsewhere;
             d.elsewhere = e.calls();
             active.add(d);
-        } else if (event instanceof Withdrawn e && messages.containsKey(e.id())) {
+        } else if (event instanceof MessageWithdrawn e && messages.containsKey(e.id())) {
             close(messages.get(e.id()));
-        } else if (event instanceof Storage e) {
+        } else if (event instanceof StorageChanged e) {
             storageDown = !e.writable();
             dests.values().stream().filter(d -> d.waiting > 0).forEach(active::add);
-        } else if (event instanceof Due && wakeAt <= now) {
+        } else if (event instanceof TimerDue && wakeAt <= now) {
             wakeAt = NEVER;
         }
     }
@@ -234,39 +234,39 @@
     }
 
     // ---- Message life ---------------------------------------------------------------------------
-    private void accept(Accepted e) {
+    private void accept(MessageAccepted e) {
         if (messages.containsKey(e.id())) {
             return;
         }
         Msg m = new Msg();
         m.id = e.id();
         m.cls = set.classes().get(e.messageClass());
-        m.halving = set.halvingLate();
+        m.halving = set.lateWorthHalves();
         m.dest = dest(e.destination());
         m.dest.held++;
-        if (!e.takenUp()) {
+        if (!e.recovered()) {
             // What is taken up has come in over seconds, and tells nothing of what comes in now.
             m.dest.mark(now, RATE_SPAN, Math.max(RATE_AGE, now - beganAt));
         }
         m.deadline = e.deadline();
-        m.aim = m.deadline + e.reserve() - m.cls.life() + m.cls.aim();
+        m.aim = m.deadline + e.answerReserve() - m.cls.lifetime() + m.cls.aim();
         // What is taken up counted against the share when it was taken on.
-        boolean inShare = e.takenUp() || inShare(e.tenant());
+        boolean inShare = e.recovered() || inShare(e.tenant());
         m.band = e.messageClass() * 3 + (inShare ? 0 : 1);
         m.full = m.cls.worth() * (inShare ? 1 : set.overShareWorth());
         messages.put(m.id, m);
         open++;
         at(m.deadline, Duty.DEADLINE, m);
-        if (m.cls.inOrder() && e.key() != null) {
-            m.key = keys.computeIfAbsent(e.key(), k -> new Key());
-            m.key.name = e.key();
+        if (m.cls.inOrder() && e.orderingKey() != null) {
+            m.key = keys.computeIfAbsent(e.orderingKey(), k -> new Key());
+            m.key.name = e.orderingKey();
             m.key.line.addLast(m);
         }
-        for (Earlier before : e.earlier()) {
+        for (EarlierAttempt before : e.earlierAttempts()) {
             m.attempts.add(recovered(m, before));
         }
-        m.owed = e.takenUp() && m.attempts.isEmpty();
-        if (!m.attempts.isEmpty() && (m.tries() >= m.cls.tries()
+        m.owed = e.recovered() && m.attempts.isEmpty();
+        if (!m.attempts.isEmpty() && (m.tries() >= m.cls.maxAttempts()
             || m.cls.effect() == Effect.UNSAFE && m.mayHaveRun())) {
             giveUp(m);
         } else if (m.key == null || m.key.line.peekFirst() == m) {
@@ -275,16 +275,16 @@
     }
 
     /** An attempt made before a restart; one that was out then may have run. */
-    private Attempt recovered(Msg m, Earlier before) {
+    private Attempt recovered(Msg m, EarlierAttempt before) {
         Attempt a = new Attempt();
         a.msg = m;
         a.route = new Route();
         a.route.zone = before.zone();
-        a.sent = before.sent();
+        a.sent = before.sentAt();
         a.done = true;
         a.maybeRan = before.mayHaveRun();
         if (a.maybeRan && m.key != null) {
-            m.key.restUntil = now + set.rules().keyRest();
+            m.key.restUntil = now + set.rules().keyPause();
         }
         return a;
     }
@@ -293,7 +293,7 @@
         if (tenant >= shares.length) {
             return true;
         }
-        double rate = set.tenants().get(tenant).quota() / set.relays();
+        double rate = set.tenants().get(tenant).quotaPerSecond() / set.relayCount();
         shares[tenant].fill(rate, rate * SHARE_BURST, now);
         return shares[tenant].take();
     }
@@ -320,13 +320,13 @@
 
     /** Nothing of it is out: the next process decides from here on, and the next of its key may follow it. */
     private void pass(Msg m) {
-        out.add(new Pass(m.id));
+        out.add(new HandOver(m.id));
         close(m);
     }
 
     private boolean mayRefuse(Msg m) {
         return m.cls.effect() == Effect.SAFE || !m.mayHaveRun()
-            || m.cls.effect() == Effect.KEYED && !m.cls.zoneGroup();
+            || m.cls.effect() == Effect.KEYED && !m.cls.dedupPerZone();
     }
 
     /** Ends a message for want of a better answer: handed back where the rules allow it, else failed. */
@@ -342,7 +342,7 @@
     private long comeBack(Dest d) {
         long opens = d.routes.values().stream().mapToLong(Route::closedUntil).min().orElse(now);
         long queue = (long) (d.waiting / d.window * Math.max(d.latest, FIRST_DELAY));
-        return Math.min(set.allowed().longestAdvice(), Math.max(opens - now, queue));
+        return Math.min(set.limits().maxRetryAfter(), Math.max(opens - now, queue));
     }
 
     /** The message is over: nothing more goes out for it, and copies still out are called off. */
@@ -353,9 +353,9 @@
         m.queued = false;
         for (int i = 0; i < m.attempts.size(); i++) {
             Attempt a = m.attempts.get(i);
-            if (!a.done && !a.cancelled && set.allowed().cancel()) {
+            if (!a.done && !a.cancelled && set.limits().cancelAllowed()) {
                 a.cancelled = true;
-                out.add(new Cancel(m.id, i));
+                out.add(new CancelAttempt(m.id, i));
             }
         }
         settle(m);
@@ -387,7 +387,7 @@
         }
     }
 
-    private void attemptEnded(Ended e) {
+    private void attemptEnded(AttemptEnded e) {
         Msg m = messages.get(e.id());
         if (m == null || e.attempt() < 0 || e.attempt() >= m.attempts.size()
             || m.attempts.get(e.attempt()).done) {
@@ -395,16 +395,16 @@
         }
         Attempt a = m.attempts.get(e.attempt());
         a.done = true;
-        a.maybeRan = !e.outcome().neverRan();
-        a.unmade = e.outcome().neverMade();
+        a.maybeRan = !e.outcome().provesNotExecuted();
+        a.unmade = e.outcome().isLocalFailure();
         m.open--;
         free(a);
         observe(a, e);
         if (m.key != null && (e.outcome() == Outcome.TIMEOUT || e.outcome() == Outcome.RESET
             || e.outcome() == Outcome.CANCELLED)) {
-            m.key.restUntil = now + set.rules().keyRest();
+            m.key.restUntil = now + set.rules().keyPause();
         }
-        if (!m.ended && (e.over() || e.outcome() == Outcome.OK)) {
+        if (!m.ended && (e.messageOver() || e.outcome() == Outcome.OK)) {
             close(m);
         } else if (!m.ended && m.open == 0) {
             afterFailure(m);
@@ -415,7 +415,7 @@
 
     /** No attempt is out and none has delivered: wait for another, or end. */
     private void afterFailure(Msg m) {
-        boolean spent = m.tries() >= m.cls.tries() || now >= m.deadline;
+        boolean spent = m.tries() >= m.cls.maxAttempts() || now >= m.deadline;
         if (spent || m.cls.effect() == Effect.UNSAFE && m.mayHaveRun()) {
             giveUp(m);
         } else {
@@ -452,7 +452,7 @@
 
     private void drop(Route r) {
         r.idle.clear();
-        out.add(new Close(r.id));
+        out.add(new CloseIdleConnections(r.id));
     }
 
     /** The hold is full: give back the waiting message that has least left to gain. */
@@ -564,28 +564,28 @@
 
     private double cost(Msg m, Route r) {
         double latency = r.latency > 0 ? r.latency : Math.max(r.dest.latest, FIRST_DELAY);
-        double points = r.zone == set.zone() ? 0 : set.prices().crossZone();
-        if (set.kinds().get(r.kind).apart() && r.zone < set.prices().zoneFee().size()) {
-            points += set.prices().zoneFee().get(r.zone);
+        double points = r.zone == set.zone() ? 0 : set.costs().crossZone();
+        if (set.kinds().get(r.kind).independentEndpoints() && r.zone < set.costs().zoneFees().size()) {
+            points += set.costs().zoneFees().get(r.zone);
         }
-        int streams = Math.max(1, set.allowed().streams());
-        boolean warm = r.warm(now - set.allowed().keepAlive()) || r.inflight % streams != 0;
+        int streams = Math.max(1, set.limits().maxStreams());
+        boolean warm = r.warm(now - set.limits().keepAlive()) || r.inflight % streams != 0;
         return latency * (1 + r.inflight) * (1 + 0.1 * random.nextDouble()) + (warm ? 0 : COST_CONNECT)
             + points * 100 * COST_POINT + (double) (r.failRun + r.overdue + m.tries(r)) * COST_FAILURE;
     }
 
     /** Guards the partners' limit on calls at once, which the process before this one may still use. */
     private int slots() {
-        return set.allowed().slots() - elsewhere;
+        return set.limits().callSlots() - elsewhere;
     }
 
     private boolean joins(Route r) {
-        return r.bundleTurn == turns && r.bundle.size < set.kinds().get(r.kind).bundle();
+        return r.bundleTurn == turns && r.bundle.size < set.kinds().get(r.kind).maxMessagesPerCall();
     }
 
     /** The one gate of every send: when this message may go to this route; now or earlier means it may. */
     private long gate(Msg m, Route r, boolean copy) {
-        if (storageDown || !r.ready || m.ended || m.dest != r.dest || m.tries() >= m.cls.tries()
+        if (storageDown || !r.ready || m.ended || m.dest != r.dest || m.tries() >= m.cls.maxAttempts()
             || m.deadline <= now || !effectAllows(m, r, copy)) {
             return NEVER;
         }
@@ -601,15 +601,15 @@
 
     /** The rule on effects: where an earlier attempt may have run, only what the class allows. */
     private boolean effectAllows(Msg m, Route r, boolean copy) {
-        if (copy ? !set.allowed().copies() || m.cls.effect() == Effect.UNSAFE : m.open > 0) {
+        if (copy ? !set.limits().copiesAllowed() || m.cls.effect() == Effect.UNSAFE : m.open > 0) {
             return false;
         }
         if (m.cls.effect() == Effect.SAFE) {
             return true;
         }
         for (Attempt a : m.attempts) {
-            if (a.maybeRan && (m.cls.effect() == Effect.UNSAFE || now >= a.sent + m.cls.window()
-                || m.cls.zoneGroup() && a.route.zone != r.zone)) {
+            if (a.maybeRan && (m.cls.effect() == Effect.UNSAFE || now >= a.sent + m.cls.dedupWindow()
+                || m.cls.dedupPerZone() && a.route.zone != r.zone)) {
                 return false;
             }
         }
@@ -682,7 +682,7 @@
             m.dest.overdue++;
         }
         if (leaving || m.ended || m.extras >= EXTRAS || m.cls.effect() == Effect.UNSAFE
-            || !set.allowed().copies()) {
+            || !set.limits().copiesAllowed()) {
             return;
         }
         Route choice = null;
@@ -712,7 +712,7 @@
         boolean out = d.routes.values().stream().allMatch(r -> r.health == Health.OUT);
         boolean poor = slow(d) || 2 * d.overdue > d.calls || out;
         // Guards the slots against places that take calls and do not answer, before a time-out tells.
-        double cap = (poor ? WINDOW_POOR : WINDOW_SHARE) * set.allowed().slots();
+        double cap = (poor ? WINDOW_POOR : WINDOW_SHARE) * set.limits().callSlots();
         return (int) Math.max(1, Math.min(d.window, cap));
     }
 
@@ -721,12 +721,12 @@
     }
 
     /** Learns from how an attempt ended. */
-    private void observe(Attempt a, Ended e) {
+    private void observe(Attempt a, AttemptEnded e) {
         Dest d = a.route.dest;
         Lane lane = a.route.lane;
         int kind = a.route.kind;
         // A bundle's answer may carry a wait whatever became of this message.
-        lane.waitUntil = Math.max(lane.waitUntil, now + e.waitFor());
+        lane.waitUntil = Math.max(lane.waitUntil, now + e.retryAfter());
         // The messages of a bundle share one fate, which tells no more than that of a single one.
         if (a.call.learned == e.outcome()) {
             return;
@@ -739,15 +739,15 @@
         switch (e.outcome()) {
             case OK -> {
                 answered(d, a.route, e.latency());
-                holds[kind] = Math.min(set.allowed().keepAlive(), holds[kind] * HOLD_GROW);
+                holds[kind] = Math.min(set.limits().keepAlive(), holds[kind] * HOLD_GROW);
                 double trust = Math.max(trusts[kind] * HOLD_GROW, a.idle * TRUST_PROVEN);
-                trusts[kind] = Math.min(set.allowed().keepAlive(), trust);
-                d.window = Math.min(d.window + 1, Math.max(1, WINDOW_SHARE * set.allowed().slots()));
+                trusts[kind] = Math.min(set.limits().keepAlive(), trust);
+                d.window = Math.min(d.window + 1, Math.max(1, WINDOW_SHARE * set.limits().callSlots()));
                 succeeded(a);
             }
             case FULL -> {
                 d.window = Math.max(1, d.window / 2);
-                refused(lane, e.waitFor(), a);
+                refused(lane, e.retryAfter(), a);
             }
             case TIMEOUT -> {
                 d.window = Math.max(1, d.window / 2);
@@ -767,10 +767,10 @@
             case NO_SOCKET -> unopened(a);
             default -> { }
         }
-        if (e.limit() > 0) {
-            lane.weight = e.limit();
-            lane.pace = Math.min(lane.pace, e.limit());
-            if (e.left() >= 0 && e.left() < LEFT_LOW) {
+        if (e.limitPerSecond() > 0) {
+            lane.weight = e.limitPerSecond();
+            lane.pace = Math.min(lane.pace, e.limitPerSecond());
+            if (e.remainingShare() >= 0 && e.remainingShare() < LEFT_LOW) {
                 lane.pace = Math.max(paceLeast(lane), lane.pace * LEFT_CUT);
             }
         }
@@ -789,7 +789,7 @@
     private void doubt(Attempt a) {
         double trust = trusts[a.route.kind];
         if (a.idle < 0) {
-            trusts[a.route.kind] = Math.min(set.allowed().keepAlive(), trust * 2);
+            trusts[a.route.kind] = Math.min(set.limits().keepAlive(), trust * 2);
         } else if (a.idle >= TRUST_LEAST && a.route.failRun == 0 && !slow(a.route.dest)) {
             trusts[a.route.kind] = Math.min(trust, Math.max(TRUST_LEAST, a.idle / 2.0));
         }
@@ -814,8 +814,8 @@
     }
 
     private double paceLeast(Lane lane) {
-        return set.weights() == Weights.NONE ? Math.min(PACE_SLOWEST, 1.0 / set.relays())
-            : Math.max(PACE_SLOWEST, PACE_LEAST * listedRate(lane) / set.relays());
+        return set.weights() == Weights.NONE ? Math.min(PACE_SLOWEST, 1.0 / set.relayCount())
+            : Math.max(PACE_SLOWEST, PACE_LEAST * listedRate(lane) / set.relayCount());
     }
 
     /**
@@ -826,14 +826,14 @@
     private void regain(Route r) {
         Lane lane = r.lane;
         if (set.weights() == Weights.NONE && lane.met == 0) {
-            int bundle = set.kinds().get(r.kind).bundle();
+            int bundle = set.kinds().get(r.kind).maxMessagesPerCall();
             double start = startPace(r.kind);
             double seen = Math.max(r.dest.usualRate / bundle, lane.sent.perSecond(now, PACE_SPAN, PACE_SPAN));
             // After a restart all relays hold what came in meanwhile: that is no rate to begin with.
             double bound = start * Math.pow(PACE_AHEAD, (double) lane.sent.age(now) / SECOND);
             lane.pace = Math.min(bound, Math.max(start, PACE_AHEAD * seen));
         } else if (set.weights() == Weights.NONE) {
-            double span = (PROBE_CALLS + set.relays()) / lane.met * SECOND;
+            double span = (PROBE_CALLS + set.relayCount()) / lane.met * SECOND;
             span = Math.max(PROBE_LEAST, Math.min(PROBE_MOST, span));
             double past = (now - lane.metAt) / span - 1;
             double most = PACE_AHEAD * Math.max(lane.met, lane.sent.perSecond(now, PACE_SPAN));
@@ -855,8 +855,8 @@
             double met = sent * (d.refusals > 1 ? LIMIT_DROP : 1);
             // No slower than what comes in, in full bundles: else it is the pace that makes messages late.
             // Many relays that each insist on that would run into a limit below it all the time.
-            int bundle = set.kinds().get(a.route.kind).bundle();
-            double comesIn = d.usualRate / bundle * (bundle > 1 ? 1 : Math.min(1, INSISTENT / set.relays()));
+            int bundle = set.kinds().get(a.route.kind).maxMessagesPerCall();
+            double comesIn = d.usualRate / bundle * (bundle > 1 ? 1 : Math.min(1, INSISTENT / set.relayCount()));
             lane.met = Math.max(Math.max(paceLeast(lane), comesIn), met);
             lane.metAt = now;
         }
@@ -974,7 +974,7 @@
     private long opens(Route r, boolean joins) {
         Lane lane = r.lane;
         long when = r.closedUntil();
-        if (r.health == Health.RETURNING && now - r.returnAt >= set.rules().cold()) {
+        if (r.health == Health.RETURNING && now - r.returnAt >= set.rules().warmUpTime()) {
             r.health = Health.GOOD;
             r.failing = 0;
             changed(r, HealthReason.WARM);
@@ -1051,30 +1051,30 @@
      * What the next process must know of each listed endpoint, in this clock's time. First what binds, then
      * what was found out the hard way, for there may be no room for all of it.
      */
-    public List<Known> knowledge() {
+    public List<EndpointSnapshot> endpointSnapshots() {
         Comparator<Route> first = Comparator.comparingInt(r -> r.lane.waitUntil > now ? 0
             : r.health != Health.GOOD || r.closedUntil() > now ? 1 : 2);
         return routes.values().stream().sorted(first).map(this::known).toList();
     }
 
-    private Known known(Route r) {
+    private EndpointSnapshot known(Route r) {
         long since = r.health == Health.OUT ? r.outSince : r.returnAt;
         double carried = r.health == Health.GOOD ? 0 : r.lane.slowStart.carriedBefore();
-        return new Known(r.id, r.lane.waitUntil, r.closedUntil(), r.health, since, carried, r.lane.pace,
+        return new EndpointSnapshot(r.id, r.lane.waitUntil, r.closedUntil(), r.health, since, carried, r.lane.pace,
             r.dest.window, r.latency);
     }
 
     /** Goes on where the process before stood: its waits bind, and what it found out is not tried again. */
-    private void known(Known e) {
+    private void known(EndpointSnapshot e) {
         Route r = routes.get(e.endpoint());
         if (r == null) {
             return;
         }
         r.lane.waitUntil = Math.max(r.lane.waitUntil, e.waitUntil());
-        r.backoffUntil = Math.max(r.backoffUntil, e.closedUntil());
-        if (e.pace() > 0) {
-            r.lane.pace = Math.min(r.lane.pace, e.pace());
-            r.lane.met = set.weights() == Weights.NONE ? e.pace() : 0;
+        r.backoffUntil = Math.max(r.backoffUntil, e.unavailableUntil());
+        if (e.sendRate() > 0) {
+            r.lane.pace = Math.min(r.lane.pace, e.sendRate());
+            r.lane.met = set.weights() == Weights.NONE ? e.sendRate() : 0;
             r.lane.metAt = now;
             r.latency = e.latency();
             r.dest.latest = Math.max(r.dest.latest, e.latency());
@@ -1086,13 +1086,13 @@
     }
 
     /** An outage, or the return from one, that the process before this one knew of; never less cautious. */
-    private void resume(Route r, Known e) {
+    private void resume(Route r, EndpointSnapshot e) {
         if (r.health == Health.OUT) {
             return;
         }
         boolean first = r.health == Health.GOOD && r.dest.coldRoutes(r.lane) == 0;
         if (first) {
-            r.lane.slowStart = new SlowStart(e.carried(), now, 0.5 + random.nextDouble());
+            r.lane.slowStart = new SlowStart(e.carriedPerSecond(), now, 0.5 + random.nextDouble());
         }
         r.confirmed = true;
         r.lane.slowStart.confirm();
@@ -1120,7 +1120,7 @@
         used.add(d);
     }
 
-    private void listed(Listed e) {
+    private void listed(ListUpdated e) {
         if (listBy != Long.MIN_VALUE) {
             listBy = Long.MIN_VALUE;
             dests.values().stream().filter(d -> d.waiting > 0).forEach(active::add);
@@ -1171,13 +1171,13 @@
         r.kind = p.kind();
         r.dest = dest(p.destination());
         r.dest.kind = p.kind();
-        boolean apart = set.kinds().get(p.kind()).apart();
+        boolean apart = set.kinds().get(p.kind()).independentEndpoints();
         r.lane = apart || r.dest.shared == null ? new Lane() : r.dest.shared;
         r.dest.shared = apart ? r.dest.shared : r.lane;
         if (r.lane.pace == 0) {
             r.lane.weight = p.weight();
             r.lane.pace = PACE_START * paceLeast(r.lane) / PACE_LEAST;
-            if (set.relays() > INSISTENT) {
+            if (set.relayCount() > INSISTENT) {
                 // A first call of each relay at once, out of a full bucket, would be more than a place bears.
                 double first = random.nextDouble();
                 r.lane.bucket.fill(0, known ? saved(p, first) : first, now);
@@ -1203,7 +1203,7 @@
 
     /** Calls a second of this relay to a place that has not shown its limit. */
     private double startPace(int kind) {
-        return (set.kinds().get(kind).bundle() > 1 ? START_BUNDLES : START_TOGETHER) / set.relays();
+        return (set.kinds().get(kind).maxMessagesPerCall() > 1 ? START_BUNDLES : START_TOGETHER) / set.relayCount();
     }
 
     /** Takes a route off; what is known of it is kept a while: waits and health outlast a gap. */
@@ -1228,7 +1228,7 @@
         r.goneAt = -1;
         r.dest.gone--;
         if (routes.remove(r.id, r)) {
-            out.add(new Forgotten(r.id));
+            out.add(new EndpointForgotten(r.id));
         }
     }
 
@@ -1238,9 +1238,9 @@
      */
     private void release() {
         spent.values().removeIf(whole -> whole <= now);
-        long least = Math.max(set.rules().cold() + set.rules().tipAfter(), set.rules().keyRest());
+        long least = Math.max(set.rules().warmUpTime() + set.rules().overloadWindow(), set.rules().keyPause());
         for (MessageClass c : set.classes()) {
-            least = Math.max(least, c.window());
+            least = Math.max(least, c.dedupWindow());
         }
         for (var it = used.iterator(); it.hasNext();) {
             Dest d = it.next();
@@ -1255,12 +1255,12 @@
                     routes.remove(r.id);
                     avoided -= r.avoided ? 1 : 0;
                     r.lane.bucket.fill(startPace(r.kind), BURST_LEAST, now);
-                    double lacks = set.relays() > INSISTENT ? BURST_LEAST - r.lane.bucket.tokens : 0;
+                    double lacks = set.relayCount() > INSISTENT ? BURST_LEAST - r.lane.bucket.tokens : 0;
                     if (lacks > 0) {
                         spent.merge(d.id, now + (long) (lacks / startPace(r.kind) * SECOND), Math::max);
                     }
                 }
-                out.add(new Released(d.id));
+                out.add(new DestinationReleased(d.id));
             }
         }
     }
@@ -1271,7 +1271,7 @@
         for (Route r : d.routes.values()) {
             rests |= r.inflight > 0 || r.closedUntil() > now
                 || r.health == Health.OUT && now - d.usedAt < FORGET
-                || r.health == Health.RETURNING && now - r.returnAt < set.rules().cold();
+                || r.health == Health.RETURNING && now - r.returnAt < set.rules().warmUpTime();
         }
         return rests;
     }
@@ -1304,7 +1304,7 @@
         }
         if (!agenda.isEmpty() && agenda.peek().at() < wakeAt) {
             wakeAt = agenda.peek().at();
-            out.add(new Wake(Math.max(1, wakeAt - now)));
+            out.add(new SetTimer(Math.max(1, wakeAt - now)));
         }
     }
 }
--- a/src/main/java/wrenkeel/SimHost.java
+++ b/src/main/java/wrenkeel/SimHost.java
@@ -116,7 +116,7 @@
             case "full", "cached" -> Relay.ListKind.WHOLE;
             default -> throw new Wire.Malformed("unknown mode '" + mode + "'");
         };
-        events.add(new Relay.Listed(kind, items));
+        events.add(new Relay.ListUpdated(kind, items));
     }
 
     private void reply() throws IOException {
--- a/src/main/java/wrenkeel/SlowStart.java
+++ b/src/main/java/wrenkeel/SlowStart.java
@@ -79,13 +79,13 @@
     }
 
     private static long window(Rules rules) {
-        return rules.tipAfter() + HELD_UP;
+        return rules.overloadWindow() + HELD_UP;
     }
 
     /** How warm a destination is that has been back for so long, 0 to 1, in the middle of a window. */
     static double warmth(Rules rules, long backFor) {
-        double age = Math.max(0, backFor - rules.tipAfter() / 2);
-        return rules.coldFrom() + (1 - rules.coldFrom()) * Math.min(1, age / Math.max(1, rules.cold()));
+        double age = Math.max(0, backFor - rules.overloadWindow() / 2);
+        return rules.coldCapacity() + (1 - rules.coldCapacity()) * Math.min(1, age / Math.max(1, rules.warmUpTime()));
     }
 
     /**
@@ -99,11 +99,11 @@
     double callsInWindow(Settings set, double warmth, double leastPart, double listedRate, double share) {
         double part = Math.max(carriedBefore, leastPart);
         if (set.weights() != Weights.NONE) {
-            double even = listedRate / (set.weights() == Weights.ROUGH ? ROUGH_OVER : 1) / set.relays();
+            double even = listedRate / (set.weights() == Weights.ROUGH ? ROUGH_OVER : 1) / set.relayCount();
             part = (part + even) / 2;
         }
         Rules rules = set.rules();
-        double borne = rules.fallMultiple() * warmth * part * share * rules.tipAfter() / 1e6;
+        double borne = rules.overloadFactor() * warmth * part * share * rules.overloadWindow() / 1e6;
         return Math.max(CALLS_LEAST, BUDGET_USED * borne);
     }
 
@@ -131,8 +131,8 @@
         if (set.weights() != Weights.NONE) {
             return 0;
         }
-        double beside = callsInWindow * set.relays() < FEW_CALLS ? 3 : 2;
-        return 2 * Math.sqrt(callsInWindow / set.relays()) + beside / set.relays();
+        double beside = callsInWindow * set.relayCount() < FEW_CALLS ? 3 : 2;
+        return 2 * Math.sqrt(callsInWindow / set.relayCount()) + beside / set.relayCount();
     }
 
     /**
--- a/src/main/java/wrenkeel/Wire.java
+++ b/src/main/java/wrenkeel/Wire.java
@@ -275,7 +275,7 @@
             (int) s.whole("zone", 0),
             info.text("late", "linear").equals("halving"), s.number("over-share-worth", 1),
             weights(s.text("weights", "none")), classes, tenants, kinds,
-            new Relay.Allowed((int) info.whole("call-slots", 1), (int) allowed.whole("open-cap", 1000),
+            new Relay.Limits((int) info.whole("call-slots", 1), (int) allowed.whole("open-cap", 1000),
                 allowed.flag("second-copies"), allowed.flag("cancel"),
                 (int) allowed.whole("max-streams", 1),
                 allowed.time("connect-timeout", 0), allowed.time("keepalive", 0),
@@ -283,7 +283,7 @@
             new Relay.Rules(rules.time("stop-sending-within", 0), rules.number("fall-multiple", 1),
                 rules.time("tip-after", 1), rules.number("cold-from", 1), rules.time("cold", 0),
                 rules.time("key-rest", 0), rules.time("answer-slack", 0)),
-            new Relay.Prices(info.number("refusal-cost", 0), prices.number("handshake", 0),
+            new Relay.Costs(info.number("refusal-cost", 0), prices.number("handshake", 0),
                 prices.number("cross-zone", 0), prices.number("waste", 0), fees));
     }
 
@@ -337,18 +337,18 @@
     static Relay.Event event(String verb, Fields f) throws Malformed {
         switch (verb) {
             case "Accept":
-                return new Relay.Accepted(f.text("ref"), (int) f.whole("cls", 0), (int) f.whole("realm", 0),
+                return new Relay.MessageAccepted(f.text("ref"), (int) f.whole("cls", 0), (int) f.whole("realm", 0),
                     f.text("route-key", null), f.time("deadline"), f.whole("to-exchange", 0));
             case "Verdict": {
                 Relay.Outcome outcome = outcome(f.text("rc"));
                 Fields report = f.object("report");
                 long wait = outcome == Relay.Outcome.FULL ? Math.max(0, f.time("detail", 0)) : 0;
-                return new Relay.Ended(f.text("ref"), (int) f.whole("attempt", 0), f.whole("host"), outcome,
+                return new Relay.AttemptEnded(f.text("ref"), (int) f.whole("attempt", 0), f.whole("host"), outcome,
                     f.flag("finished"), wait, f.time("spent", 0), report.number("x0", -1),
                     report.number("x1", -1));
             }
-            case "TickDue": return new Relay.Due();
-            case "Dropped": return new Relay.Withdrawn(f.text("ref"));
+            case "TickDue": return new Relay.TimerDue();
+            case "Dropped": return new Relay.MessageWithdrawn(f.text("ref"));
             case "Pong", "Heard", "Started": return null;
             default: throw new Malformed("unknown verb '" + verb + "'");
         }
@@ -374,7 +374,7 @@
 
         /** Writes what the simulator is asked for; the other actions ask nothing of it. */
         void action(int instance, Relay.Action action) throws IOException {
-            if (action instanceof Relay.Forgotten || action instanceof Relay.Released) {
+            if (action instanceof Relay.EndpointForgotten || action instanceof Relay.DestinationReleased) {
                 return;
             }
             out.writeStartObject();
@@ -387,13 +387,13 @@
                 time("come-back", a.retryAfter());
             } else if (action instanceof Relay.Fail a) {
                 head("EndFailed", instance, a.id());
-            } else if (action instanceof Relay.Cancel a) {
+            } else if (action instanceof Relay.CancelAttempt a) {
                 head("CallOff", instance, a.id());
                 out.writeNumberField("attempt", a.attempt());
-            } else if (action instanceof Relay.Close a) {
+            } else if (action instanceof Relay.CloseIdleConnections a) {
                 head("DropConns", instance, null);
                 out.writeNumberField("host", a.endpoint());
-            } else if (action instanceof Relay.Wake a) {
+            } else if (action instanceof Relay.SetTimer a) {
                 head("Remind", instance, null);
                 out.writeNumberField("label", label = (label + 1) & 0xffff);
                 time("sleep-for", a.after());
--- a/src/main/java/wrenkeel/net/Config.java
+++ b/src/main/java/wrenkeel/net/Config.java
@@ -91,7 +91,7 @@
     }
 
     Descriptors descriptors() {
-        return Descriptors.of(sockets, settings.allowed().slots());
+        return Descriptors.of(sockets, settings.limits().callSlots());
     }
 
     /** Entries of lists may differ in number and form; they are checked as they are read. */
@@ -145,26 +145,26 @@
      * told that keys are remembered for so much less: a repeat then still comes inside the true window.
      */
     private static Relay.Settings usable(Relay.Settings s) throws Unusable {
-        if (s.classes().isEmpty() || s.kinds().isEmpty() || s.relays() < 1 || s.allowed().slots() < 1
-            || s.allowed().connectTimeout() <= 0 || s.allowed().keepAlive() <= 0) {
+        if (s.classes().isEmpty() || s.kinds().isEmpty() || s.relayCount() < 1 || s.limits().callSlots() < 1
+            || s.limits().connectTimeout() <= 0 || s.limits().keepAlive() <= 0) {
             throw new Unusable("settings lack classes, kinds, relays, slots or connection times");
         }
         Set<String> names = new HashSet<>();
         for (Relay.MessageClass c : s.classes()) {
-            if (c.name().isEmpty() || !names.add(c.name()) || c.aim() <= 0 || c.life() <= 0
-                || c.tries() < 1) {
+            if (c.name().isEmpty() || !names.add(c.name()) || c.aim() <= 0 || c.lifetime() <= 0
+                || c.maxAttempts() < 1) {
                 throw new Unusable("class '" + c.name() + "' has no name of its own, or no positive aim,"
                     + " deadline or number of attempts");
             }
-            if (c.effect() == Relay.Effect.KEYED && c.window() <= 0) {
+            if (c.effect() == Relay.Effect.KEYED && c.dedupWindow() <= 0) {
                 throw new Unusable("class '" + c.name() + "' has no window in which a repeat is dropped");
             }
         }
         List<Relay.MessageClass> classes = s.classes().stream().map(c -> new Relay.MessageClass(c.name(),
-            c.aim(), c.life(), c.worth(), c.lateWorth(), c.effect(), c.zoneGroup(),
-            Math.max(0, c.window() - s.allowed().connectTimeout() - WINDOW_MARGIN), c.inOrder(),
-            c.tries())).toList();
-        return s.with(classes);
+            c.aim(), c.lifetime(), c.worth(), c.lateWorth(), c.effect(), c.dedupPerZone(),
+            Math.max(0, c.dedupWindow() - s.limits().connectTimeout() - WINDOW_MARGIN), c.inOrder(),
+            c.maxAttempts())).toList();
+        return s.withClasses(classes);
     }
 
     private static List<String> names(Wire.Fields settings, String field) throws Wire.Malformed {
--- a/src/main/java/wrenkeel/net/EndpointHealthLog.java
+++ b/src/main/java/wrenkeel/net/EndpointHealthLog.java
@@ -57,7 +57,7 @@
             : host.name + " of destination " + host.destination;
         String slowStart = String.format(Locale.ROOT,
             "carried %.2f a second before, %d calls in the window, %.2f allowed",
-            change.carried(), change.sentInWindow(), change.allowedInWindow());
+            change.carriedPerSecond(), change.sentInWindow(), change.allowedInWindow());
         return "endpoint " + name + ": " + change.health() + ", " + change.reason() + "; " + slowStart;
     }
 }
--- a/src/main/java/wrenkeel/net/HollowRelay.java
+++ b/src/main/java/wrenkeel/net/HollowRelay.java
@@ -50,8 +50,8 @@
         Bootstrap calls = new Bootstrap().group(loop)
             .option(ChannelOption.ALLOCATOR, new UnpooledByteBufAllocator(false));
         HostList hosts = new HostList(config.zones(), config.kinds());
-        HostPool pool = new HostPool(loop, calls, config.settings().allowed().connectTimeout(),
-            config.settings().allowed().keepAlive(), config.descriptors().hosts(), figures);
+        HostPool pool = new HostPool(loop, calls, config.settings().limits().connectTimeout(),
+            config.settings().limits().keepAlive(), config.descriptors().hosts(), figures);
         journal = new Journal(config.state(), config.diskBytes(), clock, FileOperations.SYSTEM);
         driver = new Loop(loop, clock, config, hosts, pool, journal, figures, (whenListed, whenNoticed) ->
             new Discovery(loop, calls, config.discovery(), hosts, change -> {
--- a/src/main/java/wrenkeel/net/HostList.java
+++ b/src/main/java/wrenkeel/net/HostList.java
@@ -56,7 +56,7 @@
      * What a list has changed. {@code listed}: what the module is to be told; {@code unready}: hosts to which
      * no call may go out any more that waits: not ready, gone, or of another destination now.
      */
-    record Change(Relay.Listed listed, List<Host> unready) { }
+    record Change(Relay.ListUpdated listed, List<Host> unready) { }
 
     private final List<String> zones;
     private final List<String> kinds;
@@ -131,7 +131,7 @@
     }
 
     /** The module is to know this destination from now on: its listed hosts; null if it does already. */
-    Relay.Listed tell(long destination) {
+    Relay.ListUpdated tell(long destination) {
         if (told.containsKey(destination)) {
             return null;
         }
@@ -144,7 +144,7 @@
             show(row);
             endpoints.add(endpoint(row));
         }
-        return new Relay.Listed(ListKind.CHANGES, endpoints);
+        return new Relay.ListUpdated(ListKind.CHANGES, endpoints);
     }
 
     /** The module has forgotten the destination. */
@@ -190,7 +190,7 @@
      * A host that another process was told is draining or gone; this one's list is older. A list that is
      * being read may be older too, for its text began before: the host drains until a later one names it.
      */
-    Relay.Listed drain(Host host) {
+    Relay.ListUpdated drain(Host host) {
         host.ready = false;
         int row = table.numbered(host.number);
         if (row != HostTable.NONE && table.destination(row) == host.destination) {
@@ -200,7 +200,7 @@
                 reading.drained.add(host.number);
             }
         }
-        return new Relay.Listed(ListKind.CHANGES, List.of(new Endpoint(host.number, host.zone, host.kind,
+        return new Relay.ListUpdated(ListKind.CHANGES, List.of(new Endpoint(host.number, host.zone, host.kind,
             host.destination, Listing.DRAINING, 0)));
     }
 
@@ -393,7 +393,7 @@
                 }
             }
             version = text.version();
-            return new Change(new Relay.Listed(text.whole() ? ListKind.WHOLE : ListKind.CHANGES, endpoints),
+            return new Change(new Relay.ListUpdated(text.whole() ? ListKind.WHOLE : ListKind.CHANGES, endpoints),
                 List.copyOf(unready));
         }
 
--- a/src/main/java/wrenkeel/net/Journal.java
+++ b/src/main/java/wrenkeel/net/Journal.java
@@ -119,7 +119,7 @@
         private void doubt() {
             if (!doubted) {
                 doubted = true;
-                long life = rules == null ? 0 : rules.life() / 1_000;
+                long life = rules == null ? 0 : rules.lifetime() / 1_000;
                 attempts.add(new Attempt(message.deadline() - life, UNKNOWN_ZONE));
             }
         }
@@ -472,7 +472,7 @@
     }
 
     private static long reserve(int taken, Relay.MessageClass rules) {
-        int tries = rules == null ? BARE_TRIES : rules.tries();
+        int tries = rules == null ? BARE_TRIES : rules.maxAttempts();
         return taken + (long) tries * ATTEMPT_BYTES + END_BYTES;
     }
 
@@ -852,14 +852,14 @@
     private static void rules(DataOutputStream out, Relay.MessageClass c) throws IOException {
         out.writeUTF(c.name());
         out.writeLong(c.aim());
-        out.writeLong(c.life());
+        out.writeLong(c.lifetime());
         out.writeDouble(c.worth());
         out.writeDouble(c.lateWorth());
         out.writeByte(c.effect().ordinal());
-        out.writeBoolean(c.zoneGroup());
-        out.writeLong(c.window());
+        out.writeBoolean(c.dedupPerZone());
+        out.writeLong(c.dedupWindow());
         out.writeBoolean(c.inOrder());
-        out.writeShort(c.tries());
+        out.writeShort(c.maxAttempts());
     }
 
     private static Relay.MessageClass rules(DataInputStream in) throws IOException {
--- a/src/main/java/wrenkeel/net/Knowledge.java
+++ b/src/main/java/wrenkeel/net/Knowledge.java
@@ -21,14 +21,14 @@
     private Knowledge() { }
 
     /** Stops once the text has {@code most} characters: what comes later in the list is left out. */
-    static String write(List<Relay.Known> all, HostList hosts, LongUnaryOperator toUnix, long most)
+    static String write(List<Relay.EndpointSnapshot> all, HostList hosts, LongUnaryOperator toUnix, long most)
         throws IOException {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = JSON.createGenerator(text)) {
             out.writeStartObject();
             out.writeNumberField("seq", hosts.version());
             out.writeArrayFieldStart("known");
-            for (Relay.Known known : all) {
+            for (Relay.EndpointSnapshot known : all) {
                 HostList.Host host = hosts.host(known.endpoint());
                 out.flush();
                 if (text.getBuffer().length() >= most) {
@@ -41,11 +41,11 @@
                 out.writeStringField("host", host.name);
                 out.writeBooleanField("ready", host.ready);
                 out.writeNumberField("wait", toUnix.applyAsLong(known.waitUntil()));
-                out.writeNumberField("closed", toUnix.applyAsLong(known.closedUntil()));
+                out.writeNumberField("closed", toUnix.applyAsLong(known.unavailableUntil()));
                 out.writeStringField("health", known.health().name());
                 out.writeNumberField("since", toUnix.applyAsLong(known.since()));
-                out.writeNumberField("carried", known.carried());
-                out.writeNumberField("pace", known.pace());
+                out.writeNumberField("carried", known.carriedPerSecond());
+                out.writeNumberField("pace", known.sendRate());
                 out.writeNumberField("window", known.window());
                 out.writeNumberField("latency", known.latency());
                 out.writeEndObject();
@@ -74,7 +74,7 @@
                 if (newer && host.ready && !f.flag("ready")) {
                     events.add(hosts.drain(host));
                 }
-                events.add(new Relay.Known(host.number, toModule.applyAsLong(f.whole("wait")),
+                events.add(new Relay.EndpointSnapshot(host.number, toModule.applyAsLong(f.whole("wait")),
                     toModule.applyAsLong(f.whole("closed")), health(f), toModule.applyAsLong(since(f)),
                     f.number("carried", 0), f.number("pace"), f.number("window"), f.number("latency")));
             }
--- a/src/main/java/wrenkeel/net/Loop.java
+++ b/src/main/java/wrenkeel/net/Loop.java
@@ -119,7 +119,7 @@
         this.hosts = hosts;
         this.pool = pool;
         this.journal = journal;
-        this.journalHealth = new JournalHealth(loop, journal, ok -> tell(new Relay.Storage(ok)));
+        this.journalHealth = new JournalHealth(loop, journal, ok -> tell(new Relay.StorageChanged(ok)));
         this.figures = figures;
         this.discovery = agent.open(this::listed, this::noticed);
         classes.addAll(settings.classes());
@@ -137,10 +137,10 @@
         turn();
         settings = next.settings();
         settings.classes().stream().filter(c -> !classes.contains(c)).forEach(classes::add);
-        tell(new Relay.Retuned(settings.with(List.copyOf(classes))));
+        tell(new Relay.SettingsChanged(settings.withClasses(List.copyOf(classes))));
         enforce();
         discovery.moveTo(next.discovery());
-        pool.retune(settings.allowed().connectTimeout(), settings.allowed().keepAlive(),
+        pool.retune(settings.limits().connectTimeout(), settings.limits().keepAlive(),
             next.descriptors().hosts());
     }
 
@@ -148,7 +148,7 @@
     private int number(Relay.MessageClass rules) {
         if (!classes.contains(rules)) {
             classes.add(rules);
-            tell(new Relay.Retuned(settings.with(List.copyOf(classes))));
+            tell(new Relay.SettingsChanged(settings.withClasses(List.copyOf(classes))));
         }
         return classes.indexOf(rules);
     }
@@ -167,7 +167,7 @@
                 LOG.warn("the list of before cannot be taken in, begun without: {}", e.getMessage());
             }
         }
-        tell(new Relay.ListAsked());
+        tell(new Relay.ListRequested());
         turn();
         discovery.watch();
         loop.scheduleWithFixedDelay(this::stand, 0, STAND, TimeUnit.MILLISECONDS);
@@ -187,7 +187,7 @@
     private void stand() {
         lag.tick();
         try {
-            int unavailable = control.unavailable() + hosts.draining();
+            int unavailable = control.unavailableEndpoints() + hosts.draining();
             figures.stands(journal.size(), hosts.listed(), unavailable, hosts.version(), discovery.faults(),
                 journalHealth.failures(), lag.worstMillis());
         } catch (RuntimeException e) {
@@ -198,16 +198,16 @@
 
     private void release() {
         if (introduced > 0) {
-            tell(new Relay.Release());
+            tell(new Relay.ReleaseRequested());
         }
     }
 
     /** Before the module hears of a destination, it is told of its endpoints. */
     private void introduce(long destination) {
-        Relay.Listed listed = hosts.tell(destination);
+        Relay.ListUpdated listed = hosts.tell(destination);
         if (listed != null) {
             introduced++;
-            tell(new Relay.Introduced(listed.endpoints()));
+            tell(new Relay.DestinationIntroduced(listed.endpoints()));
         }
     }
 
@@ -226,7 +226,7 @@
         journal.waits().forEach((host, until) -> {
             HostList.Host told = named(host);
             if (told != null) {
-                tell(Relay.Known.waiting(told.number, moduleTime(until)));
+                tell(Relay.EndpointSnapshot.waiting(told.number, moduleTime(until)));
             }
         });
         journal.inheritedHealth().forEach(this::inherit);
@@ -236,7 +236,7 @@
         for (long destination : changed) {
             if (!out.getOrDefault(destination, 0).equals(outElsewhere.getOrDefault(destination, 0))) {
                 introduce(destination);
-                tell(new Relay.Elsewhere(destination, out.getOrDefault(destination, 0)));
+                tell(new Relay.ExternalCalls(destination, out.getOrDefault(destination, 0)));
             }
         }
         outElsewhere = out;
@@ -248,7 +248,7 @@
         if (host == null) {
             unlistedHealth.put(told.host(), told);
         } else {
-            tell(Relay.Known.health(host.number, told.health(), moduleTime(told.since()), told.carried()));
+            tell(Relay.EndpointSnapshot.health(host.number, told.health(), moduleTime(told.since()), told.carried()));
         }
     }
 
@@ -268,9 +268,9 @@
     void leave() throws IOException {
         journal.beginPassing();
         leaving = true;
-        tell(new Relay.Leave());
+        tell(new Relay.HandoverStarted());
         turn();
-        journal.leave(Knowledge.write(control.knowledge(), hosts, this::unixTime, knowledgeMost));
+        journal.leave(Knowledge.write(control.endpointSnapshots(), hosts, this::unixTime, knowledgeMost));
         pool.closeAllIdle();
     }
 
@@ -287,10 +287,10 @@
         h.told = 1;
         held.put(h.message.id(), h);
         open++;
-        List<Relay.Earlier> earlier = new ArrayList<>();
+        List<Relay.EarlierAttempt> earlier = new ArrayList<>();
         for (Journal.Attempt a : entry.attempts) {
             h.calls.add(null);
-            earlier.add(new Relay.Earlier(moduleTime(a.sent), a.zone, a.mayHaveRun));
+            earlier.add(new Relay.EarlierAttempt(moduleTime(a.sent), a.zone, a.mayHaveRun));
         }
         if (earlier.isEmpty()) {
             h.untried = true;
@@ -302,10 +302,10 @@
         tell(accepted(h, true, earlier));
     }
 
-    private Relay.Accepted accepted(Held h, boolean takenUp, List<Relay.Earlier> earlier) {
+    private Relay.MessageAccepted accepted(Held h, boolean takenUp, List<Relay.EarlierAttempt> earlier) {
         Message m = h.message;
         long reserve = EndReserve.millis(m.deadline() - clock.millis());
-        return new Relay.Accepted(m.id(), number(h.rules), m.tenant(), m.routeKey(),
+        return new Relay.MessageAccepted(m.id(), number(h.rules), m.tenant(), m.routeKey(),
             moduleTime(m.deadline() - reserve), TimeUnit.MILLISECONDS.toMicros(reserve), m.destination(),
             takenUp, earlier);
     }
@@ -385,7 +385,7 @@
         if (!journalHealth.isWritable()) {
             return Refusal.FOLDER_FAILS;
         }
-        return open >= settings.allowed().open() ? Refusal.HOLD_FULL : null;
+        return open >= settings.limits().maxOpenMessages() ? Refusal.HOLD_FULL : null;
     }
 
     /**
@@ -399,7 +399,7 @@
             TRACE.debug("{} withdrawn", id);
             over(h);
             close(h.entry);
-            tell(new Relay.Withdrawn(id));
+            tell(new Relay.MessageWithdrawn(id));
         }
     }
 
@@ -450,7 +450,7 @@
         } catch (RuntimeException e) {
             LOG.error("turn failed on {}", told, e);
             // Guards against standing still: the module's timer may have been lost with the turn.
-            loop.schedule(() -> tell(new Relay.Due()), AFTER_FAULT, TimeUnit.MICROSECONDS);
+            loop.schedule(() -> tell(new Relay.TimerDue()), AFTER_FAULT, TimeUnit.MICROSECONDS);
         } finally {
             // Guards clients against silence if the turn failed: nothing was written down for these.
             for (String id : List.copyOf(unanswered.keySet())) {
@@ -525,7 +525,7 @@
         Held h = held.get(id);
         over(h);
         figures.rejected(h.message.messageClass());
-        tell(new Relay.Withdrawn(id));
+        tell(new Relay.MessageWithdrawn(id));
         answer.refused(COME_BACK);
     }
 
@@ -536,24 +536,24 @@
             end(a.id(), new Journal.End(true, a.retryAfter()));
         } else if (action instanceof Relay.Fail a) {
             end(a.id(), new Journal.End(false, 0));
-        } else if (action instanceof Relay.Pass a) {
+        } else if (action instanceof Relay.HandOver a) {
             pass(a.id());
-        } else if (action instanceof Relay.Cancel a) {
+        } else if (action instanceof Relay.CancelAttempt a) {
             Held h = held.get(a.id());
             HostPool.Part part = h == null ? null : h.calls.get(a.attempt());
             if (part != null) {
                 part.cancel();
             }
-        } else if (action instanceof Relay.Close a && hosts.host(a.endpoint()) != null) {
+        } else if (action instanceof Relay.CloseIdleConnections a && hosts.host(a.endpoint()) != null) {
             pool.closeIdle(hosts.host(a.endpoint()));
-        } else if (action instanceof Relay.Forgotten a) {
+        } else if (action instanceof Relay.EndpointForgotten a) {
             hosts.forget(a.endpoint());
-        } else if (action instanceof Relay.Released a) {
+        } else if (action instanceof Relay.DestinationReleased a) {
             hosts.hostsOf(a.destination()).forEach(pool::closeIdle);
             hosts.release(a.destination());
             introduced--;
-        } else if (action instanceof Relay.Wake a) {
-            loop.schedule(() -> tell(new Relay.Due()), a.after(), TimeUnit.MICROSECONDS);
+        } else if (action instanceof Relay.SetTimer a) {
+            loop.schedule(() -> tell(new Relay.TimerDue()), a.after(), TimeUnit.MICROSECONDS);
         } else if (action instanceof Relay.HealthChanged a) {
             healthChanged(a);
         }
@@ -569,7 +569,7 @@
         }
         try {
             journal.health(new Journal.EndpointHealth(host.name, a.health(), unixTime(a.since()),
-                a.carried()));
+                a.carriedPerSecond()));
         } catch (IOException e) {
             journalHealth.failed("the health of " + host.name + " is not kept", e);
         }
@@ -611,14 +611,14 @@
             reply -> ended(h, attempt, host, reply));
         h.calls.set(attempt, part);
         if (!bundles.computeIfAbsent(host, key -> new Bundle())
-                .takes(h.message, settings.kinds().get(host.kind).bundle())) {
+                .takes(h.message, settings.kinds().get(host.kind).maxMessagesPerCall())) {
             depart(host);
         }
         bundles.computeIfAbsent(host, key -> new Bundle()).add(part);
     }
 
     private boolean apart(HostList.Host host) {
-        return settings.kinds().get(host.kind).apart();
+        return settings.kinds().get(host.kind).independentEndpoints();
     }
 
     /** What the rules forbid does not go out, whatever was decided. */
@@ -690,11 +690,11 @@
                     // Its time was up before the host heard of it.
                     figures.failed(h.message.messageClass());
                 }
-            } else if (reply.outcome().neverRan() && reply.outcome() != Relay.Outcome.NOT_JOURNALED) {
+            } else if (reply.outcome().provesNotExecuted() && reply.outcome() != Relay.Outcome.NOT_JOURNALED) {
                 notRun(h, attempt, reply.outcome() == Relay.Outcome.NO_SOCKET);
             }
         }
-        tell(new Relay.Ended(h.message.id(), attempt, host.number, reply.outcome(), over, reply.waitFor(),
+        tell(new Relay.AttemptEnded(h.message.id(), attempt, host.number, reply.outcome(), over, reply.waitFor(),
             reply.latency(), reply.left(), reply.limit()));
         forget(h);
     }
--- a/src/main/java/wrenkeel/net/Node.java
+++ b/src/main/java/wrenkeel/net/Node.java
@@ -266,8 +266,8 @@
         Bootstrap calls = new Bootstrap().group(thread)
             .option(ChannelOption.ALLOCATOR, new UnpooledByteBufAllocator(false));
         HostList hosts = new HostList(config.zones(), config.kinds());
-        HostPool pool = new HostPool(thread, calls, config.settings().allowed().connectTimeout(),
-            config.settings().allowed().keepAlive(), config.descriptors().hosts(), figures);
+        HostPool pool = new HostPool(thread, calls, config.settings().limits().connectTimeout(),
+            config.settings().limits().keepAlive(), config.descriptors().hosts(), figures);
         loop = new Loop(thread, clock, config, hosts, pool, journal, figures,
             (whenListed, whenNoticed) -> new Discovery(thread, calls, config.discovery(), hosts, whenListed,
                 whenNoticed));
--- a/src/main/java/wrenkeel/net/RecordedTimes.java
+++ b/src/main/java/wrenkeel/net/RecordedTimes.java
@@ -48,7 +48,7 @@
         if (measured || rules == null) {
             return shifted;
         }
-        return Math.min(shifted, clock.millis() + TimeUnit.MICROSECONDS.toMillis(rules.life()));
+        return Math.min(shifted, clock.millis() + TimeUnit.MICROSECONDS.toMillis(rules.lifetime()));
     }
 
     /** When an attempt was made; long ago where the wall clock has run back: no repeat rests on it. */
--- a/src/main/java/wrenkeel/net/SendGuard.java
+++ b/src/main/java/wrenkeel/net/SendGuard.java
@@ -64,8 +64,8 @@
                                      long nowMillis) {
         return switch (rules.effect()) {
             case SAFE -> true;
-            case KEYED -> nowMillis - before.sent <= rules.window() / 1_000 + ROUNDING
-                && (!rules.zoneGroup() || before.zone == host.zone);
+            case KEYED -> nowMillis - before.sent <= rules.dedupWindow() / 1_000 + ROUNDING
+                && (!rules.dedupPerZone() || before.zone == host.zone);
             case UNSAFE -> false;
         };
     }
--- a/src/main/java/wrenkeel/scale/LearnFleet.java
+++ b/src/main/java/wrenkeel/scale/LearnFleet.java
@@ -108,7 +108,7 @@
         private void carryOut(Relay.Action action) {
             if (action instanceof Relay.Send send) {
                 send(send);
-            } else if (action instanceof Relay.Cancel cancel) {
+            } else if (action instanceof Relay.CancelAttempt cancel) {
                 Message message = messages.get(cancel.id());
                 if (message != null) {
                     Attempt attempt = message.attempts.get(cancel.attempt());
@@ -118,23 +118,23 @@
                 over(refuse.id(), tally.handedBack);
             } else if (action instanceof Relay.Fail fail) {
                 over(fail.id(), tally.givenUp);
-            } else if (action instanceof Relay.Released released) {
+            } else if (action instanceof Relay.DestinationReleased released) {
                 introduced.remove(released.destination());
                 tally.released += measured() ? 1 : 0;
-            } else if (action instanceof Relay.Wake wake) {
+            } else if (action instanceof Relay.SetTimer wake) {
                 wakeAt = Math.min(wakeAt, now + wake.after());
                 at(now + wake.after(), () -> {
                     if (wakeAt <= now) {
                         wakeAt = Long.MAX_VALUE;
-                        turn(new Relay.Due());
+                        turn(new Relay.TimerDue());
                     }
                 });
             }
         }
 
-        void accept(Relay.Accepted message) {
+        void accept(Relay.MessageAccepted message) {
             if (setup.releases() && introduced.add(message.destination())) {
-                turn(new Relay.Introduced(endpoints(message.destination())), message);
+                turn(new Relay.DestinationIntroduced(endpoints(message.destination())), message);
             } else {
                 turn(message);
             }
@@ -195,7 +195,7 @@
                     tally.inAim += message.counts && now <= message.aim ? 1 : 0;
                 }
             }
-            turn(new Relay.Ended(attempt.id, attempt.number, attempt.endpoint, outcome,
+            turn(new Relay.AttemptEnded(attempt.id, attempt.number, attempt.endpoint, outcome,
                 outcome == Relay.Outcome.OK, wait, now - attempt.sent, -1, -1));
             forget(attempt.id, message);
         }
@@ -240,7 +240,7 @@
         for (int i = 0; i < setup.relays(); i++) {
             Member member = new Member(random.nextLong());
             members.add(member);
-            member.turn(new Relay.Listed(Relay.ListKind.WHOLE, list));
+            member.turn(new Relay.ListUpdated(Relay.ListKind.WHOLE, list));
         }
         arrival();
         if (setup.releases()) {
@@ -258,7 +258,7 @@
         at(now + SECOND, () -> {
             for (Member member : members) {
                 if (!member.introduced.isEmpty()) {
-                    member.turn(new Relay.Release());
+                    member.turn(new Relay.ReleaseRequested());
                 }
             }
             release();
@@ -279,7 +279,7 @@
         measureFrom = now;
         measureTo = now + seconds * SECOND;
         // Messages that come later may not have met their end when the play is over.
-        long longest = settings.classes().stream().mapToLong(Relay.MessageClass::life).max().orElseThrow();
+        long longest = settings.classes().stream().mapToLong(Relay.MessageClass::lifetime).max().orElseThrow();
         countTo = measureTo - longest;
         fallsBefore = falls();
         pass(seconds * SECOND);
@@ -351,7 +351,7 @@
         tally.events += counts ? 1 : 0;
         String id = Long.toHexString(named++);
         member.messages.put(id, new Message(destination, now, now + kind.aim(), counts));
-        member.accept(new Relay.Accepted(id, number, 0, null, now + kind.life(), destination));
+        member.accept(new Relay.MessageAccepted(id, number, 0, null, now + kind.lifetime(), destination));
     }
 
     /** Arranges the next outage of a destination, and the one after that. */
--- a/src/test/java/wrenkeel/Bench.java
+++ b/src/test/java/wrenkeel/Bench.java
@@ -29,9 +29,9 @@
                 attempts));
         return new Settings(0, relays, 0, false, 0.2, Weights.NOMINAL, classes, List.of(new Tenant("t", 50)),
             List.of(new Kind(false, 1), new Kind(true, 1), new Kind(true, 10)),
-            new Allowed(slots, open, copies, true, 1, 1500 * MS, 10 * SECOND, 3 * SECOND),
+            new Limits(slots, open, copies, true, 1, 1500 * MS, 10 * SECOND, 3 * SECOND),
             new Rules(250 * MS, 2.5, 3 * SECOND, 0.15, 10 * SECOND, 50 * MS, 20 * MS),
-            new Prices(0.05, 0.06, 0, 0.05, List.of(0.0, 0.0)));
+            new Costs(0.05, 0.06, 0, 0.05, List.of(0.0, 0.0)));
     }
 
     Bench(Settings set) {
@@ -59,12 +59,12 @@
         if (wakeAt <= now) {
             wakeAt = Long.MAX_VALUE;
             events = new ArrayList<>(events);
-            events.add(new Due());
+            events.add(new TimerDue());
         }
         List<Action> actions = control.turn(now, events);
         for (Action a : actions) {
             checker.action(now, a);
-            if (a instanceof Wake w) {
+            if (a instanceof SetTimer w) {
                 wakeAt = Math.min(wakeAt, now + w.after());
             }
         }
@@ -86,20 +86,20 @@
         return all;
     }
 
-    Accepted message(int cls, long destination) {
+    MessageAccepted message(int cls, long destination) {
         return message(cls, destination, null);
     }
 
-    Accepted message(int cls, long destination, String key) {
-        return new Accepted("m" + next++, cls, 0, key, now + set.classes().get(cls).life(), destination);
+    MessageAccepted message(int cls, long destination, String key) {
+        return new MessageAccepted("m" + next++, cls, 0, key, now + set.classes().get(cls).lifetime(), destination);
     }
 
-    static Ended ended(Send send, int attempt, Outcome outcome) {
+    static AttemptEnded ended(Send send, int attempt, Outcome outcome) {
         return ended(send, attempt, outcome, 0);
     }
 
-    static Ended ended(Send send, int attempt, Outcome outcome, long waitFor) {
-        return new Ended(send.id(), attempt, send.endpoint(), outcome, outcome == Outcome.OK, waitFor, 100 * MS, -1, -1);
+    static AttemptEnded ended(Send send, int attempt, Outcome outcome, long waitFor) {
+        return new AttemptEnded(send.id(), attempt, send.endpoint(), outcome, outcome == Outcome.OK, waitFor, 100 * MS, -1, -1);
     }
 
     static List<Send> sends(List<Action> actions) {
--- a/src/test/java/wrenkeel/ColdDestination.java
+++ b/src/test/java/wrenkeel/ColdDestination.java
@@ -112,7 +112,7 @@
             };
         }
         long back = returnBefore(now);
-        if (back >= 0 && now < back + rules.cold()) {
+        if (back >= 0 && now < back + rules.warmUpTime()) {
             coldCalls.add(new ColdCall(now, told));
         }
         return takes(now) ? new Answer(Outcome.OK, LATENCY, 0) : new Answer(Outcome.FULL, 0, 0);
@@ -124,8 +124,8 @@
         if (back < 0) {
             return capacity;
         }
-        double warmth = Math.min(1, (double) (time - back) / rules.cold());
-        return capacity * (rules.coldFrom() + (1 - rules.coldFrom()) * warmth);
+        double warmth = Math.min(1, (double) (time - back) / rules.warmUpTime());
+        return capacity * (rules.coldCapacity() + (1 - rules.coldCapacity()) * warmth);
     }
 
     private boolean takes(long now) {
@@ -139,7 +139,7 @@
 
     /** Calls in a window that begins at this time, beyond which the cold destination falls. */
     private double bound(long begin) {
-        double allowed = rules.fallMultiple() * present(begin) * rules.tipAfter() / 1e6;
+        double allowed = rules.overloadFactor() * present(begin) * rules.overloadWindow() / 1e6;
         return allowed < MANY ? allowed + 3 * Math.sqrt(allowed) + 3 : allowed + 2 * Math.sqrt(allowed) + 2;
     }
 
@@ -151,7 +151,7 @@
         ArrayDeque<ColdCall> window = new ArrayDeque<>();
         for (ColdCall call : coldCalls) {
             window.addLast(call);
-            long begin = Math.max(returnBefore(call.at), call.at - rules.tipAfter());
+            long begin = Math.max(returnBefore(call.at), call.at - rules.overloadWindow());
             while (window.peekFirst().at < begin) {
                 window.pollFirst();
             }
--- a/src/test/java/wrenkeel/ColdFleet.java
+++ b/src/test/java/wrenkeel/ColdFleet.java
@@ -82,7 +82,7 @@
     private static final class Message {
         final String id;
         final long deadline;
-        final List<Earlier> attempts = new ArrayList<>();
+        final List<EarlierAttempt> attempts = new ArrayList<>();
         boolean over, inAim;
 
         Message(String id, long deadline) {
@@ -100,7 +100,7 @@
         final int rank;
         final Map<String, Message> messages = new LinkedHashMap<>();
         /** What the lasting folder holds of the endpoints. */
-        final Map<Long, Known> folder = new HashMap<>();
+        final Map<Long, EndpointSnapshot> folder = new HashMap<>();
         Control control;
         /** Number of its process; what an earlier one has begun is lost. */
         int process;
@@ -115,7 +115,7 @@
 
         private void begin() {
             control = new Control(random.nextLong(), settings(rank));
-            turn(new Listed(ListKind.WHOLE, list));
+            turn(new ListUpdated(ListKind.WHOLE, list));
         }
 
         void end() {
@@ -125,7 +125,7 @@
         }
 
         void startAgain(Inheritance inheritance) {
-            List<Known> left = inheritance == Inheritance.HANDOVER ? control.knowledge()
+            List<EndpointSnapshot> left = inheritance == Inheritance.HANDOVER ? control.endpointSnapshots()
                 : List.copyOf(folder.values());
             alive = true;
             if (inheritance == Inheritance.NOTHING) {
@@ -138,11 +138,11 @@
             }
         }
 
-        private void recover(List<Known> left) {
+        private void recover(List<EndpointSnapshot> left) {
             List<Event> events = new ArrayList<>(left);
             for (Message message : messages.values()) {
                 if (!message.over) {
-                    events.add(new Accepted(message.id, 0, 0, null, message.deadline, 1, true,
+                    events.add(new MessageAccepted(message.id, 0, 0, null, message.deadline, 1, true,
                         List.copyOf(message.attempts)));
                 }
             }
@@ -151,7 +151,7 @@
 
         void accept(Message message) {
             messages.put(message.id, message);
-            turn(new Accepted(message.id, 0, 0, null, message.deadline, 1));
+            turn(new MessageAccepted(message.id, 0, 0, null, message.deadline, 1));
         }
 
         void turn(Event... events) {
@@ -163,9 +163,9 @@
                 } else if (action instanceof Fail fail) {
                     messages.get(fail.id()).over = true;
                 } else if (action instanceof HealthChanged changed) {
-                    folder.put(changed.endpoint(), Known.health(changed.endpoint(), changed.health(),
-                        changed.since(), changed.carried()));
-                } else if (action instanceof Wake wake) {
+                    folder.put(changed.endpoint(), EndpointSnapshot.health(changed.endpoint(), changed.health(),
+                        changed.since(), changed.carriedPerSecond()));
+                } else if (action instanceof SetTimer wake) {
                     wake(wake.after());
                 }
             }
@@ -177,7 +177,7 @@
             at(now + after, () -> {
                 if (process == mine && wakeAt <= now) {
                     wakeAt = Long.MAX_VALUE;
-                    turn(new Relay.Due());
+                    turn(new Relay.TimerDue());
                 }
             });
         }
@@ -205,7 +205,7 @@
             this.endpoint = endpoint;
             process = member.process;
             attempt = message.attempts.size();
-            message.attempts.add(new Earlier(sent, 0, true));
+            message.attempts.add(new EarlierAttempt(sent, 0, true));
         }
 
         void arrive() {
@@ -226,8 +226,8 @@
             member.told |= outcome != Outcome.OK && destination.isOut(now);
             message.inAim |= outcome == Outcome.OK && now <= message.aim();
             message.over |= outcome == Outcome.OK;
-            message.attempts.set(attempt, new Earlier(sent, 0, !outcome.neverRan()));
-            member.turn(new Ended(message.id, attempt, endpoint, outcome, outcome == Outcome.OK, wait,
+            message.attempts.set(attempt, new EarlierAttempt(sent, 0, !outcome.provesNotExecuted()));
+            member.turn(new AttemptEnded(message.id, attempt, endpoint, outcome, outcome == Outcome.OK, wait,
                 now - sent, -1, -1));
         }
     }
@@ -323,7 +323,7 @@
         MessageClass only = new MessageClass("a", AIM, LIFE, 1, 0.5, Effect.SAFE, false, 0, false, 8);
         return new Settings(rank, scenario.relays, 0, false, 0.2, scenario.weights, List.of(only), List.of(),
             List.of(new Kind(false, 1)),
-            new Allowed(60, 1_000, true, true, 1, 1_000 * MS, 15 * SECOND, 2 * SECOND), RULES,
-            new Prices(0.05, 0.02, 0, 0.1, List.of()));
+            new Limits(60, 1_000, true, true, 1, 1_000 * MS, 15 * SECOND, 2 * SECOND), RULES,
+            new Costs(0.05, 0.02, 0, 0.1, List.of()));
     }
 }
--- a/src/test/java/wrenkeel/ControlTest.java
+++ b/src/test/java/wrenkeel/ControlTest.java
@@ -12,7 +12,7 @@
 class ControlTest {
     private static Bench bench(int kind, int slots, boolean copies) {
         Bench b = new Bench(settings(slots, copies, 2));
-        b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, kind, 1, 50), endpoint(12, 1, kind, 1, 50))));
+        b.turn(new ListUpdated(ListKind.WHOLE, List.of(endpoint(11, 0, kind, 1, 50), endpoint(12, 1, kind, 1, 50))));
         return b;
     }
 
@@ -28,18 +28,18 @@
         assertEquals(first.id(), copies.get(0).id());
         assertNotEquals(first.endpoint(), copies.get(0).endpoint());
         List<Action> after = b.turn(ended(copies.get(0), 1, Outcome.OK));
-        assertEquals(List.of(new Cancel(first.id(), 0)), after.stream().filter(Cancel.class::isInstance).toList());
+        assertEquals(List.of(new CancelAttempt(first.id(), 0)), after.stream().filter(CancelAttempt.class::isInstance).toList());
     }
 
-    private static Event recovered(Bench b, int cls, Earlier... earlier) {
-        return new Accepted("r", cls, 0, null, b.message(cls, 1).deadline(), 1, true, List.of(earlier));
+    private static Event recovered(Bench b, int cls, EarlierAttempt... earlier) {
+        return new MessageAccepted("r", cls, 0, null, b.message(cls, 1).deadline(), 1, true, List.of(earlier));
     }
 
-    private static Earlier earlier(Bench b, long ago, int zone, boolean mayHaveRun) {
-        return new Earlier(b.now - ago, zone, mayHaveRun);
+    private static EarlierAttempt earlier(Bench b, long ago, int zone, boolean mayHaveRun) {
+        return new EarlierAttempt(b.now - ago, zone, mayHaveRun);
     }
 
-    private static List<Action> recover(int cls, Earlier... earlier) {
+    private static List<Action> recover(int cls, EarlierAttempt... earlier) {
         Bench b = bench(1, 8, false);
         return b.control.turn(b.now, List.of(recovered(b, cls, earlier)));
     }
@@ -48,13 +48,13 @@
     @Test
     void recoveredMessagesKeepTheirHistory() {
         Bench b = new Bench(settings(8, false, 2));
-        Earlier ran = earlier(b, SECOND, 0, true), old = earlier(b, 10 * SECOND, 0, true);
-        Earlier never = earlier(b, SECOND, 0, false);
+        EarlierAttempt ran = earlier(b, SECOND, 0, true), old = earlier(b, 10 * SECOND, 0, true);
+        EarlierAttempt never = earlier(b, SECOND, 0, false);
         assertEquals(1, count(recover(2, ran), Fail.class), "unsafe and may have run");
         assertEquals(1, sends(recover(2, never)).size(), "unsafe and never ran");
         assertEquals(1, sends(recover(1, ran)).size(), "keyed, inside the window");
         assertTrue(sends(recover(1, ran, old)).isEmpty(), "the window counts from the earliest");
-        Earlier[] all = {never, never, never, never, never, never, never, never};
+        EarlierAttempt[] all = {never, never, never, never, never, never, never, never};
         assertEquals(1, count(recover(0, all), Refuse.class), "all attempts made");
     }
 
@@ -63,8 +63,8 @@
     void whatIsTakenUpUntriedIsTriedBeforeWhatComesIn() {
         Bench b = bench(1, 1, false);
         long soon = b.now + 2 * SECOND, later = b.now + 3 * SECOND;
-        Event late = new Accepted("late", 1, 0, null, later, 1, true, List.of());
-        Event first = new Accepted("first", 1, 0, null, soon, 1, true, List.of());
+        Event late = new MessageAccepted("late", 1, 0, null, later, 1, true, List.of());
+        Event first = new MessageAccepted("first", 1, 0, null, soon, 1, true, List.of());
         List<String> order = new ArrayList<>();
         List<Send> sent = sends(b.turn(b.message(0, 1), late, first, b.message(2, 1)));
         for (int i = 0; i < 3; i++) {
@@ -81,11 +81,11 @@
     void whatIsTakenUpUntriedIsNotGivenBackForRoom() {
         Bench b = new Bench(settings(1, false, 2, 8, 4));
         List<Event> events = new ArrayList<>();
-        events.add(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
+        events.add(new ListUpdated(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
         for (int i = 0; i < 5; i++) {
-            events.add(new Accepted("r" + i, 1, 0, null, b.now + 3 * SECOND, 1, true, List.of()));
+            events.add(new MessageAccepted("r" + i, 1, 0, null, b.now + 3 * SECOND, 1, true, List.of()));
         }
-        Accepted fresh = b.message(1, 1);
+        MessageAccepted fresh = b.message(1, 1);
         events.add(fresh);
         List<Action> actions = b.turn(events);
         assertEquals(List.of(fresh.id()), actions.stream().filter(Refuse.class::isInstance)
@@ -98,19 +98,19 @@
         Bench b = bench(1, 8, false);
         List<Event> events = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            events.add(new Accepted("r" + i, 1, 0, null, b.now + 3 * SECOND, 2, true, List.of()));
+            events.add(new MessageAccepted("r" + i, 1, 0, null, b.now + 3 * SECOND, 2, true, List.of()));
         }
         b.turn(events);
         // Inside its share the first is worth twice the other, past it less than half; the other has no share.
-        Accepted inside = b.message(0, 1);
-        Accepted other = new Accepted("other", 1, 1, null, b.now + 16 * SECOND, 1);
+        MessageAccepted inside = b.message(0, 1);
+        MessageAccepted other = new MessageAccepted("other", 1, 1, null, b.now + 16 * SECOND, 1);
         assertEquals(inside.id(), sends(b.turn(other, inside)).get(0).id());
     }
 
     private static Settings tenants(Settings s, String... names) {
         List<Tenant> tenants = java.util.Arrays.stream(names).map(name -> new Tenant(name, 50)).toList();
-        return new Settings(s.rank(), s.relays(), s.zone(), s.halvingLate(), s.overShareWorth(), s.weights(), s.classes(),
-            tenants, s.kinds(), s.allowed(), s.rules(), s.prices());
+        return new Settings(s.rank(), s.relayCount(), s.zone(), s.lateWorthHalves(), s.overShareWorth(), s.weights(), s.classes(),
+            tenants, s.kinds(), s.limits(), s.rules(), s.costs());
     }
 
     /** Guards a tenant's share at a reload: what it has used is its own, whatever its place in the file. */
@@ -118,16 +118,16 @@
     void aReloadThatPutsTenantsInAnotherOrderKeepsToEachItsOwnUse() {
         Settings set = settings(8, false, 2);
         Bench b = new Bench(tenants(set, "busy", "calm"));
-        b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50), endpoint(12, 1, 1, 2, 50))));
+        b.turn(new ListUpdated(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50), endpoint(12, 1, 1, 2, 50))));
         List<Event> events = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             events.add(b.message(1, 2));
         }
         b.turn(events);
-        b.turn(new Retuned(tenants(set, "calm", "busy")));
+        b.turn(new SettingsChanged(tenants(set, "calm", "busy")));
         // The first is of "calm" now, inside its share and worth twice the other, which has no share.
-        Accepted other = new Accepted("other", 1, 2, null, b.now + 16 * SECOND, 1);
-        Accepted inside = b.message(0, 1);
+        MessageAccepted other = new MessageAccepted("other", 1, 2, null, b.now + 16 * SECOND, 1);
+        MessageAccepted inside = b.message(0, 1);
         assertEquals(inside.id(), sends(b.turn(other, inside)).get(0).id());
     }
 
@@ -144,19 +144,19 @@
     @Test
     void aListOfBeforeTheStartIsNotSentByUntilANewerOneComesOrAShortTimeIsOver() {
         Bench b = bench(0, 8, false);
-        b.turn(new ListAsked());
+        b.turn(new ListRequested());
         assertTrue(sends(b.turn(b.message(0, 1))).isEmpty());
         assertTrue(sends(b.pass(900 * MS)).isEmpty());
         Endpoint drains = new Endpoint(11, 0, 0, 1, Listing.DRAINING, 50);
-        assertEquals(12, sends(b.turn(new Listed(ListKind.CHANGES, List.of(drains)))).get(0).endpoint());
+        assertEquals(12, sends(b.turn(new ListUpdated(ListKind.CHANGES, List.of(drains)))).get(0).endpoint());
         Bench silent = bench(0, 8, false);
-        silent.turn(new ListAsked());
+        silent.turn(new ListRequested());
         silent.turn(silent.message(0, 1));
         assertEquals(1, sends(silent.pass(1_100 * MS)).size());
         Bench unchanged = bench(0, 8, false);
-        unchanged.turn(new ListAsked());
+        unchanged.turn(new ListRequested());
         unchanged.turn(unchanged.message(0, 1));
-        assertEquals(1, sends(unchanged.turn(new Listed(ListKind.CHANGES, List.of()))).size());
+        assertEquals(1, sends(unchanged.turn(new ListUpdated(ListKind.CHANGES, List.of()))).size());
     }
 
     @Test
@@ -276,8 +276,8 @@
     void sameKeyGoesOneAtATimeInOrderAndRests() {
         Bench b = bench(0, 8, true);
         b.warmUp(20, 1);
-        Accepted one = b.message(2, 1, "k");
-        Accepted two = b.message(2, 1, "k");
+        MessageAccepted one = b.message(2, 1, "k");
+        MessageAccepted two = b.message(2, 1, "k");
         List<Send> sent = sends(b.turn(one, two));
         assertEquals(List.of(one.id()), sent.stream().map(Send::id).toList());
         List<Action> end = b.turn(ended(sent.get(0), 0, Outcome.TIMEOUT));
@@ -289,9 +289,9 @@
     @Test
     void drainedAndGoneEndpointsGetNothing() {
         Bench b = bench(0, 8, true);
-        b.turn(new Listed(ListKind.CHANGES, List.of(new Endpoint(11, 0, 0, 1, Listing.DRAINING, 50))));
+        b.turn(new ListUpdated(ListKind.CHANGES, List.of(new Endpoint(11, 0, 0, 1, Listing.DRAINING, 50))));
         assertEquals(12, sends(b.turn(b.message(0, 1))).get(0).endpoint());
-        b.turn(new Listed(ListKind.WHOLE, List.of()));
+        b.turn(new ListUpdated(ListKind.WHOLE, List.of()));
         assertTrue(sends(b.turn(b.message(1, 1))).isEmpty());
         List<Action> end = b.pass(17 * SECOND);
         assertEquals(2, count(end, Fail.class) + count(end, Refuse.class), "both end in time with nowhere to go");
@@ -322,7 +322,7 @@
     @Test
     void aRefusedBundleHalvesTheWindowOnce() {
         Bench b = new Bench(settings(8, false, 2));
-        b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 2, 1, 50))));
+        b.turn(new ListUpdated(ListKind.WHOLE, List.of(endpoint(11, 0, 2, 1, 50))));
         b.warmUp(10, 1);
         b.turn(bundle(b, 6, Outcome.FULL));
         List<Send> again = List.of();
@@ -346,7 +346,7 @@
     @Test
     void aFailedBundleIsOneFailure() {
         Bench b = new Bench(settings(8, false, 2));
-        b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 2, 1, 50))));
+        b.turn(new ListUpdated(ListKind.WHOLE, List.of(endpoint(11, 0, 2, 1, 50))));
         b.warmUp(10, 1);
         List<Event> ended = bundle(b, 6, Outcome.ERROR);
         b.now += SECOND;
@@ -359,9 +359,9 @@
 
     private static Bench unlisted(int relays, int kind, long seed) {
         Settings s = settings(8, false, relays);
-        Bench b = new Bench(new Settings(s.rank(), s.relays(), s.zone(), s.halvingLate(), s.overShareWorth(),
-            Weights.NONE, s.classes(), s.tenants(), s.kinds(), s.allowed(), s.rules(), s.prices()), seed);
-        b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, kind, 1, 1))));
+        Bench b = new Bench(new Settings(s.rank(), s.relayCount(), s.zone(), s.lateWorthHalves(), s.overShareWorth(),
+            Weights.NONE, s.classes(), s.tenants(), s.kinds(), s.limits(), s.rules(), s.costs()), seed);
+        b.turn(new ListUpdated(ListKind.WHOLE, List.of(endpoint(11, 0, kind, 1, 1))));
         return b;
     }
 
@@ -478,9 +478,9 @@
                 sent.addAll(sends(b.pass(10 * MS)));
             }
         }
-        assertEquals(1, b.control.unavailable(), "out");
+        assertEquals(1, b.control.unavailableEndpoints(), "out");
         b.turn(ended(sent.get(0), 4, Outcome.OK));
-        assertEquals(0, b.control.unavailable(), "returning");
+        assertEquals(0, b.control.unavailableEndpoints(), "returning");
         return b;
     }
 
@@ -503,8 +503,8 @@
         List<Send> sent = new ArrayList<>(sends(b.turn(b.message(1, 1))));
         sent.addAll(sends(b.pass(SECOND)));
         Send refused = sent.get(0);
-        b.turn(ended(refused, 0, Outcome.FULL), new Withdrawn(refused.id()));
-        b.pass(b.set.rules().cold());
+        b.turn(ended(refused, 0, Outcome.FULL), new MessageWithdrawn(refused.id()));
+        b.pass(b.set.rules().warmUpTime());
         int calls = callsInASecond(b) + callsInASecond(b);
         assertTrue(calls >= 20, "of 24 messages in two seconds once it is warm: " + calls);
     }
@@ -550,8 +550,8 @@
     @Test
     void attemptsAreLimited() {
         Bench b = new Bench(settings(8, true, 2, 2, 200));
-        b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 0, 1, 50))));
-        Accepted m = b.message(1, 1);
+        b.turn(new ListUpdated(ListKind.WHOLE, List.of(endpoint(11, 0, 0, 1, 50))));
+        MessageAccepted m = b.message(1, 1);
         Send s = sends(b.turn(m)).get(0);
         List<Send> again = new ArrayList<>(sends(b.turn(ended(s, 0, Outcome.FULL))));
         again.addAll(sends(b.pass(SECOND)));
@@ -562,9 +562,9 @@
     @Test
     void aMachineWithoutSocketsForAMomentUsesUpNoAttempt() {
         Bench b = new Bench(settings(8, false, 1, 3, 200));
-        b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
+        b.turn(new ListUpdated(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
         b.warmUp(10, 1);
-        Accepted message = b.message(1, 1);
+        MessageAccepted message = b.message(1, 1);
         List<Send> sent = sends(b.turn(message));
         for (int i = 0; i < 5; i++) {
             List<Action> after = b.turn(ended(sent.get(0), i, Outcome.NO_SOCKET));
@@ -572,7 +572,7 @@
             sent = sends(b.pass(SECOND));
             assertEquals(1, sent.size(), "again after a moment, try " + i);
         }
-        assertEquals(0, b.control.unavailable(), "the endpoint is not to blame");
+        assertEquals(0, b.control.unavailableEndpoints(), "the endpoint is not to blame");
         b.turn(ended(sent.get(0), 5, Outcome.OK));
     }
 
@@ -580,34 +580,34 @@
     @Test
     void aRouteWithoutASocketForLongIsTakenForFailing() {
         Bench b = new Bench(settings(8, false, 1, 3, 200));
-        b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
+        b.turn(new ListUpdated(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
         List<Send> sent = sends(b.turn(b.message(2, 1)));
-        for (int i = 0; i < 12 && b.control.unavailable() == 0; i++) {
+        for (int i = 0; i < 12 && b.control.unavailableEndpoints() == 0; i++) {
             List<Action> after = b.turn(ended(sent.get(0), i, Outcome.NO_SOCKET));
-            sent = sends(b.control.unavailable() == 0 ? b.pass(2 * SECOND) : after);
+            sent = sends(b.control.unavailableEndpoints() == 0 ? b.pass(2 * SECOND) : after);
         }
-        assertEquals(1, b.control.unavailable());
+        assertEquals(1, b.control.unavailableEndpoints());
     }
 
     /** Guards what was taken on while nothing can be written down: it waits, and goes out as soon as that can be. */
     @Test
     void nothingIsSentWhileAttemptsCannotBeWrittenDown() {
         Bench b = new Bench(settings(8, false, 1, 1, 200));
-        b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
-        Accepted message = b.message(2, 1);
+        b.turn(new ListUpdated(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
+        MessageAccepted message = b.message(2, 1);
         List<Send> sent = sends(b.turn(message));
         assertEquals(1, sent.size());
-        assertTrue(b.turn(new Storage(false), ended(sent.get(0), 0, Outcome.NOT_JOURNALED)).stream()
+        assertTrue(b.turn(new StorageChanged(false), ended(sent.get(0), 0, Outcome.NOT_JOURNALED)).stream()
             .noneMatch(a -> a instanceof Send || a instanceof Refuse || a instanceof Fail));
         assertTrue(sends(b.pass(2 * SECOND)).isEmpty());
-        assertEquals(1, sends(b.turn(new Storage(true))).size(), "its only attempt is still to be made");
+        assertEquals(1, sends(b.turn(new StorageChanged(true))).size(), "its only attempt is still to be made");
     }
 
     /** Guards against clients that come back to a closed door: a refusal tells when the told wait is over. */
     @Test
     void aRefusalTellsWhenToComeBack() {
         Bench b = new Bench(settings(8, true, 2, 1, 200));
-        b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
+        b.turn(new ListUpdated(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
         Send s = sends(b.turn(b.message(1, 1))).get(0);
         for (Action a : b.turn(ended(s, 0, Outcome.FULL, 700 * MS))) {
             if (a instanceof Refuse refusal) {
@@ -626,7 +626,7 @@
             five.add(b.message(i == 2 ? 1 : 0, 9));
         }
         List<Action> actions = b.turn(five);
-        assertEquals(List.of(((Accepted) five.get(2)).id()),
+        assertEquals(List.of(((MessageAccepted) five.get(2)).id()),
             actions.stream().filter(Refuse.class::isInstance).map(a -> ((Refuse) a).id()).toList());
     }
 
@@ -634,9 +634,9 @@
     @Test
     void aFullHoldGivesNothingBackIfTheTurnMakesRoom() {
         Bench b = new Bench(settings(1, true, 2, 8, 5));
-        Accepted first = b.message(0, 9);
+        MessageAccepted first = b.message(0, 9);
         b.turn(first, b.message(0, 9), b.message(0, 9), b.message(0, 9));
-        assertEquals(0, count(b.turn(b.message(0, 9), new Withdrawn(first.id())), Refuse.class));
+        assertEquals(0, count(b.turn(b.message(0, 9), new MessageWithdrawn(first.id())), Refuse.class));
         assertEquals(1, count(b.turn(b.message(0, 9)), Refuse.class));
     }
 
@@ -669,7 +669,7 @@
         for (int d = 1; d <= 9; d++) {
             items.add(endpoint(10 + d, 0, 1, d, 50));
         }
-        b.turn(new Listed(ListKind.WHOLE, items));
+        b.turn(new ListUpdated(ListKind.WHOLE, items));
         for (int d = 1; d <= 9; d++) {
             b.warmUp(12, d);
         }
@@ -718,7 +718,7 @@
     @Test
     void aReturningRouteGetsNoMoreThanTheShareOfWhatItBears() {
         Bench b = new Bench(settings(40, true, 2, 8, 400));
-        b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 20))));
+        b.turn(new ListUpdated(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 20))));
         b.warmUp(30, 1);
         List<Send> out = new ArrayList<>();
         long end = b.now + 30 * SECOND;
@@ -750,7 +750,7 @@
     void aLateAnswerToASuspicionEndsInARampAndAQuickOneClearsIt() {
         for (long gap : new long[] {500 * MS, 5 * SECOND}) {
             Bench b = new Bench(settings(8, true, 2));
-            b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 20))));
+            b.turn(new ListUpdated(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 20))));
             b.warmUp(20, 1);
             b.pass(2 * SECOND);
             Send one = sends(b.turn(b.message(2, 1))).get(0);
@@ -767,32 +767,32 @@
     @Test
     void idleConnectionsAreClosedWhereConnectsFailAndFewUsesAreExpected() {
         Bench b = new Bench(settings(8, true, 300));
-        b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 600))));
+        b.turn(new ListUpdated(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 600))));
         b.warmUp(20, 1);
         for (int i = 0; i < 6; i++) {
             b.pass(10 * SECOND);
-            Accepted m = b.message(2, 1);
-            b.turn(ended(firstSend(b, m), 0, Outcome.CONNECT_FAILED), new Withdrawn(m.id()));
+            MessageAccepted m = b.message(2, 1);
+            b.turn(ended(firstSend(b, m), 0, Outcome.CONNECT_FAILED), new MessageWithdrawn(m.id()));
         }
         Send s = firstSend(b, b.message(2, 1));
-        assertEquals(1, count(b.turn(ended(s, 0, Outcome.OK)), Close.class), "not kept for another relay's harm");
+        assertEquals(1, count(b.turn(ended(s, 0, Outcome.OK)), CloseIdleConnections.class), "not kept for another relay's harm");
     }
 
     /** Guards handshakes: an outage, in which every connect fails, is no sign of partners that take few connections. */
     @Test
     void anOutageDoesNotMakeBusyConnectionsShortLived() {
         Bench b = new Bench(settings(8, true, 14));
-        b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 600), endpoint(12, 0, 1, 2, 600))));
+        b.turn(new ListUpdated(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 600), endpoint(12, 0, 1, 2, 600))));
         b.warmUp(20, 2);
         for (int i = 0; i < 20; i++) {
-            Accepted m = b.message(2, 1);
-            b.turn(ended(firstSend(b, m), 0, Outcome.CONNECT_FAILED), new Withdrawn(m.id()));
+            MessageAccepted m = b.message(2, 1);
+            b.turn(ended(firstSend(b, m), 0, Outcome.CONNECT_FAILED), new MessageWithdrawn(m.id()));
         }
         b.warmUp(20, 2);
         int closed = 0;
         for (int i = 0; i < 20; i++) {
             Send s = firstSend(b, b.message(2, 2));
-            closed += (int) count(b.turn(ended(s, 0, Outcome.OK)), Close.class);
+            closed += (int) count(b.turn(ended(s, 0, Outcome.OK)), CloseIdleConnections.class);
             b.pass(400 * MS);
         }
         assertEquals(0, closed, "each is used again in less than half a second");
@@ -802,11 +802,11 @@
     @Test
     void aLongIdleConnectionIsDoubtedAfterAFailureOnOneAndTrustComesBack() {
         Bench b = new Bench(settings(8, true, 300));
-        b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 20))));
+        b.turn(new ListUpdated(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 20))));
         b.warmUp(20, 1);
         b.pass(4 * SECOND);
         Send lost = sends(b.turn(b.message(2, 1))).get(0);
-        b.turn(new Ended(lost.id(), 0, 11, Outcome.RESET, true, 0, 100 * MS, -1, -1));
+        b.turn(new AttemptEnded(lost.id(), 0, 11, Outcome.RESET, true, 0, 100 * MS, -1, -1));
         assertEquals(1, closed(b, 4 * SECOND), "idle for longer than is trusted");
         assertEquals(0, closed(b, SECOND), "idle for less");
         for (int i = 0; i < 60; i++) {
@@ -815,7 +815,7 @@
         assertEquals(0, closed(b, 3 * SECOND), "trusted again");
     }
 
-    private static Send firstSend(Bench b, Accepted m) {
+    private static Send firstSend(Bench b, MessageAccepted m) {
         List<Send> sent = sends(b.turn(m));
         while (sent.isEmpty() && b.now < m.deadline()) {
             sent = sends(b.pass(5 * MS));
@@ -827,7 +827,7 @@
     private static long closed(Bench b, long pause) {
         b.pass(pause);
         List<Action> all = b.turn(b.message(2, 1));
-        long closed = count(all, Close.class);
+        long closed = count(all, CloseIdleConnections.class);
         for (int step = 0; sends(all).isEmpty() && step < 400; step++) {
             all = b.pass(10 * MS);
         }
@@ -840,7 +840,7 @@
     @Test
     void refusalsByEveryRouteInARowHoldBackAllOfThem() {
         Bench b = new Bench(settings(8, false, 300));
-        b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50), endpoint(12, 0, 1, 1, 50))));
+        b.turn(new ListUpdated(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50), endpoint(12, 0, 1, 1, 50))));
         List<Send> asked = new ArrayList<>();
         List<Send> sent = new ArrayList<>(sends(b.turn(b.message(2, 1), b.message(2, 1), b.message(2, 1))));
         for (int step = 0; step < 800; step++) {
@@ -860,15 +860,15 @@
     @Test
     void anEndpointNewToAFailingDestinationStartsOnTrials() {
         Bench b = new Bench(settings(8, false, 2));
-        b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
+        b.turn(new ListUpdated(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
         b.warmUp(20, 1);
         for (int i = 0; i < 3; i++) {
             b.pass(3 * SECOND);
             sends(b.turn(b.message(2, 1))).forEach(s ->
-                b.turn(new Ended(s.id(), 0, 11, Outcome.ERROR, true, 0, 100 * MS, -1, -1)));
+                b.turn(new AttemptEnded(s.id(), 0, 11, Outcome.ERROR, true, 0, 100 * MS, -1, -1)));
         }
         List<Event> events = new ArrayList<>();
-        events.add(new Listed(ListKind.CHANGES, List.of(endpoint(12, 0, 1, 1, 50))));
+        events.add(new ListUpdated(ListKind.CHANGES, List.of(endpoint(12, 0, 1, 1, 50))));
         for (int i = 0; i < 8; i++) {
             events.add(b.message(0, 1));
         }
@@ -883,7 +883,7 @@
         List<Long> backs = new ArrayList<>();
         for (int relay = 0; relay < 200; relay++) {
             Bench b = new Bench(settings(2, false, 200), relay);
-            b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 0, 1, 50))));
+            b.turn(new ListUpdated(ListKind.WHOLE, List.of(endpoint(11, 0, 0, 1, 50))));
             b.warmUp(2, 1);
             b.pass(10 * SECOND);
             Send s = sends(b.turn(b.message(1, 1))).get(0);
@@ -905,14 +905,14 @@
     @Test
     void oddButLegalEventsAreAbsorbed() {
         Bench b = bench(0, 8, true);
-        assertTrue(sends(b.control.turn(b.now, List.of(new Ended("x", 0, 11, Outcome.OK, true, 0, 1, -1, -1),
-            new Withdrawn("x"), new Due()))).isEmpty());
-        Accepted m = b.message(0, 1);
+        assertTrue(sends(b.control.turn(b.now, List.of(new AttemptEnded("x", 0, 11, Outcome.OK, true, 0, 1, -1, -1),
+            new MessageWithdrawn("x"), new TimerDue()))).isEmpty());
+        MessageAccepted m = b.message(0, 1);
         Send s = sends(b.turn(m)).get(0);
-        List<Action> gone = b.turn(new Withdrawn(m.id()));
-        assertEquals(1, count(gone, Cancel.class));
-        b.turn(new Withdrawn(m.id()));
-        assertTrue(b.turn(new Ended(s.id(), 0, 11, Outcome.CANCELLED, true, 0, 1, -1, -1)).stream()
+        List<Action> gone = b.turn(new MessageWithdrawn(m.id()));
+        assertEquals(1, count(gone, CancelAttempt.class));
+        b.turn(new MessageWithdrawn(m.id()));
+        assertTrue(b.turn(new AttemptEnded(s.id(), 0, 11, Outcome.CANCELLED, true, 0, 1, -1, -1)).stream()
             .noneMatch(a -> a instanceof Fail || a instanceof Refuse || a instanceof Send));
     }
 
--- a/src/test/java/wrenkeel/EmbeddingTest.java
+++ b/src/test/java/wrenkeel/EmbeddingTest.java
@@ -19,7 +19,7 @@
     private static final class Host {
         private final Control control = new Control(7, Bench.settings(8, true, 1));
         private final PriorityQueue<Long> timers = new PriorityQueue<>();
-        private final ArrayDeque<Map.Entry<Long, Ended>> network = new ArrayDeque<>();
+        private final ArrayDeque<Map.Entry<Long, AttemptEnded>> network = new ArrayDeque<>();
         private final Map<String, Integer> attempts = new HashMap<>();
         private final Set<String> delivered = new TreeSet<>();
         private long clock = 1_000_000;
@@ -29,8 +29,8 @@
                 if (action instanceof Send s) {
                     int attempt = attempts.merge(s.id(), 1, Integer::sum) - 1;
                     network.add(Map.entry(clock + 30_000,
-                        new Ended(s.id(), attempt, s.endpoint(), Outcome.OK, true, 0, 30_000, -1, -1)));
-                } else if (action instanceof Wake w) {
+                        new AttemptEnded(s.id(), attempt, s.endpoint(), Outcome.OK, true, 0, 30_000, -1, -1)));
+                } else if (action instanceof SetTimer w) {
                     timers.add(clock + w.after());
                 }
             }
@@ -40,10 +40,10 @@
             for (; clock <= until; clock += 1_000) {
                 while (!timers.isEmpty() && timers.peek() <= clock) {
                     timers.poll();
-                    tell(new Due());
+                    tell(new TimerDue());
                 }
                 while (!network.isEmpty() && network.peek().getKey() <= clock) {
-                    Ended ended = network.poll().getValue();
+                    AttemptEnded ended = network.poll().getValue();
                     delivered.add(ended.id());
                     tell(ended);
                 }
@@ -54,11 +54,11 @@
     @Test
     void aRelayDeliversWhatItTakes() {
         Host host = new Host();
-        host.tell(new Listed(ListKind.WHOLE, List.of(Bench.endpoint(1, 0, 0, 9, 50), Bench.endpoint(2, 1, 0, 9, 50))));
+        host.tell(new ListUpdated(ListKind.WHOLE, List.of(Bench.endpoint(1, 0, 0, 9, 50), Bench.endpoint(2, 1, 0, 9, 50))));
         List<String> taken = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             taken.add("bill-" + i);
-            host.tell(new Accepted("bill-" + i, 1, 0, null, host.clock + 16_000_000, 9));
+            host.tell(new MessageAccepted("bill-" + i, 1, 0, null, host.clock + 16_000_000, 9));
         }
         host.run(3_000_000);
         assertEquals(new TreeSet<>(taken), host.delivered);
--- a/src/test/java/wrenkeel/RandomStreamTest.java
+++ b/src/test/java/wrenkeel/RandomStreamTest.java
@@ -43,7 +43,7 @@
         Bench b = new Bench(settings(slots, seed % 3 != 0, relays, 8, 60), seed);
         List<Action> all = new ArrayList<>();
         List<Flight> flying = new ArrayList<>();
-        List<Accepted> taken = new ArrayList<>();
+        List<MessageAccepted> taken = new ArrayList<>();
         list(b, random, true);
         int trouble = 0;
         for (int step = 0; step < 6000; step++) {
@@ -60,20 +60,20 @@
                     flying.remove(f);
                     RuleChecker.Seen s = b.checker.messages.get(f.send.id());
                     boolean over = s.over || f.outcome == Outcome.OK;
-                    events.add(new Ended(f.send.id(), f.attempt, f.send.endpoint(), f.outcome, over, f.waitFor,
+                    events.add(new AttemptEnded(f.send.id(), f.attempt, f.send.endpoint(), f.outcome, over, f.waitFor,
                         f.at, random.nextDouble(), random.nextInt(3) == 0 ? 5 : -1));
                 }
             }
             if (step < 4000 && random.nextInt(oneIn) == 0) {
-                Accepted m = b.message(random.nextInt(4), 1 + random.nextInt(3),
+                MessageAccepted m = b.message(random.nextInt(4), 1 + random.nextInt(3),
                     random.nextBoolean() ? "k" + random.nextInt(4) : null);
                 taken.add(m);
                 events.add(m);
             }
             if (!taken.isEmpty() && random.nextInt(200) == 0) {
-                Accepted m = taken.get(random.nextInt(taken.size()));
+                MessageAccepted m = taken.get(random.nextInt(taken.size()));
                 if (b.checker.messages.containsKey(m.id()) && !b.checker.messages.get(m.id()).over) {
-                    events.add(new Withdrawn(m.id()));
+                    events.add(new MessageWithdrawn(m.id()));
                 }
             }
             if (events.isEmpty() && b.wakeAt > b.now) {
@@ -84,7 +84,7 @@
             for (Action a : actions) {
                 if (a instanceof Send s) {
                     flying.add(flight(b, s, random, trouble));
-                } else if (a instanceof Cancel c) {
+                } else if (a instanceof CancelAttempt c) {
                     flying.replaceAll(f -> f.send.id().equals(c.id()) && f.attempt == c.attempt()
                         ? new Flight(f.send, f.attempt, b.now + 5 * MS, Outcome.CANCELLED, 0) : f);
                 }
@@ -92,7 +92,7 @@
         }
         b.now += 40 * SECOND;
         b.turn();
-        for (Accepted m : taken) {
+        for (MessageAccepted m : taken) {
             RuleChecker.Seen s = b.checker.messages.get(m.id());
             assertTrue(s == null || s.over, "no end for " + m.id());
         }
@@ -116,7 +116,7 @@
         return new Flight(s, b.checker.messages.get(s.id()).sends.size() - 1, b.now + took, outcome, wait);
     }
 
-    private static Listed list(Bench b, Random random, boolean whole) {
+    private static ListUpdated list(Bench b, Random random, boolean whole) {
         List<Endpoint> items = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             if (whole ? random.nextInt(8) > 0 : random.nextInt(3) == 0) {
@@ -126,7 +126,7 @@
                 items.add(new Endpoint(100 + i, i % 2, dest - 1, dest, listing, 4 + dest));
             }
         }
-        Listed event = new Listed(whole ? ListKind.WHOLE : ListKind.CHANGES, items);
+        ListUpdated event = new ListUpdated(whole ? ListKind.WHOLE : ListKind.CHANGES, items);
         if (b.control != null && whole) {
             b.turn(event);
         }
--- a/src/test/java/wrenkeel/ReleaseTest.java
+++ b/src/test/java/wrenkeel/ReleaseTest.java
@@ -21,12 +21,12 @@
 
     private static Bench bench() {
         Bench b = new Bench(settings(8, true, 2_300));
-        b.turn(new Introduced(List.of(endpoint(11, 0, 1, 1, 50), endpoint(12, 0, 1, 1, 50))));
+        b.turn(new DestinationIntroduced(List.of(endpoint(11, 0, 1, 1, 50), endpoint(12, 0, 1, 1, 50))));
         return b;
     }
 
     private static List<Long> released(List<Action> actions) {
-        return actions.stream().filter(Released.class::isInstance).map(a -> ((Released) a).destination()).toList();
+        return actions.stream().filter(DestinationReleased.class::isInstance).map(a -> ((DestinationReleased) a).destination()).toList();
     }
 
     /** What a relay's driver does: it asks every second. */
@@ -34,7 +34,7 @@
         List<Action> all = new ArrayList<>();
         for (long end = b.now + span; b.now < end;) {
             all.addAll(b.pass(SECOND));
-            all.addAll(b.turn(new Release()));
+            all.addAll(b.turn(new ReleaseRequested()));
         }
         return released(all);
     }
@@ -52,7 +52,7 @@
         assertEquals(List.of(), quiet(b, 50 * SECOND), "what was just learned is still of use");
         assertEquals(List.of(1L), quiet(b, LONG));
         assertEquals(List.of(), quiet(b, LONG));
-        b.turn(new Introduced(List.of(endpoint(12, 0, 1, 1, 50))));
+        b.turn(new DestinationIntroduced(List.of(endpoint(12, 0, 1, 1, 50))));
         assertEquals(12, sendOne(b).endpoint());
     }
 
@@ -69,7 +69,7 @@
         Bench b = bench();
         b.turn(ended(sendOne(b), 0, Outcome.OK));
         b.pass(LONG);
-        List<Action> actions = b.turn(new Release(), b.message(1, 1));
+        List<Action> actions = b.turn(new ReleaseRequested(), b.message(1, 1));
         assertEquals(List.of(), released(actions));
         assertEquals(1, sends(actions).size());
     }
@@ -78,7 +78,7 @@
     void aDestinationWithACallOutIsKeptUntilThatHasEnded() {
         Bench b = bench();
         Send out = sendOne(b);
-        b.turn(new Withdrawn(out.id()));
+        b.turn(new MessageWithdrawn(out.id()));
         assertEquals(List.of(), quiet(b, LONG), "its call may still come back");
         b.turn(ended(out, 0, Outcome.CANCELLED));
         assertEquals(List.of(1L), quiet(b, LONG));
@@ -88,7 +88,7 @@
     void aWaitOutlastsAnyQuiet() {
         Bench b = bench();
         Send refused = sendOne(b);
-        b.turn(ended(refused, 0, Outcome.FULL, 4 * LONG), new Withdrawn(refused.id()));
+        b.turn(ended(refused, 0, Outcome.FULL, 4 * LONG), new MessageWithdrawn(refused.id()));
         assertEquals(List.of(), quiet(b, 3 * LONG));
         assertEquals(List.of(1L), quiet(b, 2 * LONG));
     }
@@ -101,30 +101,30 @@
             for (int step = 0; sent.isEmpty() && step < 1_600; step++) {
                 sent.addAll(sends(b.pass(10 * MS)));
             }
-            sent.forEach(s -> b.turn(ended(s, 0, Outcome.CONNECT_FAILED), new Withdrawn(s.id())));
+            sent.forEach(s -> b.turn(ended(s, 0, Outcome.CONNECT_FAILED), new MessageWithdrawn(s.id())));
         }
-        assertTrue(b.control.unavailable() > 0, "out");
+        assertTrue(b.control.unavailableEndpoints() > 0, "out");
         assertEquals(List.of(), quiet(b, LONG), "an outage is still of use");
         assertEquals(List.of(1L), quiet(b, 700 * SECOND), "one that nobody asked about for ten minutes is not");
-        assertEquals(0, b.control.unavailable(), "and is counted no more");
+        assertEquals(0, b.control.unavailableEndpoints(), "and is counted no more");
     }
 
     @Test
     void anEndpointOffTheListIsForgottenAndHoldsItsDestinationUntilThen() {
         Bench b = bench();
-        b.turn(new Listed(ListKind.CHANGES, List.of(new Endpoint(12, 0, 1, 1, Listing.GONE, 50))));
+        b.turn(new ListUpdated(ListKind.CHANGES, List.of(new Endpoint(12, 0, 1, 1, Listing.GONE, 50))));
         assertEquals(List.of(), quiet(b, 4 * LONG));
         List<Action> after = new ArrayList<>(b.pass(2 * LONG));
-        assertEquals(List.of(new Forgotten(12)), after.stream().filter(Forgotten.class::isInstance).toList());
+        assertEquals(List.of(new EndpointForgotten(12)), after.stream().filter(EndpointForgotten.class::isInstance).toList());
         assertEquals(List.of(1L), quiet(b, LONG));
     }
 
     @Test
     void anEndpointThatComesBackIsNotForgotten() {
         Bench b = bench();
-        b.turn(new Listed(ListKind.CHANGES, List.of(new Endpoint(12, 0, 1, 1, Listing.GONE, 50))));
-        b.turn(new Listed(ListKind.CHANGES, List.of(endpoint(12, 0, 1, 1, 50))));
-        assertEquals(0, count(b.pass(700 * SECOND), Forgotten.class));
+        b.turn(new ListUpdated(ListKind.CHANGES, List.of(new Endpoint(12, 0, 1, 1, Listing.GONE, 50))));
+        b.turn(new ListUpdated(ListKind.CHANGES, List.of(endpoint(12, 0, 1, 1, 50))));
+        assertEquals(0, count(b.pass(700 * SECOND), EndpointForgotten.class));
         assertEquals(List.of(1L), quiet(b, LONG));
     }
 
@@ -133,7 +133,7 @@
     void aCrowdOfDestinationsIsKeptForTheSettingsSpansOnly() {
         Bench b = bench();
         for (long d = 2; d < 5_000; d++) {
-            b.turn(new Introduced(List.of(endpoint(100 + d, 0, 1, d, 50))));
+            b.turn(new DestinationIntroduced(List.of(endpoint(100 + d, 0, 1, d, 50))));
         }
         assertEquals(List.of(), quiet(b, 10 * SECOND));
         int gone = quiet(b, 10 * SECOND).size();
@@ -143,14 +143,14 @@
     /** A relay of a large fleet where no rates are listed. */
     private static Bench large() {
         Settings s = settings(64, true, 2_300, 8, 1_000);
-        Bench b = new Bench(new Settings(s.rank(), s.relays(), s.zone(), s.halvingLate(), s.overShareWorth(),
-            Weights.NONE, s.classes(), s.tenants(), s.kinds(), s.allowed(), s.rules(), s.prices()));
+        Bench b = new Bench(new Settings(s.rank(), s.relayCount(), s.zone(), s.lateWorthHalves(), s.overShareWorth(),
+            Weights.NONE, s.classes(), s.tenants(), s.kinds(), s.limits(), s.rules(), s.costs()));
         b.turn();
         return b;
     }
 
-    private static Introduced introduced(long destination) {
-        return new Introduced(List.of(endpoint(10 + destination, 0, 1, destination, 1)));
+    private static DestinationIntroduced introduced(long destination) {
+        return new DestinationIntroduced(List.of(endpoint(10 + destination, 0, 1, destination, 1)));
     }
 
     private static List<Send> first(Bench b, int places) {
@@ -219,18 +219,18 @@
     @Test
     void anIntroductionDoesNotOpenTheGateThatWaitsForTheList() {
         Bench b = new Bench(settings(8, true, 2));
-        b.turn(new ListAsked());
-        assertEquals(0, sends(b.turn(new Introduced(List.of(endpoint(11, 0, 1, 1, 50))), b.message(1, 1))).size());
-        assertEquals(1, sends(b.turn(new Listed(ListKind.CHANGES, List.of()))).size());
+        b.turn(new ListRequested());
+        assertEquals(0, sends(b.turn(new DestinationIntroduced(List.of(endpoint(11, 0, 1, 1, 50))), b.message(1, 1))).size());
+        assertEquals(1, sends(b.turn(new ListUpdated(ListKind.CHANGES, List.of()))).size());
     }
 
     @Test
     void anEndpointThatMovesServesItsNewDestinationOnlyAndItsWaitGoesWithIt() {
         Bench b = new Bench(settings(8, false, 2));
-        b.turn(new Introduced(List.of(endpoint(11, 0, 1, 1, 50), endpoint(21, 0, 1, 2, 50))));
+        b.turn(new DestinationIntroduced(List.of(endpoint(11, 0, 1, 1, 50), endpoint(21, 0, 1, 2, 50))));
         Send refused = sendOne(b);
-        b.turn(ended(refused, 0, Outcome.FULL, 2 * SECOND), new Withdrawn(refused.id()));
-        b.turn(new Listed(ListKind.CHANGES, List.of(endpoint(11, 0, 1, 2, 50),
+        b.turn(ended(refused, 0, Outcome.FULL, 2 * SECOND), new MessageWithdrawn(refused.id()));
+        b.turn(new ListUpdated(ListKind.CHANGES, List.of(endpoint(11, 0, 1, 2, 50),
             new Endpoint(21, 0, 1, 2, Listing.GONE, 50))));
         assertEquals(0, sends(b.turn(b.message(1, 1))).size(), "none is left there");
         List<Send> sent = new ArrayList<>(sends(b.turn(b.message(1, 2))));
@@ -243,21 +243,21 @@
     @Test
     void theCountOfThoseOutFollowsTheList() {
         Bench b = bench();
-        Consumer<Listing> list = listing -> b.turn(new Listed(ListKind.CHANGES,
+        Consumer<Listing> list = listing -> b.turn(new ListUpdated(ListKind.CHANGES,
             List.of(new Endpoint(11, 0, 1, 1, listing, 50), new Endpoint(12, 0, 1, 1, listing, 50))));
         for (int i = 0; i < 6; i++) {
             List<Send> sent = new ArrayList<>(sends(b.turn(b.message(1, 1))));
             sent.addAll(sends(b.pass(4 * SECOND)));
-            sent.forEach(s -> b.turn(ended(s, 0, Outcome.CONNECT_FAILED), new Withdrawn(s.id())));
+            sent.forEach(s -> b.turn(ended(s, 0, Outcome.CONNECT_FAILED), new MessageWithdrawn(s.id())));
         }
-        int out = b.control.unavailable();
+        int out = b.control.unavailableEndpoints();
         assertTrue(out > 0);
         list.accept(Listing.DRAINING);
-        assertEquals(0, b.control.unavailable(), "the list says it already");
+        assertEquals(0, b.control.unavailableEndpoints(), "the list says it already");
         list.accept(Listing.READY);
-        assertEquals(out, b.control.unavailable());
+        assertEquals(out, b.control.unavailableEndpoints());
         list.accept(Listing.GONE);
-        assertEquals(0, b.control.unavailable());
+        assertEquals(0, b.control.unavailableEndpoints());
     }
 
     /** A send that is out, and which of its message's attempts it is. */
@@ -281,12 +281,12 @@
             if (quiet < 100 && quiet % 5 == 0) {
                 long destination = 1 + random.nextInt(3);
                 if (introduced.add(destination)) {
-                    events.add(new Introduced(List.of(endpoint(10 * destination, 0, 1, destination, 50),
+                    events.add(new DestinationIntroduced(List.of(endpoint(10 * destination, 0, 1, destination, 50),
                         endpoint(10 * destination + 1, 1, 1, destination, 50))));
                 }
                 events.add(b.message(random.nextInt(4), destination));
             }
-            events.add(new Release());
+            events.add(new ReleaseRequested());
             List<Action> actions = b.turn(events);
             events.clear();
             for (Send s : sends(actions)) {
@@ -306,11 +306,11 @@
         assertTrue(releases > 20 && sent > 300, releases + " releases, " + sent + " sends");
     }
 
-    private static Ended outcome(Bench b, Flight f, Random random) {
+    private static AttemptEnded outcome(Bench b, Flight f, Random random) {
         RuleChecker.Seen seen = b.checker.messages.get(f.send.id());
         Outcome outcome = random.nextInt(3) > 0 ? Outcome.OK : Outcome.values()[1 + random.nextInt(5)];
         long wait = outcome == Outcome.FULL && random.nextBoolean() ? random.nextInt(90) * SECOND : 0;
-        return new Ended(f.send.id(), f.attempt, f.send.endpoint(), outcome, seen.over || outcome == Outcome.OK, wait,
+        return new AttemptEnded(f.send.id(), f.attempt, f.send.endpoint(), outcome, seen.over || outcome == Outcome.OK, wait,
             20 * MS, -1, -1);
     }
 }
--- a/src/test/java/wrenkeel/RuleChecker.java
+++ b/src/test/java/wrenkeel/RuleChecker.java
@@ -12,7 +12,7 @@
 final class RuleChecker {
     /** What is known of one message. */
     static final class Seen {
-        Accepted taken;
+        MessageAccepted taken;
         MessageClass cls;
         boolean over;
         long overAt;
@@ -22,7 +22,7 @@
 
         boolean maybeRan(int attempt) {
             Outcome o = ends.get(attempt);
-            return o == null || !o.neverRan();
+            return o == null || !o.provesNotExecuted();
         }
 
         boolean anyMaybeRan() {
@@ -36,7 +36,7 @@
 
         /** Sends that the relay's own machine did not keep from being made. */
         long made() {
-            return sends.size() - ends.values().stream().filter(Outcome::neverMade).count();
+            return sends.size() - ends.values().stream().filter(Outcome::isLocalFailure).count();
         }
 
         boolean open() {
@@ -62,42 +62,42 @@
 
     /** The lane that a wait binds: the destination, or the route where routes are apart. */
     private long lane(Endpoint e) {
-        return set.kinds().get(e.kind()).apart() ? e.id() : -1 - e.destination();
+        return set.kinds().get(e.kind()).independentEndpoints() ? e.id() : -1 - e.destination();
     }
 
     void event(long now, Event event) {
-        if (event instanceof Accepted e) {
+        if (event instanceof MessageAccepted e) {
             Seen s = new Seen();
             s.taken = e;
             s.cls = set.classes().get(e.messageClass());
             messages.put(e.id(), s);
-            if (s.cls.inOrder() && e.key() != null) {
-                keys.computeIfAbsent(e.key(), k -> new ArrayList<>()).add(s);
+            if (s.cls.inOrder() && e.orderingKey() != null) {
+                keys.computeIfAbsent(e.orderingKey(), k -> new ArrayList<>()).add(s);
             }
-        } else if (event instanceof Ended e) {
+        } else if (event instanceof AttemptEnded e) {
             Seen s = messages.get(e.id());
             s.ends.put(e.attempt(), e.outcome());
-            if (e.outcome() == Outcome.OK || e.over()) {
+            if (e.outcome() == Outcome.OK || e.messageOver()) {
                 end(s, now);
             }
-            if (e.waitFor() > 0) {
-                waits.merge(lane(endpoints.get(e.endpoint())), now + e.waitFor(), Math::max);
+            if (e.retryAfter() > 0) {
+                waits.merge(lane(endpoints.get(e.endpoint())), now + e.retryAfter(), Math::max);
             }
             boolean rests = e.outcome() == Outcome.TIMEOUT || e.outcome() == Outcome.RESET
                 || e.outcome() == Outcome.CANCELLED;
-            if (s.taken.key() != null && s.cls.inOrder() && rests) {
-                keyRest.put(s.taken.key(), now + set.rules().keyRest());
+            if (s.taken.orderingKey() != null && s.cls.inOrder() && rests) {
+                keyRest.put(s.taken.orderingKey(), now + set.rules().keyPause());
             }
-        } else if (event instanceof Withdrawn e) {
+        } else if (event instanceof MessageWithdrawn e) {
             end(messages.get(e.id()), now);
-        } else if (event instanceof Listed e) {
+        } else if (event instanceof ListUpdated e) {
             e.endpoints().forEach(p -> listed(now, p));
             if (e.kind() == ListKind.WHOLE) {
                 List<Long> named = e.endpoints().stream().map(Endpoint::id).toList();
                 endpoints.keySet().stream().filter(id -> !named.contains(id))
                     .forEach(id -> drained.putIfAbsent(id, now));
             }
-        } else if (event instanceof Introduced e) {
+        } else if (event instanceof DestinationIntroduced e) {
             e.endpoints().forEach(p -> listed(now, p));
         }
     }
@@ -119,7 +119,7 @@
             if (e.destination() == destination) {
                 require(now >= waits.getOrDefault(lane(e), 0L), "released inside a wait");
                 Long cold = coldSince.get(e.id());
-                require(cold == null || now - cold >= set.rules().cold(), "released while it warms up");
+                require(cold == null || now - cold >= set.rules().warmUpTime(), "released while it warms up");
                 endpoints.remove(e.id());
             }
         }
@@ -138,7 +138,7 @@
         } else if (action instanceof Refuse a) {
             Seen s = messages.get(a.id());
             require(!s.over, "1: a second final answer");
-            boolean zoneBound = s.cls.effect() == Effect.KEYED && s.cls.zoneGroup();
+            boolean zoneBound = s.cls.effect() == Effect.KEYED && s.cls.dedupPerZone();
             require(s.cls.effect() == Effect.SAFE || s.cls.effect() == Effect.KEYED && !zoneBound || !s.anyMaybeRan(),
                 "2: refused though it may have run");
             end(s, now);
@@ -146,10 +146,10 @@
             Seen s = messages.get(a.id());
             require(!s.over, "1: a second final answer");
             end(s, now);
-        } else if (action instanceof Cancel a) {
-            require(set.allowed().cancel(), "cancel is not allowed");
+        } else if (action instanceof CancelAttempt a) {
+            require(set.limits().cancelAllowed(), "cancel is not allowed");
             require(a.attempt() < messages.get(a.id()).sends.size(), "cancel of an attempt never made");
-        } else if (action instanceof Released a) {
+        } else if (action instanceof DestinationReleased a) {
             released(now, a.destination());
         }
     }
@@ -159,12 +159,12 @@
         Endpoint to = endpoints.get(a.endpoint());
         require(s != null && !s.over, "1: sent after its end");
         require(to != null && to.destination() == s.taken.destination(), "sent to another destination");
-        require(s.made() < set.classes().get(s.taken.messageClass()).tries(), "too many attempts");
+        require(s.made() < set.classes().get(s.taken.messageClass()).maxAttempts(), "too many attempts");
         require(a.timeout() > 0 && now + a.timeout() <= s.taken.deadline(), "time-out beyond the deadline");
         Long told = drained.get(a.endpoint());
         require(told == null || now <= told + set.rules().drainGrace(), "3: sent to a drained endpoint");
         require(now >= waits.getOrDefault(lane(to), 0L), "5: sent inside a wait");
-        require(set.allowed().copies() || !s.open(), "2: two attempts out together");
+        require(set.limits().copiesAllowed() || !s.open(), "2: two attempts out together");
         effects(now, s, to);
         order(now, s);
         budget(now, to);
@@ -178,37 +178,37 @@
                 continue;
             }
             require(s.cls.effect() == Effect.KEYED, "2: an unsafe message sent again");
-            require(now < s.sentAt.get(i) + s.cls.window(), "2: sent again outside the window");
+            require(now < s.sentAt.get(i) + s.cls.dedupWindow(), "2: sent again outside the window");
             Endpoint before = endpoints.get(s.sends.get(i).endpoint());
-            require(!s.cls.zoneGroup() || before.zone() == to.zone(), "2: sent again outside the group");
+            require(!s.cls.dedupPerZone() || before.zone() == to.zone(), "2: sent again outside the group");
         }
     }
 
     private void order(long now, Seen s) {
-        if (s.taken.key() == null || !s.cls.inOrder()) {
+        if (s.taken.orderingKey() == null || !s.cls.inOrder()) {
             return;
         }
-        for (Seen earlier : keys.get(s.taken.key())) {
+        for (Seen earlier : keys.get(s.taken.orderingKey())) {
             if (earlier == s) {
                 break;
             }
             require(earlier.over && !earlier.open(), "6: sent before an earlier message of its key was over");
         }
-        require(!s.sends.isEmpty() || now >= keyRest.getOrDefault(s.taken.key(), 0L), "6: sent while the key rests");
+        require(!s.sends.isEmpty() || now >= keyRest.getOrDefault(s.taken.orderingKey(), 0L), "6: sent while the key rests");
     }
 
     private void budget(long now, Endpoint to) {
         Long cold = coldSince.get(to.id());
-        if (cold == null || now - cold >= set.rules().cold()) {
+        if (cold == null || now - cold >= set.rules().warmUpTime()) {
             return;
         }
         ArrayDeque<Long> recent = sends.computeIfAbsent(to.id(), k -> new ArrayDeque<>());
         recent.addLast(now);
-        recent.removeIf(t -> t <= now - set.rules().tipAfter());
-        double warm = set.rules().coldFrom()
-            + (1 - set.rules().coldFrom()) * Math.min(1.0, (double) Math.max(0, now - cold) / set.rules().cold());
-        double limit = set.rules().fallMultiple() * to.weight() * warm * set.rules().tipAfter() / 1e6
-            / set.relays();
+        recent.removeIf(t -> t <= now - set.rules().overloadWindow());
+        double warm = set.rules().coldCapacity()
+            + (1 - set.rules().coldCapacity()) * Math.min(1.0, (double) Math.max(0, now - cold) / set.rules().warmUpTime());
+        double limit = set.rules().overloadFactor() * to.weight() * warm * set.rules().overloadWindow() / 1e6
+            / set.relayCount();
         require(recent.size() <= Math.max(1, limit), "4: pushed a returning endpoint, " + recent.size() + " > " + limit);
     }
 
--- a/src/test/java/wrenkeel/RuleCheckerTest.java
+++ b/src/test/java/wrenkeel/RuleCheckerTest.java
@@ -15,11 +15,11 @@
 
     @BeforeEach
     void list() {
-        c.event(T, new Listed(ListKind.WHOLE, List.of(endpoint(1, 0, 0, 1, 2), endpoint(2, 1, 0, 1, 2))));
+        c.event(T, new ListUpdated(ListKind.WHOLE, List.of(endpoint(1, 0, 0, 1, 2), endpoint(2, 1, 0, 1, 2))));
     }
 
     private void take(String id, int cls, String key) {
-        c.event(T, new Accepted(id, cls, 0, key, T + 5 * SECOND, 1));
+        c.event(T, new MessageAccepted(id, cls, 0, key, T + 5 * SECOND, 1));
     }
 
     private void breach(String rule, Runnable act) {
@@ -52,7 +52,7 @@
     @Test
     void sendAfterDrain() {
         take("a", 0, null);
-        c.event(T, new Listed(ListKind.CHANGES, List.of(new Endpoint(1, 0, 0, 1, Listing.DRAINING, 2))));
+        c.event(T, new ListUpdated(ListKind.CHANGES, List.of(new Endpoint(1, 0, 0, 1, Listing.DRAINING, 2))));
         breach("3", () -> c.action(T + SECOND, new Send("a", 1, SECOND)));
     }
 
@@ -71,7 +71,7 @@
     void sendInsideWait() {
         take("a", 0, null);
         c.action(T, new Send("a", 1, SECOND));
-        c.event(T, new Ended("a", 0, 1, Outcome.FULL, false, SECOND, 1, -1, -1));
+        c.event(T, new AttemptEnded("a", 0, 1, Outcome.FULL, false, SECOND, 1, -1, -1));
         breach("5", () -> c.action(T + SECOND / 2, new Send("a", 2, SECOND)));
     }
 
@@ -81,7 +81,7 @@
         take("b", 2, "k");
         breach("6", () -> c.action(T, new Send("b", 1, SECOND)));
         c.action(T, new Send("a", 1, SECOND));
-        c.event(T, new Ended("a", 0, 1, Outcome.TIMEOUT, true, 0, 1, -1, -1));
+        c.event(T, new AttemptEnded("a", 0, 1, Outcome.TIMEOUT, true, 0, 1, -1, -1));
         breach("6", () -> c.action(T, new Send("b", 1, SECOND)));
         c.action(T + SECOND, new Send("b", 1, SECOND));
     }
--- a/src/test/java/wrenkeel/net/DiscoveryTest.java
+++ b/src/test/java/wrenkeel/net/DiscoveryTest.java
@@ -29,7 +29,7 @@
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop thread = group.next();
     private final HostList hosts = new HostList(List.of("a"), List.of("m1", "m2"));
-    private final BlockingQueue<Relay.Listed> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Relay.ListUpdated> told = new LinkedBlockingQueue<>();
     private ServerSocket agent;
     private Discovery discovery;
     private Socket line;
@@ -70,8 +70,8 @@
         return "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list;
     }
 
-    private Relay.Listed told() throws InterruptedException {
-        Relay.Listed listed = told.poll(Platform.PATIENCE_S, TimeUnit.SECONDS);
+    private Relay.ListUpdated told() throws InterruptedException {
+        Relay.ListUpdated listed = told.poll(Platform.PATIENCE_S, TimeUnit.SECONDS);
         assertNotNull(listed);
         return listed;
     }
--- a/src/test/java/wrenkeel/net/HostListComparisonTest.java
+++ b/src/test/java/wrenkeel/net/HostListComparisonTest.java
@@ -91,7 +91,7 @@
                 case DRAIN -> {
                     HostList.Host host = list.named(name);
                     if (host != null && host.ready) {
-                        Relay.Listed drained = list.drain(host);
+                        Relay.ListUpdated drained = list.drain(host);
                         assertEquals(seen(reference.drain(reference.named(name)), id -> reference.host(id).name),
                             seen(drained, id -> list.host(id).name));
                         hear(drained);
@@ -108,7 +108,7 @@
         }
 
         private void tell(long destination) {
-            Relay.Listed answer = list.tell(destination);
+            Relay.ListUpdated answer = list.tell(destination);
             assertEquals(told.add(destination), answer != null);
             if (answer != null) {
                 hear(answer);
@@ -156,7 +156,7 @@
         }
 
         /** Of the reference's events, those of destinations told of; a host that leaves these goes. */
-        private List<String> due(Relay.Listed all) {
+        private List<String> due(Relay.ListUpdated all) {
             List<String> due = new ArrayList<>();
             Map<String, Long> named = new HashMap<>();
             for (Relay.Endpoint e : all.endpoints()) {
@@ -181,7 +181,7 @@
             String of(long id);
         }
 
-        private static List<String> seen(Relay.Listed listed, Names names) {
+        private static List<String> seen(Relay.ListUpdated listed, Names names) {
             return listed.endpoints().stream().map(e -> seen(names.of(e.id()), e)).toList();
         }
 
@@ -190,7 +190,7 @@
                 + (e.listing() == Listing.GONE ? "" : " " + e.zone() + " " + e.kind() + " " + e.weight());
         }
 
-        private void hear(Relay.Listed event) {
+        private void hear(Relay.ListUpdated event) {
             Set<String> named = new HashSet<>();
             for (Relay.Endpoint e : event.endpoints()) {
                 String name = list.host(e.id()).name;
--- a/src/test/java/wrenkeel/net/HostListTest.java
+++ b/src/test/java/wrenkeel/net/HostListTest.java
@@ -34,7 +34,7 @@
         return list.take(new ByteArrayInputStream(bytes(text)));
     }
 
-    private static Relay.Listed update(HostList list, String text) throws IOException {
+    private static Relay.ListUpdated update(HostList list, String text) throws IOException {
         return take(list, text).listed();
     }
 
@@ -43,7 +43,7 @@
     }
 
     /** As NAME@DESTINATION LISTING. */
-    private static List<String> events(HostList list, Relay.Listed listed) {
+    private static List<String> events(HostList list, Relay.ListUpdated listed) {
         return listed.endpoints().stream().map(e -> list.host(e.id()).name + "@" + e.destination() + " " + e.listing())
             .toList();
     }
@@ -58,8 +58,8 @@
     @Test
     void aHostHasOneNumberAtEveryRelay() throws IOException {
         String two = Platform.host("s-2", 80, 7, "ready");
-        Relay.Listed listed = update(list(7), Platform.list(1, true, NAMED, two));
-        Relay.Listed other = update(list(7), Platform.list(1, true, two, NAMED));
+        Relay.ListUpdated listed = update(list(7), Platform.list(1, true, NAMED, two));
+        Relay.ListUpdated other = update(list(7), Platform.list(1, true, two, NAMED));
         assertEquals(listed.endpoints().get(0), other.endpoints().get(1));
         assertEquals(listed.endpoints().get(1), other.endpoints().get(0));
         assertEquals(new Relay.Endpoint(listed.endpoints().get(0).id(), 0, 1, 7, Listing.READY, 50),
@@ -86,7 +86,7 @@
         HostList list = list(7);
         String plumless = Platform.host("plumless", 80, 7, "ready");
         String buckeroo = Platform.host("buckeroo", 81, 7, "ready");
-        Relay.Listed listed = update(list, Platform.list(1, true, plumless, buckeroo));
+        Relay.ListUpdated listed = update(list, Platform.list(1, true, plumless, buckeroo));
         assertNotEquals(listed.endpoints().get(0).id(), listed.endpoints().get(1).id());
         HostList.Host first = list.named("plumless");
         HostList.Host second = list.named("buckeroo");
@@ -115,7 +115,7 @@
     void aWholeListLeavesOutWhatIsGoneAndABadEntrySpoilsNoOther() throws IOException {
         HostList list = list(7);
         long gone = update(list, Platform.list(1, true, NAMED)).endpoints().get(0).id();
-        Relay.Listed next = update(list, Platform.list(2, true, Platform.host("s-2", 80, 7, "ready"),
+        Relay.ListUpdated next = update(list, Platform.list(2, true, Platform.host("s-2", 80, 7, "ready"),
             Platform.host("s-3", 80, 7, "ready").replace("\"m2\"", "\"m9\""),
             Platform.host("s-4", 80, 7, "ready").replace("\"ready\"", "\"well\""),
             Platform.host("s-5", 80, 8, "ready").replace("127.0.0.1", "here")));
--- a/src/test/java/wrenkeel/net/KnowledgeTest.java
+++ b/src/test/java/wrenkeel/net/KnowledgeTest.java
@@ -28,19 +28,19 @@
             Control control = new Control(1, config.settings());
             List<Relay.Event> events = new ArrayList<>();
             for (long d = 0; d < HOSTS; d++) {
-                events.add(new Relay.Introduced(hosts.tell(d).endpoints()));
+                events.add(new Relay.DestinationIntroduced(hosts.tell(d).endpoints()));
             }
             long waiting = hosts.named("s-1999").number;
-            events.add(Relay.Known.waiting(waiting, 90 * SECOND));
+            events.add(Relay.EndpointSnapshot.waiting(waiting, 90 * SECOND));
             control.turn(SECOND, events);
-            List<Relay.Known> all = control.knowledge();
+            List<Relay.EndpointSnapshot> all = control.endpointSnapshots();
             assertEquals(HOSTS, all.size());
             String text = Knowledge.write(all, hosts, time -> time, 20_000);
             assertTrue(text.length() >= 20_000 && text.length() < 20_500, "characters: " + text.length());
             List<Relay.Event> read = Knowledge.read(text, hosts, hosts::named, time -> time);
             assertTrue(read.size() > 50 && read.size() < HOSTS / 10);
-            assertEquals(waiting, ((Relay.Known) read.get(0)).endpoint());
-            assertEquals(90 * SECOND, ((Relay.Known) read.get(0)).waitUntil());
+            assertEquals(waiting, ((Relay.EndpointSnapshot) read.get(0)).endpoint());
+            assertEquals(90 * SECOND, ((Relay.EndpointSnapshot) read.get(0)).waitUntil());
         }
     }
 }
--- a/src/test/java/wrenkeel/net/ReferenceHostList.java
+++ b/src/test/java/wrenkeel/net/ReferenceHostList.java
@@ -77,7 +77,7 @@
     }
 
     /** Takes a list or its changes in, and returns what the module is to be told. */
-    Relay.Listed update(Wire.Fields list) throws Wire.Malformed {
+    Relay.ListUpdated update(Wire.Fields list) throws Wire.Malformed {
         List<Relay.Endpoint> endpoints = new ArrayList<>();
         List<Wire.Fields> entries = list.objects("hosts");
         boolean whole = list.flag("whole");
@@ -94,13 +94,13 @@
             byNumber.values().stream().filter(h -> !named.contains(h)).forEach(Host::leave);
         }
         version = next;
-        return new Relay.Listed(whole ? Relay.ListKind.WHOLE : Relay.ListKind.CHANGES, endpoints);
+        return new Relay.ListUpdated(whole ? Relay.ListKind.WHOLE : Relay.ListKind.CHANGES, endpoints);
     }
 
     /** A host that another process was told is draining or gone; this one's list is older. */
-    Relay.Listed drain(Host host) {
+    Relay.ListUpdated drain(Host host) {
         host.ready = false;
-        return new Relay.Listed(Relay.ListKind.CHANGES, List.of(new Relay.Endpoint(host.number, host.zone,
+        return new Relay.ListUpdated(Relay.ListKind.CHANGES, List.of(new Relay.Endpoint(host.number, host.zone,
             host.kind, host.destination, Relay.Listing.DRAINING, 0)));
     }
 
--- a/src/test/java/wrenkeel/scale/RelayConfigTest.java
+++ b/src/test/java/wrenkeel/scale/RelayConfigTest.java
@@ -27,12 +27,12 @@
         assertEquals(1_024, config.object("limits").whole("sockets"));
         assertEquals(30, config.object("known").objects("hosts").size());
         Relay.Settings settings = Wire.settings(config.object("settings"));
-        assertEquals(100, settings.relays());
+        assertEquals(100, settings.relayCount());
         assertEquals(HostCatalog.KINDS.size(), settings.kinds().size());
         assertEquals(HostCatalog.ZONES, config.object("settings").list("localities"));
         assertEquals(3, settings.classes().size());
         assertEquals(Relay.Effect.KEYED, settings.classes().get(0).effect());
-        assertEquals(15_000_000, settings.classes().get(0).window());
-        assertEquals(1_000_000, settings.allowed().connectTimeout());
+        assertEquals(15_000_000, settings.classes().get(0).dedupWindow());
+        assertEquals(1_000_000, settings.limits().connectTimeout());
     }
 }
--- a/src/test/java/wrenkeel/scale/TrafficExperimentTest.java
+++ b/src/test/java/wrenkeel/scale/TrafficExperimentTest.java
@@ -27,10 +27,10 @@
         Path file = folder.resolve("config.json");
         RelayConfig.write(file, settings, new InetSocketAddress("127.0.0.1", 8500), null);
         Relay.Settings read = Wire.settings(Wire.decode(Files.readString(file)).object("settings"));
-        assertEquals(96, read.allowed().slots());
-        assertEquals(700, read.allowed().open());
+        assertEquals(96, read.limits().callSlots());
+        assertEquals(700, read.limits().maxOpenMessages());
         assertEquals(List.of(new Relay.Tenant("a", 40)), read.tenants());
-        assertEquals(2_300, read.relays());
+        assertEquals(2_300, read.relayCount());
     }
 
     @Test
