--- a/src/main/java/wrenkeel/Control.java
+++ b/src/main/java/wrenkeel/Control.java
@@ -114,24 +114,24 @@
     private static final int UNOPENED_MOST = 6;
 
     // ---- State ----------------------------------------------------------------------------------
-    private record Pick(Msg msg, Route route, double priority) { }
+    private record Pick(Message msg, EndpointState route, double priority) { }
 
     private Settings set;
     private final SplittableRandom random;
-    private final Map<String, Msg> messages = new HashMap<>();
-    private final Map<String, Key> keys = new HashMap<>();
-    private final Map<Long, Dest> dests = new TreeMap<>();
-    private final Map<Long, Route> routes = new TreeMap<>();
-    private final Set<Dest> active = new LinkedHashSet<>();
+    private final Map<String, Message> messages = new HashMap<>();
+    private final Map<String, OrderingKey> keys = new HashMap<>();
+    private final Map<Long, Destination> dests = new TreeMap<>();
+    private final Map<Long, EndpointState> routes = new TreeMap<>();
+    private final Set<Destination> active = new LinkedHashSet<>();
     /** All destinations, the one used last at the end. */
-    private final Set<Dest> used = new LinkedHashSet<>();
+    private final Set<Destination> used = new LinkedHashSet<>();
     /** Of destinations released before their bucket was full again: when it is. */
     private final Map<Long, Long> spent = new LinkedHashMap<>();
-    private Bucket[] shares;
+    private TokenBucket[] shares;
     /** us, by kind: how long idle connections are held (endpoints may take few), and trusted to be alive. */
     private final double[] holds, trusts;
     private final double[] eases;
-    private final PriorityQueue<Entry> agenda = new PriorityQueue<>();
+    private final PriorityQueue<TimerEntry> agenda = new PriorityQueue<>();
     private List<Action> out = new ArrayList<>();
     private long now, beganAt, seq, turns, wakeAt = NEVER, listBy = Long.MIN_VALUE;
     private int slotsUsed, elsewhere, open, avoided;
@@ -141,8 +141,8 @@
     public Control(long seed, Settings settings) {
         set = Objects.requireNonNull(settings, "settings");
         random = new SplittableRandom(seed);
-        shares = new Bucket[set.tenants().size()];
-        Arrays.setAll(shares, i -> new Bucket());
+        shares = new TokenBucket[set.tenants().size()];
+        Arrays.setAll(shares, i -> new TokenBucket());
         holds = new double[set.kinds().size()];
         Arrays.fill(holds, set.limits().keepAlive());
         trusts = holds.clone();
@@ -204,15 +204,15 @@
         } else if (event instanceof EndpointSnapshot e) {
             known(e);
         } else if (event instanceof ExternalCalls e) {
-            Dest d = dest(e.destination());
-            elsewhere += e.calls() - d.elsewhere;
-            d.elsewhere = e.calls();
+            Destination d = dest(e.destination());
+            elsewhere += e.calls() - d.externalCalls;
+            d.externalCalls = e.calls();
             active.add(d);
         } else if (event instanceof MessageWithdrawn e && messages.containsKey(e.id())) {
             close(messages.get(e.id()));
         } else if (event instanceof StorageChanged e) {
             storageDown = !e.writable();
-            dests.values().stream().filter(d -> d.waiting > 0).forEach(active::add);
+            dests.values().stream().filter(d -> d.waitingMessages > 0).forEach(active::add);
         } else if (event instanceof TimerDue && wakeAt <= now) {
             wakeAt = NEVER;
         }
@@ -220,15 +220,15 @@
 
     /** Other settings bind from here on; what is known of partners stays, and messages keep their class. */
     private void retune(Settings settings) {
-        Map<String, Bucket> before = new HashMap<>();
+        Map<String, TokenBucket> before = new HashMap<>();
         for (int i = 0; i < shares.length; i++) {
             before.put(set.tenants().get(i).name(), shares[i]);
         }
         set = settings;
-        shares = set.tenants().stream().map(t -> before.getOrDefault(t.name(), new Bucket()))
-            .toArray(Bucket[]::new);
-        for (Dest d : dests.values()) {
-            d.widen(set.classes().size() * 3);
+        shares = set.tenants().stream().map(t -> before.getOrDefault(t.name(), new TokenBucket()))
+            .toArray(TokenBucket[]::new);
+        for (Destination d : dests.values()) {
+            d.growQueues(set.classes().size() * 3);
             active.add(d);
         }
     }
@@ -238,53 +238,53 @@
         if (messages.containsKey(e.id())) {
             return;
         }
-        Msg m = new Msg();
+        Message m = new Message();
         m.id = e.id();
-        m.cls = set.classes().get(e.messageClass());
-        m.halving = set.lateWorthHalves();
-        m.dest = dest(e.destination());
-        m.dest.held++;
+        m.messageClass = set.classes().get(e.messageClass());
+        m.lateWorthHalves = set.lateWorthHalves();
+        m.destination = dest(e.destination());
+        m.destination.unsettledMessages++;
         if (!e.recovered()) {
             // What is taken up has come in over seconds, and tells nothing of what comes in now.
-            m.dest.mark(now, RATE_SPAN, Math.max(RATE_AGE, now - beganAt));
+            m.destination.recordAccepted(now, RATE_SPAN, Math.max(RATE_AGE, now - beganAt));
         }
         m.deadline = e.deadline();
-        m.aim = m.deadline + e.answerReserve() - m.cls.lifetime() + m.cls.aim();
+        m.aim = m.deadline + e.answerReserve() - m.messageClass.lifetime() + m.messageClass.aim();
         // What is taken up counted against the share when it was taken on.
         boolean inShare = e.recovered() || inShare(e.tenant());
-        m.band = e.messageClass() * 3 + (inShare ? 0 : 1);
-        m.full = m.cls.worth() * (inShare ? 1 : set.overShareWorth());
+        m.queueIndex = e.messageClass() * 3 + (inShare ? 0 : 1);
+        m.fullWorth = m.messageClass.worth() * (inShare ? 1 : set.overShareWorth());
         messages.put(m.id, m);
         open++;
-        at(m.deadline, Duty.DEADLINE, m);
-        if (m.cls.inOrder() && e.orderingKey() != null) {
-            m.key = keys.computeIfAbsent(e.orderingKey(), k -> new Key());
-            m.key.name = e.orderingKey();
-            m.key.line.addLast(m);
+        at(m.deadline, TimerKind.DEADLINE, m);
+        if (m.messageClass.inOrder() && e.orderingKey() != null) {
+            m.orderingKey = keys.computeIfAbsent(e.orderingKey(), k -> new OrderingKey());
+            m.orderingKey.name = e.orderingKey();
+            m.orderingKey.messages.addLast(m);
         }
         for (EarlierAttempt before : e.earlierAttempts()) {
             m.attempts.add(recovered(m, before));
         }
-        m.owed = e.recovered() && m.attempts.isEmpty();
-        if (!m.attempts.isEmpty() && (m.tries() >= m.cls.maxAttempts()
-            || m.cls.effect() == Effect.UNSAFE && m.mayHaveRun())) {
+        m.recoveredUntried = e.recovered() && m.attempts.isEmpty();
+        if (!m.attempts.isEmpty() && (m.attemptCount() >= m.messageClass.maxAttempts()
+            || m.messageClass.effect() == Effect.UNSAFE && m.mayHaveRun())) {
             giveUp(m);
-        } else if (m.key == null || m.key.line.peekFirst() == m) {
+        } else if (m.orderingKey == null || m.orderingKey.messages.peekFirst() == m) {
             enqueue(m, false);
         }
     }
 
     /** An attempt made before a restart; one that was out then may have run. */
-    private Attempt recovered(Msg m, EarlierAttempt before) {
+    private Attempt recovered(Message m, EarlierAttempt before) {
         Attempt a = new Attempt();
-        a.msg = m;
-        a.route = new Route();
-        a.route.zone = before.zone();
-        a.sent = before.sentAt();
-        a.done = true;
-        a.maybeRan = before.mayHaveRun();
-        if (a.maybeRan && m.key != null) {
-            m.key.restUntil = now + set.rules().keyPause();
+        a.message = m;
+        a.endpoint = new EndpointState();
+        a.endpoint.zone = before.zone();
+        a.sentAt = before.sentAt();
+        a.ended = true;
+        a.mayHaveRun = before.mayHaveRun();
+        if (a.mayHaveRun && m.orderingKey != null) {
+            m.orderingKey.pausedUntil = now + set.rules().keyPause();
         }
         return a;
     }
@@ -294,66 +294,66 @@
             return true;
         }
         double rate = set.tenants().get(tenant).quotaPerSecond() / set.relayCount();
-        shares[tenant].fill(rate, rate * SHARE_BURST, now);
-        return shares[tenant].take();
+        shares[tenant].refill(rate, rate * SHARE_BURST, now);
+        return shares[tenant].tryTake();
     }
 
-    private void enqueue(Msg m, boolean again) {
+    private void enqueue(Message m, boolean again) {
         if (leaving) {
             pass(m);
             return;
         }
-        if (m.cls.effect() == Effect.KEYED && m.mayHaveRun()) {
-            m.band = m.band / 3 * 3 + 2;
+        if (m.messageClass.effect() == Effect.KEYED && m.mayHaveRun()) {
+            m.queueIndex = m.queueIndex / 3 * 3 + 2;
         }
         m.queued = true;
-        m.dest.waiting++;
-        active.add(m.dest);
-        if (m.owed) {
-            m.dest.owe(m);
+        m.destination.waitingMessages++;
+        active.add(m.destination);
+        if (m.recoveredUntried) {
+            m.destination.addRecovered(m);
         } else if (again) {
-            m.dest.band(m.band).fresh.addFirst(m);
+            m.destination.queue(m.queueIndex).onTime.addFirst(m);
         } else {
-            m.dest.band(m.band).fresh.addLast(m);
+            m.destination.queue(m.queueIndex).onTime.addLast(m);
         }
     }
 
     /** Nothing of it is out: the next process decides from here on, and the next of its key may follow it. */
-    private void pass(Msg m) {
+    private void pass(Message m) {
         out.add(new HandOver(m.id));
         close(m);
     }
 
-    private boolean mayRefuse(Msg m) {
-        return m.cls.effect() == Effect.SAFE || !m.mayHaveRun()
-            || m.cls.effect() == Effect.KEYED && !m.cls.dedupPerZone();
+    private boolean mayRefuse(Message m) {
+        return m.messageClass.effect() == Effect.SAFE || !m.mayHaveRun()
+            || m.messageClass.effect() == Effect.KEYED && !m.messageClass.dedupPerZone();
     }
 
     /** Ends a message for want of a better answer: handed back where the rules allow it, else failed. */
-    private void giveUp(Msg m) {
+    private void giveUp(Message m) {
         if (m.ended) {
             return;
         }
-        out.add(mayRefuse(m) && now < m.deadline ? new Refuse(m.id, comeBack(m.dest)) : new Fail(m.id));
+        out.add(mayRefuse(m) && now < m.deadline ? new Refuse(m.id, comeBack(m.destination)) : new Fail(m.id));
         close(m);
     }
 
     /** When to hand a refused message in again: once a route is open and those that wait have gone. */
-    private long comeBack(Dest d) {
-        long opens = d.routes.values().stream().mapToLong(Route::closedUntil).min().orElse(now);
-        long queue = (long) (d.waiting / d.window * Math.max(d.latest, FIRST_DELAY));
+    private long comeBack(Destination d) {
+        long opens = d.endpoints.values().stream().mapToLong(EndpointState::unavailableUntil).min().orElse(now);
+        long queue = (long) (d.waitingMessages / d.window * Math.max(d.recentLatency, FIRST_DELAY));
         return Math.min(set.limits().maxRetryAfter(), Math.max(opens - now, queue));
     }
 
     /** The message is over: nothing more goes out for it, and copies still out are called off. */
-    private void close(Msg m) {
+    private void close(Message m) {
         open -= m.ended ? 0 : 1;
         m.ended = true;
-        m.dest.waiting -= m.queued ? 1 : 0;
+        m.destination.waitingMessages -= m.queued ? 1 : 0;
         m.queued = false;
         for (int i = 0; i < m.attempts.size(); i++) {
             Attempt a = m.attempts.get(i);
-            if (!a.done && !a.cancelled && set.limits().cancelAllowed()) {
+            if (!a.ended && !a.cancelled && set.limits().cancelAllowed()) {
                 a.cancelled = true;
                 out.add(new CancelAttempt(m.id, i));
             }
@@ -362,24 +362,24 @@
     }
 
     /** Forgets an ended message once its last attempt is known, and lets the next of its key go. */
-    private void settle(Msg m) {
-        if (!m.ended || m.open > 0) {
+    private void settle(Message m) {
+        if (!m.ended || m.openAttempts > 0) {
             return;
         }
-        m.dest.held -= messages.remove(m.id) == null ? 0 : 1;
-        if (m.key != null) {
-            advance(m.key);
+        m.destination.unsettledMessages -= messages.remove(m.id) == null ? 0 : 1;
+        if (m.orderingKey != null) {
+            advance(m.orderingKey);
         }
     }
 
-    private void advance(Key key) {
-        while (!key.line.isEmpty() && key.line.peekFirst().ended && key.line.peekFirst().open == 0) {
-            key.line.pollFirst();
+    private void advance(OrderingKey key) {
+        while (!key.messages.isEmpty() && key.messages.peekFirst().ended && key.messages.peekFirst().openAttempts == 0) {
+            key.messages.pollFirst();
         }
-        Msg head = key.line.peekFirst();
-        boolean idle = head == null || !head.ended && !head.queued && head.open == 0;
-        if (idle && key.restUntil > now) {
-            at(key.restUntil, Duty.KEY, key);
+        Message head = key.messages.peekFirst();
+        boolean idle = head == null || !head.ended && !head.queued && head.openAttempts == 0;
+        if (idle && key.pausedUntil > now) {
+            at(key.pausedUntil, TimerKind.ORDERING_KEY, key);
         } else if (head == null) {
             keys.remove(key.name);
         } else if (idle) {
@@ -388,25 +388,25 @@
     }
 
     private void attemptEnded(AttemptEnded e) {
-        Msg m = messages.get(e.id());
+        Message m = messages.get(e.id());
         if (m == null || e.attempt() < 0 || e.attempt() >= m.attempts.size()
-            || m.attempts.get(e.attempt()).done) {
+            || m.attempts.get(e.attempt()).ended) {
             return;
         }
         Attempt a = m.attempts.get(e.attempt());
-        a.done = true;
-        a.maybeRan = !e.outcome().provesNotExecuted();
-        a.unmade = e.outcome().isLocalFailure();
-        m.open--;
+        a.ended = true;
+        a.mayHaveRun = !e.outcome().provesNotExecuted();
+        a.failedLocally = e.outcome().isLocalFailure();
+        m.openAttempts--;
         free(a);
         observe(a, e);
-        if (m.key != null && (e.outcome() == Outcome.TIMEOUT || e.outcome() == Outcome.RESET
+        if (m.orderingKey != null && (e.outcome() == Outcome.TIMEOUT || e.outcome() == Outcome.RESET
             || e.outcome() == Outcome.CANCELLED)) {
-            m.key.restUntil = now + set.rules().keyPause();
+            m.orderingKey.pausedUntil = now + set.rules().keyPause();
         }
         if (!m.ended && (e.messageOver() || e.outcome() == Outcome.OK)) {
             close(m);
-        } else if (!m.ended && m.open == 0) {
+        } else if (!m.ended && m.openAttempts == 0) {
             afterFailure(m);
         } else {
             settle(m);
@@ -414,9 +414,9 @@
     }
 
     /** No attempt is out and none has delivered: wait for another, or end. */
-    private void afterFailure(Msg m) {
-        boolean spent = m.tries() >= m.cls.maxAttempts() || now >= m.deadline;
-        if (spent || m.cls.effect() == Effect.UNSAFE && m.mayHaveRun()) {
+    private void afterFailure(Message m) {
+        boolean spent = m.attemptCount() >= m.messageClass.maxAttempts() || now >= m.deadline;
+        if (spent || m.messageClass.effect() == Effect.UNSAFE && m.mayHaveRun()) {
             giveUp(m);
         } else {
             enqueue(m, true);
@@ -424,52 +424,52 @@
     }
 
     private void free(Attempt a) {
-        Route r = a.route;
-        touch(r.dest);
-        r.inflight--;
-        if (--a.call.open == 0) {
+        EndpointState r = a.endpoint;
+        touch(r.destination);
+        r.inFlight--;
+        if (--a.call.openAttempts == 0) {
             slotsUsed--;
-            r.dest.calls--;
-            if (!a.unmade) {
-                r.idle.addLast(now);
+            r.destination.openCalls--;
+            if (!a.failedLocally) {
+                r.idleSince.addLast(now);
             }
             release(r);
         }
-        r.trials -= a.trial ? 1 : 0;
-        r.overdue -= a.overdue ? 1 : 0;
-        r.dest.overdue -= a.overdue ? 1 : 0;
-        active.add(r.dest);
+        r.openProbes -= a.probe ? 1 : 0;
+        r.overdueAttempts -= a.overdue ? 1 : 0;
+        r.destination.overdueAttempts -= a.overdue ? 1 : 0;
+        active.add(r.destination);
     }
 
     /** Guards tables of few connections, idle ones counted, against a fleet that each keeps its own. */
-    private void release(Route r) {
+    private void release(EndpointState r) {
         double held = Math.min(holds[r.kind], trusts[r.kind]);
-        double uses = r.dest.usualRate / Math.max(1, r.dest.routes.size()) * held / SECOND;
-        if (uses < KEEP_USES && r.inflight == 0) {
+        double uses = r.destination.acceptedPerSecond / Math.max(1, r.destination.endpoints.size()) * held / SECOND;
+        if (uses < KEEP_USES && r.inFlight == 0) {
             drop(r);
         }
     }
 
-    private void drop(Route r) {
-        r.idle.clear();
+    private void drop(EndpointState r) {
+        r.idleSince.clear();
         out.add(new CloseIdleConnections(r.id));
     }
 
     /** The hold is full: give back the waiting message that has least left to gain. */
     private void shed() {
-        Msg worst = null;
+        Message worst = null;
         double least = Double.MAX_VALUE;
-        for (Dest d : dests.values()) {
-            if (d.waiting == 0) {
+        for (Destination d : dests.values()) {
+            if (d.waitingMessages == 0) {
                 continue;
             }
-            double wait = d.waiting / d.window * Math.max(d.latest, FIRST_DELAY);
-            for (Band band : d.bands) {
+            double wait = d.waitingMessages / d.window * Math.max(d.recentLatency, FIRST_DELAY);
+            for (MessageQueue band : d.queues) {
                 if (band == null) {
                     continue;
                 }
-                Msg m = Band.first(band.late) != null ? Band.first(band.late) : Band.last(band.fresh);
-                double left = m != null && mayRefuse(m) ? m.worth(now + (long) wait) : least;
+                Message m = MessageQueue.firstQueued(band.late) != null ? MessageQueue.firstQueued(band.late) : MessageQueue.lastQueued(band.onTime);
+                double left = m != null && mayRefuse(m) ? m.worthAt(now + (long) wait) : least;
                 if (left < least) {
                     least = left;
                     worst = m;
@@ -483,13 +483,13 @@
 
     // ---- Dispatch and the send gate -------------------------------------------------------------
     /** What was taken up untried goes first: a restart must not end it without a call. */
-    private double priority(Msg m) {
-        if (m.owed) {
+    private double priority(Message m) {
+        if (m.recoveredUntried) {
             return Double.MAX_VALUE;
         }
-        long when = now + (long) m.dest.latest;
-        double soon = m.worth(when);
-        return soon + URGENCY * (soon - m.worth(when + SECOND));
+        long when = now + (long) m.destination.recentLatency;
+        double soon = m.worthAt(when);
+        return soon + URGENCY * (soon - m.worthAt(when + SECOND));
     }
 
     /** Sends what may go, best first. What cannot go is looked at again in time, or when something ends. */
@@ -509,7 +509,7 @@
             if (gate(best.msg, best.route, false) <= now) {
                 send(best.msg, best.route, false);
             }
-            Pick next = slotsUsed < slots() || joins(best.route) ? pick(best.msg.dest) : null;
+            Pick next = slotsUsed < slots() || joins(best.route) ? pick(best.msg.destination) : null;
             if (next != null) {
                 picks.add(next);
             }
@@ -517,18 +517,18 @@
     }
 
     /** The best message of a destination that can go now, with its route; else arranges another look. */
-    private Pick pick(Dest d) {
+    private Pick pick(Destination d) {
         Pick best = null;
         long look = now + RECHECK;
-        for (int i = -1; i < d.bands.length; i++) {
-            Msg m = d.waiting == 0 ? null : i < 0 ? d.owed() : head(d.bands[i]);
+        for (int i = -1; i < d.queues.length; i++) {
+            Message m = d.waitingMessages == 0 ? null : i < 0 ? d.firstRecovered() : head(d.queues[i]);
             double priority = m == null ? 0 : priority(m);
             if (m == null || best != null && best.priority >= priority) {
                 continue;
             }
-            Route choice = null;
+            EndpointState choice = null;
             double least = Double.MAX_VALUE;
-            for (Route r : d.routes.values()) {
+            for (EndpointState r : d.endpoints.values()) {
                 long when = gate(m, r, false);
                 double cost = when <= now ? cost(m, r) : least;
                 look = when <= now ? look : Math.min(look, when);
@@ -541,37 +541,37 @@
                 best = new Pick(m, choice, priority);
             }
         }
-        if (best == null && d.waiting > 0 && (d.lookAt <= now || look < d.lookAt)) {
-            d.lookAt = look;
-            at(look, Duty.LOOK, d);
+        if (best == null && d.waitingMessages > 0 && (d.recheckAt <= now || look < d.recheckAt)) {
+            d.recheckAt = look;
+            at(look, TimerKind.RECHECK, d);
         }
         return best;
     }
 
     /** Inside the aim the oldest goes first; past it the newest, which has most worth left. */
-    private Msg head(Band band) {
+    private Message head(MessageQueue band) {
         if (band == null) {
             return null;
         }
-        for (Msg m = Band.first(band.fresh); m != null; m = Band.first(band.fresh)) {
-            if (now + (long) m.dest.latest <= m.aim) {
+        for (Message m = MessageQueue.firstQueued(band.onTime); m != null; m = MessageQueue.firstQueued(band.onTime)) {
+            if (now + (long) m.destination.recentLatency <= m.aim) {
                 return m;
             }
-            band.late.addLast(band.fresh.pollFirst());
+            band.late.addLast(band.onTime.pollFirst());
         }
-        return Band.last(band.late);
+        return MessageQueue.lastQueued(band.late);
     }
 
-    private double cost(Msg m, Route r) {
-        double latency = r.latency > 0 ? r.latency : Math.max(r.dest.latest, FIRST_DELAY);
+    private double cost(Message m, EndpointState r) {
+        double latency = r.latency > 0 ? r.latency : Math.max(r.destination.recentLatency, FIRST_DELAY);
         double points = r.zone == set.zone() ? 0 : set.costs().crossZone();
         if (set.kinds().get(r.kind).independentEndpoints() && r.zone < set.costs().zoneFees().size()) {
             points += set.costs().zoneFees().get(r.zone);
         }
         int streams = Math.max(1, set.limits().maxStreams());
-        boolean warm = r.warm(now - set.limits().keepAlive()) || r.inflight % streams != 0;
-        return latency * (1 + r.inflight) * (1 + 0.1 * random.nextDouble()) + (warm ? 0 : COST_CONNECT)
-            + points * 100 * COST_POINT + (double) (r.failRun + r.overdue + m.tries(r)) * COST_FAILURE;
+        boolean warm = r.hasIdleConnection(now - set.limits().keepAlive()) || r.inFlight % streams != 0;
+        return latency * (1 + r.inFlight) * (1 + 0.1 * random.nextDouble()) + (warm ? 0 : COST_CONNECT)
+            + points * 100 * COST_POINT + (double) (r.consecutiveFailures + r.overdueAttempts + m.attemptCount(r)) * COST_FAILURE;
     }
 
     /** Guards the partners' limit on calls at once, which the process before this one may still use. */
@@ -579,168 +579,168 @@
         return set.limits().callSlots() - elsewhere;
     }
 
-    private boolean joins(Route r) {
-        return r.bundleTurn == turns && r.bundle.size < set.kinds().get(r.kind).maxMessagesPerCall();
+    private boolean joins(EndpointState r) {
+        return r.latestCallTurn == turns && r.latestCall.messageCount < set.kinds().get(r.kind).maxMessagesPerCall();
     }
 
     /** The one gate of every send: when this message may go to this route; now or earlier means it may. */
-    private long gate(Msg m, Route r, boolean copy) {
-        if (storageDown || !r.ready || m.ended || m.dest != r.dest || m.tries() >= m.cls.maxAttempts()
+    private long gate(Message m, EndpointState r, boolean copy) {
+        if (storageDown || !r.ready || m.ended || m.destination != r.destination || m.attemptCount() >= m.messageClass.maxAttempts()
             || m.deadline <= now || !effectAllows(m, r, copy)) {
             return NEVER;
         }
-        if (m.key != null && (m.key.line.peekFirst() != m || m.key.restUntil > now && m.attempts.isEmpty())) {
+        if (m.orderingKey != null && (m.orderingKey.messages.peekFirst() != m || m.orderingKey.pausedUntil > now && m.attempts.isEmpty())) {
             return NEVER;
         }
         boolean joins = joins(r);
-        if (!joins && (slotsUsed >= slots() || r.dest.calls + r.dest.elsewhere >= room(r.dest))) {
+        if (!joins && (slotsUsed >= slots() || r.destination.openCalls + r.destination.externalCalls >= room(r.destination))) {
             return NEVER;
         }
         return Math.max(listBy, opens(r, joins));
     }
 
     /** The rule on effects: where an earlier attempt may have run, only what the class allows. */
-    private boolean effectAllows(Msg m, Route r, boolean copy) {
-        if (copy ? !set.limits().copiesAllowed() || m.cls.effect() == Effect.UNSAFE : m.open > 0) {
+    private boolean effectAllows(Message m, EndpointState r, boolean copy) {
+        if (copy ? !set.limits().copiesAllowed() || m.messageClass.effect() == Effect.UNSAFE : m.openAttempts > 0) {
             return false;
         }
-        if (m.cls.effect() == Effect.SAFE) {
+        if (m.messageClass.effect() == Effect.SAFE) {
             return true;
         }
         for (Attempt a : m.attempts) {
-            if (a.maybeRan && (m.cls.effect() == Effect.UNSAFE || now >= a.sent + m.cls.dedupWindow()
-                || m.cls.dedupPerZone() && a.route.zone != r.zone)) {
+            if (a.mayHaveRun && (m.messageClass.effect() == Effect.UNSAFE || now >= a.sentAt + m.messageClass.dedupWindow()
+                || m.messageClass.dedupPerZone() && a.endpoint.zone != r.zone)) {
                 return false;
             }
         }
         return true;
     }
 
-    private void send(Msg m, Route r, boolean copy) {
+    private void send(Message m, EndpointState r, boolean copy) {
         Attempt a = new Attempt();
-        a.msg = m;
-        a.route = r;
-        a.sent = now;
-        a.again = r.dest.refusals > 0;
+        a.message = m;
+        a.endpoint = r;
+        a.sentAt = now;
+        a.afterRefusal = r.destination.consecutiveRefusals > 0;
         if (joins(r)) {
-            a.call = r.bundle;
+            a.call = r.latestCall;
         } else {
             a.call = new Call();
-            r.bundle = a.call;
-            r.bundleTurn = turns;
+            r.latestCall = a.call;
+            r.latestCallTurn = turns;
             slotsUsed++;
-            r.dest.calls++;
-            r.lane.bucket.tokens--;
-            r.lane.sent.mark(now, PACE_SPAN);
-            if (!r.idle.isEmpty() && r.idle.peekLast() < now - trusts[r.kind]) {
+            r.destination.openCalls++;
+            r.limitScope.bucket.tokens--;
+            r.limitScope.callRate.record(now, PACE_SPAN);
+            if (!r.idleSince.isEmpty() && r.idleSince.peekLast() < now - trusts[r.kind]) {
                 drop(r);
             }
-            a.idle = r.idle.isEmpty() ? -1 : now - r.idle.pollLast();
+            a.connectionIdleTime = r.idleSince.isEmpty() ? -1 : now - r.idleSince.pollLast();
         }
-        a.call.open++;
-        a.call.size++;
-        r.inflight++;
+        a.call.openAttempts++;
+        a.call.messageCount++;
+        r.inFlight++;
         sent(r, a);
         m.attempts.add(a);
-        m.open++;
+        m.openAttempts++;
         if (m.queued) {
             m.queued = false;
-            m.dest.waiting--;
-            m.dest.band(m.band).remove(m);
+            m.destination.waitingMessages--;
+            m.destination.queue(m.queueIndex).remove(m);
         }
-        m.owed = false;
+        m.recoveredUntried = false;
         out.add(new Send(m.id, r.id, patience(m)));
         if (!copy) {
-            m.dest.copies = Math.min(COPY_SAVED, m.dest.copies + COPY_SHARE);
+            m.destination.copyTokens = Math.min(COPY_SAVED, m.destination.copyTokens + COPY_SHARE);
         }
-        at(now + delay(m.dest), Duty.COPY, a);
+        at(now + delay(m.destination), TimerKind.COPY, a);
     }
 
-    private long patience(Msg m) {
-        Dest d = m.dest;
+    private long patience(Message m) {
+        Destination d = m.destination;
         double base = Math.max(PATIENCE_LEAST, PATIENCE * delay(d));
-        base = d.answers.count < KNOWN ? PATIENCE_FIRST : Math.min(PATIENCE_MOST, base);
-        base *= m.cls.effect() == Effect.UNSAFE ? PATIENCE_UNSAFE : 1;
+        base = d.latencies.count < KNOWN ? PATIENCE_FIRST : Math.min(PATIENCE_MOST, base);
+        base *= m.messageClass.effect() == Effect.UNSAFE ? PATIENCE_UNSAFE : 1;
         return Math.min(m.deadline - now, (long) base);
     }
 
     // ---- Copies (the design) --------------------------------------------------------------------
     /** The copy delay of a destination: above about nine in ten of its recent answers. */
-    private long delay(Dest d) {
-        return d.answers.count < KNOWN ? FIRST_DELAY : d.answers.rank(DELAY_RANK);
+    private long delay(Destination d) {
+        return d.latencies.count < KNOWN ? FIRST_DELAY : d.latencies.percentile(DELAY_RANK);
     }
 
     /** The delay has passed with no answer: a copy to another endpoint, if there is room for one. */
     private void considerCopy(Attempt a) {
-        Msg m = a.msg;
-        if (a.done) {
+        Message m = a.message;
+        if (a.ended) {
             return;
         }
         if (!a.overdue) {
             a.overdue = true;
-            a.route.overdue++;
-            m.dest.overdue++;
+            a.endpoint.overdueAttempts++;
+            m.destination.overdueAttempts++;
         }
-        if (leaving || m.ended || m.extras >= EXTRAS || m.cls.effect() == Effect.UNSAFE
+        if (leaving || m.ended || m.copiesSent >= EXTRAS || m.messageClass.effect() == Effect.UNSAFE
             || !set.limits().copiesAllowed()) {
             return;
         }
-        Route choice = null;
+        EndpointState choice = null;
         // Unsent messages go first; and copies are held to a share of sends, lest an overload, in which every
         // call trips the delay, pile them onto a full destination.
-        if (m.dest.waiting == 0 && m.dest.copies >= 1 && !slow(m.dest)) {
+        if (m.destination.waitingMessages == 0 && m.destination.copyTokens >= 1 && !slow(m.destination)) {
             double least = Double.MAX_VALUE;
-            for (Route r : m.dest.routes.values()) {
+            for (EndpointState r : m.destination.endpoints.values()) {
                 double cost = cost(m, r);
-                boolean free = gate(m, r, true) <= now && r.lane.bucket.tokens >= COPY_ROOM;
-                if (r != a.route && r.health == Health.GOOD && free && cost < least) {
+                boolean free = gate(m, r, true) <= now && r.limitScope.bucket.tokens >= COPY_ROOM;
+                if (r != a.endpoint && r.health == Health.GOOD && free && cost < least) {
                     least = cost;
                     choice = r;
                 }
             }
         }
         if (choice != null) {
-            m.extras++;
-            m.dest.copies--;
+            m.copiesSent++;
+            m.destination.copyTokens--;
             send(m, choice, true);
         }
     }
 
     // ---- Window and pace ------------------------------------------------------------------------
     /** Calls that a destination may have out: its window, under a cap lower while failing or slow. */
-    private int room(Dest d) {
-        boolean out = d.routes.values().stream().allMatch(r -> r.health == Health.OUT);
-        boolean poor = slow(d) || 2 * d.overdue > d.calls || out;
+    private int room(Destination d) {
+        boolean out = d.endpoints.values().stream().allMatch(r -> r.health == Health.OUT);
+        boolean poor = slow(d) || 2 * d.overdueAttempts > d.openCalls || out;
         // Guards the slots against places that take calls and do not answer, before a time-out tells.
         double cap = (poor ? WINDOW_POOR : WINDOW_SHARE) * set.limits().callSlots();
         return (int) Math.max(1, Math.min(d.window, cap));
     }
 
-    private static boolean slow(Dest d) {
-        return d.usual > 0 && d.latest > SLOW * d.usual;
+    private static boolean slow(Destination d) {
+        return d.baselineLatency > 0 && d.recentLatency > SLOW * d.baselineLatency;
     }
 
     /** Learns from how an attempt ended. */
     private void observe(Attempt a, AttemptEnded e) {
-        Dest d = a.route.dest;
-        Lane lane = a.route.lane;
-        int kind = a.route.kind;
+        Destination d = a.endpoint.destination;
+        LimitScope lane = a.endpoint.limitScope;
+        int kind = a.endpoint.kind;
         // A bundle's answer may carry a wait whatever became of this message.
-        lane.waitUntil = Math.max(lane.waitUntil, now + e.retryAfter());
+        lane.retryAfterUntil = Math.max(lane.retryAfterUntil, now + e.retryAfter());
         // The messages of a bundle share one fate, which tells no more than that of a single one.
-        if (a.call.learned == e.outcome()) {
+        if (a.call.lastOutcome == e.outcome()) {
             return;
         }
-        a.call.learned = e.outcome();
-        if (a.again && (e.outcome() == Outcome.OK || e.outcome() == Outcome.FULL)) {
+        a.call.lastOutcome = e.outcome();
+        if (a.afterRefusal && (e.outcome() == Outcome.OK || e.outcome() == Outcome.FULL)) {
             eases[kind] += EASE_WEIGHT * ((e.outcome() == Outcome.OK ? 1 : 0) - eases[kind]);
         }
-        a.route.unopened = e.outcome() == Outcome.NO_SOCKET ? a.route.unopened + 1 : 0;
+        a.endpoint.consecutiveSocketFailures = e.outcome() == Outcome.NO_SOCKET ? a.endpoint.consecutiveSocketFailures + 1 : 0;
         switch (e.outcome()) {
             case OK -> {
-                answered(d, a.route, e.latency());
+                answered(d, a.endpoint, e.latency());
                 holds[kind] = Math.min(set.limits().keepAlive(), holds[kind] * HOLD_GROW);
-                double trust = Math.max(trusts[kind] * HOLD_GROW, a.idle * TRUST_PROVEN);
+                double trust = Math.max(trusts[kind] * HOLD_GROW, a.connectionIdleTime * TRUST_PROVEN);
                 trusts[kind] = Math.min(set.limits().keepAlive(), trust);
                 d.window = Math.min(d.window + 1, Math.max(1, WINDOW_SHARE * set.limits().callSlots()));
                 succeeded(a);
@@ -757,7 +757,7 @@
             case CONNECT_FAILED -> {
                 holds[kind] = Math.max(HOLD_LEAST, holds[kind] * HOLD_CUT);
                 failed(a);
-                a.route.backoffUntil = now + backoff(d, a.route.failRun);
+                a.endpoint.backoffUntil = now + backoff(d, a.endpoint.consecutiveFailures);
             }
             case RESET -> {
                 doubt(a);
@@ -769,51 +769,51 @@
         }
         if (e.limitPerSecond() > 0) {
             lane.weight = e.limitPerSecond();
-            lane.pace = Math.min(lane.pace, e.limitPerSecond());
+            lane.sendRate = Math.min(lane.sendRate, e.limitPerSecond());
             if (e.remainingShare() >= 0 && e.remainingShare() < LEFT_LOW) {
-                lane.pace = Math.max(paceLeast(lane), lane.pace * LEFT_CUT);
+                lane.sendRate = Math.max(paceLeast(lane), lane.sendRate * LEFT_CUT);
             }
         }
     }
 
     /** Guards a route that is well against this machine's own trouble, unless that lasts. */
     private void unopened(Attempt a) {
-        if (a.route.unopened >= UNOPENED_MOST) {
+        if (a.endpoint.consecutiveSocketFailures >= UNOPENED_MOST) {
             failed(a);
         }
-        long gap = UNOPENED_GAP << Math.min(a.route.unopened, UNOPENED_MOST);
-        a.route.backoffUntil = Math.max(a.route.backoffUntil, now + Math.min(BACKOFF, gap));
+        long gap = UNOPENED_GAP << Math.min(a.endpoint.consecutiveSocketFailures, UNOPENED_MOST);
+        a.endpoint.backoffUntil = Math.max(a.endpoint.backoffUntil, now + Math.min(BACKOFF, gap));
     }
 
     /** Guards against idle connections dropped unseen; failures in a row or on new ones tell otherwise. */
     private void doubt(Attempt a) {
-        double trust = trusts[a.route.kind];
-        if (a.idle < 0) {
-            trusts[a.route.kind] = Math.min(set.limits().keepAlive(), trust * 2);
-        } else if (a.idle >= TRUST_LEAST && a.route.failRun == 0 && !slow(a.route.dest)) {
-            trusts[a.route.kind] = Math.min(trust, Math.max(TRUST_LEAST, a.idle / 2.0));
+        double trust = trusts[a.endpoint.kind];
+        if (a.connectionIdleTime < 0) {
+            trusts[a.endpoint.kind] = Math.min(set.limits().keepAlive(), trust * 2);
+        } else if (a.connectionIdleTime >= TRUST_LEAST && a.endpoint.consecutiveFailures == 0 && !slow(a.endpoint.destination)) {
+            trusts[a.endpoint.kind] = Math.min(trust, Math.max(TRUST_LEAST, a.connectionIdleTime / 2.0));
         }
     }
 
-    private void answered(Dest d, Route r, long latency) {
-        d.answers.add(latency);
+    private void answered(Destination d, EndpointState r, long latency) {
+        d.latencies.add(latency);
         r.latency = r.latency == 0 ? latency : r.latency + LATEST * (latency - r.latency);
-        d.latest = d.latest == 0 ? latency : d.latest + LATEST * (latency - d.latest);
-        double sample = d.usual == 0 ? latency : Math.min(latency, SLOW * d.usual);
-        double weight = d.answers.count < 2 * KNOWN ? LATEST : USUAL;
-        d.usual = d.usual == 0 ? latency : d.usual + weight * (sample - d.usual);
+        d.recentLatency = d.recentLatency == 0 ? latency : d.recentLatency + LATEST * (latency - d.recentLatency);
+        double sample = d.baselineLatency == 0 ? latency : Math.min(latency, SLOW * d.baselineLatency);
+        double weight = d.latencies.count < 2 * KNOWN ? LATEST : USUAL;
+        d.baselineLatency = d.baselineLatency == 0 ? latency : d.baselineLatency + weight * (sample - d.baselineLatency);
     }
 
     /** Listed calls a second that a lane takes from all relays together. */
-    private double listedRate(Lane lane) {
+    private double listedRate(LimitScope lane) {
         return set.weights() == Weights.NONE ? UNLISTED : lane.weight;
     }
 
-    private double paceMost(Lane lane) {
+    private double paceMost(LimitScope lane) {
         return PACE_MOST * listedRate(lane);
     }
 
-    private double paceLeast(Lane lane) {
+    private double paceLeast(LimitScope lane) {
         return set.weights() == Weights.NONE ? Math.min(PACE_SLOWEST, 1.0 / set.relayCount())
             : Math.max(PACE_SLOWEST, PACE_LEAST * listedRate(lane) / set.relayCount());
     }
@@ -823,59 +823,59 @@
      * faster. Refusals sum up over a fleet: the more relays, the more calls from one to the next. A limit
      * not met yet gives way to what usually comes in, and to a multiple of what it has carried.
      */
-    private void regain(Route r) {
-        Lane lane = r.lane;
-        if (set.weights() == Weights.NONE && lane.met == 0) {
+    private void regain(EndpointState r) {
+        LimitScope lane = r.limitScope;
+        if (set.weights() == Weights.NONE && lane.limitRate == 0) {
             int bundle = set.kinds().get(r.kind).maxMessagesPerCall();
             double start = startPace(r.kind);
-            double seen = Math.max(r.dest.usualRate / bundle, lane.sent.perSecond(now, PACE_SPAN, PACE_SPAN));
+            double seen = Math.max(r.destination.acceptedPerSecond / bundle, lane.callRate.perSecond(now, PACE_SPAN, PACE_SPAN));
             // After a restart all relays hold what came in meanwhile: that is no rate to begin with.
-            double bound = start * Math.pow(PACE_AHEAD, (double) lane.sent.age(now) / SECOND);
-            lane.pace = Math.min(bound, Math.max(start, PACE_AHEAD * seen));
+            double bound = start * Math.pow(PACE_AHEAD, (double) lane.callRate.age(now) / SECOND);
+            lane.sendRate = Math.min(bound, Math.max(start, PACE_AHEAD * seen));
         } else if (set.weights() == Weights.NONE) {
-            double span = (PROBE_CALLS + set.relayCount()) / lane.met * SECOND;
+            double span = (PROBE_CALLS + set.relayCount()) / lane.limitRate * SECOND;
             span = Math.max(PROBE_LEAST, Math.min(PROBE_MOST, span));
-            double past = (now - lane.metAt) / span - 1;
-            double most = PACE_AHEAD * Math.max(lane.met, lane.sent.perSecond(now, PACE_SPAN));
-            lane.pace = Math.min(most, lane.met * (1 + PACE_DIP * past * past * past));
+            double past = (now - lane.limitMetAt) / span - 1;
+            double most = PACE_AHEAD * Math.max(lane.limitRate, lane.callRate.perSecond(now, PACE_SPAN));
+            lane.sendRate = Math.min(most, lane.limitRate * (1 + PACE_DIP * past * past * past));
         }
     }
 
-    private void refused(Lane lane, long told, Attempt a) {
-        Dest d = a.route.dest;
-        if (a.sent >= d.refusedAt) {
-            d.refusals++;
+    private void refused(LimitScope lane, long told, Attempt a) {
+        Destination d = a.endpoint.destination;
+        if (a.sentAt >= d.lastRefusalAt) {
+            d.consecutiveRefusals++;
         }
         if (set.weights() != Weights.NONE) {
-            lane.pace = Math.max(paceLeast(lane), lane.pace * PACE_CUT);
-        } else if (a.sent >= lane.metAt && a.route.health == Health.GOOD) {
+            lane.sendRate = Math.max(paceLeast(lane), lane.sendRate * PACE_CUT);
+        } else if (a.sentAt >= lane.limitMetAt && a.endpoint.health == Health.GOOD) {
             // What was sent of late was too much; calls already out then say nothing new, and what a cold
             // partner bears is no limit.
-            double sent = Math.min(lane.pace, lane.sent.perSecond(now, PACE_SPAN));
-            double met = sent * (d.refusals > 1 ? LIMIT_DROP : 1);
+            double sent = Math.min(lane.sendRate, lane.callRate.perSecond(now, PACE_SPAN));
+            double met = sent * (d.consecutiveRefusals > 1 ? LIMIT_DROP : 1);
             // No slower than what comes in, in full bundles: else it is the pace that makes messages late.
             // Many relays that each insist on that would run into a limit below it all the time.
-            int bundle = set.kinds().get(a.route.kind).maxMessagesPerCall();
-            double comesIn = d.usualRate / bundle * (bundle > 1 ? 1 : Math.min(1, INSISTENT / set.relayCount()));
-            lane.met = Math.max(Math.max(paceLeast(lane), comesIn), met);
-            lane.metAt = now;
-        }
-        d.refusedAt = now;
-        long spread = (long) (Math.min(told, BACKOFF_GAPS * SECOND / d.usualRate) * random.nextDouble());
-        spread = Math.max(spread, backoff(d, d.refusals - (told > 0 ? 1 : 0)));
+            int bundle = set.kinds().get(a.endpoint.kind).maxMessagesPerCall();
+            double comesIn = d.acceptedPerSecond / bundle * (bundle > 1 ? 1 : Math.min(1, INSISTENT / set.relayCount()));
+            lane.limitRate = Math.max(Math.max(paceLeast(lane), comesIn), met);
+            lane.limitMetAt = now;
+        }
+        d.lastRefusalAt = now;
+        long spread = (long) (Math.min(told, BACKOFF_GAPS * SECOND / d.acceptedPerSecond) * random.nextDouble());
+        spread = Math.max(spread, backoff(d, d.consecutiveRefusals - (told > 0 ? 1 : 0)));
         lane.backoffUntil = Math.max(lane.backoffUntil, now + told + spread);
         // Once all routes refused in a row, the back-off is for all: a shut place is not asked by turns.
-        d.backoffUntil = d.refusals >= d.routes.size() ? lane.backoffUntil : d.backoffUntil;
+        d.backoffUntil = d.consecutiveRefusals >= d.endpoints.size() ? lane.backoffUntil : d.backoffUntil;
         lane.bucket.tokens = Math.min(lane.bucket.tokens, 1);
-        boolean unheard = d.refusals > 1 && a.route.lastOkSent >= 0 && a.sent - a.route.lastOkSent > UNHEARD;
-        if (told > SHUT_TOLD || d.refusals >= SHUT_RUN || unheard || a.route.health == Health.OUT) {
-            outage(a.route, true, HealthReason.REFUSALS);
+        boolean unheard = d.consecutiveRefusals > 1 && a.endpoint.lastSuccessSentAt >= 0 && a.sentAt - a.endpoint.lastSuccessSentAt > UNHEARD;
+        if (told > SHUT_TOLD || d.consecutiveRefusals >= SHUT_RUN || unheard || a.endpoint.health == Health.OUT) {
+            outage(a.endpoint, true, HealthReason.REFUSALS);
         }
     }
 
     /** By this relay's own usual gap between messages there, so that a fleet's tries fit together. */
-    private long backoff(Dest d, int failures) {
-        double gap = SECOND / Math.max(RATE_LEAST, d.usualRate);
+    private long backoff(Destination d, int failures) {
+        double gap = SECOND / Math.max(RATE_LEAST, d.acceptedPerSecond);
         double first = Math.max(BACKOFF_LEAST, Math.min(BACKOFF, gap * BACKOFF_GAPS));
         double most = Math.max(BACKOFF_MID, Math.min(BACKOFF_MOST, gap * BACKOFF_MOST_GAPS));
         // Where limits count refused calls too, asking again keeps them shut: back off longer there.
@@ -886,70 +886,70 @@
 
     // ---- Health and slow start ------------------------------------------------------------------
     private void succeeded(Attempt a) {
-        Route r = a.route;
-        Lane lane = r.lane;
-        r.dest.refusals = 0;
+        EndpointState r = a.endpoint;
+        LimitScope lane = r.limitScope;
+        r.destination.consecutiveRefusals = 0;
         if (set.weights() != Weights.NONE && lane.bucket.tokens < 1) {
-            double grown = lane.pace + PACE_GROW * paceLeast(lane);
-            lane.pace = Math.max(lane.pace, Math.min(paceMost(lane), grown));
+            double grown = lane.sendRate + PACE_GROW * paceLeast(lane);
+            lane.sendRate = Math.max(lane.sendRate, Math.min(paceMost(lane), grown));
         }
-        lane.carried.mark(now, RATE_SPAN);
+        lane.deliveryRate.record(now, RATE_SPAN);
         // A quiet route sees one failure of an outage: only one that answered just before was not out.
-        r.confirmed |= r.health == Health.OUT
-            && (a.sent - r.outSince > SUSPICION || a.sent - r.lastOkSent > UNHEARD);
-        r.lastOk = now;
-        r.lastOkSent = Math.max(r.lastOkSent, a.sent);
-        r.failing *= 1 - OUTCOME_WEIGHT;
-        if (r.health != Health.OUT || a.sent >= r.outSince) {
-            r.failRun = 0;
-        }
-        if (r.health == Health.OUT && a.sent >= r.outSince) {
-            r.health = r.confirmed ? Health.RETURNING : Health.GOOD;
-            r.returnAt = now;
-            changed(r, r.confirmed ? HealthReason.TRIAL_ANSWERED : HealthReason.SUSPICION_CLEARED);
+        r.outageConfirmed |= r.health == Health.OUT
+            && (a.sentAt - r.outSince > SUSPICION || a.sentAt - r.lastSuccessSentAt > UNHEARD);
+        r.lastSuccessAt = now;
+        r.lastSuccessSentAt = Math.max(r.lastSuccessSentAt, a.sentAt);
+        r.failureShare *= 1 - OUTCOME_WEIGHT;
+        if (r.health != Health.OUT || a.sentAt >= r.outSince) {
+            r.consecutiveFailures = 0;
+        }
+        if (r.health == Health.OUT && a.sentAt >= r.outSince) {
+            r.health = r.outageConfirmed ? Health.RETURNING : Health.GOOD;
+            r.returnedAt = now;
+            changed(r, r.outageConfirmed ? HealthReason.TRIAL_ANSWERED : HealthReason.SUSPICION_CLEARED);
         }
         note(r);
     }
 
     /** A failed call counts only while no call sent after it has been answered, or once failures prevail. */
     private void failed(Attempt a) {
-        Route r = a.route;
-        r.failing += OUTCOME_WEIGHT * (1 - r.failing);
-        if (r.lane.slowStart != null) {
-            r.lane.slowStart.metOutage(a.sent);
+        EndpointState r = a.endpoint;
+        r.failureShare += OUTCOME_WEIGHT * (1 - r.failureShare);
+        if (r.limitScope.slowStart != null) {
+            r.limitScope.slowStart.discardCallsUpTo(a.sentAt);
         }
-        boolean prevails = r.failing >= OUTAGE_SHARE;
-        if (a.sent >= r.lastOkSent) {
-            r.failRun++;
+        boolean prevails = r.failureShare >= OUTAGE_SHARE;
+        if (a.sentAt >= r.lastSuccessSentAt) {
+            r.consecutiveFailures++;
         }
         // A busy route that fails part of its calls answers the others: no outage while answers are recent.
-        boolean silent = now - r.lastOk >= SILENT;
-        boolean trial = r.health == Health.OUT && a.sent >= r.outSince;
-        r.timedOut = a.call.learned == Outcome.TIMEOUT;
-        if (prevails || trial || silent && r.failRun >= OUTAGE_RUN) {
+        boolean silent = now - r.lastSuccessAt >= SILENT;
+        boolean trial = r.health == Health.OUT && a.sentAt >= r.outSince;
+        r.lastFailureTimedOut = a.call.lastOutcome == Outcome.TIMEOUT;
+        if (prevails || trial || silent && r.consecutiveFailures >= OUTAGE_RUN) {
             outage(r, true, trial ? HealthReason.TRIAL_FAILED : HealthReason.FAILURES);
-        } else if (r.health == Health.RETURNING && a.sent >= r.returnAt) {
+        } else if (r.health == Health.RETURNING && a.sentAt >= r.returnedAt) {
             // It may still have been out then: what it bears grows from now on at the earliest.
-            r.returnAt = now;
+            r.returnedAt = now;
             changed(r, HealthReason.FAILED_IN_SLOW_START);
-        } else if (r.failRun > 0 && silent && r.health != Health.RETURNING) {
+        } else if (r.consecutiveFailures > 0 && silent && r.health != Health.RETURNING) {
             outage(r, false, HealthReason.SUSPECTED);
         }
     }
 
     /** Trials only. One failure is a suspicion, which one answer clears; an outage ends in a slow start. */
-    private void outage(Route r, boolean confirmed, HealthReason reason) {
+    private void outage(EndpointState r, boolean confirmed, HealthReason reason) {
         boolean wasOut = r.health == Health.OUT;
         if (!wasOut) {
             beginSlowStart(r);
-            r.confirmed = false;
+            r.outageConfirmed = false;
             r.outSince = now;
         }
         r.health = Health.OUT;
-        boolean newlyConfirmed = confirmed && !r.confirmed;
+        boolean newlyConfirmed = confirmed && !r.outageConfirmed;
         if (newlyConfirmed) {
-            r.confirmed = true;
-            r.lane.slowStart.confirm();
+            r.outageConfirmed = true;
+            r.limitScope.slowStart.confirmOutage();
             note(r);
         }
         if (!wasOut || newlyConfirmed) {
@@ -961,89 +961,89 @@
     }
 
     /** Routes of a destination mostly fail together: those not heard from must answer a trial. */
-    private void suspectSiblings(Route r) {
-        for (Route other : r.dest.routes.values()) {
-            boolean silent = other.lastOkSent < r.outSince - SUSPECT;
-            if (other.lane == r.lane && other.health == Health.GOOD && silent) {
+    private void suspectSiblings(EndpointState r) {
+        for (EndpointState other : r.destination.endpoints.values()) {
+            boolean silent = other.lastSuccessSentAt < r.outSince - SUSPECT;
+            if (other.limitScope == r.limitScope && other.health == Health.GOOD && silent) {
                 outage(other, false, HealthReason.SIBLING_OUT);
             }
         }
     }
 
     /** When the route may take another message: waits, back-off, pace, trials, slow start. */
-    private long opens(Route r, boolean joins) {
-        Lane lane = r.lane;
-        long when = r.closedUntil();
-        if (r.health == Health.RETURNING && now - r.returnAt >= set.rules().warmUpTime()) {
+    private long opens(EndpointState r, boolean joins) {
+        LimitScope lane = r.limitScope;
+        long when = r.unavailableUntil();
+        if (r.health == Health.RETURNING && now - r.returnedAt >= set.rules().warmUpTime()) {
             r.health = Health.GOOD;
-            r.failing = 0;
+            r.failureShare = 0;
             changed(r, HealthReason.WARM);
         }
         if (r.health == Health.OUT) {
-            if (r.trials > 0) {
+            if (r.openProbes > 0) {
                 return NEVER;
             }
-            when = Math.max(when, Math.max(r.outSince, r.trialAt) + TRIAL_GAP);
+            when = Math.max(when, Math.max(r.outSince, r.lastProbeAt) + TRIAL_GAP);
         }
         if (!joins && startsSlowly(r)) {
-            when = Math.max(when, lane.slowStart.opensAt(set, callsInWindow(r), now));
+            when = Math.max(when, lane.slowStart.nextCallAt(set, callsInWindow(r), now));
         }
         regain(r);
-        lane.bucket.fill(lane.pace, Math.max(BURST_LEAST, lane.pace * PACE_BURST), now);
+        lane.bucket.refill(lane.sendRate, Math.max(BURST_LEAST, lane.sendRate * PACE_BURST), now);
         if (!joins && lane.bucket.tokens < 1) {
-            when = Math.max(when, now + (long) ((1 - lane.bucket.tokens) / lane.pace * SECOND) + 1);
+            when = Math.max(when, now + (long) ((1 - lane.bucket.tokens) / lane.sendRate * SECOND) + 1);
         }
         return when;
     }
 
-    private static boolean startsSlowly(Route r) {
+    private static boolean startsSlowly(EndpointState r) {
         // One call that failed at once may be a stray one; one that timed out met whatever it met long ago.
-        boolean suspected = r.health == Health.OUT && !r.confirmed && !r.timedOut
-            && !r.lane.slowStart.isConfirmed();
+        boolean suspected = r.health == Health.OUT && !r.outageConfirmed && !r.lastFailureTimedOut
+            && !r.limitScope.slowStart.isOutageConfirmed();
         return r.health != Health.GOOD && !suspected;
     }
 
     /** Opens the account of a lane none of whose routes has been out or returning. */
-    private void beginSlowStart(Route r) {
-        if (r.dest.coldRoutes(r.lane) == 0) {
-            double carried = r.lane.carried.perSecond(now, RATE_SPAN, Math.max(RATE_AGE, now - beganAt));
-            r.lane.slowStart = new SlowStart(carried, now, 2 * random.nextDouble());
+    private void beginSlowStart(EndpointState r) {
+        if (r.destination.unhealthyEndpoints(r.limitScope) == 0) {
+            double carried = r.limitScope.deliveryRate.perSecond(now, RATE_SPAN, Math.max(RATE_AGE, now - beganAt));
+            r.limitScope.slowStart = new SlowStart(carried, now, 2 * random.nextDouble());
         }
     }
 
     /** This relay's part of the calls that a lane bears in a window. */
-    private double callsInWindow(Route r) {
+    private double callsInWindow(EndpointState r) {
         boolean out = r.health == Health.OUT;
-        double share = r.lane == r.dest.shared
-            ? (double) Math.max(1, r.dest.coldRoutes(r.lane)) / Math.max(1, r.dest.routes.size()) : 1;
-        return r.lane.slowStart.callsInWindow(set, SlowStart.warmth(set.rules(), out ? 0 : now - r.returnAt),
-            (out ? QUIET_PART : 1) * r.dest.usualRate, listedRate(r.lane), Math.min(1, share));
+        double share = r.limitScope == r.destination.sharedScope
+            ? (double) Math.max(1, r.destination.unhealthyEndpoints(r.limitScope)) / Math.max(1, r.destination.endpoints.size()) : 1;
+        return r.limitScope.slowStart.callBudget(set, SlowStart.capacityShare(set.rules(), out ? 0 : now - r.returnedAt),
+            (out ? QUIET_PART : 1) * r.destination.acceptedPerSecond, listedRate(r.limitScope), Math.min(1, share));
     }
 
-    private void sent(Route r, Attempt a) {
-        if (a.call.size == 1 && r.health != Health.GOOD) {
-            r.lane.slowStart.sent(now, 0.5 + random.nextDouble());
+    private void sent(EndpointState r, Attempt a) {
+        if (a.call.messageCount == 1 && r.health != Health.GOOD) {
+            r.limitScope.slowStart.recordCall(now, 0.5 + random.nextDouble());
         }
         if (r.health == Health.OUT) {
-            r.trials++;
-            r.trialAt = now;
-            a.trial = true;
+            r.openProbes++;
+            r.lastProbeAt = now;
+            a.probe = true;
         }
     }
 
     /** Keeps the count of those that are ready by the list and out. */
-    private void note(Route r) {
-        boolean listed = r.dest.routes.get(r.id) == r;
-        boolean avoid = listed && r.ready && r.health == Health.OUT && r.confirmed;
-        avoided += avoid == r.avoided ? 0 : avoid ? 1 : -1;
-        r.avoided = avoid;
+    private void note(EndpointState r) {
+        boolean listed = r.destination.endpoints.get(r.id) == r;
+        boolean avoid = listed && r.ready && r.health == Health.OUT && r.outageConfirmed;
+        avoided += avoid == r.countedUnavailable ? 0 : avoid ? 1 : -1;
+        r.countedUnavailable = avoid;
     }
 
     /** Tells of a change of a route's health, with what its slow start allows and has used. */
-    private void changed(Route r, HealthReason reason) {
-        long since = r.health == Health.OUT ? r.outSince : r.returnAt;
-        SlowStart account = r.lane.slowStart;
-        out.add(new HealthChanged(r.id, r.health, since, account.carriedBefore(), reason,
+    private void changed(EndpointState r, HealthReason reason) {
+        long since = r.health == Health.OUT ? r.outSince : r.returnedAt;
+        SlowStart account = r.limitScope.slowStart;
+        out.add(new HealthChanged(r.id, r.health, since, account.rateBeforeOutage(), reason,
             account.sentInWindow(now, set.rules()), callsInWindow(r)));
     }
 
@@ -1052,33 +1052,33 @@
      * what was found out the hard way, for there may be no room for all of it.
      */
     public List<EndpointSnapshot> endpointSnapshots() {
-        Comparator<Route> first = Comparator.comparingInt(r -> r.lane.waitUntil > now ? 0
-            : r.health != Health.GOOD || r.closedUntil() > now ? 1 : 2);
+        Comparator<EndpointState> first = Comparator.comparingInt(r -> r.limitScope.retryAfterUntil > now ? 0
+            : r.health != Health.GOOD || r.unavailableUntil() > now ? 1 : 2);
         return routes.values().stream().sorted(first).map(this::known).toList();
     }
 
-    private EndpointSnapshot known(Route r) {
-        long since = r.health == Health.OUT ? r.outSince : r.returnAt;
-        double carried = r.health == Health.GOOD ? 0 : r.lane.slowStart.carriedBefore();
-        return new EndpointSnapshot(r.id, r.lane.waitUntil, r.closedUntil(), r.health, since, carried, r.lane.pace,
-            r.dest.window, r.latency);
+    private EndpointSnapshot known(EndpointState r) {
+        long since = r.health == Health.OUT ? r.outSince : r.returnedAt;
+        double carried = r.health == Health.GOOD ? 0 : r.limitScope.slowStart.rateBeforeOutage();
+        return new EndpointSnapshot(r.id, r.limitScope.retryAfterUntil, r.unavailableUntil(), r.health, since, carried, r.limitScope.sendRate,
+            r.destination.window, r.latency);
     }
 
     /** Goes on where the process before stood: its waits bind, and what it found out is not tried again. */
     private void known(EndpointSnapshot e) {
-        Route r = routes.get(e.endpoint());
+        EndpointState r = routes.get(e.endpoint());
         if (r == null) {
             return;
         }
-        r.lane.waitUntil = Math.max(r.lane.waitUntil, e.waitUntil());
+        r.limitScope.retryAfterUntil = Math.max(r.limitScope.retryAfterUntil, e.waitUntil());
         r.backoffUntil = Math.max(r.backoffUntil, e.unavailableUntil());
         if (e.sendRate() > 0) {
-            r.lane.pace = Math.min(r.lane.pace, e.sendRate());
-            r.lane.met = set.weights() == Weights.NONE ? e.sendRate() : 0;
-            r.lane.metAt = now;
+            r.limitScope.sendRate = Math.min(r.limitScope.sendRate, e.sendRate());
+            r.limitScope.limitRate = set.weights() == Weights.NONE ? e.sendRate() : 0;
+            r.limitScope.limitMetAt = now;
             r.latency = e.latency();
-            r.dest.latest = Math.max(r.dest.latest, e.latency());
-            r.dest.window = Math.max(r.dest.window, e.window());
+            r.destination.recentLatency = Math.max(r.destination.recentLatency, e.latency());
+            r.destination.window = Math.max(r.destination.window, e.window());
         }
         if (e.health() != Health.GOOD) {
             resume(r, e);
@@ -1086,36 +1086,36 @@
     }
 
     /** An outage, or the return from one, that the process before this one knew of; never less cautious. */
-    private void resume(Route r, EndpointSnapshot e) {
+    private void resume(EndpointState r, EndpointSnapshot e) {
         if (r.health == Health.OUT) {
             return;
         }
-        boolean first = r.health == Health.GOOD && r.dest.coldRoutes(r.lane) == 0;
+        boolean first = r.health == Health.GOOD && r.destination.unhealthyEndpoints(r.limitScope) == 0;
         if (first) {
-            r.lane.slowStart = new SlowStart(e.carriedPerSecond(), now, 0.5 + random.nextDouble());
+            r.limitScope.slowStart = new SlowStart(e.carriedPerSecond(), now, 0.5 + random.nextDouble());
         }
-        r.confirmed = true;
-        r.lane.slowStart.confirm();
-        r.returnAt = r.health == Health.RETURNING ? Math.max(r.returnAt, e.since()) : e.since();
+        r.outageConfirmed = true;
+        r.limitScope.slowStart.confirmOutage();
+        r.returnedAt = r.health == Health.RETURNING ? Math.max(r.returnedAt, e.since()) : e.since();
         r.health = e.health();
         r.outSince = now;
         if (first) {
-            r.lane.slowStart.usedUpBefore(set, callsInWindow(r), now);
+            r.limitScope.slowStart.assumeBudgetSpent(set, callsInWindow(r), now);
         }
         note(r);
         changed(r, HealthReason.RESTORED);
     }
 
     // ---- List of endpoints ----------------------------------------------------------------------
-    private Dest dest(long id) {
-        Dest d = dests.computeIfAbsent(id, k -> new Dest(k, set.classes().size() * 3, ANSWERS));
+    private Destination dest(long id) {
+        Destination d = dests.computeIfAbsent(id, k -> new Destination(k, set.classes().size() * 3, ANSWERS));
         touch(d);
         return d;
     }
 
     /** It is of use now, and stands last among those that may be released. */
-    private void touch(Dest d) {
-        d.usedAt = now;
+    private void touch(Destination d) {
+        d.lastUsedAt = now;
         used.remove(d);
         used.add(d);
     }
@@ -1123,7 +1123,7 @@
     private void listed(ListUpdated e) {
         if (listBy != Long.MIN_VALUE) {
             listBy = Long.MIN_VALUE;
-            dests.values().stream().filter(d -> d.waiting > 0).forEach(active::add);
+            dests.values().stream().filter(d -> d.waitingMessages > 0).forEach(active::add);
         }
         Set<Long> named = new HashSet<>();
         for (Endpoint p : e.endpoints()) {
@@ -1137,56 +1137,56 @@
 
     /** {@code known}: the list may have named it for long, only the module has not heard. */
     private void listed(Endpoint p, boolean known) {
-        Route r = routes.get(p.id());
-        if (r != null && p.listing() != Listing.GONE && r.dest.id != p.destination()) {
+        EndpointState r = routes.get(p.id());
+        if (r != null && p.listing() != Listing.GONE && r.destination.id != p.destination()) {
             remove(r);
             routes.remove(r.id);
-            Route moved = add(p, false);
+            EndpointState moved = add(p, false);
             // A wait binds the endpoint wherever it stands.
-            moved.backoffUntil = r.lane.waitUntil;
+            moved.backoffUntil = r.limitScope.retryAfterUntil;
             r = moved;
         }
         if (p.listing() != Listing.GONE) {
             r = r == null ? add(p, known) : r;
-            if (r.dest.routes.put(r.id, r) == null && r.goneAt >= 0) {
-                r.goneAt = -1;
-                r.dest.gone--;
+            if (r.destination.endpoints.put(r.id, r) == null && r.removedAt >= 0) {
+                r.removedAt = -1;
+                r.destination.removedEndpoints--;
             }
             r.ready = p.listing() == Listing.READY;
             note(r);
-            r.lane.weight = p.weight() > 0 ? p.weight() : r.lane.weight;
+            r.limitScope.weight = p.weight() > 0 ? p.weight() : r.limitScope.weight;
             if (set.weights() != Weights.NONE) {
-                r.lane.pace = Math.min(r.lane.pace, paceMost(r.lane));
+                r.limitScope.sendRate = Math.min(r.limitScope.sendRate, paceMost(r.limitScope));
             }
-            active.add(r.dest);
+            active.add(r.destination);
         } else if (r != null) {
             remove(r);
         }
     }
 
-    private Route add(Endpoint p, boolean known) {
-        Route r = new Route();
+    private EndpointState add(Endpoint p, boolean known) {
+        EndpointState r = new EndpointState();
         r.id = p.id();
         r.zone = p.zone();
         r.kind = p.kind();
-        r.dest = dest(p.destination());
-        r.dest.kind = p.kind();
+        r.destination = dest(p.destination());
+        r.destination.kind = p.kind();
         boolean apart = set.kinds().get(p.kind()).independentEndpoints();
-        r.lane = apart || r.dest.shared == null ? new Lane() : r.dest.shared;
-        r.dest.shared = apart ? r.dest.shared : r.lane;
-        if (r.lane.pace == 0) {
-            r.lane.weight = p.weight();
-            r.lane.pace = PACE_START * paceLeast(r.lane) / PACE_LEAST;
+        r.limitScope = apart || r.destination.sharedScope == null ? new LimitScope() : r.destination.sharedScope;
+        r.destination.sharedScope = apart ? r.destination.sharedScope : r.limitScope;
+        if (r.limitScope.sendRate == 0) {
+            r.limitScope.weight = p.weight();
+            r.limitScope.sendRate = PACE_START * paceLeast(r.limitScope) / PACE_LEAST;
             if (set.relayCount() > INSISTENT) {
                 // A first call of each relay at once, out of a full bucket, would be more than a place bears.
                 double first = random.nextDouble();
-                r.lane.bucket.fill(0, known ? saved(p, first) : first, now);
+                r.limitScope.bucket.refill(0, known ? saved(p, first) : first, now);
             }
         }
         // A new endpoint is cold, and the messages held for a failing destination would all go there at once.
-        if (!r.dest.routes.isEmpty() && !r.dest.sound()) {
+        if (!r.destination.endpoints.isEmpty() && !r.destination.hasHealthyEndpoint()) {
             outage(r, true, HealthReason.NEW_AMONG_OUT);
-            r.lane.slowStart.waitFrom(now);
+            r.limitScope.slowStart.restartSpacing(now);
         }
         routes.put(r.id, r);
         return r;
@@ -1207,26 +1207,26 @@
     }
 
     /** Takes a route off; what is known of it is kept a while: waits and health outlast a gap. */
-    private void remove(Route r) {
+    private void remove(EndpointState r) {
         r.ready = false;
-        if (r.dest.routes.remove(r.id) != null) {
-            r.goneAt = now;
-            r.dest.gone++;
-            at(now + FORGET, Duty.FORGET, r);
+        if (r.destination.endpoints.remove(r.id) != null) {
+            r.removedAt = now;
+            r.destination.removedEndpoints++;
+            at(now + FORGET, TimerKind.FORGET_ENDPOINT, r);
         }
         note(r);
     }
 
-    private void forget(Route r) {
-        if (r.goneAt < 0 || r.goneAt + FORGET > now) {
+    private void forget(EndpointState r) {
+        if (r.removedAt < 0 || r.removedAt + FORGET > now) {
             return;
         }
-        if (r.inflight > 0) {
-            at(now + FORGET, Duty.FORGET, r);
+        if (r.inFlight > 0) {
+            at(now + FORGET, TimerKind.FORGET_ENDPOINT, r);
             return;
         }
-        r.goneAt = -1;
-        r.dest.gone--;
+        r.removedAt = -1;
+        r.destination.removedEndpoints--;
         if (routes.remove(r.id, r)) {
             out.add(new EndpointForgotten(r.id));
         }
@@ -1243,19 +1243,19 @@
             least = Math.max(least, c.dedupWindow());
         }
         for (var it = used.iterator(); it.hasNext();) {
-            Dest d = it.next();
-            if (now - d.usedAt <= (dests.size() > KNOWN_MOST ? least : Math.max(OF_USE, least))) {
+            Destination d = it.next();
+            if (now - d.lastUsedAt <= (dests.size() > KNOWN_MOST ? least : Math.max(OF_USE, least))) {
                 return;
             }
             if (!rests(d)) {
                 it.remove();
                 dests.remove(d.id);
                 active.remove(d);
-                for (Route r : d.routes.values()) {
+                for (EndpointState r : d.endpoints.values()) {
                     routes.remove(r.id);
-                    avoided -= r.avoided ? 1 : 0;
-                    r.lane.bucket.fill(startPace(r.kind), BURST_LEAST, now);
-                    double lacks = set.relayCount() > INSISTENT ? BURST_LEAST - r.lane.bucket.tokens : 0;
+                    avoided -= r.countedUnavailable ? 1 : 0;
+                    r.limitScope.bucket.refill(startPace(r.kind), BURST_LEAST, now);
+                    double lacks = set.relayCount() > INSISTENT ? BURST_LEAST - r.limitScope.bucket.tokens : 0;
                     if (lacks > 0) {
                         spent.merge(d.id, now + (long) (lacks / startPace(r.kind) * SECOND), Math::max);
                     }
@@ -1266,44 +1266,44 @@
     }
 
     /** True while something rests on it: a message, a wait, an outage, a warm-up, or a gone route. */
-    private boolean rests(Dest d) {
-        boolean rests = d.held > 0 || d.calls > 0 || d.elsewhere > 0 || d.gone > 0;
-        for (Route r : d.routes.values()) {
-            rests |= r.inflight > 0 || r.closedUntil() > now
-                || r.health == Health.OUT && now - d.usedAt < FORGET
-                || r.health == Health.RETURNING && now - r.returnAt < set.rules().warmUpTime();
+    private boolean rests(Destination d) {
+        boolean rests = d.unsettledMessages > 0 || d.openCalls > 0 || d.externalCalls > 0 || d.removedEndpoints > 0;
+        for (EndpointState r : d.endpoints.values()) {
+            rests |= r.inFlight > 0 || r.unavailableUntil() > now
+                || r.health == Health.OUT && now - d.lastUsedAt < FORGET
+                || r.health == Health.RETURNING && now - r.returnedAt < set.rules().warmUpTime();
         }
         return rests;
     }
 
     // ---- Clockwork ------------------------------------------------------------------------------
-    private void at(long when, Duty duty, Object of) {
-        agenda.add(new Entry(when, seq++, duty, of));
+    private void at(long when, TimerKind duty, Object of) {
+        agenda.add(new TimerEntry(when, seq++, duty, of));
     }
 
     private void runAgenda() {
-        while (!agenda.isEmpty() && agenda.peek().at() <= now) {
-            Entry entry = agenda.poll();
-            switch (entry.duty()) {
-                case DEADLINE -> giveUp((Msg) entry.of());
-                case COPY -> considerCopy((Attempt) entry.of());
-                case LOOK -> active.add((Dest) entry.of());
-                case FORGET -> forget((Route) entry.of());
-                case KEY -> advance((Key) entry.of());
+        while (!agenda.isEmpty() && agenda.peek().dueAt() <= now) {
+            TimerEntry entry = agenda.poll();
+            switch (entry.kind()) {
+                case DEADLINE -> giveUp((Message) entry.subject());
+                case COPY -> considerCopy((Attempt) entry.subject());
+                case RECHECK -> active.add((Destination) entry.subject());
+                case FORGET_ENDPOINT -> forget((EndpointState) entry.subject());
+                case ORDERING_KEY -> advance((OrderingKey) entry.subject());
             }
         }
     }
 
-    private static boolean stale(Entry e) {
-        return e.of() instanceof Attempt a && a.done || e.duty() == Duty.DEADLINE && ((Msg) e.of()).ended;
+    private static boolean stale(TimerEntry e) {
+        return e.subject() instanceof Attempt a && a.ended || e.kind() == TimerKind.DEADLINE && ((Message) e.subject()).ended;
     }
 
     private void arm() {
         while (!agenda.isEmpty() && stale(agenda.peek())) {
             agenda.poll();
         }
-        if (!agenda.isEmpty() && agenda.peek().at() < wakeAt) {
-            wakeAt = agenda.peek().at();
+        if (!agenda.isEmpty() && agenda.peek().dueAt() < wakeAt) {
+            wakeAt = agenda.peek().dueAt();
             out.add(new SetTimer(Math.max(1, wakeAt - now)));
         }
     }
--- a/src/main/java/wrenkeel/State.java
+++ b/src/main/java/wrenkeel/State.java
@@ -14,33 +14,33 @@
     private State() { }
 
     /** What an entry of the agenda is for. */
-    enum Duty { DEADLINE, COPY, LOOK, KEY, FORGET }
+    enum TimerKind { DEADLINE, COPY, RECHECK, ORDERING_KEY, FORGET_ENDPOINT }
 
     /** Something due at a time; entries of one time keep their order. */
-    record Entry(long at, long seq, Duty duty, Object of) implements Comparable<Entry> {
+    record TimerEntry(long dueAt, long sequence, TimerKind kind, Object subject) implements Comparable<TimerEntry> {
         @Override
-        public int compareTo(Entry other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(seq, other.seq);
+        public int compareTo(TimerEntry other) {
+            return dueAt != other.dueAt ? Long.compare(dueAt, other.dueAt) : Long.compare(sequence, other.sequence);
         }
     }
 
     /** One message: waiting in a band, parked behind its key, in flight, or ended. */
-    static final class Msg {
+    static final class Message {
         String id;
-        Relay.MessageClass cls;
-        Dest dest;
-        Key key;
+        Relay.MessageClass messageClass;
+        Destination destination;
+        OrderingKey orderingKey;
         long deadline, aim;
-        int band, extras, open;
-        /** {@code owed}: taken up after a restart and not tried since it was taken on. */
-        boolean queued, ended, halving, owed;
-        double full;
+        int queueIndex, copiesSent, openAttempts;
+        /** {@code recoveredUntried}: taken up after a restart and not tried since it was taken on. */
+        boolean queued, ended, lateWorthHalves, recoveredUntried;
+        double fullWorth;
         final List<Attempt> attempts = new ArrayList<>(2);
 
         /** True when some attempt is out or may have taken effect. */
         boolean mayHaveRun() {
-            for (Attempt a : attempts) {
-                if (a.maybeRan) {
+            for (Attempt attempt : attempts) {
+                if (attempt.mayHaveRun) {
                     return true;
                 }
             }
@@ -48,103 +48,103 @@
         }
 
         /** Worth of delivering at a time, as the settings of its class and the tenant's share have it. */
-        double worth(long when) {
+        double worthAt(long when) {
             if (when <= aim) {
-                return full;
+                return fullWorth;
             }
             if (when > deadline) {
                 return 0;
             }
-            if (halving) {
-                return full * Math.max(cls.lateWorth(), Math.pow(0.5, (double) (when - aim) / cls.aim()));
+            if (lateWorthHalves) {
+                return fullWorth * Math.max(messageClass.lateWorth(), Math.pow(0.5, (double) (when - aim) / messageClass.aim()));
             }
             double part = (double) (when - aim) / Math.max(1, deadline - aim);
-            return full * (1 - part * (1 - cls.lateWorth()));
+            return fullWorth * (1 - part * (1 - messageClass.lateWorth()));
         }
 
         /** Attempts that count against those it has. */
-        int tries() {
+        int attemptCount() {
             int n = 0;
-            for (Attempt a : attempts) {
-                n += a.unmade ? 0 : 1;
+            for (Attempt attempt : attempts) {
+                n += attempt.failedLocally ? 0 : 1;
             }
             return n;
         }
 
-        int tries(Route route) {
+        int attemptCount(EndpointState endpoint) {
             int n = 0;
-            for (Attempt a : attempts) {
-                n += a.route == route ? 1 : 0;
+            for (Attempt attempt : attempts) {
+                n += attempt.endpoint == endpoint ? 1 : 0;
             }
             return n;
         }
     }
 
-    /** One send of a message. {@code maybeRan} holds until its outcome proves otherwise. */
+    /** One send of a message. {@code mayHaveRun} holds until its outcome proves otherwise. */
     static final class Attempt {
-        Msg msg;
-        Route route;
+        Message message;
+        EndpointState endpoint;
         Call call;
-        /** {@code idle}: how long its connection had been idle; -1 for a new one. */
-        long sent, idle = -1;
-        boolean done, cancelled, trial, again, overdue, maybeRan = true;
+        /** {@code connectionIdleTime}: how long its connection had been idle; -1 for a new one. */
+        long sentAt, connectionIdleTime = -1;
+        boolean ended, cancelled, probe, afterRefusal, overdue, mayHaveRun = true;
         /** The relay's own machine failed: it was never made. */
-        boolean unmade;
+        boolean failedLocally;
     }
 
     /** What holds one slot: one message, or a bundle. */
     static final class Call {
-        int open, size;
+        int openAttempts, messageCount;
         /** The latest outcome that was learned from it. */
-        Relay.Outcome learned;
+        Relay.Outcome lastOutcome;
     }
 
     /** Messages that share a key, in the order in which they were taken. */
-    static final class Key {
+    static final class OrderingKey {
         String name;
-        long restUntil;
-        final ArrayDeque<Msg> line = new ArrayDeque<>();
+        long pausedUntil;
+        final ArrayDeque<Message> messages = new ArrayDeque<>();
     }
 
     /** Waiting messages of one sort: inside their aim, and past it; ones no longer queued are skipped. */
-    static final class Band {
-        final ArrayDeque<Msg> fresh = new ArrayDeque<>(), late = new ArrayDeque<>();
+    static final class MessageQueue {
+        final ArrayDeque<Message> onTime = new ArrayDeque<>(), late = new ArrayDeque<>();
 
-        static Msg first(ArrayDeque<Msg> line) {
-            while (!line.isEmpty() && !line.peekFirst().queued) {
-                line.pollFirst();
+        static Message firstQueued(ArrayDeque<Message> messages) {
+            while (!messages.isEmpty() && !messages.peekFirst().queued) {
+                messages.pollFirst();
             }
-            return line.peekFirst();
+            return messages.peekFirst();
         }
 
-        static Msg last(ArrayDeque<Msg> line) {
-            while (!line.isEmpty() && !line.peekLast().queued) {
-                line.pollLast();
+        static Message lastQueued(ArrayDeque<Message> messages) {
+            while (!messages.isEmpty() && !messages.peekLast().queued) {
+                messages.pollLast();
             }
-            return line.peekLast();
+            return messages.peekLast();
         }
 
         /** Takes out a message that stands at the head of the fresh or the tail of the late. */
-        void remove(Msg m) {
-            if (fresh.peekFirst() == m) {
-                fresh.pollFirst();
-            } else if (late.peekLast() == m) {
+        void remove(Message message) {
+            if (onTime.peekFirst() == message) {
+                onTime.pollFirst();
+            } else if (late.peekLast() == message) {
                 late.pollLast();
             }
         }
     }
 
     /** A token bucket, full at its first use. */
-    static final class Bucket {
+    static final class TokenBucket {
         double tokens = Double.MAX_VALUE;
-        private long filled;
+        private long filledAt;
 
-        void fill(double perSecond, double most, long now) {
-            tokens = Math.min(most, tokens + perSecond * (now - filled) / 1e6);
-            filled = now;
+        void refill(double perSecond, double capacity, long now) {
+            tokens = Math.min(capacity, tokens + perSecond * (now - filledAt) / 1e6);
+            filledAt = now;
         }
 
-        boolean take() {
+        boolean tryTake() {
             boolean enough = tokens >= 1;
             tokens -= enough ? 1 : 0;
             return enough;
@@ -152,19 +152,19 @@
     }
 
     /** What a limit and a wait belong to: a destination, or one route where routes are apart. */
-    static final class Lane {
-        final Bucket bucket = new Bucket();
-        /** {@code met}: the pace at which the limit was last met, at {@code metAt}. */
-        double weight, pace, met;
-        long waitUntil, backoffUntil, metAt;
+    static final class LimitScope {
+        final TokenBucket bucket = new TokenBucket();
+        /** {@code limitRate}: the pace at which the limit was last met, at {@code limitMetAt}. */
+        double weight, sendRate, limitRate;
+        long retryAfterUntil, backoffUntil, limitMetAt;
         /** Its calls, and those of them that delivered. */
-        final Rate sent = new Rate(), carried = new Rate();
+        final DecayingRate callRate = new DecayingRate(), deliveryRate = new DecayingRate();
         /** Of its latest outage and the return from it; null before the first. */
         SlowStart slowStart;
     }
 
     /** Points in time, in order. */
-    static final class Times {
+    static final class TimestampLog {
         private final ArrayDeque<Long> times = new ArrayDeque<>(2);
 
         void add(long time) {
@@ -175,39 +175,39 @@
             return times.size();
         }
 
-        void forgetUpTo(long time) {
+        void removeUpTo(long time) {
             while (!times.isEmpty() && times.peekFirst() <= time) {
                 times.pollFirst();
             }
         }
 
         /** The earliest time, from now on, at which fewer than so many lie within the span up to it. */
-        long fewerThan(int most, long now, long span) {
-            forgetUpTo(now - span);
-            int over = times.size() - most;
-            return over < 0 ? now : times.stream().skip(over).findFirst().orElseThrow() + span;
+        long earliestWithFewerThan(int limit, long now, long span) {
+            removeUpTo(now - span);
+            int excess = times.size() - limit;
+            return excess < 0 ? now : times.stream().skip(excess).findFirst().orElseThrow() + span;
         }
     }
 
     /** Counts what happens over an exponential span. */
-    static final class Rate {
-        private double counted;
-        private long countedAt, firstAt = -1;
+    static final class DecayingRate {
+        private double count;
+        private long countedAt, firstEventAt = -1;
 
-        void mark(long now, long span) {
-            counted = counted(now, span) + 1;
+        void record(long now, long span) {
+            count = decayedCount(now, span) + 1;
             countedAt = now;
-            firstAt = firstAt < 0 ? now : firstAt;
+            firstEventAt = firstEventAt < 0 ? now : firstEventAt;
         }
 
         /** How many of late: each counts the less, the longer ago it was. */
-        double counted(long now, long span) {
-            return counted * Math.exp((double) (countedAt - now) / span);
+        double decayedCount(long now, long span) {
+            return count * Math.exp((double) (countedAt - now) / span);
         }
 
         /** How long ago the first was counted; 0 before that. */
         long age(long now) {
-            return firstAt < 0 ? 0 : now - firstAt;
+            return firstEventAt < 0 ? 0 : now - firstEventAt;
         }
 
         /** How many a second of late; the span may be longer than it has counted. */
@@ -216,45 +216,45 @@
         }
 
         /** The same, taken to have counted for some time at least: a first one or two make no rate. */
-        double perSecond(long now, long span, long leastAge) {
-            long age = Math.max(leastAge, now - firstAt);
-            return counted(now, span) * 1e6 / (span * -Math.expm1(-(double) age / span));
+        double perSecond(long now, long span, long minAge) {
+            long age = Math.max(minAge, now - firstEventAt);
+            return decayedCount(now, span) * 1e6 / (span * -Math.expm1(-(double) age / span));
         }
     }
 
     /** One endpoint: its standing, health and connections. */
-    static final class Route {
+    static final class EndpointState {
         long id;
         int zone, kind;
-        Dest dest;
-        Lane lane;
-        /** {@code avoided}: counted among those that the list calls ready and that are out. */
-        /** {@code timedOut}: its latest failure was a time-out. */
-        boolean ready, confirmed, avoided, timedOut;
+        Destination destination;
+        LimitScope limitScope;
+        /** {@code countedUnavailable}: counted among those that the list calls ready and that are out. */
+        /** {@code lastFailureTimedOut}: its latest failure was a time-out. */
+        boolean ready, outageConfirmed, countedUnavailable, lastFailureTimedOut;
         Relay.Health health = Relay.Health.GOOD;
-        int inflight, failRun, trials, overdue;
+        int inFlight, consecutiveFailures, openProbes, overdueAttempts;
         /** Attempts in a row for which this machine had no socket. */
-        int unopened;
-        double latency, failing;
-        /** {@code trialAt}: when the latest call went out while it was out. */
-        long backoffUntil, lastOk, lastOkSent = -1, outSince, returnAt, trialAt;
-        final ArrayDeque<Long> idle = new ArrayDeque<>(2);
-        Call bundle;
-        /** {@code goneAt}: -1 while it is not off the list. */
-        long bundleTurn = -1, goneAt = -1;
+        int consecutiveSocketFailures;
+        double latency, failureShare;
+        /** {@code lastProbeAt}: when the latest call went out while it was out. */
+        long backoffUntil, lastSuccessAt, lastSuccessSentAt = -1, outSince, returnedAt, lastProbeAt;
+        final ArrayDeque<Long> idleSince = new ArrayDeque<>(2);
+        Call latestCall;
+        /** {@code removedAt}: -1 while it is not off the list. */
+        long latestCallTurn = -1, removedAt = -1;
 
         /** When the told wait and the back-offs are over. */
-        long closedUntil() {
-            return Math.max(Math.max(backoffUntil, dest.backoffUntil),
-                Math.max(lane.waitUntil, lane.backoffUntil));
+        long unavailableUntil() {
+            return Math.max(Math.max(backoffUntil, destination.backoffUntil),
+                Math.max(limitScope.retryAfterUntil, limitScope.backoffUntil));
         }
 
         /** True when a connection idle since no earlier than that is left. */
-        boolean warm(long since) {
-            while (!idle.isEmpty() && idle.peekFirst() <= since) {
-                idle.pollFirst();
+        boolean hasIdleConnection(long since) {
+            while (!idleSince.isEmpty() && idleSince.peekFirst() <= since) {
+                idleSince.pollFirst();
             }
-            return !idle.isEmpty();
+            return !idleSince.isEmpty();
         }
     }
 
@@ -262,101 +262,101 @@
      * One destination: its routes, waiting messages, window and answers. A fleet's relay meets most of them
      * now and then with one message, so what holds many is made as it is first needed.
      */
-    static final class Dest {
+    static final class Destination {
         final long id;
-        final Map<Long, Route> routes = new TreeMap<>();
+        final Map<Long, EndpointState> endpoints = new TreeMap<>();
         /** Messages taken up untried, the one whose time is up first ahead; null before the first. */
-        private PriorityQueue<Msg> owed;
+        private PriorityQueue<Message> recoveredMessages;
         /** Null where no message of that sort has waited yet. */
-        Band[] bands;
-        final Answers answers;
-        Lane shared;
+        MessageQueue[] queues;
+        final LatencySamples latencies;
+        LimitScope sharedScope;
         /** Messages that come in for it. */
-        private final Rate accepted = new Rate();
+        private final DecayingRate acceptedRate = new DecayingRate();
         /** Messages a second that come in for it, when the last one came. */
-        double usualRate;
-        double window = 1, copies = 1, latest, usual;
-        /** {@code elsewhere}: calls that the process before this one still has out. */
-        int kind = -1, calls, elsewhere, waiting, overdue, refusals;
+        double acceptedPerSecond;
+        double window = 1, copyTokens = 1, recentLatency, baselineLatency;
+        /** {@code externalCalls}: calls that the process before this one still has out. */
+        int kind = -1, openCalls, externalCalls, waitingMessages, overdueAttempts, consecutiveRefusals;
         /** Messages that are not settled, and routes that are off the list and not forgotten. */
-        int held, gone;
-        long lookAt, refusedAt, backoffUntil, usedAt;
+        int unsettledMessages, removedEndpoints;
+        long recheckAt, lastRefusalAt, backoffUntil, lastUsedAt;
 
-        Dest(long id, int bands, int answers) {
+        Destination(long id, int queueCount, int sampleCapacity) {
             this.id = id;
-            this.bands = new Band[bands];
-            this.answers = new Answers(answers);
+            this.queues = new MessageQueue[queueCount];
+            this.latencies = new LatencySamples(sampleCapacity);
         }
 
-        void owe(Msg m) {
-            if (owed == null) {
-                owed = new PriorityQueue<>(Comparator.comparingLong(other -> other.deadline));
+        void addRecovered(Message message) {
+            if (recoveredMessages == null) {
+                recoveredMessages = new PriorityQueue<>(Comparator.comparingLong(other -> other.deadline));
             }
-            owed.add(m);
+            recoveredMessages.add(message);
         }
 
         /** The first of those taken up untried that still waits; null when there is none. */
-        Msg owed() {
-            if (owed == null) {
+        Message firstRecovered() {
+            if (recoveredMessages == null) {
                 return null;
             }
-            while (!owed.isEmpty() && !(owed.peek().queued && owed.peek().owed)) {
-                owed.poll();
+            while (!recoveredMessages.isEmpty() && !(recoveredMessages.peek().queued && recoveredMessages.peek().recoveredUntried)) {
+                recoveredMessages.poll();
             }
-            return owed.peek();
+            return recoveredMessages.peek();
         }
 
         /** True when a route answers and is not in slow start. */
-        boolean sound() {
-            return routes.values().stream().anyMatch(r -> r.health == Relay.Health.GOOD);
+        boolean hasHealthyEndpoint() {
+            return endpoints.values().stream().anyMatch(endpoint -> endpoint.health == Relay.Health.GOOD);
         }
 
         /** Routes of a lane that are out or returning. */
-        long coldRoutes(Lane lane) {
-            return routes.values().stream()
-                .filter(r -> r.lane == lane && r.health != Relay.Health.GOOD).count();
+        long unhealthyEndpoints(LimitScope scope) {
+            return endpoints.values().stream()
+                .filter(endpoint -> endpoint.limitScope == scope && endpoint.health != Relay.Health.GOOD).count();
         }
 
         /** Makes room for the bands of further classes. */
-        void widen(int most) {
-            bands = Arrays.copyOf(bands, most);
+        void growQueues(int queueCount) {
+            queues = Arrays.copyOf(queues, queueCount);
         }
 
-        Band band(int sort) {
-            bands[sort] = bands[sort] == null ? new Band() : bands[sort];
-            return bands[sort];
+        MessageQueue queue(int index) {
+            queues[index] = queues[index] == null ? new MessageQueue() : queues[index];
+            return queues[index];
         }
 
         /** Counts a message into the rate over an exponential span; {@code age}: counted how long. */
-        void mark(long now, long span, long age) {
-            accepted.mark(now, span);
-            usualRate = accepted.perSecond(now, span, age);
+        void recordAccepted(long now, long span, long minAge) {
+            acceptedRate.record(now, span);
+            acceptedPerSecond = acceptedRate.perSecond(now, span, minAge);
         }
     }
 
     /** The times of the most recent answers. */
-    static final class Answers {
-        private static final int FIRST = 4;
-        private final int size;
+    static final class LatencySamples {
+        private static final int INITIAL_CAPACITY = 4;
+        private final int capacity;
         /** Grows up to the size. */
         private long[] ring = {};
         private long[] sorted = {};
         int count;
 
-        Answers(int size) {
-            this.size = size;
+        LatencySamples(int capacity) {
+            this.capacity = capacity;
         }
 
-        void add(long time) {
-            if (count == ring.length && count < size) {
-                ring = Arrays.copyOf(ring, Math.min(size, Math.max(FIRST, 2 * count)));
+        void add(long latency) {
+            if (count == ring.length && count < capacity) {
+                ring = Arrays.copyOf(ring, Math.min(capacity, Math.max(INITIAL_CAPACITY, 2 * count)));
             }
-            ring[count++ % size] = time;
+            ring[count++ % capacity] = latency;
             sorted = null;
         }
 
         /** The time above this share of the answers held. */
-        long rank(double share) {
+        long percentile(double share) {
             if (sorted == null) {
                 sorted = Arrays.copyOf(ring, Math.min(count, ring.length));
                 Arrays.sort(sorted);
--- a/src/test/java/wrenkeel/RateTest.java
+++ b/src/test/java/wrenkeel/RateTest.java
@@ -8,10 +8,10 @@
     private static final long SECOND = 1_000_000, SPAN = 3 * SECOND;
 
     private static double measured(long age, int callsPerSecond) {
-        State.Rate rate = new State.Rate();
+        State.DecayingRate rate = new State.DecayingRate();
         long step = SECOND / callsPerSecond;
         for (long at = 0; at < age; at += step) {
-            rate.mark(at, SPAN);
+            rate.record(at, SPAN);
         }
         return rate.perSecond(age, SPAN);
     }
@@ -25,8 +25,8 @@
 
     @Test
     void anIdleRateIsSlow() {
-        State.Rate rate = new State.Rate();
-        rate.mark(0, SPAN);
+        State.DecayingRate rate = new State.DecayingRate();
+        rate.record(0, SPAN);
         assertTrue(rate.perSecond(10 * SPAN, SPAN) < 0.01);
     }
 }
