--- a/src/main/java/wrenkeel/Control.java
+++ b/src/main/java/wrenkeel/Control.java
@@ -17,805 +17,805 @@
     // ---- Tuned values ---------------------------------------------------------------------------
     private static final long MS = 1_000L, SECOND = 1_000_000L, NEVER = Long.MAX_VALUE;
     /** us; copy delay until a destination's answers are known (the design's figure). */
-    private static final long FIRST_DELAY = 200 * MS;
+    private static final long INITIAL_COPY_DELAY_MICROS = 200 * MS;
     /** Share of recent answers below the copy delay; the design asks for about nine in ten. */
-    private static final double DELAY_RANK = 0.95;
+    private static final double COPY_DELAY_PERCENTILE = 0.95;
     /** Answers remembered for the delay (a tail, yet it follows), and how many make it known. */
-    private static final int ANSWERS = 48, KNOWN = 8;
+    private static final int LATENCY_SAMPLES = 48, MIN_LATENCY_SAMPLES = 8;
     /** Extra executions of one message; the source's example uses one. */
-    private static final int EXTRAS = 1;
+    private static final int MAX_COPIES = 1;
     /** Calls a limit must have left for a copy; copies earned by a send, and saved: no pile-up. */
-    private static final double COPY_ROOM = 2, COPY_SHARE = 0.05, COPY_SAVED = 2;
+    private static final double MIN_TOKENS_FOR_COPY = 2, COPY_TOKENS_PER_SEND = 0.05, MAX_COPY_TOKENS = 2;
     /** Share of the slots that one destination's window may reach; and while it fails or is slow. */
-    private static final double WINDOW_SHARE = 0.75, WINDOW_POOR = 0.3;
+    private static final double MAX_WINDOW_SLOT_SHARE = 0.75, DEGRADED_SLOT_SHARE = 0.3;
     /** A destination is slow when its latest answers take this multiple of the usual. */
-    private static final double SLOW = 2.5;
+    private static final double SLOW_LATENCY_FACTOR = 2.5;
     /** Weights of a new answer in the latest and the usual time. */
-    private static final double LATEST = 0.3, USUAL = 0.03;
+    private static final double RECENT_LATENCY_WEIGHT = 0.3, BASELINE_LATENCY_WEIGHT = 0.03;
     /** us; time-out: a multiple of the copy delay, its bounds, and one until answers are known. */
-    private static final double PATIENCE = 4.5;
-    private static final long PATIENCE_LEAST = 3 * SECOND / 2, PATIENCE_MOST = 6 * SECOND,
-        PATIENCE_FIRST = 3 * SECOND;
+    private static final double TIMEOUT_FACTOR = 4.5;
+    private static final long MIN_TIMEOUT_MICROS = 3 * SECOND / 2, MAX_TIMEOUT_MICROS = 6 * SECOND,
+        INITIAL_TIMEOUT_MICROS = 3 * SECOND;
     /** Longer time-outs where one loses the message. */
-    private static final double PATIENCE_UNSAFE = 3;
+    private static final double UNSAFE_TIMEOUT_FACTOR = 3;
     /** Priority: weight of the worth lost by another second of waiting against the worth itself. */
-    private static final double URGENCY = 2;
+    private static final double URGENCY_WEIGHT = 2;
     /** us; endpoint choice: price of opening a connection, of one point of fee, of each failure in a row. */
-    private static final long COST_CONNECT = 100 * MS, COST_POINT = 50 * MS, COST_FAILURE = 2 * SECOND;
+    private static final long CONNECT_COST_MICROS = 100 * MS, POINT_COST_MICROS = 50 * MS, FAILURE_COST_MICROS = 2 * SECOND;
     /** Pace: most over the listed rate, cut at a refusal, growth at an answer, least of an even split. */
-    private static final double PACE_MOST = 1.4, PACE_CUT = 0.75, PACE_GROW = 0.2, PACE_LEAST = 0.5,
-        PACE_START = 2;
+    private static final double MAX_LISTED_RATE_FACTOR = 1.4, REFUSAL_RATE_FACTOR = 0.75, RATE_GROWTH_SHARE = 0.2, MIN_EVEN_SHARE_FACTOR = 0.5,
+        INITIAL_EVEN_SHARE_FACTOR = 2;
     /** Calls a second: rate where none is listed; slowest pace (less would be a ban) of few; no rate. */
-    private static final double UNLISTED = 1e6, PACE_SLOWEST = 0.25, RATE_LEAST = 1e-6;
+    private static final double UNLISTED_CALLS_PER_SECOND = 1e6, MIN_CALLS_PER_SECOND = 0.25, MIN_ACCEPTED_PER_SECOND = 1e-6;
     /** Calls a second of all relays together to a place not met yet, and to one that takes bundles. */
-    private static final double START_TOGETHER = 40, START_BUNDLES = 20;
+    private static final double FLEET_START_CALLS_PER_SECOND = 40, FLEET_START_BATCHES_PER_SECOND = 20;
     /** Calls, and one for each relay, over which the pace is regained; bounds of that span (us). */
-    private static final double PROBE_CALLS = 3;
-    private static final long PROBE_LEAST = SECOND / 4, PROBE_MOST = 6 * SECOND;
+    private static final double REGAIN_CALLS = 3;
+    private static final long MIN_REGAIN_MICROS = SECOND / 4, MAX_REGAIN_MICROS = 6 * SECOND;
     /** Relays that may each insist on a pace of what comes in to them. */
-    private static final double INSISTENT = 3;
+    private static final double SMALL_FLEET_RELAYS = 3;
     /** Drop of the pace where the limit is met; share of the limit left when met again at once. */
-    private static final double PACE_DIP = 0.3, LIMIT_DROP = 0.7;
+    private static final double LIMIT_RATE_DROP = 0.3, REPEATED_LIMIT_FACTOR = 0.7;
     /** The pace stays under this multiple of what has been carried. */
-    private static final double PACE_AHEAD = 2;
+    private static final double RATE_GROWTH_FACTOR = 2;
     /** us; span over which a lane's own calls are counted. */
-    private static final long PACE_SPAN = 3 * SECOND;
+    private static final long CALL_RATE_SPAN_MICROS = 3 * SECOND;
     /** s; a lane may send this much of its pace at once. */
-    private static final double PACE_BURST = 0.7;
+    private static final double BURST_SECONDS = 0.7;
     /** Calls that a lane of any pace may save up: the first of a message, and one more if that is refused. */
-    private static final double BURST_LEAST = 2;
+    private static final double MIN_BURST_CALLS = 2;
     /** Share of the limit left below which the pace gives way, and the pace's steps. */
-    private static final double LEFT_LOW = 0.15, LEFT_CUT = 0.9;
+    private static final double LOW_REMAINING_SHARE = 0.15, LOW_REMAINING_RATE_FACTOR = 0.9;
     /** Share of calls after a refusal that get in (by kind): least counted, weight of a new one, usual. */
-    private static final double EASE_LEAST = 0.03, EASE_WEIGHT = 0.1, EASE_USUAL = 0.3;
+    private static final double MIN_RETRY_SUCCESS = 0.03, RETRY_SUCCESS_WEIGHT = 0.1, USUAL_RETRY_SUCCESS = 0.3;
     /** First back-off after a refusal or failed connect, in us and own gaps; growth up to the longest. */
-    private static final double BACKOFF_GROW = 3, BACKOFF_GAPS = 0.5, BACKOFF_MOST_GAPS = 10;
-    private static final long BACKOFF = 500 * MS, BACKOFF_LEAST = 150 * MS,
-        BACKOFF_MID = 2 * SECOND, BACKOFF_MOST = 8 * SECOND;
+    private static final double BACKOFF_GROWTH = 3, INITIAL_BACKOFF_GAPS = 0.5, MAX_BACKOFF_GAPS = 10;
+    private static final long MAX_INITIAL_BACKOFF_MICROS = 500 * MS, MIN_INITIAL_BACKOFF_MICROS = 150 * MS,
+        MIN_BACKOFF_CAP_MICROS = 2 * SECOND, MAX_BACKOFF_CAP_MICROS = 8 * SECOND;
     /** Shut rather than full: a told wait (us) past any limit span, or so many back-offs in a row. */
-    private static final long SHUT_TOLD = 5 * SECOND / 2, SHUT_RUN = 3;
+    private static final long OUTAGE_RETRY_AFTER_MICROS = 5 * SECOND / 2, OUTAGE_REFUSALS = 3;
     /** Failures in a row, or a share of recent calls, that mean an outage; a new outcome's weight. */
-    private static final int OUTAGE_RUN = 3;
-    private static final double OUTAGE_SHARE = 0.6, OUTCOME_WEIGHT = 0.2;
+    private static final int OUTAGE_FAILURES = 3;
+    private static final double OUTAGE_FAILURE_SHARE = 0.6, OUTCOME_WEIGHT = 0.2;
     /** us; a route that answered within this is not yet taken for failing. */
-    private static final long SILENT = 700 * MS;
+    private static final long RECENT_SUCCESS_MICROS = 700 * MS;
     /** us; a sibling of a failing route that answered a call sent this long before is not suspected. */
-    private static final long SUSPECT = 500 * MS;
+    private static final long SIBLING_SUCCESS_MICROS = 500 * MS;
     /** us; span over which a relay measures its own usual rate to a destination. */
-    private static final long RATE_SPAN = 15 * SECOND, RATE_AGE = 3 * SECOND;
+    private static final long RATE_SPAN_MICROS = 15 * SECOND, MIN_RATE_AGE_MICROS = 3 * SECOND;
     /** A connection stays open where this many uses are expected while connections of its kind are held. */
-    private static final double KEEP_USES = 0.5;
+    private static final double MIN_EXPECTED_USES = 0.5;
     /** The span for which they are held: its cut at a failed connect, its growth at an answer. */
-    private static final double HOLD_CUT = 0.5, HOLD_GROW = 1.02;
+    private static final double IDLE_HOLD_CUT = 0.5, IDLE_HOLD_GROWTH = 1.02;
     /** us; and the least: one used again sooner harms nobody, and an outage fails connects without end. */
-    private static final double HOLD_LEAST = 2 * SECOND;
+    private static final double MIN_IDLE_HOLD_MICROS = 2 * SECOND;
     /** us; least idle time for which a connection may be taken for dropped; trust per idle time proven. */
-    private static final double TRUST_LEAST = 250 * MS, TRUST_PROVEN = 1.25;
+    private static final double MIN_IDLE_TRUST_MICROS = 250 * MS, IDLE_TRUST_FACTOR = 1.25;
     /** us; least gap between trials of a route; a suspicion cleared within this leaves no slow start. */
-    private static final long TRIAL_GAP = 400 * MS, SUSPICION = 2 * SECOND;
+    private static final long PROBE_GAP_MICROS = 400 * MS, SUSPICION_MICROS = 2 * SECOND;
     /** us; a route not heard from for so long before a trial may have been out all the time. */
-    private static final long UNHEARD = 5 * SECOND;
+    private static final long LONG_SILENCE_MICROS = 5 * SECOND;
     /** Part of what comes in that a relay may send to a cold lane to which it carried less before. */
-    private static final double QUIET_PART = 0.5;
+    private static final double OUTAGE_RATE_SHARE = 0.5;
     /** s; a tenant inside its share may run ahead of it by this much. */
-    private static final double SHARE_BURST = 2;
+    private static final double QUOTA_BURST_SECONDS = 2;
     /** us; a waiting message is looked at again at least this often while its lane is limited. */
-    private static final long RECHECK = 500 * MS;
+    private static final long RECHECK_MICROS = 500 * MS;
     /** us; at a start, nothing is sent by an old list while a newer one may still come within this. */
-    private static final long LIST_WAIT = SECOND;
+    private static final long LIST_WAIT_MICROS = SECOND;
     /** us; an endpoint off the list is forgotten after this: past any wait or warm-up. */
-    private static final long FORGET = 600 * SECOND;
+    private static final long FORGET_AFTER_MICROS = 600 * SECOND;
     /** us; a destination stays known for so long after its last use, or past any warm-up and window. */
-    private static final long OF_USE = 60 * SECOND;
+    private static final long MIN_UNUSED_MICROS = 60 * SECOND;
     /** Destinations known at once beyond which only warm-ups and windows keep a quiet one. */
-    private static final int KNOWN_MOST = 4_096;
+    private static final int MANY_DESTINATIONS = 4_096;
     /** us; first back-off of a route for which this machine had no socket; so many in a row are its fault. */
-    private static final long UNOPENED_GAP = 50 * MS;
-    private static final int UNOPENED_MOST = 6;
+    private static final long NO_SOCKET_BACKOFF_MICROS = 50 * MS;
+    private static final int NO_SOCKET_FAILURES = 6;
 
     // ---- State ----------------------------------------------------------------------------------
-    private record Pick(Message msg, EndpointState route, double priority) { }
+    private record Candidate(Message message, EndpointState endpoint, double priority) { }
 
-    private Settings set;
+    private Settings settings;
     private final SplittableRandom random;
     private final Map<String, Message> messages = new HashMap<>();
-    private final Map<String, OrderingKey> keys = new HashMap<>();
-    private final Map<Long, Destination> dests = new TreeMap<>();
-    private final Map<Long, EndpointState> routes = new TreeMap<>();
-    private final Set<Destination> active = new LinkedHashSet<>();
+    private final Map<String, OrderingKey> orderingKeys = new HashMap<>();
+    private final Map<Long, Destination> destinations = new TreeMap<>();
+    private final Map<Long, EndpointState> endpoints = new TreeMap<>();
+    private final Set<Destination> dispatchQueue = new LinkedHashSet<>();
     /** All destinations, the one used last at the end. */
-    private final Set<Destination> used = new LinkedHashSet<>();
+    private final Set<Destination> byLastUse = new LinkedHashSet<>();
     /** Of destinations released before their bucket was full again: when it is. */
-    private final Map<Long, Long> spent = new LinkedHashMap<>();
-    private TokenBucket[] shares;
+    private final Map<Long, Long> bucketFullAt = new LinkedHashMap<>();
+    private TokenBucket[] tenantQuotas;
     /** us, by kind: how long idle connections are held (endpoints may take few), and trusted to be alive. */
-    private final double[] holds, trusts;
-    private final double[] eases;
-    private final PriorityQueue<TimerEntry> agenda = new PriorityQueue<>();
-    private List<Action> out = new ArrayList<>();
-    private long now, beganAt, seq, turns, wakeAt = NEVER, listBy = Long.MIN_VALUE;
-    private int slotsUsed, elsewhere, open, avoided;
-    private boolean leaving, releasing, storageDown;
+    private final double[] idleHoldMicros, idleTrustMicros;
+    private final double[] retrySuccess;
+    private final PriorityQueue<TimerEntry> timers = new PriorityQueue<>();
+    private List<Action> actions = new ArrayList<>();
+    private long now, startedAt, timerSequence, turnCount, timerSetFor = NEVER, listAwaitedUntil = Long.MIN_VALUE;
+    private int slotsUsed, externalCalls, openMessages, unavailableCount;
+    private boolean handingOver, releaseRequested, storageUnwritable;
 
     /** A relay that knows nothing yet but its settings. */
-    public Control(long seed, Settings settings) {
-        set = Objects.requireNonNull(settings, "settings");
+    public Control(long seed, Settings initialSettings) {
+        settings = Objects.requireNonNull(initialSettings, "settings");
         random = new SplittableRandom(seed);
-        shares = new TokenBucket[set.tenants().size()];
-        Arrays.setAll(shares, i -> new TokenBucket());
-        holds = new double[set.kinds().size()];
-        Arrays.fill(holds, set.limits().keepAlive());
-        trusts = holds.clone();
-        eases = new double[holds.length];
-        Arrays.fill(eases, 1);
+        tenantQuotas = new TokenBucket[settings.tenants().size()];
+        Arrays.setAll(tenantQuotas, i -> new TokenBucket());
+        idleHoldMicros = new double[settings.kinds().size()];
+        Arrays.fill(idleHoldMicros, settings.limits().keepAlive());
+        idleTrustMicros = idleHoldMicros.clone();
+        retrySuccess = new double[idleHoldMicros.length];
+        Arrays.fill(retrySuccess, 1);
     }
 
     // ---- Events ---------------------------------------------------------------------------------
     /** One turn: the time, which never goes back, and the events since the last. Returns what to do. */
     public List<Action> turn(long time, List<Event> events) {
         Objects.requireNonNull(events, "events");
-        if (turns > 0 && time < now) {
+        if (turnCount > 0 && time < now) {
             throw new IllegalArgumentException("clock went back from " + now + " to " + time);
         }
         now = time;
-        beganAt = turns++ == 0 ? now : beganAt;
-        out = new ArrayList<>();
+        startedAt = turnCount++ == 0 ? now : startedAt;
+        actions = new ArrayList<>();
         for (Event event : events) {
-            take(Objects.requireNonNull(event, "event"));
+            handle(Objects.requireNonNull(event, "event"));
         }
         // Only now: what the turn tells of later may have made room, or have ended the message given back.
-        for (int over = open - set.limits().maxOpenMessages(); over >= 0; over--) {
-            shed();
+        for (int excess = openMessages - settings.limits().maxOpenMessages(); excess >= 0; excess--) {
+            shedLowestWorth();
         }
-        runAgenda();
+        runTimers();
         dispatch();
-        if (releasing) {
+        if (releaseRequested) {
             // Only now: a message of this very turn may be a destination's first for long.
-            releasing = false;
-            release();
+            releaseRequested = false;
+            releaseUnused();
         }
-        arm();
-        return out;
+        setTimer();
+        return actions;
     }
 
     /** How many endpoints that the list calls ready are out; a pause for a limit does not count. */
     public int unavailableEndpoints() {
-        return avoided;
+        return unavailableCount;
     }
 
-    private void take(Event event) {
+    private void handle(Event event) {
         if (event instanceof MessageAccepted e) {
-            accept(e);
+            acceptMessage(e);
         } else if (event instanceof AttemptEnded e) {
-            attemptEnded(e);
+            endAttempt(e);
         } else if (event instanceof ListUpdated e) {
-            listed(e);
+            applyList(e);
         } else if (event instanceof DestinationIntroduced e) {
-            e.endpoints().forEach(p -> listed(p, true));
+            e.endpoints().forEach(listed -> applyList(listed, true));
         } else if (event instanceof ReleaseRequested) {
-            releasing = true;
+            releaseRequested = true;
         } else if (event instanceof SettingsChanged e) {
-            retune(e.settings());
+            applySettings(e.settings());
         } else if (event instanceof ListRequested) {
-            listBy = now + LIST_WAIT;
+            listAwaitedUntil = now + LIST_WAIT_MICROS;
         } else if (event instanceof HandoverStarted) {
-            leaving = true;
-            messages.values().stream().filter(m -> m.queued).toList().forEach(this::pass);
+            handingOver = true;
+            messages.values().stream().filter(message -> message.queued).toList().forEach(this::handOver);
         } else if (event instanceof EndpointSnapshot e) {
-            known(e);
+            carryOver(e);
         } else if (event instanceof ExternalCalls e) {
-            Destination d = dest(e.destination());
-            elsewhere += e.calls() - d.externalCalls;
-            d.externalCalls = e.calls();
-            active.add(d);
+            Destination destination = destination(e.destination());
+            externalCalls += e.calls() - destination.externalCalls;
+            destination.externalCalls = e.calls();
+            dispatchQueue.add(destination);
         } else if (event instanceof MessageWithdrawn e && messages.containsKey(e.id())) {
-            close(messages.get(e.id()));
+            endMessage(messages.get(e.id()));
         } else if (event instanceof StorageChanged e) {
-            storageDown = !e.writable();
-            dests.values().stream().filter(d -> d.waitingMessages > 0).forEach(active::add);
-        } else if (event instanceof TimerDue && wakeAt <= now) {
-            wakeAt = NEVER;
+            storageUnwritable = !e.writable();
+            destinations.values().stream().filter(destination -> destination.waitingMessages > 0).forEach(dispatchQueue::add);
+        } else if (event instanceof TimerDue && timerSetFor <= now) {
+            timerSetFor = NEVER;
         }
     }
 
     /** Other settings bind from here on; what is known of partners stays, and messages keep their class. */
-    private void retune(Settings settings) {
-        Map<String, TokenBucket> before = new HashMap<>();
-        for (int i = 0; i < shares.length; i++) {
-            before.put(set.tenants().get(i).name(), shares[i]);
+    private void applySettings(Settings newSettings) {
+        Map<String, TokenBucket> quotasByTenant = new HashMap<>();
+        for (int i = 0; i < tenantQuotas.length; i++) {
+            quotasByTenant.put(settings.tenants().get(i).name(), tenantQuotas[i]);
         }
-        set = settings;
-        shares = set.tenants().stream().map(t -> before.getOrDefault(t.name(), new TokenBucket()))
+        settings = newSettings;
+        tenantQuotas = settings.tenants().stream().map(tenant -> quotasByTenant.getOrDefault(tenant.name(), new TokenBucket()))
             .toArray(TokenBucket[]::new);
-        for (Destination d : dests.values()) {
-            d.growQueues(set.classes().size() * 3);
-            active.add(d);
+        for (Destination destination : destinations.values()) {
+            destination.growQueues(settings.classes().size() * 3);
+            dispatchQueue.add(destination);
         }
     }
 
     // ---- Message life ---------------------------------------------------------------------------
-    private void accept(MessageAccepted e) {
-        if (messages.containsKey(e.id())) {
+    private void acceptMessage(MessageAccepted event) {
+        if (messages.containsKey(event.id())) {
             return;
         }
-        Message m = new Message();
-        m.id = e.id();
-        m.messageClass = set.classes().get(e.messageClass());
-        m.lateWorthHalves = set.lateWorthHalves();
-        m.destination = dest(e.destination());
-        m.destination.unsettledMessages++;
-        if (!e.recovered()) {
+        Message message = new Message();
+        message.id = event.id();
+        message.messageClass = settings.classes().get(event.messageClass());
+        message.lateWorthHalves = settings.lateWorthHalves();
+        message.destination = destination(event.destination());
+        message.destination.unsettledMessages++;
+        if (!event.recovered()) {
             // What is taken up has come in over seconds, and tells nothing of what comes in now.
-            m.destination.recordAccepted(now, RATE_SPAN, Math.max(RATE_AGE, now - beganAt));
+            message.destination.recordAccepted(now, RATE_SPAN_MICROS, Math.max(MIN_RATE_AGE_MICROS, now - startedAt));
         }
-        m.deadline = e.deadline();
-        m.aim = m.deadline + e.answerReserve() - m.messageClass.lifetime() + m.messageClass.aim();
+        message.deadline = event.deadline();
+        message.aim = message.deadline + event.answerReserve() - message.messageClass.lifetime() + message.messageClass.aim();
         // What is taken up counted against the share when it was taken on.
-        boolean inShare = e.recovered() || inShare(e.tenant());
-        m.queueIndex = e.messageClass() * 3 + (inShare ? 0 : 1);
-        m.fullWorth = m.messageClass.worth() * (inShare ? 1 : set.overShareWorth());
-        messages.put(m.id, m);
-        open++;
-        at(m.deadline, TimerKind.DEADLINE, m);
-        if (m.messageClass.inOrder() && e.orderingKey() != null) {
-            m.orderingKey = keys.computeIfAbsent(e.orderingKey(), k -> new OrderingKey());
-            m.orderingKey.name = e.orderingKey();
-            m.orderingKey.messages.addLast(m);
+        boolean inShare = event.recovered() || withinQuota(event.tenant());
+        message.queueIndex = event.messageClass() * 3 + (inShare ? 0 : 1);
+        message.fullWorth = message.messageClass.worth() * (inShare ? 1 : settings.overShareWorth());
+        messages.put(message.id, message);
+        openMessages++;
+        schedule(message.deadline, TimerKind.DEADLINE, message);
+        if (message.messageClass.inOrder() && event.orderingKey() != null) {
+            message.orderingKey = orderingKeys.computeIfAbsent(event.orderingKey(), k -> new OrderingKey());
+            message.orderingKey.name = event.orderingKey();
+            message.orderingKey.messages.addLast(message);
         }
-        for (EarlierAttempt before : e.earlierAttempts()) {
-            m.attempts.add(recovered(m, before));
+        for (EarlierAttempt earlier : event.earlierAttempts()) {
+            message.attempts.add(recoveredAttempt(message, earlier));
         }
-        m.recoveredUntried = e.recovered() && m.attempts.isEmpty();
-        if (!m.attempts.isEmpty() && (m.attemptCount() >= m.messageClass.maxAttempts()
-            || m.messageClass.effect() == Effect.UNSAFE && m.mayHaveRun())) {
-            giveUp(m);
-        } else if (m.orderingKey == null || m.orderingKey.messages.peekFirst() == m) {
-            enqueue(m, false);
+        message.recoveredUntried = event.recovered() && message.attempts.isEmpty();
+        if (!message.attempts.isEmpty() && (message.attemptCount() >= message.messageClass.maxAttempts()
+            || message.messageClass.effect() == Effect.UNSAFE && message.mayHaveRun())) {
+            refuseOrFail(message);
+        } else if (message.orderingKey == null || message.orderingKey.messages.peekFirst() == message) {
+            enqueue(message, false);
         }
     }
 
     /** An attempt made before a restart; one that was out then may have run. */
-    private Attempt recovered(Message m, EarlierAttempt before) {
-        Attempt a = new Attempt();
-        a.message = m;
-        a.endpoint = new EndpointState();
-        a.endpoint.zone = before.zone();
-        a.sentAt = before.sentAt();
-        a.ended = true;
-        a.mayHaveRun = before.mayHaveRun();
-        if (a.mayHaveRun && m.orderingKey != null) {
-            m.orderingKey.pausedUntil = now + set.rules().keyPause();
-        }
-        return a;
-    }
-
-    private boolean inShare(int tenant) {
-        if (tenant >= shares.length) {
+    private Attempt recoveredAttempt(Message message, EarlierAttempt earlier) {
+        Attempt attempt = new Attempt();
+        attempt.message = message;
+        attempt.endpoint = new EndpointState();
+        attempt.endpoint.zone = earlier.zone();
+        attempt.sentAt = earlier.sentAt();
+        attempt.ended = true;
+        attempt.mayHaveRun = earlier.mayHaveRun();
+        if (attempt.mayHaveRun && message.orderingKey != null) {
+            message.orderingKey.pausedUntil = now + settings.rules().keyPause();
+        }
+        return attempt;
+    }
+
+    private boolean withinQuota(int tenant) {
+        if (tenant >= tenantQuotas.length) {
             return true;
         }
-        double rate = set.tenants().get(tenant).quotaPerSecond() / set.relayCount();
-        shares[tenant].refill(rate, rate * SHARE_BURST, now);
-        return shares[tenant].tryTake();
+        double rate = settings.tenants().get(tenant).quotaPerSecond() / settings.relayCount();
+        tenantQuotas[tenant].refill(rate, rate * QUOTA_BURST_SECONDS, now);
+        return tenantQuotas[tenant].tryTake();
     }
 
-    private void enqueue(Message m, boolean again) {
-        if (leaving) {
-            pass(m);
+    private void enqueue(Message message, boolean retried) {
+        if (handingOver) {
+            handOver(message);
             return;
         }
-        if (m.messageClass.effect() == Effect.KEYED && m.mayHaveRun()) {
-            m.queueIndex = m.queueIndex / 3 * 3 + 2;
+        if (message.messageClass.effect() == Effect.KEYED && message.mayHaveRun()) {
+            message.queueIndex = message.queueIndex / 3 * 3 + 2;
         }
-        m.queued = true;
-        m.destination.waitingMessages++;
-        active.add(m.destination);
-        if (m.recoveredUntried) {
-            m.destination.addRecovered(m);
-        } else if (again) {
-            m.destination.queue(m.queueIndex).onTime.addFirst(m);
+        message.queued = true;
+        message.destination.waitingMessages++;
+        dispatchQueue.add(message.destination);
+        if (message.recoveredUntried) {
+            message.destination.addRecovered(message);
+        } else if (retried) {
+            message.destination.queue(message.queueIndex).onTime.addFirst(message);
         } else {
-            m.destination.queue(m.queueIndex).onTime.addLast(m);
+            message.destination.queue(message.queueIndex).onTime.addLast(message);
         }
     }
 
     /** Nothing of it is out: the next process decides from here on, and the next of its key may follow it. */
-    private void pass(Message m) {
-        out.add(new HandOver(m.id));
-        close(m);
+    private void handOver(Message message) {
+        actions.add(new HandOver(message.id));
+        endMessage(message);
     }
 
-    private boolean mayRefuse(Message m) {
-        return m.messageClass.effect() == Effect.SAFE || !m.mayHaveRun()
-            || m.messageClass.effect() == Effect.KEYED && !m.messageClass.dedupPerZone();
+    private boolean mayRefuse(Message message) {
+        return message.messageClass.effect() == Effect.SAFE || !message.mayHaveRun()
+            || message.messageClass.effect() == Effect.KEYED && !message.messageClass.dedupPerZone();
     }
 
     /** Ends a message for want of a better answer: handed back where the rules allow it, else failed. */
-    private void giveUp(Message m) {
-        if (m.ended) {
+    private void refuseOrFail(Message message) {
+        if (message.ended) {
             return;
         }
-        out.add(mayRefuse(m) && now < m.deadline ? new Refuse(m.id, comeBack(m.destination)) : new Fail(m.id));
-        close(m);
+        actions.add(mayRefuse(message) && now < message.deadline ? new Refuse(message.id, retryAfter(message.destination)) : new Fail(message.id));
+        endMessage(message);
     }
 
     /** When to hand a refused message in again: once a route is open and those that wait have gone. */
-    private long comeBack(Destination d) {
-        long opens = d.endpoints.values().stream().mapToLong(EndpointState::unavailableUntil).min().orElse(now);
-        long queue = (long) (d.waitingMessages / d.window * Math.max(d.recentLatency, FIRST_DELAY));
-        return Math.min(set.limits().maxRetryAfter(), Math.max(opens - now, queue));
+    private long retryAfter(Destination destination) {
+        long availableAt = destination.endpoints.values().stream().mapToLong(EndpointState::unavailableUntil).min().orElse(now);
+        long queueTime = (long) (destination.waitingMessages / destination.window * Math.max(destination.recentLatency, INITIAL_COPY_DELAY_MICROS));
+        return Math.min(settings.limits().maxRetryAfter(), Math.max(availableAt - now, queueTime));
     }
 
     /** The message is over: nothing more goes out for it, and copies still out are called off. */
-    private void close(Message m) {
-        open -= m.ended ? 0 : 1;
-        m.ended = true;
-        m.destination.waitingMessages -= m.queued ? 1 : 0;
-        m.queued = false;
-        for (int i = 0; i < m.attempts.size(); i++) {
-            Attempt a = m.attempts.get(i);
-            if (!a.ended && !a.cancelled && set.limits().cancelAllowed()) {
-                a.cancelled = true;
-                out.add(new CancelAttempt(m.id, i));
+    private void endMessage(Message message) {
+        openMessages -= message.ended ? 0 : 1;
+        message.ended = true;
+        message.destination.waitingMessages -= message.queued ? 1 : 0;
+        message.queued = false;
+        for (int i = 0; i < message.attempts.size(); i++) {
+            Attempt attempt = message.attempts.get(i);
+            if (!attempt.ended && !attempt.cancelled && settings.limits().cancelAllowed()) {
+                attempt.cancelled = true;
+                actions.add(new CancelAttempt(message.id, i));
             }
         }
-        settle(m);
+        forgetIfSettled(message);
     }
 
     /** Forgets an ended message once its last attempt is known, and lets the next of its key go. */
-    private void settle(Message m) {
-        if (!m.ended || m.openAttempts > 0) {
+    private void forgetIfSettled(Message message) {
+        if (!message.ended || message.openAttempts > 0) {
             return;
         }
-        m.destination.unsettledMessages -= messages.remove(m.id) == null ? 0 : 1;
-        if (m.orderingKey != null) {
-            advance(m.orderingKey);
+        message.destination.unsettledMessages -= messages.remove(message.id) == null ? 0 : 1;
+        if (message.orderingKey != null) {
+            advanceKey(message.orderingKey);
         }
     }
 
-    private void advance(OrderingKey key) {
+    private void advanceKey(OrderingKey key) {
         while (!key.messages.isEmpty() && key.messages.peekFirst().ended && key.messages.peekFirst().openAttempts == 0) {
             key.messages.pollFirst();
         }
         Message head = key.messages.peekFirst();
         boolean idle = head == null || !head.ended && !head.queued && head.openAttempts == 0;
         if (idle && key.pausedUntil > now) {
-            at(key.pausedUntil, TimerKind.ORDERING_KEY, key);
+            schedule(key.pausedUntil, TimerKind.ORDERING_KEY, key);
         } else if (head == null) {
-            keys.remove(key.name);
+            orderingKeys.remove(key.name);
         } else if (idle) {
             enqueue(head, false);
         }
     }
 
-    private void attemptEnded(AttemptEnded e) {
-        Message m = messages.get(e.id());
-        if (m == null || e.attempt() < 0 || e.attempt() >= m.attempts.size()
-            || m.attempts.get(e.attempt()).ended) {
+    private void endAttempt(AttemptEnded event) {
+        Message message = messages.get(event.id());
+        if (message == null || event.attempt() < 0 || event.attempt() >= message.attempts.size()
+            || message.attempts.get(event.attempt()).ended) {
             return;
         }
-        Attempt a = m.attempts.get(e.attempt());
-        a.ended = true;
-        a.mayHaveRun = !e.outcome().provesNotExecuted();
-        a.failedLocally = e.outcome().isLocalFailure();
-        m.openAttempts--;
-        free(a);
-        observe(a, e);
-        if (m.orderingKey != null && (e.outcome() == Outcome.TIMEOUT || e.outcome() == Outcome.RESET
-            || e.outcome() == Outcome.CANCELLED)) {
-            m.orderingKey.pausedUntil = now + set.rules().keyPause();
-        }
-        if (!m.ended && (e.messageOver() || e.outcome() == Outcome.OK)) {
-            close(m);
-        } else if (!m.ended && m.openAttempts == 0) {
-            afterFailure(m);
+        Attempt attempt = message.attempts.get(event.attempt());
+        attempt.ended = true;
+        attempt.mayHaveRun = !event.outcome().provesNotExecuted();
+        attempt.failedLocally = event.outcome().isLocalFailure();
+        message.openAttempts--;
+        releaseSlot(attempt);
+        recordOutcome(attempt, event);
+        if (message.orderingKey != null && (event.outcome() == Outcome.TIMEOUT || event.outcome() == Outcome.RESET
+            || event.outcome() == Outcome.CANCELLED)) {
+            message.orderingKey.pausedUntil = now + settings.rules().keyPause();
+        }
+        if (!message.ended && (event.messageOver() || event.outcome() == Outcome.OK)) {
+            endMessage(message);
+        } else if (!message.ended && message.openAttempts == 0) {
+            retryOrEnd(message);
         } else {
-            settle(m);
+            forgetIfSettled(message);
         }
     }
 
     /** No attempt is out and none has delivered: wait for another, or end. */
-    private void afterFailure(Message m) {
-        boolean spent = m.attemptCount() >= m.messageClass.maxAttempts() || now >= m.deadline;
-        if (spent || m.messageClass.effect() == Effect.UNSAFE && m.mayHaveRun()) {
-            giveUp(m);
+    private void retryOrEnd(Message message) {
+        boolean exhausted = message.attemptCount() >= message.messageClass.maxAttempts() || now >= message.deadline;
+        if (exhausted || message.messageClass.effect() == Effect.UNSAFE && message.mayHaveRun()) {
+            refuseOrFail(message);
         } else {
-            enqueue(m, true);
+            enqueue(message, true);
         }
     }
 
-    private void free(Attempt a) {
-        EndpointState r = a.endpoint;
-        touch(r.destination);
-        r.inFlight--;
-        if (--a.call.openAttempts == 0) {
+    private void releaseSlot(Attempt attempt) {
+        EndpointState endpoint = attempt.endpoint;
+        markUsed(endpoint.destination);
+        endpoint.inFlight--;
+        if (--attempt.call.openAttempts == 0) {
             slotsUsed--;
-            r.destination.openCalls--;
-            if (!a.failedLocally) {
-                r.idleSince.addLast(now);
+            endpoint.destination.openCalls--;
+            if (!attempt.failedLocally) {
+                endpoint.idleSince.addLast(now);
             }
-            release(r);
+            releaseUnused(endpoint);
         }
-        r.openProbes -= a.probe ? 1 : 0;
-        r.overdueAttempts -= a.overdue ? 1 : 0;
-        r.destination.overdueAttempts -= a.overdue ? 1 : 0;
-        active.add(r.destination);
+        endpoint.openProbes -= attempt.probe ? 1 : 0;
+        endpoint.overdueAttempts -= attempt.overdue ? 1 : 0;
+        endpoint.destination.overdueAttempts -= attempt.overdue ? 1 : 0;
+        dispatchQueue.add(endpoint.destination);
     }
 
     /** Guards tables of few connections, idle ones counted, against a fleet that each keeps its own. */
-    private void release(EndpointState r) {
-        double held = Math.min(holds[r.kind], trusts[r.kind]);
-        double uses = r.destination.acceptedPerSecond / Math.max(1, r.destination.endpoints.size()) * held / SECOND;
-        if (uses < KEEP_USES && r.inFlight == 0) {
-            drop(r);
+    private void releaseUnused(EndpointState endpoint) {
+        double heldFor = Math.min(idleHoldMicros[endpoint.kind], idleTrustMicros[endpoint.kind]);
+        double expectedUses = endpoint.destination.acceptedPerSecond / Math.max(1, endpoint.destination.endpoints.size()) * heldFor / SECOND;
+        if (expectedUses < MIN_EXPECTED_USES && endpoint.inFlight == 0) {
+            closeIdleConnections(endpoint);
         }
     }
 
-    private void drop(EndpointState r) {
-        r.idleSince.clear();
-        out.add(new CloseIdleConnections(r.id));
+    private void closeIdleConnections(EndpointState endpoint) {
+        endpoint.idleSince.clear();
+        actions.add(new CloseIdleConnections(endpoint.id));
     }
 
     /** The hold is full: give back the waiting message that has least left to gain. */
-    private void shed() {
-        Message worst = null;
-        double least = Double.MAX_VALUE;
-        for (Destination d : dests.values()) {
-            if (d.waitingMessages == 0) {
+    private void shedLowestWorth() {
+        Message leastWorthy = null;
+        double leastWorth = Double.MAX_VALUE;
+        for (Destination destination : destinations.values()) {
+            if (destination.waitingMessages == 0) {
                 continue;
             }
-            double wait = d.waitingMessages / d.window * Math.max(d.recentLatency, FIRST_DELAY);
-            for (MessageQueue band : d.queues) {
-                if (band == null) {
+            double wait = destination.waitingMessages / destination.window * Math.max(destination.recentLatency, INITIAL_COPY_DELAY_MICROS);
+            for (MessageQueue queue : destination.queues) {
+                if (queue == null) {
                     continue;
                 }
-                Message m = MessageQueue.firstQueued(band.late) != null ? MessageQueue.firstQueued(band.late) : MessageQueue.lastQueued(band.onTime);
-                double left = m != null && mayRefuse(m) ? m.worthAt(now + (long) wait) : least;
-                if (left < least) {
-                    least = left;
-                    worst = m;
+                Message message = MessageQueue.firstQueued(queue.late) != null ? MessageQueue.firstQueued(queue.late) : MessageQueue.lastQueued(queue.onTime);
+                double worth = message != null && mayRefuse(message) ? message.worthAt(now + (long) wait) : leastWorth;
+                if (worth < leastWorth) {
+                    leastWorth = worth;
+                    leastWorthy = message;
                 }
             }
         }
-        if (worst != null) {
-            giveUp(worst);
+        if (leastWorthy != null) {
+            refuseOrFail(leastWorthy);
         }
     }
 
     // ---- Dispatch and the send gate -------------------------------------------------------------
     /** What was taken up untried goes first: a restart must not end it without a call. */
-    private double priority(Message m) {
-        if (m.recoveredUntried) {
+    private double priority(Message message) {
+        if (message.recoveredUntried) {
             return Double.MAX_VALUE;
         }
-        long when = now + (long) m.destination.recentLatency;
-        double soon = m.worthAt(when);
-        return soon + URGENCY * (soon - m.worthAt(when + SECOND));
+        long when = now + (long) message.destination.recentLatency;
+        double worth = message.worthAt(when);
+        return worth + URGENCY_WEIGHT * (worth - message.worthAt(when + SECOND));
     }
 
     /** Sends what may go, best first. What cannot go is looked at again in time, or when something ends. */
     private void dispatch() {
-        List<Pick> picks = new ArrayList<>();
-        for (var it = active.iterator(); it.hasNext() && slotsUsed < slots();) {
-            Pick p = pick(it.next());
-            if (p != null) {
-                picks.add(p);
+        List<Candidate> candidates = new ArrayList<>();
+        for (var it = dispatchQueue.iterator(); it.hasNext() && slotsUsed < availableSlots();) {
+            Candidate candidate = chooseCandidate(it.next());
+            if (candidate != null) {
+                candidates.add(candidate);
             } else {
                 it.remove();
             }
         }
-        while (!picks.isEmpty()) {
-            Pick best = Collections.max(picks, Comparator.comparingDouble(Pick::priority));
-            picks.remove(best);
-            if (gate(best.msg, best.route, false) <= now) {
-                send(best.msg, best.route, false);
+        while (!candidates.isEmpty()) {
+            Candidate best = Collections.max(candidates, Comparator.comparingDouble(Candidate::priority));
+            candidates.remove(best);
+            if (earliestSend(best.message, best.endpoint, false) <= now) {
+                send(best.message, best.endpoint, false);
             }
-            Pick next = slotsUsed < slots() || joins(best.route) ? pick(best.msg.destination) : null;
+            Candidate next = slotsUsed < availableSlots() || canJoinCall(best.endpoint) ? chooseCandidate(best.message.destination) : null;
             if (next != null) {
-                picks.add(next);
+                candidates.add(next);
             }
         }
     }
 
     /** The best message of a destination that can go now, with its route; else arranges another look. */
-    private Pick pick(Destination d) {
-        Pick best = null;
-        long look = now + RECHECK;
-        for (int i = -1; i < d.queues.length; i++) {
-            Message m = d.waitingMessages == 0 ? null : i < 0 ? d.firstRecovered() : head(d.queues[i]);
-            double priority = m == null ? 0 : priority(m);
-            if (m == null || best != null && best.priority >= priority) {
+    private Candidate chooseCandidate(Destination destination) {
+        Candidate best = null;
+        long recheckAt = now + RECHECK_MICROS;
+        for (int i = -1; i < destination.queues.length; i++) {
+            Message message = destination.waitingMessages == 0 ? null : i < 0 ? destination.firstRecovered() : nextMessage(destination.queues[i]);
+            double priority = message == null ? 0 : priority(message);
+            if (message == null || best != null && best.priority >= priority) {
                 continue;
             }
             EndpointState choice = null;
-            double least = Double.MAX_VALUE;
-            for (EndpointState r : d.endpoints.values()) {
-                long when = gate(m, r, false);
-                double cost = when <= now ? cost(m, r) : least;
-                look = when <= now ? look : Math.min(look, when);
-                if (cost < least) {
-                    least = cost;
-                    choice = r;
+            double lowestCost = Double.MAX_VALUE;
+            for (EndpointState endpoint : destination.endpoints.values()) {
+                long when = earliestSend(message, endpoint, false);
+                double cost = when <= now ? cost(message, endpoint) : lowestCost;
+                recheckAt = when <= now ? recheckAt : Math.min(recheckAt, when);
+                if (cost < lowestCost) {
+                    lowestCost = cost;
+                    choice = endpoint;
                 }
             }
             if (choice != null) {
-                best = new Pick(m, choice, priority);
+                best = new Candidate(message, choice, priority);
             }
         }
-        if (best == null && d.waitingMessages > 0 && (d.recheckAt <= now || look < d.recheckAt)) {
-            d.recheckAt = look;
-            at(look, TimerKind.RECHECK, d);
+        if (best == null && destination.waitingMessages > 0 && (destination.recheckAt <= now || recheckAt < destination.recheckAt)) {
+            destination.recheckAt = recheckAt;
+            schedule(recheckAt, TimerKind.RECHECK, destination);
         }
         return best;
     }
 
     /** Inside the aim the oldest goes first; past it the newest, which has most worth left. */
-    private Message head(MessageQueue band) {
-        if (band == null) {
+    private Message nextMessage(MessageQueue queue) {
+        if (queue == null) {
             return null;
         }
-        for (Message m = MessageQueue.firstQueued(band.onTime); m != null; m = MessageQueue.firstQueued(band.onTime)) {
-            if (now + (long) m.destination.recentLatency <= m.aim) {
-                return m;
+        for (Message message = MessageQueue.firstQueued(queue.onTime); message != null; message = MessageQueue.firstQueued(queue.onTime)) {
+            if (now + (long) message.destination.recentLatency <= message.aim) {
+                return message;
             }
-            band.late.addLast(band.onTime.pollFirst());
+            queue.late.addLast(queue.onTime.pollFirst());
         }
-        return MessageQueue.lastQueued(band.late);
+        return MessageQueue.lastQueued(queue.late);
     }
 
-    private double cost(Message m, EndpointState r) {
-        double latency = r.latency > 0 ? r.latency : Math.max(r.destination.recentLatency, FIRST_DELAY);
-        double points = r.zone == set.zone() ? 0 : set.costs().crossZone();
-        if (set.kinds().get(r.kind).independentEndpoints() && r.zone < set.costs().zoneFees().size()) {
-            points += set.costs().zoneFees().get(r.zone);
+    private double cost(Message message, EndpointState endpoint) {
+        double latency = endpoint.latency > 0 ? endpoint.latency : Math.max(endpoint.destination.recentLatency, INITIAL_COPY_DELAY_MICROS);
+        double points = endpoint.zone == settings.zone() ? 0 : settings.costs().crossZone();
+        if (settings.kinds().get(endpoint.kind).independentEndpoints() && endpoint.zone < settings.costs().zoneFees().size()) {
+            points += settings.costs().zoneFees().get(endpoint.zone);
         }
-        int streams = Math.max(1, set.limits().maxStreams());
-        boolean warm = r.hasIdleConnection(now - set.limits().keepAlive()) || r.inFlight % streams != 0;
-        return latency * (1 + r.inFlight) * (1 + 0.1 * random.nextDouble()) + (warm ? 0 : COST_CONNECT)
-            + points * 100 * COST_POINT + (double) (r.consecutiveFailures + r.overdueAttempts + m.attemptCount(r)) * COST_FAILURE;
+        int maxStreams = Math.max(1, settings.limits().maxStreams());
+        boolean connected = endpoint.hasIdleConnection(now - settings.limits().keepAlive()) || endpoint.inFlight % maxStreams != 0;
+        return latency * (1 + endpoint.inFlight) * (1 + 0.1 * random.nextDouble()) + (connected ? 0 : CONNECT_COST_MICROS)
+            + points * 100 * POINT_COST_MICROS + (double) (endpoint.consecutiveFailures + endpoint.overdueAttempts + message.attemptCount(endpoint)) * FAILURE_COST_MICROS;
     }
 
     /** Guards the partners' limit on calls at once, which the process before this one may still use. */
-    private int slots() {
-        return set.limits().callSlots() - elsewhere;
+    private int availableSlots() {
+        return settings.limits().callSlots() - externalCalls;
     }
 
-    private boolean joins(EndpointState r) {
-        return r.latestCallTurn == turns && r.latestCall.messageCount < set.kinds().get(r.kind).maxMessagesPerCall();
+    private boolean canJoinCall(EndpointState endpoint) {
+        return endpoint.latestCallTurn == turnCount && endpoint.latestCall.messageCount < settings.kinds().get(endpoint.kind).maxMessagesPerCall();
     }
 
     /** The one gate of every send: when this message may go to this route; now or earlier means it may. */
-    private long gate(Message m, EndpointState r, boolean copy) {
-        if (storageDown || !r.ready || m.ended || m.destination != r.destination || m.attemptCount() >= m.messageClass.maxAttempts()
-            || m.deadline <= now || !effectAllows(m, r, copy)) {
+    private long earliestSend(Message message, EndpointState endpoint, boolean copy) {
+        if (storageUnwritable || !endpoint.ready || message.ended || message.destination != endpoint.destination || message.attemptCount() >= message.messageClass.maxAttempts()
+            || message.deadline <= now || !effectAllows(message, endpoint, copy)) {
             return NEVER;
         }
-        if (m.orderingKey != null && (m.orderingKey.messages.peekFirst() != m || m.orderingKey.pausedUntil > now && m.attempts.isEmpty())) {
+        if (message.orderingKey != null && (message.orderingKey.messages.peekFirst() != message || message.orderingKey.pausedUntil > now && message.attempts.isEmpty())) {
             return NEVER;
         }
-        boolean joins = joins(r);
-        if (!joins && (slotsUsed >= slots() || r.destination.openCalls + r.destination.externalCalls >= room(r.destination))) {
+        boolean joinsCall = canJoinCall(endpoint);
+        if (!joinsCall && (slotsUsed >= availableSlots() || endpoint.destination.openCalls + endpoint.destination.externalCalls >= callLimit(endpoint.destination))) {
             return NEVER;
         }
-        return Math.max(listBy, opens(r, joins));
+        return Math.max(listAwaitedUntil, nextCallAt(endpoint, joinsCall));
     }
 
     /** The rule on effects: where an earlier attempt may have run, only what the class allows. */
-    private boolean effectAllows(Message m, EndpointState r, boolean copy) {
-        if (copy ? !set.limits().copiesAllowed() || m.messageClass.effect() == Effect.UNSAFE : m.openAttempts > 0) {
+    private boolean effectAllows(Message message, EndpointState endpoint, boolean copy) {
+        if (copy ? !settings.limits().copiesAllowed() || message.messageClass.effect() == Effect.UNSAFE : message.openAttempts > 0) {
             return false;
         }
-        if (m.messageClass.effect() == Effect.SAFE) {
+        if (message.messageClass.effect() == Effect.SAFE) {
             return true;
         }
-        for (Attempt a : m.attempts) {
-            if (a.mayHaveRun && (m.messageClass.effect() == Effect.UNSAFE || now >= a.sentAt + m.messageClass.dedupWindow()
-                || m.messageClass.dedupPerZone() && a.endpoint.zone != r.zone)) {
+        for (Attempt attempt : message.attempts) {
+            if (attempt.mayHaveRun && (message.messageClass.effect() == Effect.UNSAFE || now >= attempt.sentAt + message.messageClass.dedupWindow()
+                || message.messageClass.dedupPerZone() && attempt.endpoint.zone != endpoint.zone)) {
                 return false;
             }
         }
         return true;
     }
 
-    private void send(Message m, EndpointState r, boolean copy) {
-        Attempt a = new Attempt();
-        a.message = m;
-        a.endpoint = r;
-        a.sentAt = now;
-        a.afterRefusal = r.destination.consecutiveRefusals > 0;
-        if (joins(r)) {
-            a.call = r.latestCall;
+    private void send(Message message, EndpointState endpoint, boolean copy) {
+        Attempt attempt = new Attempt();
+        attempt.message = message;
+        attempt.endpoint = endpoint;
+        attempt.sentAt = now;
+        attempt.afterRefusal = endpoint.destination.consecutiveRefusals > 0;
+        if (canJoinCall(endpoint)) {
+            attempt.call = endpoint.latestCall;
         } else {
-            a.call = new Call();
-            r.latestCall = a.call;
-            r.latestCallTurn = turns;
+            attempt.call = new Call();
+            endpoint.latestCall = attempt.call;
+            endpoint.latestCallTurn = turnCount;
             slotsUsed++;
-            r.destination.openCalls++;
-            r.limitScope.bucket.tokens--;
-            r.limitScope.callRate.record(now, PACE_SPAN);
-            if (!r.idleSince.isEmpty() && r.idleSince.peekLast() < now - trusts[r.kind]) {
-                drop(r);
+            endpoint.destination.openCalls++;
+            endpoint.limitScope.bucket.tokens--;
+            endpoint.limitScope.callRate.record(now, CALL_RATE_SPAN_MICROS);
+            if (!endpoint.idleSince.isEmpty() && endpoint.idleSince.peekLast() < now - idleTrustMicros[endpoint.kind]) {
+                closeIdleConnections(endpoint);
             }
-            a.connectionIdleTime = r.idleSince.isEmpty() ? -1 : now - r.idleSince.pollLast();
-        }
-        a.call.openAttempts++;
-        a.call.messageCount++;
-        r.inFlight++;
-        sent(r, a);
-        m.attempts.add(a);
-        m.openAttempts++;
-        if (m.queued) {
-            m.queued = false;
-            m.destination.waitingMessages--;
-            m.destination.queue(m.queueIndex).remove(m);
-        }
-        m.recoveredUntried = false;
-        out.add(new Send(m.id, r.id, patience(m)));
+            attempt.connectionIdleTime = endpoint.idleSince.isEmpty() ? -1 : now - endpoint.idleSince.pollLast();
+        }
+        attempt.call.openAttempts++;
+        attempt.call.messageCount++;
+        endpoint.inFlight++;
+        recordCallWhileUnhealthy(endpoint, attempt);
+        message.attempts.add(attempt);
+        message.openAttempts++;
+        if (message.queued) {
+            message.queued = false;
+            message.destination.waitingMessages--;
+            message.destination.queue(message.queueIndex).remove(message);
+        }
+        message.recoveredUntried = false;
+        actions.add(new Send(message.id, endpoint.id, attemptTimeout(message)));
         if (!copy) {
-            m.destination.copyTokens = Math.min(COPY_SAVED, m.destination.copyTokens + COPY_SHARE);
+            message.destination.copyTokens = Math.min(MAX_COPY_TOKENS, message.destination.copyTokens + COPY_TOKENS_PER_SEND);
         }
-        at(now + delay(m.destination), TimerKind.COPY, a);
+        schedule(now + copyDelay(message.destination), TimerKind.COPY, attempt);
     }
 
-    private long patience(Message m) {
-        Destination d = m.destination;
-        double base = Math.max(PATIENCE_LEAST, PATIENCE * delay(d));
-        base = d.latencies.count < KNOWN ? PATIENCE_FIRST : Math.min(PATIENCE_MOST, base);
-        base *= m.messageClass.effect() == Effect.UNSAFE ? PATIENCE_UNSAFE : 1;
-        return Math.min(m.deadline - now, (long) base);
+    private long attemptTimeout(Message message) {
+        Destination destination = message.destination;
+        double base = Math.max(MIN_TIMEOUT_MICROS, TIMEOUT_FACTOR * copyDelay(destination));
+        base = destination.latencies.count < MIN_LATENCY_SAMPLES ? INITIAL_TIMEOUT_MICROS : Math.min(MAX_TIMEOUT_MICROS, base);
+        base *= message.messageClass.effect() == Effect.UNSAFE ? UNSAFE_TIMEOUT_FACTOR : 1;
+        return Math.min(message.deadline - now, (long) base);
     }
 
     // ---- Copies (the design) --------------------------------------------------------------------
     /** The copy delay of a destination: above about nine in ten of its recent answers. */
-    private long delay(Destination d) {
-        return d.latencies.count < KNOWN ? FIRST_DELAY : d.latencies.percentile(DELAY_RANK);
+    private long copyDelay(Destination destination) {
+        return destination.latencies.count < MIN_LATENCY_SAMPLES ? INITIAL_COPY_DELAY_MICROS : destination.latencies.percentile(COPY_DELAY_PERCENTILE);
     }
 
     /** The delay has passed with no answer: a copy to another endpoint, if there is room for one. */
-    private void considerCopy(Attempt a) {
-        Message m = a.message;
-        if (a.ended) {
+    private void considerCopy(Attempt attempt) {
+        Message message = attempt.message;
+        if (attempt.ended) {
             return;
         }
-        if (!a.overdue) {
-            a.overdue = true;
-            a.endpoint.overdueAttempts++;
-            m.destination.overdueAttempts++;
+        if (!attempt.overdue) {
+            attempt.overdue = true;
+            attempt.endpoint.overdueAttempts++;
+            message.destination.overdueAttempts++;
         }
-        if (leaving || m.ended || m.copiesSent >= EXTRAS || m.messageClass.effect() == Effect.UNSAFE
-            || !set.limits().copiesAllowed()) {
+        if (handingOver || message.ended || message.copiesSent >= MAX_COPIES || message.messageClass.effect() == Effect.UNSAFE
+            || !settings.limits().copiesAllowed()) {
             return;
         }
         EndpointState choice = null;
         // Unsent messages go first; and copies are held to a share of sends, lest an overload, in which every
         // call trips the delay, pile them onto a full destination.
-        if (m.destination.waitingMessages == 0 && m.destination.copyTokens >= 1 && !slow(m.destination)) {
-            double least = Double.MAX_VALUE;
-            for (EndpointState r : m.destination.endpoints.values()) {
-                double cost = cost(m, r);
-                boolean free = gate(m, r, true) <= now && r.limitScope.bucket.tokens >= COPY_ROOM;
-                if (r != a.endpoint && r.health == Health.GOOD && free && cost < least) {
-                    least = cost;
-                    choice = r;
+        if (message.destination.waitingMessages == 0 && message.destination.copyTokens >= 1 && !isSlow(message.destination)) {
+            double lowestCost = Double.MAX_VALUE;
+            for (EndpointState endpoint : message.destination.endpoints.values()) {
+                double cost = cost(message, endpoint);
+                boolean permitted = earliestSend(message, endpoint, true) <= now && endpoint.limitScope.bucket.tokens >= MIN_TOKENS_FOR_COPY;
+                if (endpoint != attempt.endpoint && endpoint.health == Health.GOOD && permitted && cost < lowestCost) {
+                    lowestCost = cost;
+                    choice = endpoint;
                 }
             }
         }
         if (choice != null) {
-            m.copiesSent++;
-            m.destination.copyTokens--;
-            send(m, choice, true);
+            message.copiesSent++;
+            message.destination.copyTokens--;
+            send(message, choice, true);
         }
     }
 
     // ---- Window and pace ------------------------------------------------------------------------
     /** Calls that a destination may have out: its window, under a cap lower while failing or slow. */
-    private int room(Destination d) {
-        boolean out = d.endpoints.values().stream().allMatch(r -> r.health == Health.OUT);
-        boolean poor = slow(d) || 2 * d.overdueAttempts > d.openCalls || out;
+    private int callLimit(Destination destination) {
+        boolean allOut = destination.endpoints.values().stream().allMatch(endpoint -> endpoint.health == Health.OUT);
+        boolean degraded = isSlow(destination) || 2 * destination.overdueAttempts > destination.openCalls || allOut;
         // Guards the slots against places that take calls and do not answer, before a time-out tells.
-        double cap = (poor ? WINDOW_POOR : WINDOW_SHARE) * set.limits().callSlots();
-        return (int) Math.max(1, Math.min(d.window, cap));
+        double cap = (degraded ? DEGRADED_SLOT_SHARE : MAX_WINDOW_SLOT_SHARE) * settings.limits().callSlots();
+        return (int) Math.max(1, Math.min(destination.window, cap));
     }
 
-    private static boolean slow(Destination d) {
-        return d.baselineLatency > 0 && d.recentLatency > SLOW * d.baselineLatency;
+    private static boolean isSlow(Destination destination) {
+        return destination.baselineLatency > 0 && destination.recentLatency > SLOW_LATENCY_FACTOR * destination.baselineLatency;
     }
 
     /** Learns from how an attempt ended. */
-    private void observe(Attempt a, AttemptEnded e) {
-        Destination d = a.endpoint.destination;
-        LimitScope lane = a.endpoint.limitScope;
-        int kind = a.endpoint.kind;
+    private void recordOutcome(Attempt attempt, AttemptEnded event) {
+        Destination destination = attempt.endpoint.destination;
+        LimitScope scope = attempt.endpoint.limitScope;
+        int kind = attempt.endpoint.kind;
         // A bundle's answer may carry a wait whatever became of this message.
-        lane.retryAfterUntil = Math.max(lane.retryAfterUntil, now + e.retryAfter());
+        scope.retryAfterUntil = Math.max(scope.retryAfterUntil, now + event.retryAfter());
         // The messages of a bundle share one fate, which tells no more than that of a single one.
-        if (a.call.lastOutcome == e.outcome()) {
+        if (attempt.call.lastOutcome == event.outcome()) {
             return;
         }
-        a.call.lastOutcome = e.outcome();
-        if (a.afterRefusal && (e.outcome() == Outcome.OK || e.outcome() == Outcome.FULL)) {
-            eases[kind] += EASE_WEIGHT * ((e.outcome() == Outcome.OK ? 1 : 0) - eases[kind]);
+        attempt.call.lastOutcome = event.outcome();
+        if (attempt.afterRefusal && (event.outcome() == Outcome.OK || event.outcome() == Outcome.FULL)) {
+            retrySuccess[kind] += RETRY_SUCCESS_WEIGHT * ((event.outcome() == Outcome.OK ? 1 : 0) - retrySuccess[kind]);
         }
-        a.endpoint.consecutiveSocketFailures = e.outcome() == Outcome.NO_SOCKET ? a.endpoint.consecutiveSocketFailures + 1 : 0;
-        switch (e.outcome()) {
+        attempt.endpoint.consecutiveSocketFailures = event.outcome() == Outcome.NO_SOCKET ? attempt.endpoint.consecutiveSocketFailures + 1 : 0;
+        switch (event.outcome()) {
             case OK -> {
-                answered(d, a.endpoint, e.latency());
-                holds[kind] = Math.min(set.limits().keepAlive(), holds[kind] * HOLD_GROW);
-                double trust = Math.max(trusts[kind] * HOLD_GROW, a.connectionIdleTime * TRUST_PROVEN);
-                trusts[kind] = Math.min(set.limits().keepAlive(), trust);
-                d.window = Math.min(d.window + 1, Math.max(1, WINDOW_SHARE * set.limits().callSlots()));
-                succeeded(a);
+                recordLatency(destination, attempt.endpoint, event.latency());
+                idleHoldMicros[kind] = Math.min(settings.limits().keepAlive(), idleHoldMicros[kind] * IDLE_HOLD_GROWTH);
+                double trust = Math.max(idleTrustMicros[kind] * IDLE_HOLD_GROWTH, attempt.connectionIdleTime * IDLE_TRUST_FACTOR);
+                idleTrustMicros[kind] = Math.min(settings.limits().keepAlive(), trust);
+                destination.window = Math.min(destination.window + 1, Math.max(1, MAX_WINDOW_SLOT_SHARE * settings.limits().callSlots()));
+                recordSuccess(attempt);
             }
             case FULL -> {
-                d.window = Math.max(1, d.window / 2);
-                refused(lane, e.retryAfter(), a);
+                destination.window = Math.max(1, destination.window / 2);
+                recordRefusal(scope, event.retryAfter(), attempt);
             }
             case TIMEOUT -> {
-                d.window = Math.max(1, d.window / 2);
-                doubt(a);
-                failed(a);
+                destination.window = Math.max(1, destination.window / 2);
+                adjustIdleTrust(attempt);
+                recordFailure(attempt);
             }
             case CONNECT_FAILED -> {
-                holds[kind] = Math.max(HOLD_LEAST, holds[kind] * HOLD_CUT);
-                failed(a);
-                a.endpoint.backoffUntil = now + backoff(d, a.endpoint.consecutiveFailures);
+                idleHoldMicros[kind] = Math.max(MIN_IDLE_HOLD_MICROS, idleHoldMicros[kind] * IDLE_HOLD_CUT);
+                recordFailure(attempt);
+                attempt.endpoint.backoffUntil = now + randomBackoff(destination, attempt.endpoint.consecutiveFailures);
             }
             case RESET -> {
-                doubt(a);
-                failed(a);
+                adjustIdleTrust(attempt);
+                recordFailure(attempt);
             }
-            case ERROR -> failed(a);
-            case NO_SOCKET -> unopened(a);
+            case ERROR -> recordFailure(attempt);
+            case NO_SOCKET -> recordSocketFailure(attempt);
             default -> { }
         }
-        if (e.limitPerSecond() > 0) {
-            lane.weight = e.limitPerSecond();
-            lane.sendRate = Math.min(lane.sendRate, e.limitPerSecond());
-            if (e.remainingShare() >= 0 && e.remainingShare() < LEFT_LOW) {
-                lane.sendRate = Math.max(paceLeast(lane), lane.sendRate * LEFT_CUT);
+        if (event.limitPerSecond() > 0) {
+            scope.weight = event.limitPerSecond();
+            scope.sendRate = Math.min(scope.sendRate, event.limitPerSecond());
+            if (event.remainingShare() >= 0 && event.remainingShare() < LOW_REMAINING_SHARE) {
+                scope.sendRate = Math.max(minSendRate(scope), scope.sendRate * LOW_REMAINING_RATE_FACTOR);
             }
         }
     }
 
     /** Guards a route that is well against this machine's own trouble, unless that lasts. */
-    private void unopened(Attempt a) {
-        if (a.endpoint.consecutiveSocketFailures >= UNOPENED_MOST) {
-            failed(a);
+    private void recordSocketFailure(Attempt attempt) {
+        if (attempt.endpoint.consecutiveSocketFailures >= NO_SOCKET_FAILURES) {
+            recordFailure(attempt);
         }
-        long gap = UNOPENED_GAP << Math.min(a.endpoint.consecutiveSocketFailures, UNOPENED_MOST);
-        a.endpoint.backoffUntil = Math.max(a.endpoint.backoffUntil, now + Math.min(BACKOFF, gap));
+        long gap = NO_SOCKET_BACKOFF_MICROS << Math.min(attempt.endpoint.consecutiveSocketFailures, NO_SOCKET_FAILURES);
+        attempt.endpoint.backoffUntil = Math.max(attempt.endpoint.backoffUntil, now + Math.min(MAX_INITIAL_BACKOFF_MICROS, gap));
     }
 
     /** Guards against idle connections dropped unseen; failures in a row or on new ones tell otherwise. */
-    private void doubt(Attempt a) {
-        double trust = trusts[a.endpoint.kind];
-        if (a.connectionIdleTime < 0) {
-            trusts[a.endpoint.kind] = Math.min(set.limits().keepAlive(), trust * 2);
-        } else if (a.connectionIdleTime >= TRUST_LEAST && a.endpoint.consecutiveFailures == 0 && !slow(a.endpoint.destination)) {
-            trusts[a.endpoint.kind] = Math.min(trust, Math.max(TRUST_LEAST, a.connectionIdleTime / 2.0));
+    private void adjustIdleTrust(Attempt attempt) {
+        double trust = idleTrustMicros[attempt.endpoint.kind];
+        if (attempt.connectionIdleTime < 0) {
+            idleTrustMicros[attempt.endpoint.kind] = Math.min(settings.limits().keepAlive(), trust * 2);
+        } else if (attempt.connectionIdleTime >= MIN_IDLE_TRUST_MICROS && attempt.endpoint.consecutiveFailures == 0 && !isSlow(attempt.endpoint.destination)) {
+            idleTrustMicros[attempt.endpoint.kind] = Math.min(trust, Math.max(MIN_IDLE_TRUST_MICROS, attempt.connectionIdleTime / 2.0));
         }
     }
 
-    private void answered(Destination d, EndpointState r, long latency) {
-        d.latencies.add(latency);
-        r.latency = r.latency == 0 ? latency : r.latency + LATEST * (latency - r.latency);
-        d.recentLatency = d.recentLatency == 0 ? latency : d.recentLatency + LATEST * (latency - d.recentLatency);
-        double sample = d.baselineLatency == 0 ? latency : Math.min(latency, SLOW * d.baselineLatency);
-        double weight = d.latencies.count < 2 * KNOWN ? LATEST : USUAL;
-        d.baselineLatency = d.baselineLatency == 0 ? latency : d.baselineLatency + weight * (sample - d.baselineLatency);
+    private void recordLatency(Destination destination, EndpointState endpoint, long latency) {
+        destination.latencies.add(latency);
+        endpoint.latency = endpoint.latency == 0 ? latency : endpoint.latency + RECENT_LATENCY_WEIGHT * (latency - endpoint.latency);
+        destination.recentLatency = destination.recentLatency == 0 ? latency : destination.recentLatency + RECENT_LATENCY_WEIGHT * (latency - destination.recentLatency);
+        double sample = destination.baselineLatency == 0 ? latency : Math.min(latency, SLOW_LATENCY_FACTOR * destination.baselineLatency);
+        double weight = destination.latencies.count < 2 * MIN_LATENCY_SAMPLES ? RECENT_LATENCY_WEIGHT : BASELINE_LATENCY_WEIGHT;
+        destination.baselineLatency = destination.baselineLatency == 0 ? latency : destination.baselineLatency + weight * (sample - destination.baselineLatency);
     }
 
     /** Listed calls a second that a lane takes from all relays together. */
-    private double listedRate(LimitScope lane) {
-        return set.weights() == Weights.NONE ? UNLISTED : lane.weight;
+    private double listedRate(LimitScope scope) {
+        return settings.weights() == Weights.NONE ? UNLISTED_CALLS_PER_SECOND : scope.weight;
     }
 
-    private double paceMost(LimitScope lane) {
-        return PACE_MOST * listedRate(lane);
+    private double maxSendRate(LimitScope scope) {
+        return MAX_LISTED_RATE_FACTOR * listedRate(scope);
     }
 
-    private double paceLeast(LimitScope lane) {
-        return set.weights() == Weights.NONE ? Math.min(PACE_SLOWEST, 1.0 / set.relayCount())
-            : Math.max(PACE_SLOWEST, PACE_LEAST * listedRate(lane) / set.relayCount());
+    private double minSendRate(LimitScope scope) {
+        return settings.weights() == Weights.NONE ? Math.min(MIN_CALLS_PER_SECOND, 1.0 / settings.relayCount())
+            : Math.max(MIN_CALLS_PER_SECOND, MIN_EVEN_SHARE_FACTOR * listedRate(scope) / settings.relayCount());
     }
 
     /**
@@ -823,228 +823,228 @@
      * faster. Refusals sum up over a fleet: the more relays, the more calls from one to the next. A limit
      * not met yet gives way to what usually comes in, and to a multiple of what it has carried.
      */
-    private void regain(EndpointState r) {
-        LimitScope lane = r.limitScope;
-        if (set.weights() == Weights.NONE && lane.limitRate == 0) {
-            int bundle = set.kinds().get(r.kind).maxMessagesPerCall();
-            double start = startPace(r.kind);
-            double seen = Math.max(r.destination.acceptedPerSecond / bundle, lane.callRate.perSecond(now, PACE_SPAN, PACE_SPAN));
+    private void regainSendRate(EndpointState endpoint) {
+        LimitScope scope = endpoint.limitScope;
+        if (settings.weights() == Weights.NONE && scope.limitRate == 0) {
+            int maxMessagesPerCall = settings.kinds().get(endpoint.kind).maxMessagesPerCall();
+            double startRate = startRate(endpoint.kind);
+            double observedRate = Math.max(endpoint.destination.acceptedPerSecond / maxMessagesPerCall, scope.callRate.perSecond(now, CALL_RATE_SPAN_MICROS, CALL_RATE_SPAN_MICROS));
             // After a restart all relays hold what came in meanwhile: that is no rate to begin with.
-            double bound = start * Math.pow(PACE_AHEAD, (double) lane.callRate.age(now) / SECOND);
-            lane.sendRate = Math.min(bound, Math.max(start, PACE_AHEAD * seen));
-        } else if (set.weights() == Weights.NONE) {
-            double span = (PROBE_CALLS + set.relayCount()) / lane.limitRate * SECOND;
-            span = Math.max(PROBE_LEAST, Math.min(PROBE_MOST, span));
-            double past = (now - lane.limitMetAt) / span - 1;
-            double most = PACE_AHEAD * Math.max(lane.limitRate, lane.callRate.perSecond(now, PACE_SPAN));
-            lane.sendRate = Math.min(most, lane.limitRate * (1 + PACE_DIP * past * past * past));
+            double maxRate = startRate * Math.pow(RATE_GROWTH_FACTOR, (double) scope.callRate.age(now) / SECOND);
+            scope.sendRate = Math.min(maxRate, Math.max(startRate, RATE_GROWTH_FACTOR * observedRate));
+        } else if (settings.weights() == Weights.NONE) {
+            double span = (REGAIN_CALLS + settings.relayCount()) / scope.limitRate * SECOND;
+            span = Math.max(MIN_REGAIN_MICROS, Math.min(MAX_REGAIN_MICROS, span));
+            double progress = (now - scope.limitMetAt) / span - 1;
+            double maxRate = RATE_GROWTH_FACTOR * Math.max(scope.limitRate, scope.callRate.perSecond(now, CALL_RATE_SPAN_MICROS));
+            scope.sendRate = Math.min(maxRate, scope.limitRate * (1 + LIMIT_RATE_DROP * progress * progress * progress));
         }
     }
 
-    private void refused(LimitScope lane, long told, Attempt a) {
-        Destination d = a.endpoint.destination;
-        if (a.sentAt >= d.lastRefusalAt) {
-            d.consecutiveRefusals++;
+    private void recordRefusal(LimitScope scope, long retryAfter, Attempt attempt) {
+        Destination destination = attempt.endpoint.destination;
+        if (attempt.sentAt >= destination.lastRefusalAt) {
+            destination.consecutiveRefusals++;
         }
-        if (set.weights() != Weights.NONE) {
-            lane.sendRate = Math.max(paceLeast(lane), lane.sendRate * PACE_CUT);
-        } else if (a.sentAt >= lane.limitMetAt && a.endpoint.health == Health.GOOD) {
+        if (settings.weights() != Weights.NONE) {
+            scope.sendRate = Math.max(minSendRate(scope), scope.sendRate * REFUSAL_RATE_FACTOR);
+        } else if (attempt.sentAt >= scope.limitMetAt && attempt.endpoint.health == Health.GOOD) {
             // What was sent of late was too much; calls already out then say nothing new, and what a cold
             // partner bears is no limit.
-            double sent = Math.min(lane.sendRate, lane.callRate.perSecond(now, PACE_SPAN));
-            double met = sent * (d.consecutiveRefusals > 1 ? LIMIT_DROP : 1);
+            double recentRate = Math.min(scope.sendRate, scope.callRate.perSecond(now, CALL_RATE_SPAN_MICROS));
+            double limitRate = recentRate * (destination.consecutiveRefusals > 1 ? REPEATED_LIMIT_FACTOR : 1);
             // No slower than what comes in, in full bundles: else it is the pace that makes messages late.
             // Many relays that each insist on that would run into a limit below it all the time.
-            int bundle = set.kinds().get(a.endpoint.kind).maxMessagesPerCall();
-            double comesIn = d.acceptedPerSecond / bundle * (bundle > 1 ? 1 : Math.min(1, INSISTENT / set.relayCount()));
-            lane.limitRate = Math.max(Math.max(paceLeast(lane), comesIn), met);
-            lane.limitMetAt = now;
-        }
-        d.lastRefusalAt = now;
-        long spread = (long) (Math.min(told, BACKOFF_GAPS * SECOND / d.acceptedPerSecond) * random.nextDouble());
-        spread = Math.max(spread, backoff(d, d.consecutiveRefusals - (told > 0 ? 1 : 0)));
-        lane.backoffUntil = Math.max(lane.backoffUntil, now + told + spread);
+            int maxMessagesPerCall = settings.kinds().get(attempt.endpoint.kind).maxMessagesPerCall();
+            double acceptedCallRate = destination.acceptedPerSecond / maxMessagesPerCall * (maxMessagesPerCall > 1 ? 1 : Math.min(1, SMALL_FLEET_RELAYS / settings.relayCount()));
+            scope.limitRate = Math.max(Math.max(minSendRate(scope), acceptedCallRate), limitRate);
+            scope.limitMetAt = now;
+        }
+        destination.lastRefusalAt = now;
+        long spread = (long) (Math.min(retryAfter, INITIAL_BACKOFF_GAPS * SECOND / destination.acceptedPerSecond) * random.nextDouble());
+        spread = Math.max(spread, randomBackoff(destination, destination.consecutiveRefusals - (retryAfter > 0 ? 1 : 0)));
+        scope.backoffUntil = Math.max(scope.backoffUntil, now + retryAfter + spread);
         // Once all routes refused in a row, the back-off is for all: a shut place is not asked by turns.
-        d.backoffUntil = d.consecutiveRefusals >= d.endpoints.size() ? lane.backoffUntil : d.backoffUntil;
-        lane.bucket.tokens = Math.min(lane.bucket.tokens, 1);
-        boolean unheard = d.consecutiveRefusals > 1 && a.endpoint.lastSuccessSentAt >= 0 && a.sentAt - a.endpoint.lastSuccessSentAt > UNHEARD;
-        if (told > SHUT_TOLD || d.consecutiveRefusals >= SHUT_RUN || unheard || a.endpoint.health == Health.OUT) {
-            outage(a.endpoint, true, HealthReason.REFUSALS);
+        destination.backoffUntil = destination.consecutiveRefusals >= destination.endpoints.size() ? scope.backoffUntil : destination.backoffUntil;
+        scope.bucket.tokens = Math.min(scope.bucket.tokens, 1);
+        boolean longSilent = destination.consecutiveRefusals > 1 && attempt.endpoint.lastSuccessSentAt >= 0 && attempt.sentAt - attempt.endpoint.lastSuccessSentAt > LONG_SILENCE_MICROS;
+        if (retryAfter > OUTAGE_RETRY_AFTER_MICROS || destination.consecutiveRefusals >= OUTAGE_REFUSALS || longSilent || attempt.endpoint.health == Health.OUT) {
+            eject(attempt.endpoint, true, HealthReason.REFUSALS);
         }
     }
 
     /** By this relay's own usual gap between messages there, so that a fleet's tries fit together. */
-    private long backoff(Destination d, int failures) {
-        double gap = SECOND / Math.max(RATE_LEAST, d.acceptedPerSecond);
-        double first = Math.max(BACKOFF_LEAST, Math.min(BACKOFF, gap * BACKOFF_GAPS));
-        double most = Math.max(BACKOFF_MID, Math.min(BACKOFF_MOST, gap * BACKOFF_MOST_GAPS));
+    private long randomBackoff(Destination destination, int failures) {
+        double gap = SECOND / Math.max(MIN_ACCEPTED_PER_SECOND, destination.acceptedPerSecond);
+        double first = Math.max(MIN_INITIAL_BACKOFF_MICROS, Math.min(MAX_INITIAL_BACKOFF_MICROS, gap * INITIAL_BACKOFF_GAPS));
+        double cap = Math.max(MIN_BACKOFF_CAP_MICROS, Math.min(MAX_BACKOFF_CAP_MICROS, gap * MAX_BACKOFF_GAPS));
         // Where limits count refused calls too, asking again keeps them shut: back off longer there.
-        double ease = Math.min(1, Math.max(EASE_LEAST, eases[d.kind]) / EASE_USUAL);
-        double span = Math.min(most, first * Math.pow(BACKOFF_GROW, failures - 1)) / ease;
+        double success = Math.min(1, Math.max(MIN_RETRY_SUCCESS, retrySuccess[destination.kind]) / USUAL_RETRY_SUCCESS);
+        double span = Math.min(cap, first * Math.pow(BACKOFF_GROWTH, failures - 1)) / success;
         return failures < 1 ? 0 : (long) (span * (0.5 + random.nextDouble()));
     }
 
     // ---- Health and slow start ------------------------------------------------------------------
-    private void succeeded(Attempt a) {
-        EndpointState r = a.endpoint;
-        LimitScope lane = r.limitScope;
-        r.destination.consecutiveRefusals = 0;
-        if (set.weights() != Weights.NONE && lane.bucket.tokens < 1) {
-            double grown = lane.sendRate + PACE_GROW * paceLeast(lane);
-            lane.sendRate = Math.max(lane.sendRate, Math.min(paceMost(lane), grown));
-        }
-        lane.deliveryRate.record(now, RATE_SPAN);
+    private void recordSuccess(Attempt attempt) {
+        EndpointState endpoint = attempt.endpoint;
+        LimitScope scope = endpoint.limitScope;
+        endpoint.destination.consecutiveRefusals = 0;
+        if (settings.weights() != Weights.NONE && scope.bucket.tokens < 1) {
+            double grown = scope.sendRate + RATE_GROWTH_SHARE * minSendRate(scope);
+            scope.sendRate = Math.max(scope.sendRate, Math.min(maxSendRate(scope), grown));
+        }
+        scope.deliveryRate.record(now, RATE_SPAN_MICROS);
         // A quiet route sees one failure of an outage: only one that answered just before was not out.
-        r.outageConfirmed |= r.health == Health.OUT
-            && (a.sentAt - r.outSince > SUSPICION || a.sentAt - r.lastSuccessSentAt > UNHEARD);
-        r.lastSuccessAt = now;
-        r.lastSuccessSentAt = Math.max(r.lastSuccessSentAt, a.sentAt);
-        r.failureShare *= 1 - OUTCOME_WEIGHT;
-        if (r.health != Health.OUT || a.sentAt >= r.outSince) {
-            r.consecutiveFailures = 0;
+        endpoint.outageConfirmed |= endpoint.health == Health.OUT
+            && (attempt.sentAt - endpoint.outSince > SUSPICION_MICROS || attempt.sentAt - endpoint.lastSuccessSentAt > LONG_SILENCE_MICROS);
+        endpoint.lastSuccessAt = now;
+        endpoint.lastSuccessSentAt = Math.max(endpoint.lastSuccessSentAt, attempt.sentAt);
+        endpoint.failureShare *= 1 - OUTCOME_WEIGHT;
+        if (endpoint.health != Health.OUT || attempt.sentAt >= endpoint.outSince) {
+            endpoint.consecutiveFailures = 0;
         }
-        if (r.health == Health.OUT && a.sentAt >= r.outSince) {
-            r.health = r.outageConfirmed ? Health.RETURNING : Health.GOOD;
-            r.returnedAt = now;
-            changed(r, r.outageConfirmed ? HealthReason.TRIAL_ANSWERED : HealthReason.SUSPICION_CLEARED);
+        if (endpoint.health == Health.OUT && attempt.sentAt >= endpoint.outSince) {
+            endpoint.health = endpoint.outageConfirmed ? Health.RETURNING : Health.GOOD;
+            endpoint.returnedAt = now;
+            reportHealth(endpoint, endpoint.outageConfirmed ? HealthReason.TRIAL_ANSWERED : HealthReason.SUSPICION_CLEARED);
         }
-        note(r);
+        updateUnavailable(endpoint);
     }
 
     /** A failed call counts only while no call sent after it has been answered, or once failures prevail. */
-    private void failed(Attempt a) {
-        EndpointState r = a.endpoint;
-        r.failureShare += OUTCOME_WEIGHT * (1 - r.failureShare);
-        if (r.limitScope.slowStart != null) {
-            r.limitScope.slowStart.discardCallsUpTo(a.sentAt);
+    private void recordFailure(Attempt attempt) {
+        EndpointState endpoint = attempt.endpoint;
+        endpoint.failureShare += OUTCOME_WEIGHT * (1 - endpoint.failureShare);
+        if (endpoint.limitScope.slowStart != null) {
+            endpoint.limitScope.slowStart.discardCallsUpTo(attempt.sentAt);
         }
-        boolean prevails = r.failureShare >= OUTAGE_SHARE;
-        if (a.sentAt >= r.lastSuccessSentAt) {
-            r.consecutiveFailures++;
+        boolean prevails = endpoint.failureShare >= OUTAGE_FAILURE_SHARE;
+        if (attempt.sentAt >= endpoint.lastSuccessSentAt) {
+            endpoint.consecutiveFailures++;
         }
         // A busy route that fails part of its calls answers the others: no outage while answers are recent.
-        boolean silent = now - r.lastSuccessAt >= SILENT;
-        boolean trial = r.health == Health.OUT && a.sentAt >= r.outSince;
-        r.lastFailureTimedOut = a.call.lastOutcome == Outcome.TIMEOUT;
-        if (prevails || trial || silent && r.consecutiveFailures >= OUTAGE_RUN) {
-            outage(r, true, trial ? HealthReason.TRIAL_FAILED : HealthReason.FAILURES);
-        } else if (r.health == Health.RETURNING && a.sentAt >= r.returnedAt) {
+        boolean silent = now - endpoint.lastSuccessAt >= RECENT_SUCCESS_MICROS;
+        boolean probe = endpoint.health == Health.OUT && attempt.sentAt >= endpoint.outSince;
+        endpoint.lastFailureTimedOut = attempt.call.lastOutcome == Outcome.TIMEOUT;
+        if (prevails || probe || silent && endpoint.consecutiveFailures >= OUTAGE_FAILURES) {
+            eject(endpoint, true, probe ? HealthReason.TRIAL_FAILED : HealthReason.FAILURES);
+        } else if (endpoint.health == Health.RETURNING && attempt.sentAt >= endpoint.returnedAt) {
             // It may still have been out then: what it bears grows from now on at the earliest.
-            r.returnedAt = now;
-            changed(r, HealthReason.FAILED_IN_SLOW_START);
-        } else if (r.consecutiveFailures > 0 && silent && r.health != Health.RETURNING) {
-            outage(r, false, HealthReason.SUSPECTED);
+            endpoint.returnedAt = now;
+            reportHealth(endpoint, HealthReason.FAILED_IN_SLOW_START);
+        } else if (endpoint.consecutiveFailures > 0 && silent && endpoint.health != Health.RETURNING) {
+            eject(endpoint, false, HealthReason.SUSPECTED);
         }
     }
 
     /** Trials only. One failure is a suspicion, which one answer clears; an outage ends in a slow start. */
-    private void outage(EndpointState r, boolean confirmed, HealthReason reason) {
-        boolean wasOut = r.health == Health.OUT;
+    private void eject(EndpointState endpoint, boolean confirmed, HealthReason reason) {
+        boolean wasOut = endpoint.health == Health.OUT;
         if (!wasOut) {
-            beginSlowStart(r);
-            r.outageConfirmed = false;
-            r.outSince = now;
+            beginSlowStart(endpoint);
+            endpoint.outageConfirmed = false;
+            endpoint.outSince = now;
         }
-        r.health = Health.OUT;
-        boolean newlyConfirmed = confirmed && !r.outageConfirmed;
+        endpoint.health = Health.OUT;
+        boolean newlyConfirmed = confirmed && !endpoint.outageConfirmed;
         if (newlyConfirmed) {
-            r.outageConfirmed = true;
-            r.limitScope.slowStart.confirmOutage();
-            note(r);
+            endpoint.outageConfirmed = true;
+            endpoint.limitScope.slowStart.confirmOutage();
+            updateUnavailable(endpoint);
         }
         if (!wasOut || newlyConfirmed) {
-            changed(r, reason);
+            reportHealth(endpoint, reason);
         }
         if (newlyConfirmed) {
-            suspectSiblings(r);
+            suspectSiblings(endpoint);
         }
     }
 
     /** Routes of a destination mostly fail together: those not heard from must answer a trial. */
-    private void suspectSiblings(EndpointState r) {
-        for (EndpointState other : r.destination.endpoints.values()) {
-            boolean silent = other.lastSuccessSentAt < r.outSince - SUSPECT;
-            if (other.limitScope == r.limitScope && other.health == Health.GOOD && silent) {
-                outage(other, false, HealthReason.SIBLING_OUT);
+    private void suspectSiblings(EndpointState endpoint) {
+        for (EndpointState other : endpoint.destination.endpoints.values()) {
+            boolean silent = other.lastSuccessSentAt < endpoint.outSince - SIBLING_SUCCESS_MICROS;
+            if (other.limitScope == endpoint.limitScope && other.health == Health.GOOD && silent) {
+                eject(other, false, HealthReason.SIBLING_OUT);
             }
         }
     }
 
     /** When the route may take another message: waits, back-off, pace, trials, slow start. */
-    private long opens(EndpointState r, boolean joins) {
-        LimitScope lane = r.limitScope;
-        long when = r.unavailableUntil();
-        if (r.health == Health.RETURNING && now - r.returnedAt >= set.rules().warmUpTime()) {
-            r.health = Health.GOOD;
-            r.failureShare = 0;
-            changed(r, HealthReason.WARM);
-        }
-        if (r.health == Health.OUT) {
-            if (r.openProbes > 0) {
+    private long nextCallAt(EndpointState endpoint, boolean joinsCall) {
+        LimitScope scope = endpoint.limitScope;
+        long openAt = endpoint.unavailableUntil();
+        if (endpoint.health == Health.RETURNING && now - endpoint.returnedAt >= settings.rules().warmUpTime()) {
+            endpoint.health = Health.GOOD;
+            endpoint.failureShare = 0;
+            reportHealth(endpoint, HealthReason.WARM);
+        }
+        if (endpoint.health == Health.OUT) {
+            if (endpoint.openProbes > 0) {
                 return NEVER;
             }
-            when = Math.max(when, Math.max(r.outSince, r.lastProbeAt) + TRIAL_GAP);
+            openAt = Math.max(openAt, Math.max(endpoint.outSince, endpoint.lastProbeAt) + PROBE_GAP_MICROS);
         }
-        if (!joins && startsSlowly(r)) {
-            when = Math.max(when, lane.slowStart.nextCallAt(set, callsInWindow(r), now));
+        if (!joinsCall && isSlowStarting(endpoint)) {
+            openAt = Math.max(openAt, scope.slowStart.nextCallAt(settings, slowStartBudget(endpoint), now));
         }
-        regain(r);
-        lane.bucket.refill(lane.sendRate, Math.max(BURST_LEAST, lane.sendRate * PACE_BURST), now);
-        if (!joins && lane.bucket.tokens < 1) {
-            when = Math.max(when, now + (long) ((1 - lane.bucket.tokens) / lane.sendRate * SECOND) + 1);
+        regainSendRate(endpoint);
+        scope.bucket.refill(scope.sendRate, Math.max(MIN_BURST_CALLS, scope.sendRate * BURST_SECONDS), now);
+        if (!joinsCall && scope.bucket.tokens < 1) {
+            openAt = Math.max(openAt, now + (long) ((1 - scope.bucket.tokens) / scope.sendRate * SECOND) + 1);
         }
-        return when;
+        return openAt;
     }
 
-    private static boolean startsSlowly(EndpointState r) {
+    private static boolean isSlowStarting(EndpointState endpoint) {
         // One call that failed at once may be a stray one; one that timed out met whatever it met long ago.
-        boolean suspected = r.health == Health.OUT && !r.outageConfirmed && !r.lastFailureTimedOut
-            && !r.limitScope.slowStart.isOutageConfirmed();
-        return r.health != Health.GOOD && !suspected;
+        boolean suspected = endpoint.health == Health.OUT && !endpoint.outageConfirmed && !endpoint.lastFailureTimedOut
+            && !endpoint.limitScope.slowStart.isOutageConfirmed();
+        return endpoint.health != Health.GOOD && !suspected;
     }
 
     /** Opens the account of a lane none of whose routes has been out or returning. */
-    private void beginSlowStart(EndpointState r) {
-        if (r.destination.unhealthyEndpoints(r.limitScope) == 0) {
-            double carried = r.limitScope.deliveryRate.perSecond(now, RATE_SPAN, Math.max(RATE_AGE, now - beganAt));
-            r.limitScope.slowStart = new SlowStart(carried, now, 2 * random.nextDouble());
+    private void beginSlowStart(EndpointState endpoint) {
+        if (endpoint.destination.unhealthyEndpoints(endpoint.limitScope) == 0) {
+            double deliveredPerSecond = endpoint.limitScope.deliveryRate.perSecond(now, RATE_SPAN_MICROS, Math.max(MIN_RATE_AGE_MICROS, now - startedAt));
+            endpoint.limitScope.slowStart = new SlowStart(deliveredPerSecond, now, 2 * random.nextDouble());
         }
     }
 
     /** This relay's part of the calls that a lane bears in a window. */
-    private double callsInWindow(EndpointState r) {
-        boolean out = r.health == Health.OUT;
-        double share = r.limitScope == r.destination.sharedScope
-            ? (double) Math.max(1, r.destination.unhealthyEndpoints(r.limitScope)) / Math.max(1, r.destination.endpoints.size()) : 1;
-        return r.limitScope.slowStart.callBudget(set, SlowStart.capacityShare(set.rules(), out ? 0 : now - r.returnedAt),
-            (out ? QUIET_PART : 1) * r.destination.acceptedPerSecond, listedRate(r.limitScope), Math.min(1, share));
+    private double slowStartBudget(EndpointState endpoint) {
+        boolean out = endpoint.health == Health.OUT;
+        double unhealthyShare = endpoint.limitScope == endpoint.destination.sharedScope
+            ? (double) Math.max(1, endpoint.destination.unhealthyEndpoints(endpoint.limitScope)) / Math.max(1, endpoint.destination.endpoints.size()) : 1;
+        return endpoint.limitScope.slowStart.callBudget(settings, SlowStart.capacityShare(settings.rules(), out ? 0 : now - endpoint.returnedAt),
+            (out ? OUTAGE_RATE_SHARE : 1) * endpoint.destination.acceptedPerSecond, listedRate(endpoint.limitScope), Math.min(1, unhealthyShare));
     }
 
-    private void sent(EndpointState r, Attempt a) {
-        if (a.call.messageCount == 1 && r.health != Health.GOOD) {
-            r.limitScope.slowStart.recordCall(now, 0.5 + random.nextDouble());
+    private void recordCallWhileUnhealthy(EndpointState endpoint, Attempt attempt) {
+        if (attempt.call.messageCount == 1 && endpoint.health != Health.GOOD) {
+            endpoint.limitScope.slowStart.recordCall(now, 0.5 + random.nextDouble());
         }
-        if (r.health == Health.OUT) {
-            r.openProbes++;
-            r.lastProbeAt = now;
-            a.probe = true;
+        if (endpoint.health == Health.OUT) {
+            endpoint.openProbes++;
+            endpoint.lastProbeAt = now;
+            attempt.probe = true;
         }
     }
 
     /** Keeps the count of those that are ready by the list and out. */
-    private void note(EndpointState r) {
-        boolean listed = r.destination.endpoints.get(r.id) == r;
-        boolean avoid = listed && r.ready && r.health == Health.OUT && r.outageConfirmed;
-        avoided += avoid == r.countedUnavailable ? 0 : avoid ? 1 : -1;
-        r.countedUnavailable = avoid;
+    private void updateUnavailable(EndpointState endpoint) {
+        boolean listed = endpoint.destination.endpoints.get(endpoint.id) == endpoint;
+        boolean unavailable = listed && endpoint.ready && endpoint.health == Health.OUT && endpoint.outageConfirmed;
+        unavailableCount += unavailable == endpoint.countedUnavailable ? 0 : unavailable ? 1 : -1;
+        endpoint.countedUnavailable = unavailable;
     }
 
     /** Tells of a change of a route's health, with what its slow start allows and has used. */
-    private void changed(EndpointState r, HealthReason reason) {
-        long since = r.health == Health.OUT ? r.outSince : r.returnedAt;
-        SlowStart account = r.limitScope.slowStart;
-        out.add(new HealthChanged(r.id, r.health, since, account.rateBeforeOutage(), reason,
-            account.sentInWindow(now, set.rules()), callsInWindow(r)));
+    private void reportHealth(EndpointState endpoint, HealthReason reason) {
+        long since = endpoint.health == Health.OUT ? endpoint.outSince : endpoint.returnedAt;
+        SlowStart slowStart = endpoint.limitScope.slowStart;
+        actions.add(new HealthChanged(endpoint.id, endpoint.health, since, slowStart.rateBeforeOutage(), reason,
+            slowStart.sentInWindow(now, settings.rules()), slowStartBudget(endpoint)));
     }
 
     /**
@@ -1052,183 +1052,183 @@
      * what was found out the hard way, for there may be no room for all of it.
      */
     public List<EndpointSnapshot> endpointSnapshots() {
-        Comparator<EndpointState> first = Comparator.comparingInt(r -> r.limitScope.retryAfterUntil > now ? 0
-            : r.health != Health.GOOD || r.unavailableUntil() > now ? 1 : 2);
-        return routes.values().stream().sorted(first).map(this::known).toList();
+        Comparator<EndpointState> first = Comparator.comparingInt(endpoint -> endpoint.limitScope.retryAfterUntil > now ? 0
+            : endpoint.health != Health.GOOD || endpoint.unavailableUntil() > now ? 1 : 2);
+        return endpoints.values().stream().sorted(first).map(this::carryOver).toList();
     }
 
-    private EndpointSnapshot known(EndpointState r) {
-        long since = r.health == Health.OUT ? r.outSince : r.returnedAt;
-        double carried = r.health == Health.GOOD ? 0 : r.limitScope.slowStart.rateBeforeOutage();
-        return new EndpointSnapshot(r.id, r.limitScope.retryAfterUntil, r.unavailableUntil(), r.health, since, carried, r.limitScope.sendRate,
-            r.destination.window, r.latency);
+    private EndpointSnapshot carryOver(EndpointState endpoint) {
+        long since = endpoint.health == Health.OUT ? endpoint.outSince : endpoint.returnedAt;
+        double deliveredPerSecond = endpoint.health == Health.GOOD ? 0 : endpoint.limitScope.slowStart.rateBeforeOutage();
+        return new EndpointSnapshot(endpoint.id, endpoint.limitScope.retryAfterUntil, endpoint.unavailableUntil(), endpoint.health, since, deliveredPerSecond, endpoint.limitScope.sendRate,
+            endpoint.destination.window, endpoint.latency);
     }
 
     /** Goes on where the process before stood: its waits bind, and what it found out is not tried again. */
-    private void known(EndpointSnapshot e) {
-        EndpointState r = routes.get(e.endpoint());
-        if (r == null) {
+    private void carryOver(EndpointSnapshot snapshot) {
+        EndpointState endpoint = endpoints.get(snapshot.endpoint());
+        if (endpoint == null) {
             return;
         }
-        r.limitScope.retryAfterUntil = Math.max(r.limitScope.retryAfterUntil, e.waitUntil());
-        r.backoffUntil = Math.max(r.backoffUntil, e.unavailableUntil());
-        if (e.sendRate() > 0) {
-            r.limitScope.sendRate = Math.min(r.limitScope.sendRate, e.sendRate());
-            r.limitScope.limitRate = set.weights() == Weights.NONE ? e.sendRate() : 0;
-            r.limitScope.limitMetAt = now;
-            r.latency = e.latency();
-            r.destination.recentLatency = Math.max(r.destination.recentLatency, e.latency());
-            r.destination.window = Math.max(r.destination.window, e.window());
+        endpoint.limitScope.retryAfterUntil = Math.max(endpoint.limitScope.retryAfterUntil, snapshot.waitUntil());
+        endpoint.backoffUntil = Math.max(endpoint.backoffUntil, snapshot.unavailableUntil());
+        if (snapshot.sendRate() > 0) {
+            endpoint.limitScope.sendRate = Math.min(endpoint.limitScope.sendRate, snapshot.sendRate());
+            endpoint.limitScope.limitRate = settings.weights() == Weights.NONE ? snapshot.sendRate() : 0;
+            endpoint.limitScope.limitMetAt = now;
+            endpoint.latency = snapshot.latency();
+            endpoint.destination.recentLatency = Math.max(endpoint.destination.recentLatency, snapshot.latency());
+            endpoint.destination.window = Math.max(endpoint.destination.window, snapshot.window());
         }
-        if (e.health() != Health.GOOD) {
-            resume(r, e);
+        if (snapshot.health() != Health.GOOD) {
+            restoreOutage(endpoint, snapshot);
         }
     }
 
     /** An outage, or the return from one, that the process before this one knew of; never less cautious. */
-    private void resume(EndpointState r, EndpointSnapshot e) {
-        if (r.health == Health.OUT) {
+    private void restoreOutage(EndpointState endpoint, EndpointSnapshot snapshot) {
+        if (endpoint.health == Health.OUT) {
             return;
         }
-        boolean first = r.health == Health.GOOD && r.destination.unhealthyEndpoints(r.limitScope) == 0;
-        if (first) {
-            r.limitScope.slowStart = new SlowStart(e.carriedPerSecond(), now, 0.5 + random.nextDouble());
+        boolean firstOfScope = endpoint.health == Health.GOOD && endpoint.destination.unhealthyEndpoints(endpoint.limitScope) == 0;
+        if (firstOfScope) {
+            endpoint.limitScope.slowStart = new SlowStart(snapshot.carriedPerSecond(), now, 0.5 + random.nextDouble());
         }
-        r.outageConfirmed = true;
-        r.limitScope.slowStart.confirmOutage();
-        r.returnedAt = r.health == Health.RETURNING ? Math.max(r.returnedAt, e.since()) : e.since();
-        r.health = e.health();
-        r.outSince = now;
-        if (first) {
-            r.limitScope.slowStart.assumeBudgetSpent(set, callsInWindow(r), now);
+        endpoint.outageConfirmed = true;
+        endpoint.limitScope.slowStart.confirmOutage();
+        endpoint.returnedAt = endpoint.health == Health.RETURNING ? Math.max(endpoint.returnedAt, snapshot.since()) : snapshot.since();
+        endpoint.health = snapshot.health();
+        endpoint.outSince = now;
+        if (firstOfScope) {
+            endpoint.limitScope.slowStart.assumeBudgetSpent(settings, slowStartBudget(endpoint), now);
         }
-        note(r);
-        changed(r, HealthReason.RESTORED);
+        updateUnavailable(endpoint);
+        reportHealth(endpoint, HealthReason.RESTORED);
     }
 
     // ---- List of endpoints ----------------------------------------------------------------------
-    private Destination dest(long id) {
-        Destination d = dests.computeIfAbsent(id, k -> new Destination(k, set.classes().size() * 3, ANSWERS));
-        touch(d);
-        return d;
+    private Destination destination(long id) {
+        Destination destination = destinations.computeIfAbsent(id, k -> new Destination(k, settings.classes().size() * 3, LATENCY_SAMPLES));
+        markUsed(destination);
+        return destination;
     }
 
     /** It is of use now, and stands last among those that may be released. */
-    private void touch(Destination d) {
-        d.lastUsedAt = now;
-        used.remove(d);
-        used.add(d);
+    private void markUsed(Destination destination) {
+        destination.lastUsedAt = now;
+        byLastUse.remove(destination);
+        byLastUse.add(destination);
     }
 
-    private void listed(ListUpdated e) {
-        if (listBy != Long.MIN_VALUE) {
-            listBy = Long.MIN_VALUE;
-            dests.values().stream().filter(d -> d.waitingMessages > 0).forEach(active::add);
+    private void applyList(ListUpdated update) {
+        if (listAwaitedUntil != Long.MIN_VALUE) {
+            listAwaitedUntil = Long.MIN_VALUE;
+            destinations.values().stream().filter(destination -> destination.waitingMessages > 0).forEach(dispatchQueue::add);
         }
-        Set<Long> named = new HashSet<>();
-        for (Endpoint p : e.endpoints()) {
-            named.add(p.id());
-            listed(p, false);
+        Set<Long> listedIds = new HashSet<>();
+        for (Endpoint listed : update.endpoints()) {
+            listedIds.add(listed.id());
+            applyList(listed, false);
         }
-        if (e.kind() == ListKind.WHOLE) {
-            routes.values().stream().filter(r -> !named.contains(r.id)).forEach(this::remove);
+        if (update.kind() == ListKind.WHOLE) {
+            endpoints.values().stream().filter(endpoint -> !listedIds.contains(endpoint.id)).forEach(this::removeEndpoint);
         }
     }
 
     /** {@code known}: the list may have named it for long, only the module has not heard. */
-    private void listed(Endpoint p, boolean known) {
-        EndpointState r = routes.get(p.id());
-        if (r != null && p.listing() != Listing.GONE && r.destination.id != p.destination()) {
-            remove(r);
-            routes.remove(r.id);
-            EndpointState moved = add(p, false);
+    private void applyList(Endpoint listed, boolean newToModule) {
+        EndpointState endpoint = endpoints.get(listed.id());
+        if (endpoint != null && listed.listing() != Listing.GONE && endpoint.destination.id != listed.destination()) {
+            removeEndpoint(endpoint);
+            endpoints.remove(endpoint.id);
+            EndpointState moved = addEndpoint(listed, false);
             // A wait binds the endpoint wherever it stands.
-            moved.backoffUntil = r.limitScope.retryAfterUntil;
-            r = moved;
-        }
-        if (p.listing() != Listing.GONE) {
-            r = r == null ? add(p, known) : r;
-            if (r.destination.endpoints.put(r.id, r) == null && r.removedAt >= 0) {
-                r.removedAt = -1;
-                r.destination.removedEndpoints--;
+            moved.backoffUntil = endpoint.limitScope.retryAfterUntil;
+            endpoint = moved;
+        }
+        if (listed.listing() != Listing.GONE) {
+            endpoint = endpoint == null ? addEndpoint(listed, newToModule) : endpoint;
+            if (endpoint.destination.endpoints.put(endpoint.id, endpoint) == null && endpoint.removedAt >= 0) {
+                endpoint.removedAt = -1;
+                endpoint.destination.removedEndpoints--;
             }
-            r.ready = p.listing() == Listing.READY;
-            note(r);
-            r.limitScope.weight = p.weight() > 0 ? p.weight() : r.limitScope.weight;
-            if (set.weights() != Weights.NONE) {
-                r.limitScope.sendRate = Math.min(r.limitScope.sendRate, paceMost(r.limitScope));
+            endpoint.ready = listed.listing() == Listing.READY;
+            updateUnavailable(endpoint);
+            endpoint.limitScope.weight = listed.weight() > 0 ? listed.weight() : endpoint.limitScope.weight;
+            if (settings.weights() != Weights.NONE) {
+                endpoint.limitScope.sendRate = Math.min(endpoint.limitScope.sendRate, maxSendRate(endpoint.limitScope));
             }
-            active.add(r.destination);
-        } else if (r != null) {
-            remove(r);
-        }
-    }
-
-    private EndpointState add(Endpoint p, boolean known) {
-        EndpointState r = new EndpointState();
-        r.id = p.id();
-        r.zone = p.zone();
-        r.kind = p.kind();
-        r.destination = dest(p.destination());
-        r.destination.kind = p.kind();
-        boolean apart = set.kinds().get(p.kind()).independentEndpoints();
-        r.limitScope = apart || r.destination.sharedScope == null ? new LimitScope() : r.destination.sharedScope;
-        r.destination.sharedScope = apart ? r.destination.sharedScope : r.limitScope;
-        if (r.limitScope.sendRate == 0) {
-            r.limitScope.weight = p.weight();
-            r.limitScope.sendRate = PACE_START * paceLeast(r.limitScope) / PACE_LEAST;
-            if (set.relayCount() > INSISTENT) {
+            dispatchQueue.add(endpoint.destination);
+        } else if (endpoint != null) {
+            removeEndpoint(endpoint);
+        }
+    }
+
+    private EndpointState addEndpoint(Endpoint listed, boolean newToModule) {
+        EndpointState endpoint = new EndpointState();
+        endpoint.id = listed.id();
+        endpoint.zone = listed.zone();
+        endpoint.kind = listed.kind();
+        endpoint.destination = destination(listed.destination());
+        endpoint.destination.kind = listed.kind();
+        boolean apart = settings.kinds().get(listed.kind()).independentEndpoints();
+        endpoint.limitScope = apart || endpoint.destination.sharedScope == null ? new LimitScope() : endpoint.destination.sharedScope;
+        endpoint.destination.sharedScope = apart ? endpoint.destination.sharedScope : endpoint.limitScope;
+        if (endpoint.limitScope.sendRate == 0) {
+            endpoint.limitScope.weight = listed.weight();
+            endpoint.limitScope.sendRate = INITIAL_EVEN_SHARE_FACTOR * minSendRate(endpoint.limitScope) / MIN_EVEN_SHARE_FACTOR;
+            if (settings.relayCount() > SMALL_FLEET_RELAYS) {
                 // A first call of each relay at once, out of a full bucket, would be more than a place bears.
-                double first = random.nextDouble();
-                r.limitScope.bucket.refill(0, known ? saved(p, first) : first, now);
+                double randomTokens = random.nextDouble();
+                endpoint.limitScope.bucket.refill(0, newToModule ? initialTokens(listed, randomTokens) : randomTokens, now);
             }
         }
         // A new endpoint is cold, and the messages held for a failing destination would all go there at once.
-        if (!r.destination.endpoints.isEmpty() && !r.destination.hasHealthyEndpoint()) {
-            outage(r, true, HealthReason.NEW_AMONG_OUT);
-            r.limitScope.slowStart.restartSpacing(now);
+        if (!endpoint.destination.endpoints.isEmpty() && !endpoint.destination.hasHealthyEndpoint()) {
+            eject(endpoint, true, HealthReason.NEW_AMONG_OUT);
+            endpoint.limitScope.slowStart.restartSpacing(now);
         }
-        routes.put(r.id, r);
-        return r;
+        endpoints.put(endpoint.id, endpoint);
+        return endpoint;
     }
 
     /** What a bucket holds that has filled by the first pace since the relay began, or since it was spent. */
-    private double saved(Endpoint p, double first) {
-        double perMicro = startPace(p.kind()) / SECOND;
-        Long whole = spent.get(p.destination());
-        double saved = whole == null ? first + (now - beganAt) * perMicro
-            : BURST_LEAST - (whole - now) * perMicro;
-        return Math.min(BURST_LEAST, saved);
+    private double initialTokens(Endpoint listed, double randomTokens) {
+        double perMicro = startRate(listed.kind()) / SECOND;
+        Long fullAt = bucketFullAt.get(listed.destination());
+        double tokens = fullAt == null ? randomTokens + (now - startedAt) * perMicro
+            : MIN_BURST_CALLS - (fullAt - now) * perMicro;
+        return Math.min(MIN_BURST_CALLS, tokens);
     }
 
     /** Calls a second of this relay to a place that has not shown its limit. */
-    private double startPace(int kind) {
-        return (set.kinds().get(kind).maxMessagesPerCall() > 1 ? START_BUNDLES : START_TOGETHER) / set.relayCount();
+    private double startRate(int kind) {
+        return (settings.kinds().get(kind).maxMessagesPerCall() > 1 ? FLEET_START_BATCHES_PER_SECOND : FLEET_START_CALLS_PER_SECOND) / settings.relayCount();
     }
 
     /** Takes a route off; what is known of it is kept a while: waits and health outlast a gap. */
-    private void remove(EndpointState r) {
-        r.ready = false;
-        if (r.destination.endpoints.remove(r.id) != null) {
-            r.removedAt = now;
-            r.destination.removedEndpoints++;
-            at(now + FORGET, TimerKind.FORGET_ENDPOINT, r);
+    private void removeEndpoint(EndpointState endpoint) {
+        endpoint.ready = false;
+        if (endpoint.destination.endpoints.remove(endpoint.id) != null) {
+            endpoint.removedAt = now;
+            endpoint.destination.removedEndpoints++;
+            schedule(now + FORGET_AFTER_MICROS, TimerKind.FORGET_ENDPOINT, endpoint);
         }
-        note(r);
+        updateUnavailable(endpoint);
     }
 
-    private void forget(EndpointState r) {
-        if (r.removedAt < 0 || r.removedAt + FORGET > now) {
+    private void forgetEndpoint(EndpointState endpoint) {
+        if (endpoint.removedAt < 0 || endpoint.removedAt + FORGET_AFTER_MICROS > now) {
             return;
         }
-        if (r.inFlight > 0) {
-            at(now + FORGET, TimerKind.FORGET_ENDPOINT, r);
+        if (endpoint.inFlight > 0) {
+            schedule(now + FORGET_AFTER_MICROS, TimerKind.FORGET_ENDPOINT, endpoint);
             return;
         }
-        r.removedAt = -1;
-        r.destination.removedEndpoints--;
-        if (routes.remove(r.id, r)) {
-            out.add(new EndpointForgotten(r.id));
+        endpoint.removedAt = -1;
+        endpoint.destination.removedEndpoints--;
+        if (endpoints.remove(endpoint.id, endpoint)) {
+            actions.add(new EndpointForgotten(endpoint.id));
         }
     }
 
@@ -1236,75 +1236,75 @@
      * Forgets destinations, those not used for longest first. A fleet's relay meets each of them once in
      * many minutes: what it learned then is worth nothing by the next time, and all together would not fit.
      */
-    private void release() {
-        spent.values().removeIf(whole -> whole <= now);
-        long least = Math.max(set.rules().warmUpTime() + set.rules().overloadWindow(), set.rules().keyPause());
-        for (MessageClass c : set.classes()) {
-            least = Math.max(least, c.dedupWindow());
-        }
-        for (var it = used.iterator(); it.hasNext();) {
-            Destination d = it.next();
-            if (now - d.lastUsedAt <= (dests.size() > KNOWN_MOST ? least : Math.max(OF_USE, least))) {
+    private void releaseUnused() {
+        bucketFullAt.values().removeIf(fullAt -> fullAt <= now);
+        long minUnused = Math.max(settings.rules().warmUpTime() + settings.rules().overloadWindow(), settings.rules().keyPause());
+        for (MessageClass messageClass : settings.classes()) {
+            minUnused = Math.max(minUnused, messageClass.dedupWindow());
+        }
+        for (var it = byLastUse.iterator(); it.hasNext();) {
+            Destination destination = it.next();
+            if (now - destination.lastUsedAt <= (destinations.size() > MANY_DESTINATIONS ? minUnused : Math.max(MIN_UNUSED_MICROS, minUnused))) {
                 return;
             }
-            if (!rests(d)) {
+            if (!isInUse(destination)) {
                 it.remove();
-                dests.remove(d.id);
-                active.remove(d);
-                for (EndpointState r : d.endpoints.values()) {
-                    routes.remove(r.id);
-                    avoided -= r.countedUnavailable ? 1 : 0;
-                    r.limitScope.bucket.refill(startPace(r.kind), BURST_LEAST, now);
-                    double lacks = set.relayCount() > INSISTENT ? BURST_LEAST - r.limitScope.bucket.tokens : 0;
-                    if (lacks > 0) {
-                        spent.merge(d.id, now + (long) (lacks / startPace(r.kind) * SECOND), Math::max);
+                destinations.remove(destination.id);
+                dispatchQueue.remove(destination);
+                for (EndpointState endpoint : destination.endpoints.values()) {
+                    endpoints.remove(endpoint.id);
+                    unavailableCount -= endpoint.countedUnavailable ? 1 : 0;
+                    endpoint.limitScope.bucket.refill(startRate(endpoint.kind), MIN_BURST_CALLS, now);
+                    double missingTokens = settings.relayCount() > SMALL_FLEET_RELAYS ? MIN_BURST_CALLS - endpoint.limitScope.bucket.tokens : 0;
+                    if (missingTokens > 0) {
+                        bucketFullAt.merge(destination.id, now + (long) (missingTokens / startRate(endpoint.kind) * SECOND), Math::max);
                     }
                 }
-                out.add(new DestinationReleased(d.id));
+                actions.add(new DestinationReleased(destination.id));
             }
         }
     }
 
     /** True while something rests on it: a message, a wait, an outage, a warm-up, or a gone route. */
-    private boolean rests(Destination d) {
-        boolean rests = d.unsettledMessages > 0 || d.openCalls > 0 || d.externalCalls > 0 || d.removedEndpoints > 0;
-        for (EndpointState r : d.endpoints.values()) {
-            rests |= r.inFlight > 0 || r.unavailableUntil() > now
-                || r.health == Health.OUT && now - d.lastUsedAt < FORGET
-                || r.health == Health.RETURNING && now - r.returnedAt < set.rules().warmUpTime();
+    private boolean isInUse(Destination destination) {
+        boolean inUse = destination.unsettledMessages > 0 || destination.openCalls > 0 || destination.externalCalls > 0 || destination.removedEndpoints > 0;
+        for (EndpointState endpoint : destination.endpoints.values()) {
+            inUse |= endpoint.inFlight > 0 || endpoint.unavailableUntil() > now
+                || endpoint.health == Health.OUT && now - destination.lastUsedAt < FORGET_AFTER_MICROS
+                || endpoint.health == Health.RETURNING && now - endpoint.returnedAt < settings.rules().warmUpTime();
         }
-        return rests;
+        return inUse;
     }
 
     // ---- Clockwork ------------------------------------------------------------------------------
-    private void at(long when, TimerKind duty, Object of) {
-        agenda.add(new TimerEntry(when, seq++, duty, of));
-    }
-
-    private void runAgenda() {
-        while (!agenda.isEmpty() && agenda.peek().dueAt() <= now) {
-            TimerEntry entry = agenda.poll();
-            switch (entry.kind()) {
-                case DEADLINE -> giveUp((Message) entry.subject());
-                case COPY -> considerCopy((Attempt) entry.subject());
-                case RECHECK -> active.add((Destination) entry.subject());
-                case FORGET_ENDPOINT -> forget((EndpointState) entry.subject());
-                case ORDERING_KEY -> advance((OrderingKey) entry.subject());
+    private void schedule(long when, TimerKind kind, Object subject) {
+        timers.add(new TimerEntry(when, timerSequence++, kind, subject));
+    }
+
+    private void runTimers() {
+        while (!timers.isEmpty() && timers.peek().dueAt() <= now) {
+            TimerEntry timer = timers.poll();
+            switch (timer.kind()) {
+                case DEADLINE -> refuseOrFail((Message) timer.subject());
+                case COPY -> considerCopy((Attempt) timer.subject());
+                case RECHECK -> dispatchQueue.add((Destination) timer.subject());
+                case FORGET_ENDPOINT -> forgetEndpoint((EndpointState) timer.subject());
+                case ORDERING_KEY -> advanceKey((OrderingKey) timer.subject());
             }
         }
     }
 
-    private static boolean stale(TimerEntry e) {
-        return e.subject() instanceof Attempt a && a.ended || e.kind() == TimerKind.DEADLINE && ((Message) e.subject()).ended;
+    private static boolean isObsolete(TimerEntry timer) {
+        return timer.subject() instanceof Attempt attempt && attempt.ended || timer.kind() == TimerKind.DEADLINE && ((Message) timer.subject()).ended;
     }
 
-    private void arm() {
-        while (!agenda.isEmpty() && stale(agenda.peek())) {
-            agenda.poll();
+    private void setTimer() {
+        while (!timers.isEmpty() && isObsolete(timers.peek())) {
+            timers.poll();
         }
-        if (!agenda.isEmpty() && agenda.peek().dueAt() < wakeAt) {
-            wakeAt = agenda.peek().dueAt();
-            out.add(new SetTimer(Math.max(1, wakeAt - now)));
+        if (!timers.isEmpty() && timers.peek().dueAt() < timerSetFor) {
+            timerSetFor = timers.peek().dueAt();
+            actions.add(new SetTimer(Math.max(1, timerSetFor - now)));
         }
     }
 }
