--- a/src/main/java/wrenkeel/Control.java
+++ b/src/main/java/wrenkeel/Control.java
@@ -122,12 +122,12 @@
     private final Map<String, OrderingKey> orderingKeys = new HashMap<>();
     private final Map<Long, Destination> destinations = new TreeMap<>();
     private final Map<Long, EndpointState> endpoints = new TreeMap<>();
-    private final Set<Destination> dispatchQueue = new LinkedHashSet<>();
+    private final Set<Destination> dispatchCandidates = new LinkedHashSet<>();
     /** All destinations, the one used last at the end. */
     private final Set<Destination> byLastUse = new LinkedHashSet<>();
     /** Of destinations released before their bucket was full again: when it is. */
-    private final Map<Long, Long> bucketFullAt = new LinkedHashMap<>();
-    private TokenBucket[] tenantQuotas;
+    private final Map<Long, Long> releasedBucketFullAt = new LinkedHashMap<>();
+    private TokenBucket[] quotaBuckets;
     /** us, by kind: how long idle connections are held (endpoints may take few), and trusted to be alive. */
     private final double[] idleHoldMicros, idleTrustMicros;
     private final double[] retrySuccess;
@@ -141,8 +141,8 @@
     public Control(long seed, Settings initialSettings) {
         settings = Objects.requireNonNull(initialSettings, "settings");
         random = new SplittableRandom(seed);
-        tenantQuotas = new TokenBucket[settings.tenants().size()];
-        Arrays.setAll(tenantQuotas, i -> new TokenBucket());
+        quotaBuckets = new TokenBucket[settings.tenants().size()];
+        Arrays.setAll(quotaBuckets, i -> new TokenBucket());
         idleHoldMicros = new double[settings.kinds().size()];
         Arrays.fill(idleHoldMicros, settings.limits().keepAlive());
         idleTrustMicros = idleHoldMicros.clone();
@@ -207,12 +207,12 @@
             Destination destination = destination(e.destination());
             externalCalls += e.calls() - destination.externalCalls;
             destination.externalCalls = e.calls();
-            dispatchQueue.add(destination);
+            dispatchCandidates.add(destination);
         } else if (event instanceof MessageWithdrawn e && messages.containsKey(e.id())) {
             endMessage(messages.get(e.id()));
         } else if (event instanceof StorageChanged e) {
             storageUnwritable = !e.writable();
-            destinations.values().stream().filter(destination -> destination.waitingMessages > 0).forEach(dispatchQueue::add);
+            destinations.values().stream().filter(destination -> destination.waitingMessages > 0).forEach(dispatchCandidates::add);
         } else if (event instanceof TimerDue && timerSetFor <= now) {
             timerSetFor = NEVER;
         }
@@ -221,15 +221,15 @@
     /** Other settings bind from here on; what is known of partners stays, and messages keep their class. */
     private void applySettings(Settings newSettings) {
         Map<String, TokenBucket> quotasByTenant = new HashMap<>();
-        for (int i = 0; i < tenantQuotas.length; i++) {
-            quotasByTenant.put(settings.tenants().get(i).name(), tenantQuotas[i]);
+        for (int i = 0; i < quotaBuckets.length; i++) {
+            quotasByTenant.put(settings.tenants().get(i).name(), quotaBuckets[i]);
         }
         settings = newSettings;
-        tenantQuotas = settings.tenants().stream().map(tenant -> quotasByTenant.getOrDefault(tenant.name(), new TokenBucket()))
+        quotaBuckets = settings.tenants().stream().map(tenant -> quotasByTenant.getOrDefault(tenant.name(), new TokenBucket()))
             .toArray(TokenBucket[]::new);
         for (Destination destination : destinations.values()) {
             destination.growQueues(settings.classes().size() * 3);
-            dispatchQueue.add(destination);
+            dispatchCandidates.add(destination);
         }
     }
 
@@ -251,9 +251,9 @@
         message.deadline = event.deadline();
         message.aim = message.deadline + event.answerReserve() - message.messageClass.lifetime() + message.messageClass.aim();
         // What is taken up counted against the share when it was taken on.
-        boolean inShare = event.recovered() || withinQuota(event.tenant());
-        message.queueIndex = event.messageClass() * 3 + (inShare ? 0 : 1);
-        message.fullWorth = message.messageClass.worth() * (inShare ? 1 : settings.overShareWorth());
+        boolean inQuota = event.recovered() || withinQuota(event.tenant());
+        message.queueIndex = event.messageClass() * 3 + (inQuota ? 0 : 1);
+        message.fullWorth = message.messageClass.worth() * (inQuota ? 1 : settings.overShareWorth());
         messages.put(message.id, message);
         openMessages++;
         schedule(message.deadline, TimerKind.DEADLINE, message);
@@ -290,12 +290,12 @@
     }
 
     private boolean withinQuota(int tenant) {
-        if (tenant >= tenantQuotas.length) {
+        if (tenant >= quotaBuckets.length) {
             return true;
         }
         double rate = settings.tenants().get(tenant).quotaPerSecond() / settings.relayCount();
-        tenantQuotas[tenant].refill(rate, rate * QUOTA_BURST_SECONDS, now);
-        return tenantQuotas[tenant].tryTake();
+        quotaBuckets[tenant].refill(rate, rate * QUOTA_BURST_SECONDS, now);
+        return quotaBuckets[tenant].tryTake();
     }
 
     private void enqueue(Message message, boolean retried) {
@@ -308,7 +308,7 @@
         }
         message.queued = true;
         message.destination.waitingMessages++;
-        dispatchQueue.add(message.destination);
+        dispatchCandidates.add(message.destination);
         if (message.recoveredUntried) {
             message.destination.addRecovered(message);
         } else if (retried) {
@@ -341,7 +341,7 @@
     /** When to hand a refused message in again: once a route is open and those that wait have gone. */
     private long retryAfter(Destination destination) {
         long availableAt = destination.endpoints.values().stream().mapToLong(EndpointState::unavailableUntil).min().orElse(now);
-        long queueTime = (long) (destination.waitingMessages / destination.window * Math.max(destination.recentLatency, INITIAL_COPY_DELAY_MICROS));
+        long queueTime = (long) (destination.waitingMessages / destination.congestionWindow * Math.max(destination.recentLatency, INITIAL_COPY_DELAY_MICROS));
         return Math.min(settings.limits().maxRetryAfter(), Math.max(availableAt - now, queueTime));
     }
 
@@ -435,10 +435,10 @@
             }
             releaseUnused(endpoint);
         }
-        endpoint.openProbes -= attempt.probe ? 1 : 0;
+        endpoint.openProbes -= attempt.isProbe ? 1 : 0;
         endpoint.overdueAttempts -= attempt.overdue ? 1 : 0;
         endpoint.destination.overdueAttempts -= attempt.overdue ? 1 : 0;
-        dispatchQueue.add(endpoint.destination);
+        dispatchCandidates.add(endpoint.destination);
     }
 
     /** Guards tables of few connections, idle ones counted, against a fleet that each keeps its own. */
@@ -463,7 +463,7 @@
             if (destination.waitingMessages == 0) {
                 continue;
             }
-            double wait = destination.waitingMessages / destination.window * Math.max(destination.recentLatency, INITIAL_COPY_DELAY_MICROS);
+            double wait = destination.waitingMessages / destination.congestionWindow * Math.max(destination.recentLatency, INITIAL_COPY_DELAY_MICROS);
             for (MessageQueue queue : destination.queues) {
                 if (queue == null) {
                     continue;
@@ -495,7 +495,7 @@
     /** Sends what may go, best first. What cannot go is looked at again in time, or when something ends. */
     private void dispatch() {
         List<Candidate> candidates = new ArrayList<>();
-        for (var it = dispatchQueue.iterator(); it.hasNext() && slotsUsed < availableSlots();) {
+        for (var it = dispatchCandidates.iterator(); it.hasNext() && slotsUsed < availableSlots();) {
             Candidate candidate = chooseCandidate(it.next());
             if (candidate != null) {
                 candidates.add(candidate);
@@ -713,7 +713,7 @@
         boolean degraded = isSlow(destination) || 2 * destination.overdueAttempts > destination.openCalls || allOut;
         // Guards the slots against places that take calls and do not answer, before a time-out tells.
         double cap = (degraded ? DEGRADED_SLOT_SHARE : MAX_WINDOW_SLOT_SHARE) * settings.limits().callSlots();
-        return (int) Math.max(1, Math.min(destination.window, cap));
+        return (int) Math.max(1, Math.min(destination.congestionWindow, cap));
     }
 
     private static boolean isSlow(Destination destination) {
@@ -742,15 +742,15 @@
                 idleHoldMicros[kind] = Math.min(settings.limits().keepAlive(), idleHoldMicros[kind] * IDLE_HOLD_GROWTH);
                 double trust = Math.max(idleTrustMicros[kind] * IDLE_HOLD_GROWTH, attempt.connectionIdleTime * IDLE_TRUST_FACTOR);
                 idleTrustMicros[kind] = Math.min(settings.limits().keepAlive(), trust);
-                destination.window = Math.min(destination.window + 1, Math.max(1, MAX_WINDOW_SLOT_SHARE * settings.limits().callSlots()));
+                destination.congestionWindow = Math.min(destination.congestionWindow + 1, Math.max(1, MAX_WINDOW_SLOT_SHARE * settings.limits().callSlots()));
                 recordSuccess(attempt);
             }
             case FULL -> {
-                destination.window = Math.max(1, destination.window / 2);
+                destination.congestionWindow = Math.max(1, destination.congestionWindow / 2);
                 recordRefusal(scope, event.retryAfter(), attempt);
             }
             case TIMEOUT -> {
-                destination.window = Math.max(1, destination.window / 2);
+                destination.congestionWindow = Math.max(1, destination.congestionWindow / 2);
                 adjustIdleTrust(attempt);
                 recordFailure(attempt);
             }
@@ -1027,7 +1027,7 @@
         if (endpoint.health == Health.OUT) {
             endpoint.openProbes++;
             endpoint.lastProbeAt = now;
-            attempt.probe = true;
+            attempt.isProbe = true;
         }
     }
 
@@ -1061,7 +1061,7 @@
         long since = endpoint.health == Health.OUT ? endpoint.outSince : endpoint.returnedAt;
         double deliveredPerSecond = endpoint.health == Health.GOOD ? 0 : endpoint.limitScope.slowStart.rateBeforeOutage();
         return new EndpointSnapshot(endpoint.id, endpoint.limitScope.retryAfterUntil, endpoint.unavailableUntil(), endpoint.health, since, deliveredPerSecond, endpoint.limitScope.sendRate,
-            endpoint.destination.window, endpoint.latency);
+            endpoint.destination.congestionWindow, endpoint.latency);
     }
 
     /** Goes on where the process before stood: its waits bind, and what it found out is not tried again. */
@@ -1078,7 +1078,7 @@
             endpoint.limitScope.limitMetAt = now;
             endpoint.latency = snapshot.latency();
             endpoint.destination.recentLatency = Math.max(endpoint.destination.recentLatency, snapshot.latency());
-            endpoint.destination.window = Math.max(endpoint.destination.window, snapshot.window());
+            endpoint.destination.congestionWindow = Math.max(endpoint.destination.congestionWindow, snapshot.congestionWindow());
         }
         if (snapshot.health() != Health.GOOD) {
             restoreOutage(endpoint, snapshot);
@@ -1123,7 +1123,7 @@
     private void applyList(ListUpdated update) {
         if (listAwaitedUntil != Long.MIN_VALUE) {
             listAwaitedUntil = Long.MIN_VALUE;
-            destinations.values().stream().filter(destination -> destination.waitingMessages > 0).forEach(dispatchQueue::add);
+            destinations.values().stream().filter(destination -> destination.waitingMessages > 0).forEach(dispatchCandidates::add);
         }
         Set<Long> listedIds = new HashSet<>();
         for (Endpoint listed : update.endpoints()) {
@@ -1158,7 +1158,7 @@
             if (settings.weights() != Weights.NONE) {
                 endpoint.limitScope.sendRate = Math.min(endpoint.limitScope.sendRate, maxSendRate(endpoint.limitScope));
             }
-            dispatchQueue.add(endpoint.destination);
+            dispatchCandidates.add(endpoint.destination);
         } else if (endpoint != null) {
             removeEndpoint(endpoint);
         }
@@ -1195,7 +1195,7 @@
     /** What a bucket holds that has filled by the first pace since the relay began, or since it was spent. */
     private double initialTokens(Endpoint listed, double randomTokens) {
         double perMicro = startRate(listed.kind()) / SECOND;
-        Long fullAt = bucketFullAt.get(listed.destination());
+        Long fullAt = releasedBucketFullAt.get(listed.destination());
         double tokens = fullAt == null ? randomTokens + (now - startedAt) * perMicro
             : MIN_BURST_CALLS - (fullAt - now) * perMicro;
         return Math.min(MIN_BURST_CALLS, tokens);
@@ -1237,7 +1237,7 @@
      * many minutes: what it learned then is worth nothing by the next time, and all together would not fit.
      */
     private void releaseUnused() {
-        bucketFullAt.values().removeIf(fullAt -> fullAt <= now);
+        releasedBucketFullAt.values().removeIf(fullAt -> fullAt <= now);
         long minUnused = Math.max(settings.rules().warmUpTime() + settings.rules().overloadWindow(), settings.rules().keyPause());
         for (MessageClass messageClass : settings.classes()) {
             minUnused = Math.max(minUnused, messageClass.dedupWindow());
@@ -1250,14 +1250,14 @@
             if (!isInUse(destination)) {
                 it.remove();
                 destinations.remove(destination.id);
-                dispatchQueue.remove(destination);
+                dispatchCandidates.remove(destination);
                 for (EndpointState endpoint : destination.endpoints.values()) {
                     endpoints.remove(endpoint.id);
                     unavailableCount -= endpoint.countedUnavailable ? 1 : 0;
                     endpoint.limitScope.bucket.refill(startRate(endpoint.kind), MIN_BURST_CALLS, now);
                     double missingTokens = settings.relayCount() > SMALL_FLEET_RELAYS ? MIN_BURST_CALLS - endpoint.limitScope.bucket.tokens : 0;
                     if (missingTokens > 0) {
-                        bucketFullAt.merge(destination.id, now + (long) (missingTokens / startRate(endpoint.kind) * SECOND), Math::max);
+                        releasedBucketFullAt.merge(destination.id, now + (long) (missingTokens / startRate(endpoint.kind) * SECOND), Math::max);
                     }
                 }
                 actions.add(new DestinationReleased(destination.id));
@@ -1287,7 +1287,7 @@
             switch (timer.kind()) {
                 case DEADLINE -> refuseOrFail((Message) timer.subject());
                 case COPY -> considerCopy((Attempt) timer.subject());
-                case RECHECK -> dispatchQueue.add((Destination) timer.subject());
+                case RECHECK -> dispatchCandidates.add((Destination) timer.subject());
                 case FORGET_ENDPOINT -> forgetEndpoint((EndpointState) timer.subject());
                 case ORDERING_KEY -> advanceKey((OrderingKey) timer.subject());
             }
--- a/src/main/java/wrenkeel/Relay.java
+++ b/src/main/java/wrenkeel/Relay.java
@@ -167,14 +167,14 @@
      * @param carriedPerSecond calls a second that this relay carried to it before the outage
      */
     public record EndpointSnapshot(long endpoint, long waitUntil, long unavailableUntil, Health health, long since,
-                        double carriedPerSecond, double sendRate, double window, double latency) implements Event {
+                        double carriedPerSecond, double sendRate, double congestionWindow, double latency) implements Event {
         /** Only its health. */
         public static EndpointSnapshot health(long endpoint, Health health, long since, double carried) {
             return new EndpointSnapshot(endpoint, 0, 0, health, since, carried, 0, 0, 0);
         }
 
         /** Only that it told this relay to wait. */
-        public static EndpointSnapshot waiting(long endpoint, long until) {
+        public static EndpointSnapshot ofWait(long endpoint, long until) {
             return new EndpointSnapshot(endpoint, until, 0, Health.GOOD, 0, 0, 0, 0, 0);
         }
     }
@@ -216,7 +216,7 @@
     public record DestinationReleased(long destination) implements Action { }
 
     /** Ask for a {@link TimerDue} event after this span. */
-    public record SetTimer(long after) implements Action { }
+    public record SetTimer(long delay) implements Action { }
 
     /**
      * The health of an endpoint has changed. The next process must be told of it ({@link EndpointSnapshot}) if this one
--- a/src/main/java/wrenkeel/SlowStart.java
+++ b/src/main/java/wrenkeel/SlowStart.java
@@ -28,7 +28,7 @@
     /** Calls since the outage began, those left out that met the outage. */
     private final TimestampLog countedCalls = new TimestampLog();
     /** When the latest call went out, and the random spread of the next one. */
-    private long lastSentAt;
+    private long spacedFrom;
     private double spacingFactor;
     private boolean outageConfirmed;
 
@@ -39,7 +39,7 @@
     SlowStart(double rateBeforeOutage, long now, double spacingFactor) {
         this.rateBeforeOutage = rateBeforeOutage;
         this.spacingFactor = spacingFactor;
-        lastSentAt = now;
+        spacedFrom = now;
     }
 
     double rateBeforeOutage() {
@@ -58,13 +58,13 @@
     /** A call goes out; {@code nextSpacing}: random spread of the one after it, 1 in the mean. */
     void recordCall(long now, double nextSpacingFactor) {
         countedCalls.add(now);
-        lastSentAt = now;
+        spacedFrom = now;
         spacingFactor = nextSpacingFactor;
     }
 
     /** The next spaced call waits as if one had gone out now. */
     void restartSpacing(long now) {
-        lastSentAt = now;
+        spacedFrom = now;
     }
 
     /** A call sent at that time failed: what went out up to then met the outage and does not count. */
@@ -116,7 +116,7 @@
         double slack = slack(settings, callBudget);
         int unspaced = unspacedCalls(settings, callBudget);
         if (unspaced < 1) {
-            return lastSentAt + (long) (spacingFactor * windowMicros(settings.rules()) / (callBudget + slack));
+            return spacedFrom + (long) (spacingFactor * windowMicros(settings.rules()) / (callBudget + slack));
         }
         return countedCalls.earliestWithFewerThan(unspaced, now, windowMicros(settings.rules()));
     }
--- a/src/main/java/wrenkeel/State.java
+++ b/src/main/java/wrenkeel/State.java
@@ -87,7 +87,7 @@
         Call call;
         /** {@code connectionIdleTime}: how long its connection had been idle; -1 for a new one. */
         long sentAt, connectionIdleTime = -1;
-        boolean ended, cancelled, probe, afterRefusal, overdue, mayHaveRun = true;
+        boolean ended, cancelled, isProbe, afterRefusal, overdue, mayHaveRun = true;
         /** The relay's own machine failed: it was never made. */
         boolean failedLocally;
     }
@@ -275,7 +275,7 @@
         private final DecayingRate acceptedRate = new DecayingRate();
         /** Messages a second that come in for it, when the last one came. */
         double acceptedPerSecond;
-        double window = 1, copyTokens = 1, recentLatency, baselineLatency;
+        double congestionWindow = 1, copyTokens = 1, recentLatency, baselineLatency;
         /** {@code externalCalls}: calls that the process before this one still has out. */
         int kind = -1, openCalls, externalCalls, waitingMessages, overdueAttempts, consecutiveRefusals;
         /** Messages that are not settled, and routes that are off the list and not forgotten. */
--- a/src/main/java/wrenkeel/Wire.java
+++ b/src/main/java/wrenkeel/Wire.java
@@ -396,7 +396,7 @@
             } else if (action instanceof Relay.SetTimer a) {
                 head("Remind", instance, null);
                 out.writeNumberField("label", label = (label + 1) & 0xffff);
-                time("sleep-for", a.after());
+                time("sleep-for", a.delay());
             } else if (action instanceof Relay.HealthChanged a) {
                 head("NoteDown", instance, null);
                 out.writeStringField("message", "endpoint " + a.endpoint() + ": " + a.health() + ", "
--- a/src/main/java/wrenkeel/net/Knowledge.java
+++ b/src/main/java/wrenkeel/net/Knowledge.java
@@ -46,7 +46,7 @@
                 out.writeNumberField("since", toUnix.applyAsLong(known.since()));
                 out.writeNumberField("carried", known.carriedPerSecond());
                 out.writeNumberField("pace", known.sendRate());
-                out.writeNumberField("window", known.window());
+                out.writeNumberField("window", known.congestionWindow());
                 out.writeNumberField("latency", known.latency());
                 out.writeEndObject();
             }
--- a/src/main/java/wrenkeel/net/Loop.java
+++ b/src/main/java/wrenkeel/net/Loop.java
@@ -226,7 +226,7 @@
         journal.waits().forEach((host, until) -> {
             HostList.Host told = named(host);
             if (told != null) {
-                tell(Relay.EndpointSnapshot.waiting(told.number, moduleTime(until)));
+                tell(Relay.EndpointSnapshot.ofWait(told.number, moduleTime(until)));
             }
         });
         journal.inheritedHealth().forEach(this::inherit);
@@ -553,7 +553,7 @@
             hosts.release(a.destination());
             introduced--;
         } else if (action instanceof Relay.SetTimer a) {
-            loop.schedule(() -> tell(new Relay.TimerDue()), a.after(), TimeUnit.MICROSECONDS);
+            loop.schedule(() -> tell(new Relay.TimerDue()), a.delay(), TimeUnit.MICROSECONDS);
         } else if (action instanceof Relay.HealthChanged a) {
             healthChanged(a);
         }
--- a/src/main/java/wrenkeel/scale/LearnFleet.java
+++ b/src/main/java/wrenkeel/scale/LearnFleet.java
@@ -122,8 +122,8 @@
                 introduced.remove(released.destination());
                 tally.released += measured() ? 1 : 0;
             } else if (action instanceof Relay.SetTimer wake) {
-                wakeAt = Math.min(wakeAt, now + wake.after());
-                at(now + wake.after(), () -> {
+                wakeAt = Math.min(wakeAt, now + wake.delay());
+                at(now + wake.delay(), () -> {
                     if (wakeAt <= now) {
                         wakeAt = Long.MAX_VALUE;
                         turn(new Relay.TimerDue());
--- a/src/test/java/wrenkeel/Bench.java
+++ b/src/test/java/wrenkeel/Bench.java
@@ -65,7 +65,7 @@
         for (Action a : actions) {
             checker.action(now, a);
             if (a instanceof SetTimer w) {
-                wakeAt = Math.min(wakeAt, now + w.after());
+                wakeAt = Math.min(wakeAt, now + w.delay());
             }
         }
         checker.time(now);
--- a/src/test/java/wrenkeel/ColdFleet.java
+++ b/src/test/java/wrenkeel/ColdFleet.java
@@ -166,7 +166,7 @@
                     folder.put(changed.endpoint(), EndpointSnapshot.health(changed.endpoint(), changed.health(),
                         changed.since(), changed.carriedPerSecond()));
                 } else if (action instanceof SetTimer wake) {
-                    wake(wake.after());
+                    wake(wake.delay());
                 }
             }
         }
--- a/src/test/java/wrenkeel/EmbeddingTest.java
+++ b/src/test/java/wrenkeel/EmbeddingTest.java
@@ -31,7 +31,7 @@
                     network.add(Map.entry(clock + 30_000,
                         new AttemptEnded(s.id(), attempt, s.endpoint(), Outcome.OK, true, 0, 30_000, -1, -1)));
                 } else if (action instanceof SetTimer w) {
-                    timers.add(clock + w.after());
+                    timers.add(clock + w.delay());
                 }
             }
         }
--- a/src/test/java/wrenkeel/net/KnowledgeTest.java
+++ b/src/test/java/wrenkeel/net/KnowledgeTest.java
@@ -31,7 +31,7 @@
                 events.add(new Relay.DestinationIntroduced(hosts.tell(d).endpoints()));
             }
             long waiting = hosts.named("s-1999").number;
-            events.add(Relay.EndpointSnapshot.waiting(waiting, 90 * SECOND));
+            events.add(Relay.EndpointSnapshot.ofWait(waiting, 90 * SECOND));
             control.turn(SECOND, events);
             List<Relay.EndpointSnapshot> all = control.endpointSnapshots();
             assertEquals(HOSTS, all.size());
