--- a/src/main/java/wrenkeel/Relay.java
+++ b/src/main/java/wrenkeel/Relay.java
@@ -3,228 +3,354 @@
 import java.util.List;
 
 /**
- * The interface of {@link Control}: its settings, the events it is told and the actions it asks for.
- * Times are points of one monotonic clock and spans of it, in whole microseconds. Ids are the caller's own.
- * This file decides nothing.
+ * The interface of the decision module ({@link Control}): its settings, the events that it receives and the
+ * actions that it returns.
+ *
+ * <p>All times are points of one monotonic clock, and all spans are spans of it, in whole microseconds unless
+ * stated otherwise. Ids of messages, endpoints and destinations are the caller's. This file holds data only.
  */
 public final class Relay {
     private Relay() { }
 
-    /** What a second run of the same message would do. */
+    /** What a second execution of the same message would do. */
     public enum Effect {
-        /** May be repeated at will. */ SAFE,
-        /** A repeat is dropped by the receivers of one group for a while. */ KEYED,
-        /** A second run would take effect twice. */ UNSAFE
+        /** It is harmless: the message may be repeated at will. */ SAFE,
+        /** The endpoints that share a deduplication record drop it within the class's window. */ KEYED,
+        /** It would take effect a second time. */ UNSAFE
     }
 
     /** How one attempt ended. */
-    public enum Outcome { OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, NOT_SENT,
-        /** The relay could not write the attempt down. */ NOT_JOURNALED,
-        /** The relay's machine had no socket for it. */ NO_SOCKET;
+    public enum Outcome {
+        /** The message was delivered. */ OK,
+        /** The endpoint answered with an error. */ ERROR,
+        /** The endpoint refused the message because it is at its limit. */ FULL,
+        /** No answer came within the attempt's timeout. */ TIMEOUT,
+        /** The connection could not be established. */ CONNECT_FAILED,
+        /** The connection ended before an answer came. */ RESET,
+        /** The attempt was cancelled, and what the endpoint did with it is unknown. */ CANCELLED,
+        /** The caller did not send the attempt. */ NOT_SENT,
+        /** The attempt could not be written to the journal, so it was not made. */ NOT_JOURNALED,
+        /** The relay's own machine had no socket for it. */ NO_SOCKET;
 
         /** True when this outcome proves that the attempt had no effect. */
         public boolean provesNotExecuted() {
             return this == FULL || this == CONNECT_FAILED || this == NOT_SENT || isLocalFailure();
         }
 
-        /** True when the relay's own machine failed: no attempt was made, no endpoint is to blame. */
+        /** True when the relay's own machine failed: no attempt was made, and no endpoint is at fault. */
         public boolean isLocalFailure() { return this == NOT_JOURNALED || this == NO_SOCKET; }
     }
 
-    /** Standing of an endpoint in the list; it says nothing of its health. */
-    public enum Listing { READY, DRAINING, GONE }
+    /** State of an endpoint in discovery's list. It is independent of the endpoint's health. */
+    public enum Listing {
+        /** Accepts calls. */ READY,
+        /** Is still listed but must get no new calls. */ DRAINING,
+        /** Is no longer listed. */ GONE
+    }
 
-    /** How a list of endpoints relates to the one held: changes only, or all there is. */
+    /** Whether a list of endpoints holds only changes to the previous one, or is complete. */
     public enum ListKind { CHANGES, WHOLE }
 
-    /** One address of a destination; the weight is the listed rate in calls a second, or 1. */
+    /**
+     * One address of a destination.
+     *
+     * @param kind index into {@link Settings#kinds}
+     * @param weight the listed rate in calls per second from all relays, or 1 if none is listed
+     */
     public record Endpoint(long id, int zone, int kind, long destination, Listing listing, double weight) { }
 
     /**
-     * A class of message. {@code dedupPerZone}: repeats are dropped only by endpoints of one zone;
-     * {@code maxAttempts}: attempts that its messages have.
+     * A class of messages.
+     *
+     * @param aim target time, counted from acceptance; a message delivered within it earns its full worth
+     * @param lifetime time from acceptance to the end of the message's life
+     * @param worth worth of a message that is delivered within its target time
+     * @param lateWorth share of the worth, 0 to 1, that a late delivery still earns at least
+     * @param dedupPerZone for {@link Effect#KEYED}: repeats are dropped only by endpoints of the same zone
+     * @param dedupWindow for {@link Effect#KEYED}: time after an attempt during which a repeat is dropped
+     * @param inOrder messages with the same ordering key are sent one after the other
+     * @param maxAttempts attempts that one message may have
      */
     public record MessageClass(String name, long aim, long lifetime, double worth, double lateWorth,
                                Effect effect, boolean dedupPerZone, long dedupWindow, boolean inOrder,
                                int maxAttempts) { }
 
-    /** A tenant and its rate of messages, over all relays, that counts in full. */
+    /**
+     * A tenant.
+     *
+     * @param quotaPerSecond rate of messages, over all relays, that earn their full worth
+     */
     public record Tenant(String name, double quotaPerSecond) { }
 
-    /** A kind of destination: whether its endpoints are routes apart; messages in one call at most. */
+    /**
+     * A kind of destination.
+     *
+     * @param independentEndpoints each endpoint has a rate limit and a Retry-After of its own; otherwise the
+     *     endpoints of a destination share them
+     * @param maxMessagesPerCall messages that one call may carry
+     */
     public record Kind(boolean independentEndpoints, int maxMessagesPerCall) { }
 
-    /** Listed weights: none, exact, or up to half too high or too low. */
-    public enum Weights { NONE, NOMINAL, ROUGH }
+    /** How far the listed weights can be trusted as rates. */
+    public enum Weights {
+        /** No rates are listed. */ NONE,
+        /** The listed rates are exact. */ NOMINAL,
+        /** The listed rates are up to half too high or too low. */ ROUGH
+    }
 
-    /** What the site lets a relay do. */
+    /**
+     * What the site permits one relay to do.
+     *
+     * @param callSlots calls that may be in flight at once
+     * @param maxOpenMessages accepted messages without a final answer that the relay may hold
+     * @param copiesAllowed whether a second attempt may be sent in parallel (hedged requests)
+     * @param cancelAllowed whether attempts in flight may be cancelled
+     * @param maxStreams calls in flight that one connection can carry
+     * @param keepAlive time for which an idle connection may be kept
+     * @param maxRetryAfter the longest retry-after to be given with a refusal; 0 to give none
+     */
     public record Limits(int callSlots, int maxOpenMessages, boolean copiesAllowed, boolean cancelAllowed,
-                          int maxStreams, long connectTimeout, long keepAlive,
-                          long maxRetryAfter) { }
+                         int maxStreams, long connectTimeout, long keepAlive,
+                         long maxRetryAfter) { }
 
-    /** Figures of the rules. */
-    public record Rules(long drainGrace, double overloadFactor, long overloadWindow, double coldCapacity, long warmUpTime,
-                        long keyPause, long answerSlack) { }
+    /**
+     * Figures of the rules that every relay must keep.
+     *
+     * @param drainGrace time within which sending to an endpoint must stop once the list calls it draining
+     * @param overloadFactor a destination back from an outage fails again if, within one
+     *     {@code overloadWindow}, it gets more than this multiple of the calls that it can serve by then
+     * @param overloadWindow span over which those calls are counted
+     * @param coldCapacity share of its capacity that a destination has when it returns from an outage
+     * @param warmUpTime time that it takes from there to its full capacity
+     * @param keyPause time for which the messages of an ordering key pause after an attempt whose effect is
+     *     unknown
+     * @param answerSlack time after its deadline by which a message must have its final answer
+     */
+    public record Rules(long drainGrace, double overloadFactor, long overloadWindow, double coldCapacity,
+                        long warmUpTime, long keyPause, long answerSlack) { }
 
-    /** Points taken off: per refused call, new connection, crossing; a fee for each zone's routes. */
+    /**
+     * Deductions for calls, where 0.01 is one point. The module uses {@code crossZone} and {@code zoneFees}.
+     *
+     * @param refusal for a refused call
+     * @param handshake for a new connection
+     * @param crossZone for a call to another zone
+     * @param zoneFees for a call to an independent endpoint, by the endpoint's zone
+     */
     public record Costs(double refusal, double handshake, double crossZone, double waste,
-                         List<Double> zoneFees) { }
+                        List<Double> zoneFees) { }
 
-    /** All that a relay is told at its start. */
+    /**
+     * The settings of one relay.
+     *
+     * @param rank number of this relay among all relays
+     * @param relayCount number of all relays
+     * @param zone zone of this relay
+     * @param lateWorthHalves the worth of a late message halves with every further target time; otherwise it
+     *     falls linearly until the deadline
+     * @param overShareWorth factor for the worth of messages beyond their tenant's quota
+     */
     public record Settings(int rank, int relayCount, int zone, boolean lateWorthHalves, double overShareWorth,
                            Weights weights, List<MessageClass> classes, List<Tenant> tenants,
                            List<Kind> kinds, Limits limits, Rules rules, Costs costs) {
+        /** These settings with other message classes. */
         public Settings withClasses(List<MessageClass> others) {
-            return new Settings(rank, relayCount, zone, lateWorthHalves, overShareWorth, weights, others, tenants,
-                kinds, limits, rules, costs);
+            return new Settings(rank, relayCount, zone, lateWorthHalves, overShareWorth, weights, others,
+                tenants, kinds, limits, rules, costs);
         }
     }
 
-    /** Something that happened. */
+    /** Something that happened, as input to the module. */
     public sealed interface Event { }
 
-    /** An attempt made before a restart; {@code sentAt} may lie before this clock began. */
+    /**
+     * An attempt made before a restart.
+     *
+     * @param sentAt when it was sent, which may lie before this clock began
+     * @param mayHaveRun false when its outcome proved that it had no effect
+     */
     public record EarlierAttempt(long sentAt, int zone, boolean mayHaveRun) { }
 
     /**
-     * A message was taken on; exactly one final answer is owed before {@code deadline}. {@code answerReserve}: span
-     * between that and the end of the message's life, which the answer needs on its way. {@code recovered}: it
-     * was taken on before a restart, and {@code earlierAttempts} are its attempts so far; new ones are numbered on.
+     * A message was accepted. The module owes it exactly one final answer before {@code deadline}.
+     *
+     * @param messageClass index into {@link Settings#classes}
+     * @param tenant index into {@link Settings#tenants}; an index past the end is a tenant without a quota
+     * @param orderingKey null for none
+     * @param answerReserve time between {@code deadline} and the end of the message's life, which is kept for
+     *     delivering the answer
+     * @param recovered it was accepted by an earlier process
+     * @param earlierAttempts its attempts so far; new ones are numbered after them
      */
-    public record MessageAccepted(String id, int messageClass, int tenant, String orderingKey, long deadline, long answerReserve,
-                           long destination, boolean recovered, List<EarlierAttempt> earlierAttempts) implements Event {
-        public MessageAccepted(String id, int messageClass, int tenant, String key, long deadline,
-                        long destination, boolean takenUp, List<EarlierAttempt> earlier) {
-            this(id, messageClass, tenant, key, deadline, 0, destination, takenUp, earlier);
+    public record MessageAccepted(String id, int messageClass, int tenant, String orderingKey, long deadline,
+                                  long answerReserve, long destination, boolean recovered,
+                                  List<EarlierAttempt> earlierAttempts) implements Event {
+        /** A message without an answer reserve. */
+        public MessageAccepted(String id, int messageClass, int tenant, String orderingKey, long deadline,
+                               long destination, boolean recovered, List<EarlierAttempt> earlierAttempts) {
+            this(id, messageClass, tenant, orderingKey, deadline, 0, destination, recovered, earlierAttempts);
         }
 
-        public MessageAccepted(String id, int messageClass, int tenant, String key, long deadline,
-                        long destination) {
-            this(id, messageClass, tenant, key, deadline, 0, destination, false, List.of());
+        /** A new message without an answer reserve. */
+        public MessageAccepted(String id, int messageClass, int tenant, String orderingKey, long deadline,
+                               long destination) {
+            this(id, messageClass, tenant, orderingKey, deadline, 0, destination, false, List.of());
         }
     }
 
-    /** An attempt ended. {@code retryAfter}: told wait or 0. {@code remainingShare}, {@code limitPerSecond}: -1 if untold. */
-    public record AttemptEnded(String id, int attempt, long endpoint, Outcome outcome, boolean messageOver, long retryAfter,
-                        long latency, double remainingShare, double limitPerSecond) implements Event { }
+    /**
+     * An attempt ended.
+     *
+     * @param attempt index of the attempt among those of the message
+     * @param messageOver the message needs no further attempt and no final answer from the module
+     * @param retryAfter time for which the endpoint told the relay to wait; 0 for none
+     * @param remainingShare share of its rate limit, 0 to 1, that the endpoint reports as left; -1 if it
+     *     reports none
+     * @param limitPerSecond the rate limit in calls per second that the endpoint reports; -1 if none
+     */
+    public record AttemptEnded(String id, int attempt, long endpoint, Outcome outcome, boolean messageOver,
+                               long retryAfter, long latency, double remainingShare,
+                               double limitPerSecond) implements Event { }
 
     /**
-     * Discovery answered. {@code endpoints}: what changed, or all there is, of the destinations that the
-     * module has been told of and has not released.
+     * Discovery answered.
+     *
+     * @param endpoints the changed endpoints, or all endpoints, of the destinations that were introduced to
+     *     the module and not released since
      */
     public record ListUpdated(ListKind kind, List<Endpoint> endpoints) implements Event { }
 
     /**
-     * All endpoints of a destination that the module does not know yet, or has released; told before anything
-     * else of that destination. No answer of discovery: it says nothing of how old the list is.
+     * All endpoints of a destination that the module does not know yet or has released. It must precede every
+     * other event about that destination. It is no response of discovery: it does not show that the list is
+     * up to date.
      */
     public record DestinationIntroduced(List<Endpoint> endpoints) implements Event { }
 
-    /** The module is to release destinations that nothing rests on; without this it knows all for ever. */
+    /**
+     * The module is to release destinations that are no longer in use. Without this event it keeps every
+     * destination for ever.
+     */
     public record ReleaseRequested() implements Event { }
 
-    /** The list held is of before the process began, and a newer one has been asked for. */
+    /** The present list is from before the process began, and a newer one has been requested. */
     public record ListRequested() implements Event { }
 
-    /** The message was withdrawn; nothing is owed any more. */
+    /** The message was withdrawn; no answer is owed any more. */
     public record MessageWithdrawn(String id) implements Event { }
 
     /**
-     * Other settings are in force. Their list of classes begins with the one held: messages taken under a
-     * class that is gone, or was changed, keep it.
+     * New settings take effect. Their list of classes must begin with the present list: messages that were
+     * accepted under a class that was removed or changed keep that class.
      */
     public record SettingsChanged(Settings settings) implements Event { }
 
-    /** Another process takes over: whatever is not out is passed on, and nothing more is sent from here. */
+    /** Another process takes over: messages without an open attempt are handed over, nothing more is sent. */
     public record HandoverStarted() implements Event { }
 
-    /** Health of an endpoint, as one relay sees it. */
+    /** Health of an endpoint as this relay sees it. */
     public enum Health {
         /** Answers. */ GOOD,
-        /** Fails or refuses: it gets single trials only. */ OUT,
-        /** Answers again, and gets calls by its slow start. */ RETURNING
+        /** Ejected because it fails or refuses: gets single probes only. */ OUT,
+        /** Answers again; its slow start limits the calls to it. */ RETURNING
     }
 
     /** Why the health of an endpoint changed. */
     public enum HealthReason {
         /** One call failed. */ SUSPECTED,
-        /** Calls failed in a row, or most of late. */ FAILURES,
-        /** A trial failed. */ TRIAL_FAILED,
-        /** It refused again and again, or told a long wait. */ REFUSALS,
-        /** Another endpoint of its destination is out, and it was not heard from. */ SIBLING_OUT,
-        /** It is new to a destination none of whose endpoints answers. */ NEW_AMONG_OUT,
-        /** The process before this one knew of it. */ RESTORED,
-        /** A trial was answered. */ TRIAL_ANSWERED,
-        /** A trial was answered, and it had answered just before the failure. */ SUSPICION_CLEARED,
-        /** A call failed in slow start, which begins anew. */ FAILED_IN_SLOW_START,
-        /** Its slow start is over. */ WARM
+        /** Several calls failed in a row, or most of the recent ones. */ FAILURES,
+        /** A probe failed. */ TRIAL_FAILED,
+        /** It refused repeatedly, or told the relay to wait for long. */ REFUSALS,
+        /** Another endpoint of its destination is out, and it has not answered since. */ SIBLING_OUT,
+        /** It is new to a destination of which no endpoint answers. */ NEW_AMONG_OUT,
+        /** The previous process handed it over as out or returning. */ RESTORED,
+        /** A probe was answered. */ TRIAL_ANSWERED,
+        /** A probe was answered, and the endpoint had answered just before the failure. */ SUSPICION_CLEARED,
+        /** A call failed during slow start, which begins again. */ FAILED_IN_SLOW_START,
+        /** Its slow start is complete. */ WARM
     }
 
     /**
-     * What the process before knew of an endpoint. Points in time may lie before this clock began.
+     * What the previous process knew about an endpoint. Times may lie before this clock began. A rate, window
+     * or latency of 0 is unknown.
      *
+     * @param waitUntil end of the wait that the endpoint asked for
+     * @param unavailableUntil end of all waits and backoffs
      * @param since when its outage began or, if it is returning, ended
-     * @param carriedPerSecond calls a second that this relay carried to it before the outage
+     * @param carriedPerSecond calls per second that this relay delivered to it before the outage
+     * @param sendRate calls per second that this relay may send to it
+     * @param congestionWindow calls that this relay may have open to the destination
+     * @param latency its recent response time
      */
-    public record EndpointSnapshot(long endpoint, long waitUntil, long unavailableUntil, Health health, long since,
-                        double carriedPerSecond, double sendRate, double congestionWindow, double latency) implements Event {
-        /** Only its health. */
-        public static EndpointSnapshot health(long endpoint, Health health, long since, double carried) {
-            return new EndpointSnapshot(endpoint, 0, 0, health, since, carried, 0, 0, 0);
+    public record EndpointSnapshot(long endpoint, long waitUntil, long unavailableUntil, Health health,
+                                   long since, double carriedPerSecond, double sendRate,
+                                   double congestionWindow, double latency) implements Event {
+        /** A snapshot of nothing but the endpoint's health. */
+        public static EndpointSnapshot health(long endpoint, Health health, long since,
+                                              double carriedPerSecond) {
+            return new EndpointSnapshot(endpoint, 0, 0, health, since, carriedPerSecond, 0, 0, 0);
         }
 
-        /** Only that it told this relay to wait. */
+        /** A snapshot of nothing but a wait that the endpoint asked for. */
         public static EndpointSnapshot ofWait(long endpoint, long until) {
             return new EndpointSnapshot(endpoint, until, 0, Health.GOOD, 0, 0, 0, 0, 0);
         }
     }
 
-    /** The process before this one still has so many calls out to a destination. */
+    /** The number of calls to a destination that the previous process still has in flight. */
     public record ExternalCalls(long destination, int calls) implements Event { }
 
-    /** Whether attempts can be written down; while they cannot, none may be made. */
+    /** Whether attempts can be written to the journal; while they cannot, none may be made. */
     public record StorageChanged(boolean writable) implements Event { }
 
-    /** A timer asked for with {@link SetTimer} is due. */
+    /** A timer that was requested with {@link SetTimer} is due. */
     public record TimerDue() implements Event { }
 
-    /** Something to do. */
+    /** Something that the caller is to do. */
     public sealed interface Action { }
 
-    /** Send the message; sends to one endpoint in one turn share a call up to the kind's bundle. */
+    /**
+     * Send the message. Messages sent to one endpoint in the same turn share a call, up to the limit of the
+     * endpoint's kind.
+     */
     public record Send(String id, long endpoint, long timeout) implements Action { }
 
-    /** Final answer: handed back, a retry is harmless. {@code retryAfter}: advice, 0 for none. */
+    /**
+     * Final answer: the message is handed back, and its sender may safely hand it in again.
+     *
+     * @param retryAfter when it should do so at the earliest; 0 for no advice
+     */
     public record Refuse(String id, long retryAfter) implements Action { }
 
-    /** Final answer: given up, nothing is promised. */
+    /** Final answer: the message failed, and it may or may not have been executed. */
     public record Fail(String id) implements Action { }
 
-    /** The message is the next process's from here on. */
+    /** The next process is responsible for the message from here on. */
     public record HandOver(String id) implements Action { }
 
     /** Stop waiting for an attempt. */
     public record CancelAttempt(String id, int attempt) implements Action { }
 
-    /** Close the idle connections held to an endpoint. */
+    /** Close the idle connections to an endpoint. */
     public record CloseIdleConnections(long endpoint) implements Action { }
 
-    /** Nothing is known any more of an endpoint that went off the list. */
+    /** The module has removed all it knew about an endpoint that is no longer listed. */
     public record EndpointForgotten(long endpoint) implements Action { }
 
-    /** Nothing is known any more of a destination: it must be introduced before its next message. */
+    /** The module has released a destination, which must be introduced again before its next message. */
     public record DestinationReleased(long destination) implements Action { }
 
-    /** Ask for a {@link TimerDue} event after this span. */
+    /** Send a {@link TimerDue} event after this delay. */
     public record SetTimer(long delay) implements Action { }
 
     /**
-     * The health of an endpoint has changed. The next process must be told of it ({@link EndpointSnapshot}) if this one
-     * is killed: the rule on cold destinations binds a relay by what any of its processes was told.
+     * The health of an endpoint has changed. The caller stores it so that the next process receives it as an
+     * {@link EndpointSnapshot} even if this one is killed: the limit on calls to a cold destination binds a
+     * relay by what any of its processes has observed.
      *
      * @param since when its outage began or, if it is returning, ended
-     * @param carriedPerSecond calls a second that this relay carried to it before the outage
-     * @param sentInWindow calls that count in the window of the slow start
+     * @param carriedPerSecond calls per second that this relay delivered to it before the outage
+     * @param sentInWindow calls that count against the slow start's budget in the present window
      * @param allowedInWindow calls that the slow start allows in a window, from now on
      */
     public record HealthChanged(long endpoint, Health health, long since, double carriedPerSecond,
--- a/src/main/java/wrenkeel/SlowStart.java
+++ b/src/main/java/wrenkeel/SlowStart.java
@@ -6,35 +6,46 @@
 import wrenkeel.State.TimestampLog;
 
 /**
- * The slow start of one lane: how many calls this relay may send while its destination is out, has come back
- * cold, or may have done so unseen. A cold destination bears so many calls in a window from all relays
- * together; each relay keeps to its part by what it carried before the outage. What the destination answers
- * meanwhile does not raise that part: answers that come in a burst tell nothing of the rate that it bears.
+ * The slow start of one {@link State.LimitScope}. It limits the calls that this relay may send while the
+ * destination is out, has returned cold (with part of its capacity), or may have returned without the relay
+ * knowing.
+ *
+ * <p>A cold destination can serve only so many calls per window from all relays together. Relays do not talk
+ * to each other, so each keeps to a share of that budget which follows from the rate that it delivered before
+ * the outage. Answers during slow start do not raise the share: answers that arrive in a burst say nothing
+ * about the rate that the destination can sustain.
+ *
+ * <p>Times and spans are in microseconds.
  */
 final class SlowStart {
-    /** Part of the budget used; the rest is for chance and for calls already under way. */
+    /** Share of the budget that is used. The rest covers random variation and calls already in flight. */
     private static final double USABLE_BUDGET_SHARE = 0.95;
-    /** A rough weight may be this much over the truth. */
+    /** A rough listed rate may be too high by this factor. */
     private static final double ROUGH_WEIGHT_EXCESS = 1.5;
-    /** us; calls may arrive closer together than they were decided, by as much as a relay is held up. */
+    /**
+     * Calls may reach the destination closer together than they were decided, by as much as a relay can be
+     * delayed in sending. The window is longer by this.
+     */
     private static final long MAX_SEND_DELAY_MICROS = 150_000;
-    /** Calls of all relays in a window below which the rule has more slack. */
+    /** Below this number of calls per window from all relays, the rule allows more slack. */
     private static final double FEW_CALLS_PER_WINDOW = 30;
-    /** Calls a window; never none, lest the next one be due at no time. */
+    /** The budget is never 0, as the time of the next call could not be computed then. */
     private static final double MIN_CALLS_PER_WINDOW = 1e-6;
 
-    /** Calls a second that the lane carried before the outage. */
+    /** Calls per second that this relay delivered in the scope before the outage. */
     private final double rateBeforeOutage;
-    /** Calls since the outage began, those left out that met the outage. */
+    /** When calls were sent since the outage began, without those known to have hit the outage. */
     private final TimestampLog countedCalls = new TimestampLog();
-    /** When the latest call went out, and the random spread of the next one. */
+    /** When the spacing of the next call begins: when the latest call was sent, or later. */
     private long spacedFrom;
+    /** Random factor for the time from {@code spacedFrom} to the next spaced call; 1 on average. */
     private double spacingFactor;
+    /** The outage is confirmed, not only suspected from a single failure. */
     private boolean outageConfirmed;
 
     /**
-     * @param carriedBefore calls a second; 0 where nothing is known of that
-     * @param spacing random spread of the first call, 1 in the mean
+     * @param rateBeforeOutage calls per second that this relay delivered; 0 if unknown
+     * @param spacingFactor random factor for the time to the first spaced call, 1 on average
      */
     SlowStart(double rateBeforeOutage, long now, double spacingFactor) {
         this.rateBeforeOutage = rateBeforeOutage;
@@ -42,11 +53,12 @@
         spacedFrom = now;
     }
 
+    /** Calls per second that this relay delivered before the outage; 0 if unknown. */
     double rateBeforeOutage() {
         return rateBeforeOutage;
     }
 
-    /** The outage is beyond suspicion. */
+    /** Records that the outage is confirmed, not only suspected. */
     void confirmOutage() {
         outageConfirmed = true;
     }
@@ -55,24 +67,31 @@
         return outageConfirmed;
     }
 
-    /** A call goes out; {@code nextSpacing}: random spread of the one after it, 1 in the mean. */
+    /**
+     * Counts a call that is sent now.
+     *
+     * @param nextSpacingFactor random factor for the time to the next spaced call, 1 on average
+     */
     void recordCall(long now, double nextSpacingFactor) {
         countedCalls.add(now);
         spacedFrom = now;
         spacingFactor = nextSpacingFactor;
     }
 
-    /** The next spaced call waits as if one had gone out now. */
+    /** Makes the next spaced call wait as if a call had been sent now. */
     void restartSpacing(long now) {
         spacedFrom = now;
     }
 
-    /** A call sent at that time failed: what went out up to then met the outage and does not count. */
+    /**
+     * Records that a call sent at the given time failed: calls sent up to then hit the outage, so they took
+     * nothing of the returned destination's capacity and do not count.
+     */
     void discardCallsUpTo(long sentAt) {
         countedCalls.removeUpTo(sentAt);
     }
 
-    /** Calls sent within the window that ends now. */
+    /** Counted calls within the window that ends now. */
     int sentInWindow(long now, Rules rules) {
         countedCalls.removeUpTo(now - windowMicros(rules));
         return countedCalls.size();
@@ -82,51 +101,67 @@
         return rules.overloadWindow() + MAX_SEND_DELAY_MICROS;
     }
 
-    /** How warm a destination is that has been back for so long, 0 to 1, in the middle of a window. */
+    /**
+     * Share of its capacity, 0 to 1, that a destination has the given time after its return. The budget holds
+     * for a whole window, so this is the share in the middle of it.
+     */
     static double capacityShare(Rules rules, long timeSinceReturn) {
         double age = Math.max(0, timeSinceReturn - rules.overloadWindow() / 2);
-        return rules.coldCapacity() + (1 - rules.coldCapacity()) * Math.min(1, age / Math.max(1, rules.warmUpTime()));
+        return rules.coldCapacity()
+            + (1 - rules.coldCapacity()) * Math.min(1, age / Math.max(1, rules.warmUpTime()));
     }
 
     /**
-     * This relay's part of the calls that the lane bears in a window.
+     * This relay's share of the calls that the destination can serve in a window.
      *
-     * @param warmth share of its capacity that the destination has now
-     * @param leastPart calls a second that this relay may take for its part though it carried less before
-     * @param listedRate calls a second by the list, from all relays; of no use where weights are not listed
-     * @param share part of the destination's routes that are cold
+     * @param capacityShare share of its capacity that the destination has now
+     * @param minRate calls per second that this relay may assume as its rate even if it delivered less before
+     * @param listedRate listed calls per second from all relays; ignored where no weights are listed
+     * @param unhealthyShare share of the destination's endpoints that are out or in slow start
      */
-    double callBudget(Settings settings, double capacityShare, double minRate, double listedRate, double unhealthyShare) {
+    double callBudget(Settings settings, double capacityShare, double minRate, double listedRate,
+                      double unhealthyShare) {
         double relayRate = Math.max(rateBeforeOutage, minRate);
         if (settings.weights() != Weights.NONE) {
-            double evenShare = listedRate / (settings.weights() == Weights.ROUGH ? ROUGH_WEIGHT_EXCESS : 1) / settings.relayCount();
+            double evenShare = listedRate / (settings.weights() == Weights.ROUGH ? ROUGH_WEIGHT_EXCESS : 1)
+                / settings.relayCount();
             relayRate = (relayRate + evenShare) / 2;
         }
         Rules rules = settings.rules();
-        double sustainableCalls = rules.overloadFactor() * capacityShare * relayRate * unhealthyShare * rules.overloadWindow() / 1e6;
+        double sustainableCalls = rules.overloadFactor() * capacityShare * relayRate * unhealthyShare
+            * rules.overloadWindow() / 1e6;
         return Math.max(MIN_CALLS_PER_WINDOW, USABLE_BUDGET_SHARE * sustainableCalls);
     }
 
     /**
-     * The earliest time for another call. Where no rate is listed, the rule's slack is shared: over n relays,
-     * root(part / n) sums to at most the root of all parts, however uneven. A relay with less than one call
-     * in a window, or with a listed rate, spaces its calls at random.
+     * The earliest time for another call.
+     *
+     * <p>Where no rate is listed, the relays share the slack that the rule allows: over n relays, the sum of
+     * sqrt(budget / n) is at most the square root of all budgets together, however unevenly they are
+     * distributed. A relay with a budget of less than one call per window, or with a listed rate, spaces its
+     * calls randomly.
+     *
+     * @param callBudget the result of {@link #callBudget}
      */
     long nextCallAt(Settings settings, double callBudget, long now) {
         double slack = slack(settings, callBudget);
         int unspaced = unspacedCalls(settings, callBudget);
         if (unspaced < 1) {
-            return spacedFrom + (long) (spacingFactor * windowMicros(settings.rules()) / (callBudget + slack));
+            return spacedFrom
+                + (long) (spacingFactor * windowMicros(settings.rules()) / (callBudget + slack));
         }
         return countedCalls.earliestWithFewerThan(unspaced, now, windowMicros(settings.rules()));
     }
 
-    /** Calls that may go out in any window, as close together as they come; 0 where they are spaced. */
+    /** Calls that may be sent in any window without spacing; 0 where calls are spaced. */
     private static int unspacedCalls(Settings settings, double callBudget) {
         return settings.weights() != Weights.NONE ? 0 : (int) (callBudget + slack(settings, callBudget));
     }
 
-    /** Over all relays, two roots of N calls and as many calls beside as the rule has for that N. */
+    /**
+     * Calls per window that are allowed beyond the budget. With N calls per window from all relays, the rule
+     * allows 2 * sqrt(N) more and a constant that depends on N; this is one relay's share.
+     */
     private static double slack(Settings settings, double callBudget) {
         if (settings.weights() != Weights.NONE) {
             return 0;
@@ -136,8 +171,8 @@
     }
 
     /**
-     * The process before this one may have used up all of its part just before it ended: it counts as sent,
-     * spread over the window.
+     * Counts the whole budget as sent, spread over the window: the previous process may have used it up just
+     * before it ended.
      */
     void assumeBudgetSpent(Settings settings, double callBudget, long now) {
         int unspaced = unspacedCalls(settings, callBudget);
--- a/src/main/java/wrenkeel/State.java
+++ b/src/main/java/wrenkeel/State.java
@@ -9,35 +9,66 @@
 import java.util.PriorityQueue;
 import java.util.TreeMap;
 
-/** What {@link Control} remembers: plain records of fact and containers. Nothing here decides. */
+/**
+ * The data that {@link Control} keeps between turns: plain records and containers without decisions. Times
+ * and spans are in microseconds of the module's clock. Nothing here is safe for use by several threads.
+ */
 final class State {
     private State() { }
 
-    /** What an entry of the agenda is for. */
-    enum TimerKind { DEADLINE, COPY, RECHECK, ORDERING_KEY, FORGET_ENDPOINT }
+    /** What is to happen when a timer is due. */
+    enum TimerKind {
+        /** A message without a final answer reaches its deadline. */ DEADLINE,
+        /** An attempt has reached the copy delay without an answer. */ COPY,
+        /** The waiting messages of a destination are considered again. */ RECHECK,
+        /** The pause of an ordering key ends. */ ORDERING_KEY,
+        /** What is known about an endpoint that is no longer listed is removed. */ FORGET_ENDPOINT
+    }
 
-    /** Something due at a time; entries of one time keep their order. */
-    record TimerEntry(long dueAt, long sequence, TimerKind kind, Object subject) implements Comparable<TimerEntry> {
+    /**
+     * A timer. Timers that are due at the same time run in the order of their sequence numbers.
+     *
+     * @param subject what the timer is for, of the type that its kind implies
+     */
+    record TimerEntry(long dueAt, long sequence, TimerKind kind, Object subject)
+        implements Comparable<TimerEntry> {
         @Override
         public int compareTo(TimerEntry other) {
-            return dueAt != other.dueAt ? Long.compare(dueAt, other.dueAt) : Long.compare(sequence, other.sequence);
+            return dueAt != other.dueAt ? Long.compare(dueAt, other.dueAt)
+                : Long.compare(sequence, other.sequence);
         }
     }
 
-    /** One message: waiting in a band, parked behind its key, in flight, or ended. */
+    /** One message: waiting in a queue, held back behind others of its ordering key, in flight, or ended. */
     static final class Message {
         String id;
         Relay.MessageClass messageClass;
         Destination destination;
+        /** Null for a message without an ordering key. */
         OrderingKey orderingKey;
-        long deadline, aim;
-        int queueIndex, copiesSent, openAttempts;
-        /** {@code recoveredUntried}: taken up after a restart and not tried since it was taken on. */
-        boolean queued, ended, lateWorthHalves, recoveredUntried;
+        /** When its final answer is due. */
+        long deadline;
+        /** End of its target time: a delivery after this earns less. */
+        long aim;
+        /** Index into {@link Destination#queues}. */
+        int queueIndex;
+        /** Copies sent: attempts in parallel to an earlier one. */
+        int copiesSent;
+        /** Attempts in flight. */
+        int openAttempts;
+        /** It waits to be sent. */
+        boolean queued;
+        /** It needs no further attempt: it was delivered, answered, withdrawn or handed over. */
+        boolean ended;
+        /** The worth halves with every target time that it is late, instead of falling linearly. */
+        boolean lateWorthHalves;
+        /** It was recovered after a restart and has never been sent. */
+        boolean recoveredUntried;
+        /** Worth of a delivery within the target time. */
         double fullWorth;
         final List<Attempt> attempts = new ArrayList<>(2);
 
-        /** True when some attempt is out or may have taken effect. */
+        /** True when some attempt is in flight or may have taken effect. */
         boolean mayHaveRun() {
             for (Attempt attempt : attempts) {
                 if (attempt.mayHaveRun) {
@@ -47,7 +78,7 @@
             return false;
         }
 
-        /** Worth of delivering at a time, as the settings of its class and the tenant's share have it. */
+        /** Worth of a delivery at the given time, by the message's class and its tenant's quota. */
         double worthAt(long when) {
             if (when <= aim) {
                 return fullWorth;
@@ -56,13 +87,14 @@
                 return 0;
             }
             if (lateWorthHalves) {
-                return fullWorth * Math.max(messageClass.lateWorth(), Math.pow(0.5, (double) (when - aim) / messageClass.aim()));
+                return fullWorth * Math.max(messageClass.lateWorth(),
+                    Math.pow(0.5, (double) (when - aim) / messageClass.aim()));
             }
             double part = (double) (when - aim) / Math.max(1, deadline - aim);
             return fullWorth * (1 - part * (1 - messageClass.lateWorth()));
         }
 
-        /** Attempts that count against those it has. */
+        /** Attempts that count towards the maximum of the message's class. */
         int attemptCount() {
             int n = 0;
             for (Attempt attempt : attempts) {
@@ -71,6 +103,7 @@
             return n;
         }
 
+        /** Attempts to one endpoint, including those that failed locally. */
         int attemptCount(EndpointState endpoint) {
             int n = 0;
             for (Attempt attempt : attempts) {
@@ -80,36 +113,55 @@
         }
     }
 
-    /** One send of a message. {@code mayHaveRun} holds until its outcome proves otherwise. */
+    /** One attempt to deliver a message. */
     static final class Attempt {
         Message message;
         EndpointState endpoint;
+        /** Null for an attempt made before a restart. */
         Call call;
-        /** {@code connectionIdleTime}: how long its connection had been idle; -1 for a new one. */
-        long sentAt, connectionIdleTime = -1;
-        boolean ended, cancelled, isProbe, afterRefusal, overdue, mayHaveRun = true;
-        /** The relay's own machine failed: it was never made. */
+        long sentAt;
+        /** How long its connection had been idle; -1 for a new connection. */
+        long connectionIdleTime = -1;
+        boolean ended;
+        boolean cancelled;
+        /** It was sent while the endpoint was out. */
+        boolean isProbe;
+        /** It was sent after one or more refusals in a row. */
+        boolean afterRefusal;
+        /** It has been in flight for longer than the copy delay. */
+        boolean overdue;
+        /** True until its outcome proves that it had no effect. */
+        boolean mayHaveRun = true;
+        /** The relay's own machine failed, and the attempt was never made. */
         boolean failedLocally;
     }
 
-    /** What holds one slot: one message, or a bundle. */
+    /** One request to an endpoint. It occupies one slot and carries one or several messages. */
     static final class Call {
-        int openAttempts, messageCount;
-        /** The latest outcome that was learned from it. */
+        int openAttempts;
+        int messageCount;
+        /** The latest outcome of one of its messages that has been recorded; null before the first. */
         Relay.Outcome lastOutcome;
     }
 
-    /** Messages that share a key, in the order in which they were taken. */
+    /** The messages that share an ordering key, in order of acceptance. Only the first may be sent. */
     static final class OrderingKey {
         String name;
+        /** No message of the key is sent for the first time before this. */
         long pausedUntil;
         final ArrayDeque<Message> messages = new ArrayDeque<>();
     }
 
-    /** Waiting messages of one sort: inside their aim, and past it; ones no longer queued are skipped. */
+    /**
+     * Messages that wait for the same destination with the same class and rank. Messages that are no longer
+     * queued stay in it until they come to an end of it, where they are skipped.
+     */
     static final class MessageQueue {
-        final ArrayDeque<Message> onTime = new ArrayDeque<>(), late = new ArrayDeque<>();
+        /** Messages that could still be delivered within their target time when last looked at. */
+        final ArrayDeque<Message> onTime = new ArrayDeque<>();
+        final ArrayDeque<Message> late = new ArrayDeque<>();
 
+        /** The first message that is still queued, or null; removes those before it. */
         static Message firstQueued(ArrayDeque<Message> messages) {
             while (!messages.isEmpty() && !messages.peekFirst().queued) {
                 messages.pollFirst();
@@ -117,6 +169,7 @@
             return messages.peekFirst();
         }
 
+        /** The last message that is still queued, or null; removes those after it. */
         static Message lastQueued(ArrayDeque<Message> messages) {
             while (!messages.isEmpty() && !messages.peekLast().queued) {
                 messages.pollLast();
@@ -124,7 +177,7 @@
             return messages.peekLast();
         }
 
-        /** Takes out a message that stands at the head of the fresh or the tail of the late. */
+        /** Removes a message that is the first of those on time or the last of the late ones. */
         void remove(Message message) {
             if (onTime.peekFirst() == message) {
                 onTime.pollFirst();
@@ -134,16 +187,18 @@
         }
     }
 
-    /** A token bucket, full at its first use. */
+    /** A token bucket, which is full when first refilled. */
     static final class TokenBucket {
         double tokens = Double.MAX_VALUE;
         private long filledAt;
 
+        /** Adds the tokens of the time since the last call, up to the capacity. */
         void refill(double perSecond, double capacity, long now) {
             tokens = Math.min(capacity, tokens + perSecond * (now - filledAt) / 1e6);
             filledAt = now;
         }
 
+        /** Takes one token if there is one; returns whether there was. */
         boolean tryTake() {
             boolean enough = tokens >= 1;
             tokens -= enough ? 1 : 0;
@@ -151,19 +206,32 @@
         }
     }
 
-    /** What a limit and a wait belong to: a destination, or one route where routes are apart. */
+    /**
+     * What a rate limit and a Retry-After apply to: all endpoints of a destination together, or each endpoint
+     * where the kind of the destination makes them independent.
+     */
     static final class LimitScope {
         final TokenBucket bucket = new TokenBucket();
-        /** {@code limitRate}: the pace at which the limit was last met, at {@code limitMetAt}. */
-        double weight, sendRate, limitRate;
-        long retryAfterUntil, backoffUntil, limitMetAt;
-        /** Its calls, and those of them that delivered. */
-        final DecayingRate callRate = new DecayingRate(), deliveryRate = new DecayingRate();
-        /** Of its latest outage and the return from it; null before the first. */
+        /** Calls per second from all relays, as listed or as last reported by an endpoint. */
+        double weight;
+        /** Calls per second at which the bucket fills. */
+        double sendRate;
+        /** Send rate of this relay at which the limit was last met; 0 if it has not been met. */
+        double limitRate;
+        /** End of the wait that an endpoint asked for. */
+        long retryAfterUntil;
+        long backoffUntil;
+        /** When the limit was last met. */
+        long limitMetAt;
+        /** All calls. */
+        final DecayingRate callRate = new DecayingRate();
+        /** Calls that delivered. */
+        final DecayingRate deliveryRate = new DecayingRate();
+        /** Slow start of the latest outage and the return from it; null before the first outage. */
         SlowStart slowStart;
     }
 
-    /** Points in time, in order. */
+    /** Points in time, in ascending order. */
     static final class TimestampLog {
         private final ArrayDeque<Long> times = new ArrayDeque<>(2);
 
@@ -175,13 +243,14 @@
             return times.size();
         }
 
+        /** Removes the given time and all earlier ones. */
         void removeUpTo(long time) {
             while (!times.isEmpty() && times.peekFirst() <= time) {
                 times.pollFirst();
             }
         }
 
-        /** The earliest time, from now on, at which fewer than so many lie within the span up to it. */
+        /** The earliest time, from now on, with fewer than {@code limit} entries in the span before it. */
         long earliestWithFewerThan(int limit, long now, long span) {
             removeUpTo(now - span);
             int excess = times.size() - limit;
@@ -189,67 +258,97 @@
         }
     }
 
-    /** Counts what happens over an exponential span. */
+    /** Counts events with exponential decay. The span is the time after which an event counts 1/e. */
     static final class DecayingRate {
         private double count;
-        private long countedAt, firstEventAt = -1;
+        private long countedAt;
+        private long firstEventAt = -1;
 
+        /** Counts an event. */
         void record(long now, long span) {
             count = decayedCount(now, span) + 1;
             countedAt = now;
             firstEventAt = firstEventAt < 0 ? now : firstEventAt;
         }
 
-        /** How many of late: each counts the less, the longer ago it was. */
+        /** The number of events, where an event counts less the longer ago it was. */
         double decayedCount(long now, long span) {
             return count * Math.exp((double) (countedAt - now) / span);
         }
 
-        /** How long ago the first was counted; 0 before that. */
+        /** Time since the first event; 0 if there was none. */
         long age(long now) {
             return firstEventAt < 0 ? 0 : now - firstEventAt;
         }
 
-        /** How many a second of late; the span may be longer than it has counted. */
+        /** Recent events per second; correct also while the first event is less than the span ago. */
         double perSecond(long now, long span) {
             return perSecond(now, span, 1);
         }
 
-        /** The same, taken to have counted for some time at least: a first one or two make no rate. */
+        /** The same, as if counting had begun {@code minAge} ago or earlier: one or two events are no rate. */
         double perSecond(long now, long span, long minAge) {
             long age = Math.max(minAge, now - firstEventAt);
             return decayedCount(now, span) * 1e6 / (span * -Math.expm1(-(double) age / span));
         }
     }
 
-    /** One endpoint: its standing, health and connections. */
+    /** One endpoint: whether it is listed, its health, and its connections. */
     static final class EndpointState {
         long id;
-        int zone, kind;
+        int zone;
+        int kind;
         Destination destination;
         LimitScope limitScope;
-        /** {@code countedUnavailable}: counted among those that the list calls ready and that are out. */
-        /** {@code lastFailureTimedOut}: its latest failure was a time-out. */
-        boolean ready, outageConfirmed, countedUnavailable, lastFailureTimedOut;
+        /** The list calls it ready for calls. */
+        boolean ready;
+        /** The present or latest outage is confirmed, not only suspected from a single failure. */
+        boolean outageConfirmed;
+        /** It is included in the number of endpoints that are listed as ready and are out. */
+        boolean countedUnavailable;
+        /** Its latest failure was a timeout. */
+        boolean lastFailureTimedOut;
         Relay.Health health = Relay.Health.GOOD;
-        int inFlight, consecutiveFailures, openProbes, overdueAttempts;
+        /** Attempts in flight. */
+        int inFlight;
+        int consecutiveFailures;
+        /** Probes in flight. */
+        int openProbes;
+        /** Attempts in flight for longer than the copy delay. */
+        int overdueAttempts;
         /** Attempts in a row for which this machine had no socket. */
         int consecutiveSocketFailures;
-        double latency, failureShare;
-        /** {@code lastProbeAt}: when the latest call went out while it was out. */
-        long backoffUntil, lastSuccessAt, lastSuccessSentAt = -1, outSince, returnedAt, lastProbeAt;
+        /** Moving average of its response time; 0 before the first answer. */
+        double latency;
+        /** Moving average of the share of its calls that fail. */
+        double failureShare;
+        long backoffUntil;
+        /** When it last answered. */
+        long lastSuccessAt;
+        /** The latest time at which a call that it answered was sent; -1 before the first. */
+        long lastSuccessSentAt = -1;
+        /** When the present or latest outage began. */
+        long outSince;
+        /** When the latest outage ended, or slow start last began again. */
+        long returnedAt;
+        /** When the latest call was sent while it was out. */
+        long lastProbeAt;
+        /** For each idle connection, the time at which it became idle; oldest first. */
         final ArrayDeque<Long> idleSince = new ArrayDeque<>(2);
+        /** The latest call, which further messages of the same turn may join. */
         Call latestCall;
-        /** {@code removedAt}: -1 while it is not off the list. */
-        long latestCallTurn = -1, removedAt = -1;
+        /** Number of the turn in which the latest call was made. */
+        long latestCallTurn = -1;
+        /** When it was removed from the list; -1 while it is listed. */
+        long removedAt = -1;
 
-        /** When the told wait and the back-offs are over. */
+        /** End of the wait that was asked for and of all backoffs. */
         long unavailableUntil() {
             return Math.max(Math.max(backoffUntil, destination.backoffUntil),
                 Math.max(limitScope.retryAfterUntil, limitScope.backoffUntil));
         }
 
-        /** True when a connection idle since no earlier than that is left. */
+        /** True when a connection is left that became idle after the given time; forgets older ones. */
         boolean hasIdleConnection(long since) {
             while (!idleSince.isEmpty() && idleSince.peekFirst() <= since) {
                 idleSince.pollFirst();
@@ -259,28 +358,55 @@
     }
 
     /**
-     * One destination: its routes, waiting messages, window and answers. A fleet's relay meets most of them
-     * now and then with one message, so what holds many is made as it is first needed.
+     * One destination: its endpoints, waiting messages, congestion window and response times. In a large
+     * fleet a relay sends only an occasional single message to most destinations, so containers are allocated
+     * when first needed.
      */
     static final class Destination {
         final long id;
+        /** Its listed endpoints, by id. */
         final Map<Long, EndpointState> endpoints = new TreeMap<>();
-        /** Messages taken up untried, the one whose time is up first ahead; null before the first. */
+        /** Recovered messages that were never sent, earliest deadline first; null before the first. */
         private PriorityQueue<Message> recoveredMessages;
-        /** Null where no message of that sort has waited yet. */
+        /**
+         * Three queues for each class: messages within their tenant's quota, messages beyond it, and messages
+         * with {@link Relay.Effect#KEYED} that may have run. An element is null until a message waits in it.
+         */
         MessageQueue[] queues;
         final LatencySamples latencies;
+        /** The limit scope of all its endpoints; null where endpoints are independent. */
         LimitScope sharedScope;
-        /** Messages that come in for it. */
+        /** Messages that are accepted for it. */
         private final DecayingRate acceptedRate = new DecayingRate();
-        /** Messages a second that come in for it, when the last one came. */
+        /** Messages per second that are accepted for it, as of the latest one. */
         double acceptedPerSecond;
-        double congestionWindow = 1, copyTokens = 1, recentLatency, baselineLatency;
-        /** {@code externalCalls}: calls that the process before this one still has out. */
-        int kind = -1, openCalls, externalCalls, waitingMessages, overdueAttempts, consecutiveRefusals;
-        /** Messages that are not settled, and routes that are off the list and not forgotten. */
-        int unsettledMessages, removedEndpoints;
-        long recheckAt, lastRefusalAt, backoffUntil, lastUsedAt;
+        /** Calls that may be in flight to it, apart from the limit on its share of the slots. */
+        double congestionWindow = 1;
+        /** Budget for copies: each copy takes 1, each other send adds a part. */
+        double copyTokens = 1;
+        /** Moving average of its response time that follows the latest answers; 0 before the first. */
+        double recentLatency;
+        /** Moving average of its usual response time, which follows slowly; 0 before the first. */
+        double baselineLatency;
+        int kind = -1;
+        /** Calls in flight from this process. */
+        int openCalls;
+        /** Calls that the previous process still has in flight. */
+        int externalCalls;
+        int waitingMessages;
+        /** Attempts in flight for longer than the copy delay. */
+        int overdueAttempts;
+        /** Refusals since the latest success; those of calls sent before the previous refusal count once. */
+        int consecutiveRefusals;
+        /** Messages that have not ended or have attempts in flight. */
+        int unsettledMessages;
+        /** Endpoints that are no longer listed and not yet forgotten. */
+        int removedEndpoints;
+        /** When its waiting messages are next considered, if nothing else happens before. */
+        long recheckAt;
+        long lastRefusalAt;
+        long backoffUntil;
+        long lastUsedAt;
 
         Destination(long id, int queueCount, int sampleCapacity) {
             this.id = id;
@@ -288,6 +414,7 @@
             this.latencies = new LatencySamples(sampleCapacity);
         }
 
+        /** Queues a recovered message that was never sent. */
         void addRecovered(Message message) {
             if (recoveredMessages == null) {
                 recoveredMessages = new PriorityQueue<>(Comparator.comparingLong(other -> other.deadline));
@@ -295,58 +422,64 @@
             recoveredMessages.add(message);
         }
 
-        /** The first of those taken up untried that still waits; null when there is none. */
+        /** The recovered message with the earliest deadline that still waits unsent; null if none. */
         Message firstRecovered() {
             if (recoveredMessages == null) {
                 return null;
             }
-            while (!recoveredMessages.isEmpty() && !(recoveredMessages.peek().queued && recoveredMessages.peek().recoveredUntried)) {
+            while (!recoveredMessages.isEmpty()
+                    && !(recoveredMessages.peek().queued && recoveredMessages.peek().recoveredUntried)) {
                 recoveredMessages.poll();
             }
             return recoveredMessages.peek();
         }
 
-        /** True when a route answers and is not in slow start. */
+        /** True when an endpoint is neither out nor in slow start. */
         boolean hasHealthyEndpoint() {
             return endpoints.values().stream().anyMatch(endpoint -> endpoint.health == Relay.Health.GOOD);
         }
 
-        /** Routes of a lane that are out or returning. */
+        /** Number of endpoints in the scope that are out or in slow start. */
         long unhealthyEndpoints(LimitScope scope) {
             return endpoints.values().stream()
-                .filter(endpoint -> endpoint.limitScope == scope && endpoint.health != Relay.Health.GOOD).count();
+                .filter(endpoint -> endpoint.limitScope == scope && endpoint.health != Relay.Health.GOOD)
+                .count();
         }
 
-        /** Makes room for the bands of further classes. */
+        /** Makes room for the queues of further classes. */
         void growQueues(int queueCount) {
             queues = Arrays.copyOf(queues, queueCount);
         }
 
+        /** The queue at an index of {@link #queues}, created when first needed. */
         MessageQueue queue(int index) {
             queues[index] = queues[index] == null ? new MessageQueue() : queues[index];
             return queues[index];
         }
 
-        /** Counts a message into the rate over an exponential span; {@code age}: counted how long. */
+        /** Counts an accepted message into the rate; see {@link DecayingRate#perSecond(long, long, long)}. */
         void recordAccepted(long now, long span, long minAge) {
             acceptedRate.record(now, span);
             acceptedPerSecond = acceptedRate.perSecond(now, span, minAge);
         }
     }
 
-    /** The times of the most recent answers. */
+    /** The most recent response times, in a ring buffer. */
     static final class LatencySamples {
         private static final int INITIAL_CAPACITY = 4;
         private final int capacity;
-        /** Grows up to the size. */
+        /** Grows up to the capacity. */
         private long[] ring = {};
+        /** The samples in ascending order; null when it has to be computed again. */
         private long[] sorted = {};
+        /** Samples added so far, including overwritten ones. */
         int count;
 
         LatencySamples(int capacity) {
             this.capacity = capacity;
         }
 
+        /** Adds a sample and overwrites the oldest one when full. */
         void add(long latency) {
             if (count == ring.length && count < capacity) {
                 ring = Arrays.copyOf(ring, Math.min(capacity, Math.max(INITIAL_CAPACITY, 2 * count)));
@@ -355,7 +488,7 @@
             sorted = null;
         }
 
-        /** The time above this share of the answers held. */
+        /** The response time that the given share, 0 to 1, of the samples is below. Needs a sample. */
         long percentile(double share) {
             if (sorted == null) {
                 sorted = Arrays.copyOf(ring, Math.min(count, ring.length));
