--- a/src/main/java/wrenkeel/State.java
+++ b/src/main/java/wrenkeel/State.java
@@ -286,7 +286,7 @@
             return perSecond(now, span, 1);
         }
 
-        /** The same, as if counting had begun {@code minAge} ago or earlier: one or two events are no rate. */
+        /** The same, as if counting began at least {@code minAge} ago: one or two events make no rate. */
         double perSecond(long now, long span, long minAge) {
             long age = Math.max(minAge, now - firstEventAt);
             return decayedCount(now, span) * 1e6 / (span * -Math.expm1(-(double) age / span));
