--- a/src/main/java/wrenkeel/Control.java
+++ b/src/main/java/wrenkeel/Control.java
@@ -93,7 +93,7 @@
     private static final double UNLISTED_CALLS_PER_SECOND = 1e6;
     /** Lowest send rate, as less would amount to a ban; lower only in a large fleet without listed rates. */
     private static final double MIN_CALLS_PER_SECOND = 0.25;
-    /** Stands for an accepted rate of 0, by which a gap cannot be computed. */
+    /** Replaces an accepted rate of 0, for which no gap between messages could be computed. */
     private static final double MIN_ACCEPTED_PER_SECOND = 1e-6;
 
     // Send rate where no rates are listed.
@@ -103,15 +103,20 @@
     private static final double FLEET_START_BATCHES_PER_SECOND = 20;
     /** The send rate is regained over the time of this many calls and one for each relay. */
     private static final double REGAIN_CALLS = 3;
+    /** Lower bound of that time. */
     private static final long MIN_REGAIN_MICROS = SECOND / 4;
+    /** Upper bound of that time. */
     private static final long MAX_REGAIN_MICROS = 6 * SECOND;
-    /** In a fleet of up to this size, each relay may send at the rate at which it accepts messages. */
+    /**
+     * In a fleet of up to this size, each relay may send at the rate at which it accepts messages. The relays
+     * of a larger fleet share the rate of this many, and begin with partly filled token buckets.
+     */
     private static final double SMALL_FLEET_RELAYS = 3;
     /** Share by which the send rate drops below the limit when the limit is met. */
     private static final double LIMIT_RATE_DROP = 0.3;
     /** The assumed limit is reduced to this share when it is met again at once. */
     private static final double REPEATED_LIMIT_FACTOR = 0.7;
-    /** The send rate stays below this multiple of the rate reached so far. */
+    /** The send rate grows at most to this multiple of the rate at which calls were sent lately. */
     private static final double RATE_GROWTH_FACTOR = 2;
 
     // Send rate in general.
@@ -139,7 +144,9 @@
     private static final double INITIAL_BACKOFF_GAPS = 0.5;
     /** Longest backoff in gaps. */
     private static final double MAX_BACKOFF_GAPS = 10;
+    /** Upper bound of the first backoff. */
     private static final long MAX_INITIAL_BACKOFF_MICROS = 500 * MS;
+    /** Lower bound of the first backoff. */
     private static final long MIN_INITIAL_BACKOFF_MICROS = 150 * MS;
     /** Lower bound of the longest backoff. */
     private static final long MIN_BACKOFF_CAP_MICROS = 2 * SECOND;
@@ -173,7 +180,7 @@
     private static final double MIN_EXPECTED_USES = 0.5;
     /** A failed connect reduces the time for which idle connections are held to this share. */
     private static final double IDLE_HOLD_CUT = 0.5;
-    /** An answer raises it by this factor. */
+    /** An answer raises it, and the time for which they are trusted to be alive, by this factor. */
     private static final double IDLE_HOLD_GROWTH = 1.02;
     /**
      * Lower bound of that time. A connection that is reused sooner harms nobody, and the failed connects of
@@ -190,7 +197,7 @@
     private static final long PROBE_GAP_MICROS = 400 * MS;
     /** A suspicion that is cleared within this leaves no slow start. */
     private static final long SUSPICION_MICROS = 2 * SECOND;
-    /** An endpoint that had not answered for this long before a probe may have been out all that time. */
+    /** An endpoint that had not answered for this long before a probe or refusal may have been out since. */
     private static final long LONG_SILENCE_MICROS = 5 * SECOND;
     /**
      * While a destination is out, a relay that delivered less to it before takes this share of the rate at
@@ -207,9 +214,9 @@
     private static final long LIST_WAIT_MICROS = SECOND;
     /** An endpoint off the list is forgotten after this, which exceeds any Retry-After or warm-up time. */
     private static final long FORGET_AFTER_MICROS = 600 * SECOND;
-    /** A destination is kept for this long after its last use, or longer for warm-up and dedup window. */
+    /** An unused destination is kept for this long, or longer for warm-up, key pause and dedup window. */
     private static final long MIN_UNUSED_MICROS = 60 * SECOND;
-    /** With more destinations than this, only warm-up and dedup window keep an unused one. */
+    /** With more destinations than this, unused ones are kept only for those three. */
     private static final int MANY_DESTINATIONS = 4_096;
 
     // Failures of the relay's own machine.
@@ -263,7 +270,7 @@
     private int externalCalls;
     /** Messages that have not ended. */
     private int openMessages;
-    /** Endpoints that are listed as ready and are out. */
+    /** Endpoints that are listed as ready and are out with a confirmed outage. */
     private int unavailableCount;
     /** Another process takes over; nothing more is sent from here. */
     private boolean handingOver;
@@ -315,7 +322,7 @@
         runTimers();
         dispatch();
         if (releaseRequested) {
-            // After dispatch: a message of this turn may be the first in a long time for a destination.
+            // After dispatch: a destination may have its first message in a long time in this very turn.
             releaseRequested = false;
             releaseUnused();
         }
@@ -1506,7 +1513,8 @@
                     introduced ? initialTokens(listed, randomTokens) : randomTokens, now);
             }
         }
-        // A new endpoint is cold, and all messages that wait for a failing destination would go there at once.
+        // A new endpoint is cold, and all messages that wait for a failing destination would go there at
+        // once.
         if (!endpoint.destination.endpoints.isEmpty() && !endpoint.destination.hasHealthyEndpoint()) {
             eject(endpoint, true, HealthReason.NEW_AMONG_OUT);
             endpoint.limitScope.slowStart.restartSpacing(now);
--- a/src/main/java/wrenkeel/Relay.java
+++ b/src/main/java/wrenkeel/Relay.java
@@ -233,7 +233,10 @@
      */
     public record ReleaseRequested() implements Event { }
 
-    /** The present list is from before the process began, and a newer one has been requested. */
+    /**
+     * The present list is from before the process began, and a newer one has been requested. The module sends
+     * nothing until it arrives, or for a second.
+     */
     public record ListRequested() implements Event { }
 
     /** The message was withdrawn; no answer is owed any more. */
@@ -261,7 +264,7 @@
         /** Several calls failed in a row, or most of the recent ones. */ FAILURES,
         /** A probe failed. */ TRIAL_FAILED,
         /** It refused repeatedly, or told the relay to wait for long. */ REFUSALS,
-        /** Another endpoint of its destination is out, and it has not answered since. */ SIBLING_OUT,
+        /** Another endpoint of its destination is out, and it has not answered lately. */ SIBLING_OUT,
         /** It is new to a destination of which no endpoint answers. */ NEW_AMONG_OUT,
         /** The previous process handed it over as out or returning. */ RESTORED,
         /** A probe was answered. */ TRIAL_ANSWERED,
@@ -318,7 +321,7 @@
     /**
      * Final answer: the message is handed back, and its sender may safely hand it in again.
      *
-     * @param retryAfter when it should do so at the earliest; 0 for no advice
+     * @param retryAfter time that it should wait before that; 0 for no advice
      */
     public record Refuse(String id, long retryAfter) implements Action { }
 
--- a/src/main/java/wrenkeel/SlowStart.java
+++ b/src/main/java/wrenkeel/SlowStart.java
@@ -10,9 +10,8 @@
  * destination is out, has returned cold (with part of its capacity), or may have returned without the relay
  * knowing.
  *
- * <p>A cold destination can serve only so many calls per window from all relays together. Relays do not talk
- * to each other, so each keeps to a share of that budget which follows from the rate that it delivered before
- * the outage. Answers during slow start do not raise the share: answers that arrive in a burst say nothing
+ * <p>A cold destination can serve only so many calls per window from all relays together. Each relay keeps to
+ * a share of that budget, which follows from the rate that it delivered before the outage. Answers during slow start do not raise the share: answers that arrive in a burst say nothing
  * about the rate that the destination can sustain.
  *
  * <p>Times and spans are in microseconds.
@@ -102,8 +101,8 @@
     }
 
     /**
-     * Share of its capacity, 0 to 1, that a destination has the given time after its return. The budget holds
-     * for a whole window, so this is the share in the middle of it.
+     * Share of its capacity, 0 to 1, that a destination has the given time after its return, taken in the
+     * middle of the window that ends then, since the budget applies to the whole window.
      */
     static double capacityShare(Rules rules, long timeSinceReturn) {
         double age = Math.max(0, timeSinceReturn - rules.overloadWindow() / 2);
