--- a/src/main/java/wrenkeel/Control.java
+++ b/src/main/java/wrenkeel/Control.java
@@ -243,7 +243,7 @@
     private final Set<Destination> byLastUse = new LinkedHashSet<>();
     /** For destinations that were released before their token bucket was full: when it will be, by id. */
     private final Map<Long, Long> releasedBucketFullAt = new LinkedHashMap<>();
-    /** Token buckets of the tenants' quotas, in the order of {@link Settings#tenants}. */
+    /** Token buckets of the tenants' quotas, in the order of {@link Settings#tenants()}. */
     private TokenBucket[] quotaBuckets;
     /** By kind: how long idle connections are held, as endpoints may take only few connections. */
     private final double[] idleHoldMicros;
--- a/src/main/java/wrenkeel/Relay.java
+++ b/src/main/java/wrenkeel/Relay.java
@@ -54,7 +54,7 @@
     /**
      * One address of a destination.
      *
-     * @param kind index into {@link Settings#kinds}
+     * @param kind index into {@link Settings#kinds()}
      * @param weight the listed rate in calls per second from all relays, or 1 if none is listed
      */
     public record Endpoint(long id, int zone, int kind, long destination, Listing listing, double weight) { }
@@ -174,8 +174,8 @@
     /**
      * A message was accepted. The module owes it exactly one final answer before {@code deadline}.
      *
-     * @param messageClass index into {@link Settings#classes}
-     * @param tenant index into {@link Settings#tenants}; an index past the end is a tenant without a quota
+     * @param messageClass index into {@link Settings#classes()}
+     * @param tenant index into {@link Settings#tenants()}; an index past the end is a tenant without a quota
      * @param orderingKey null for none
      * @param answerReserve time between {@code deadline} and the end of the message's life, which is kept for
      *     delivering the answer
--- a/src/main/java/wrenkeel/SlowStart.java
+++ b/src/main/java/wrenkeel/SlowStart.java
@@ -10,9 +10,10 @@
  * destination is out, has returned cold (with part of its capacity), or may have returned without the relay
  * knowing.
  *
- * <p>A cold destination can serve only so many calls per window from all relays together. Each relay keeps to
- * a share of that budget, which follows from the rate that it delivered before the outage. Answers during slow start do not raise the share: answers that arrive in a burst say nothing
- * about the rate that the destination can sustain.
+ * <p>A cold destination can serve only so many calls per window from all relays together. Each relay keeps
+ * to a share of that budget, which follows from the rate that it delivered before the outage. Answers during
+ * slow start do not raise the share: answers that arrive in a burst say nothing about the rate that the
+ * destination can sustain.
  *
  * <p>Times and spans are in microseconds.
  */
