--- a/src/main/java/wrenkeel/Control.java
+++ b/src/main/java/wrenkeel/Control.java
@@ -5,1306 +5,1659 @@
 import wrenkeel.State.*;
 
 /**
- * All decisions of one relay. The interface (settings, events, actions) is in Relay.java.
+ * The decision module: makes all decisions of one relay. It chooses which message is sent to which endpoint
+ * and when, sends hedged copies of slow attempts, adapts its send rates to the limits of the endpoints,
+ * ejects failing endpoints and lets them return through a slow start ({@link SlowStart}), sheds load, and
+ * gives each message its final answer. On the ordinary path this is speculative execution: an attempt that is
+ * slow to answer is repeated at another endpoint.
  *
- * <p>Feed {@link #turn} with the time and events; carry out what it returns, in order. One thread.
+ * <p>Call {@link #turn} with the time and the events since the last turn, and carry out the actions that it
+ * returns, in order. The module does no I/O, reads no clock and is not thread-safe: use it from one thread.
+ * Its settings, events and actions are defined in {@link Relay}, the data that it keeps in {@link State}.
  *
- * <p>Sections: tuned values; state; events; message life; dispatch and the send gate; copies; window and
- * pace; health and slow start ({@link SlowStart}); list of endpoints; clockwork. The ordinary path is
- * speculative execution: docs/design.md tells what is kept, added and excepted.
+ * <p>Times and spans are in microseconds, rates per second. Calls carry one or several messages each; rate
+ * limits, windows and slots count calls.
  */
 public final class Control {
-    // ---- Tuned values ---------------------------------------------------------------------------
-    private static final long MS = 1_000L, SECOND = 1_000_000L, NEVER = Long.MAX_VALUE;
-    /** us; copy delay until a destination's answers are known (the design's figure). */
-    private static final long FIRST_DELAY = 200 * MS;
-    /** Share of recent answers below the copy delay; the design asks for about nine in ten. */
-    private static final double DELAY_RANK = 0.95;
-    /** Answers remembered for the delay (a tail, yet it follows), and how many make it known. */
-    private static final int ANSWERS = 48, KNOWN = 8;
-    /** Extra executions of one message; the source's example uses one. */
-    private static final int EXTRAS = 1;
-    /** Calls a limit must have left for a copy; copies earned by a send, and saved: no pile-up. */
-    private static final double COPY_ROOM = 2, COPY_SHARE = 0.05, COPY_SAVED = 2;
-    /** Share of the slots that one destination's window may reach; and while it fails or is slow. */
-    private static final double WINDOW_SHARE = 0.75, WINDOW_POOR = 0.3;
-    /** A destination is slow when its latest answers take this multiple of the usual. */
-    private static final double SLOW = 2.5;
-    /** Weights of a new answer in the latest and the usual time. */
-    private static final double LATEST = 0.3, USUAL = 0.03;
-    /** us; time-out: a multiple of the copy delay, its bounds, and one until answers are known. */
-    private static final double PATIENCE = 4.5;
-    private static final long PATIENCE_LEAST = 3 * SECOND / 2, PATIENCE_MOST = 6 * SECOND,
-        PATIENCE_FIRST = 3 * SECOND;
-    /** Longer time-outs where one loses the message. */
-    private static final double PATIENCE_UNSAFE = 3;
-    /** Priority: weight of the worth lost by another second of waiting against the worth itself. */
-    private static final double URGENCY = 2;
-    /** us; endpoint choice: price of opening a connection, of one point of fee, of each failure in a row. */
-    private static final long COST_CONNECT = 100 * MS, COST_POINT = 50 * MS, COST_FAILURE = 2 * SECOND;
-    /** Pace: most over the listed rate, cut at a refusal, growth at an answer, least of an even split. */
-    private static final double PACE_MOST = 1.4, PACE_CUT = 0.75, PACE_GROW = 0.2, PACE_LEAST = 0.5,
-        PACE_START = 2;
-    /** Calls a second: rate where none is listed; slowest pace (less would be a ban) of few; no rate. */
-    private static final double UNLISTED = 1e6, PACE_SLOWEST = 0.25, RATE_LEAST = 1e-6;
-    /** Calls a second of all relays together to a place not met yet, and to one that takes bundles. */
-    private static final double START_TOGETHER = 40, START_BUNDLES = 20;
-    /** Calls, and one for each relay, over which the pace is regained; bounds of that span (us). */
-    private static final double PROBE_CALLS = 3;
-    private static final long PROBE_LEAST = SECOND / 4, PROBE_MOST = 6 * SECOND;
-    /** Relays that may each insist on a pace of what comes in to them. */
-    private static final double INSISTENT = 3;
-    /** Drop of the pace where the limit is met; share of the limit left when met again at once. */
-    private static final double PACE_DIP = 0.3, LIMIT_DROP = 0.7;
-    /** The pace stays under this multiple of what has been carried. */
-    private static final double PACE_AHEAD = 2;
-    /** us; span over which a lane's own calls are counted. */
-    private static final long PACE_SPAN = 3 * SECOND;
-    /** s; a lane may send this much of its pace at once. */
-    private static final double PACE_BURST = 0.7;
-    /** Calls that a lane of any pace may save up: the first of a message, and one more if that is refused. */
-    private static final double BURST_LEAST = 2;
-    /** Share of the limit left below which the pace gives way, and the pace's steps. */
-    private static final double LEFT_LOW = 0.15, LEFT_CUT = 0.9;
-    /** Share of calls after a refusal that get in (by kind): least counted, weight of a new one, usual. */
-    private static final double EASE_LEAST = 0.03, EASE_WEIGHT = 0.1, EASE_USUAL = 0.3;
-    /** First back-off after a refusal or failed connect, in us and own gaps; growth up to the longest. */
-    private static final double BACKOFF_GROW = 3, BACKOFF_GAPS = 0.5, BACKOFF_MOST_GAPS = 10;
-    private static final long BACKOFF = 500 * MS, BACKOFF_LEAST = 150 * MS,
-        BACKOFF_MID = 2 * SECOND, BACKOFF_MOST = 8 * SECOND;
-    /** Shut rather than full: a told wait (us) past any limit span, or so many back-offs in a row. */
-    private static final long SHUT_TOLD = 5 * SECOND / 2, SHUT_RUN = 3;
-    /** Failures in a row, or a share of recent calls, that mean an outage; a new outcome's weight. */
-    private static final int OUTAGE_RUN = 3;
-    private static final double OUTAGE_SHARE = 0.6, OUTCOME_WEIGHT = 0.2;
-    /** us; a route that answered within this is not yet taken for failing. */
-    private static final long SILENT = 700 * MS;
-    /** us; a sibling of a failing route that answered a call sent this long before is not suspected. */
-    private static final long SUSPECT = 500 * MS;
-    /** us; span over which a relay measures its own usual rate to a destination. */
-    private static final long RATE_SPAN = 15 * SECOND, RATE_AGE = 3 * SECOND;
-    /** A connection stays open where this many uses are expected while connections of its kind are held. */
-    private static final double KEEP_USES = 0.5;
-    /** The span for which they are held: its cut at a failed connect, its growth at an answer. */
-    private static final double HOLD_CUT = 0.5, HOLD_GROW = 1.02;
-    /** us; and the least: one used again sooner harms nobody, and an outage fails connects without end. */
-    private static final double HOLD_LEAST = 2 * SECOND;
-    /** us; least idle time for which a connection may be taken for dropped; trust per idle time proven. */
-    private static final double TRUST_LEAST = 250 * MS, TRUST_PROVEN = 1.25;
-    /** us; least gap between trials of a route; a suspicion cleared within this leaves no slow start. */
-    private static final long TRIAL_GAP = 400 * MS, SUSPICION = 2 * SECOND;
-    /** us; a route not heard from for so long before a trial may have been out all the time. */
-    private static final long UNHEARD = 5 * SECOND;
-    /** Part of what comes in that a relay may send to a cold lane to which it carried less before. */
-    private static final double QUIET_PART = 0.5;
-    /** s; a tenant inside its share may run ahead of it by this much. */
-    private static final double SHARE_BURST = 2;
-    /** us; a waiting message is looked at again at least this often while its lane is limited. */
-    private static final long RECHECK = 500 * MS;
-    /** us; at a start, nothing is sent by an old list while a newer one may still come within this. */
-    private static final long LIST_WAIT = SECOND;
-    /** us; an endpoint off the list is forgotten after this: past any wait or warm-up. */
-    private static final long FORGET = 600 * SECOND;
-    /** us; a destination stays known for so long after its last use, or past any warm-up and window. */
-    private static final long OF_USE = 60 * SECOND;
-    /** Destinations known at once beyond which only warm-ups and windows keep a quiet one. */
-    private static final int KNOWN_MOST = 4_096;
-    /** us; first back-off of a route for which this machine had no socket; so many in a row are its fault. */
-    private static final long UNOPENED_GAP = 50 * MS;
-    private static final int UNOPENED_MOST = 6;
+    // ---- Constants ------------------------------------------------------------------------------
+    /** Microseconds in a millisecond. */
+    private static final long MS = 1_000L;
+    /** Microseconds in a second. */
+    private static final long SECOND = 1_000_000L;
+    private static final long NEVER = Long.MAX_VALUE;
+
+    // Copies (hedged requests).
+    /** Copy delay until enough response times of a destination are known. */
+    private static final long INITIAL_COPY_DELAY_MICROS = 200 * MS;
+    /** Share of recent response times below the copy delay; speculative execution asks for about 0.9. */
+    private static final double COPY_DELAY_PERCENTILE = 0.95;
+    /** Response times kept for the copy delay: enough to have a tail, few enough to follow changes. */
+    private static final int LATENCY_SAMPLES = 48;
+    /** Response times that must be known before the copy delay is derived from them. */
+    private static final int MIN_LATENCY_SAMPLES = 8;
+    /** Copies of one message. The usual example of speculative execution has one as well. */
+    private static final int MAX_COPIES = 1;
+    /** Tokens that the rate limit's bucket must hold for a copy to be sent. */
+    private static final double MIN_TOKENS_FOR_COPY = 2;
+    /** Copy tokens earned by each ordinary send. This and the next bound keep copies from piling up. */
+    private static final double COPY_TOKENS_PER_SEND = 0.05;
+    /** Copy tokens that a destination may save. */
+    private static final double MAX_COPY_TOKENS = 2;
+
+    // Congestion window and response times.
+    /** Share of all slots that one destination may occupy. */
+    private static final double MAX_WINDOW_SLOT_SHARE = 0.75;
+    /** The same while the destination fails or is slow. */
+    private static final double DEGRADED_SLOT_SHARE = 0.3;
+    /** A destination is slow when its recent response time is over this multiple of its usual one. */
+    private static final double SLOW_LATENCY_FACTOR = 2.5;
+    /** Weight of a new answer in the recent response time. */
+    private static final double RECENT_LATENCY_WEIGHT = 0.3;
+    /** Weight of a new answer in the usual response time. */
+    private static final double BASELINE_LATENCY_WEIGHT = 0.03;
+
+    // Attempt timeouts.
+    /** Attempt timeout as a multiple of the copy delay. */
+    private static final double TIMEOUT_FACTOR = 4.5;
+    private static final long MIN_TIMEOUT_MICROS = 3 * SECOND / 2;
+    private static final long MAX_TIMEOUT_MICROS = 6 * SECOND;
+    /** Attempt timeout until enough response times of a destination are known. */
+    private static final long INITIAL_TIMEOUT_MICROS = 3 * SECOND;
+    /** Timeouts are longer by this factor for unsafe messages, which a timeout loses. */
+    private static final double UNSAFE_TIMEOUT_FACTOR = 3;
+
+    // Choice of message and endpoint.
+    /** Priority: weight of the worth lost by waiting another second, relative to the worth itself. */
+    private static final double URGENCY_WEIGHT = 2;
+    /** Endpoint choice: cost of opening a connection. */
+    private static final long CONNECT_COST_MICROS = 100 * MS;
+    /** Endpoint choice: cost of one point of the deductions in {@link Relay.Costs}. */
+    private static final long POINT_COST_MICROS = 50 * MS;
+    /** Endpoint choice: cost of each failure in a row, overdue attempt and earlier attempt of the message. */
+    private static final long FAILURE_COST_MICROS = 2 * SECOND;
+
+    // Send rate where rates are listed.
+    /** Highest send rate as a multiple of the listed rate. */
+    private static final double MAX_LISTED_RATE_FACTOR = 1.4;
+    /** A refusal reduces the send rate to this share. */
+    private static final double REFUSAL_RATE_FACTOR = 0.75;
+    /** An answer raises the send rate by this share of the lowest one. */
+    private static final double RATE_GROWTH_SHARE = 0.2;
+    /** Lowest send rate as a share of an even split of the listed rate among the relays. */
+    private static final double MIN_EVEN_SHARE_FACTOR = 0.5;
+    /** First send rate as a multiple of an even split. */
+    private static final double INITIAL_EVEN_SHARE_FACTOR = 2;
+
+    // Bounds of rates.
+    /** Assumed for a rate that is not listed. */
+    private static final double UNLISTED_CALLS_PER_SECOND = 1e6;
+    /** Lowest send rate, as less would amount to a ban; lower only in a large fleet without listed rates. */
+    private static final double MIN_CALLS_PER_SECOND = 0.25;
+    /** Replaces an accepted rate of 0, for which no gap between messages could be computed. */
+    private static final double MIN_ACCEPTED_PER_SECOND = 1e-6;
+
+    // Send rate where no rates are listed.
+    /** First rate, of all relays together, to a destination whose limit is unknown. */
+    private static final double FLEET_START_CALLS_PER_SECOND = 40;
+    /** The same for a destination whose calls may carry several messages. */
+    private static final double FLEET_START_BATCHES_PER_SECOND = 20;
+    /** The send rate is regained over the time of this many calls and one for each relay. */
+    private static final double REGAIN_CALLS = 3;
+    /** Lower bound of that time. */
+    private static final long MIN_REGAIN_MICROS = SECOND / 4;
+    /** Upper bound of that time. */
+    private static final long MAX_REGAIN_MICROS = 6 * SECOND;
+    /**
+     * In a fleet of up to this size, each relay may send at the rate at which it accepts messages. The relays
+     * of a larger fleet share the rate of this many, and begin with partly filled token buckets.
+     */
+    private static final double SMALL_FLEET_RELAYS = 3;
+    /** Share by which the send rate drops below the limit when the limit is met. */
+    private static final double LIMIT_RATE_DROP = 0.3;
+    /** The assumed limit is reduced to this share when it is met again at once. */
+    private static final double REPEATED_LIMIT_FACTOR = 0.7;
+    /** The send rate grows at most to this multiple of the rate at which calls were sent lately. */
+    private static final double RATE_GROWTH_FACTOR = 2;
+
+    // Send rate in general.
+    /** Span over which the calls in a limit scope are counted. */
+    private static final long CALL_RATE_SPAN_MICROS = 3 * SECOND;
+    /** A limit scope may send as much at once as its send rate yields in this time. */
+    private static final double BURST_SECONDS = 0.7;
+    /** Calls that may be saved up at any send rate: the first for a message, and a retry if it is refused. */
+    private static final double MIN_BURST_CALLS = 2;
+    /** Reported share of a limit below which the send rate is reduced. */
+    private static final double LOW_REMAINING_SHARE = 0.15;
+    /** Each answer with such a report reduces the send rate to this share. */
+    private static final double LOW_REMAINING_RATE_FACTOR = 0.9;
+
+    // Backoff after refusals and failed connects.
+    /** Lower bound of the success share of calls that follow a refusal. */
+    private static final double MIN_RETRY_SUCCESS = 0.03;
+    /** Weight of a new outcome in that share. */
+    private static final double RETRY_SUCCESS_WEIGHT = 0.1;
+    /** Usual value of that share; below it, backoffs are longer in proportion. */
+    private static final double USUAL_RETRY_SUCCESS = 0.3;
+    /** Growth of the backoff with each refusal or failure in a row. */
+    private static final double BACKOFF_GROWTH = 3;
+    /** First backoff in gaps, where a gap is the mean time between messages accepted for a destination. */
+    private static final double INITIAL_BACKOFF_GAPS = 0.5;
+    /** Longest backoff in gaps. */
+    private static final double MAX_BACKOFF_GAPS = 10;
+    /** Upper bound of the first backoff. */
+    private static final long MAX_INITIAL_BACKOFF_MICROS = 500 * MS;
+    /** Lower bound of the first backoff. */
+    private static final long MIN_INITIAL_BACKOFF_MICROS = 150 * MS;
+    /** Lower bound of the longest backoff. */
+    private static final long MIN_BACKOFF_CAP_MICROS = 2 * SECOND;
+    /** Upper bound of the longest backoff. */
+    private static final long MAX_BACKOFF_CAP_MICROS = 8 * SECOND;
+
+    // Outlier detection.
+    /** A longer Retry-After means an outage, not a met limit: it exceeds the span of any limit. */
+    private static final long OUTAGE_RETRY_AFTER_MICROS = 5 * SECOND / 2;
+    /** Refusals in a row that mean an outage, not a met limit. */
+    private static final long OUTAGE_REFUSALS = 3;
+    /** Failures in a row that mean an outage. */
+    private static final int OUTAGE_FAILURES = 3;
+    /** Share of failures among recent calls that means an outage. */
+    private static final double OUTAGE_FAILURE_SHARE = 0.6;
+    /** Weight of a new outcome in that share. */
+    private static final double OUTCOME_WEIGHT = 0.2;
+    /** An endpoint that answered within this is not suspected because of single failures. */
+    private static final long RECENT_SUCCESS_MICROS = 700 * MS;
+    /** An endpoint that answered a call sent up to this long before a sibling's outage is not suspected. */
+    private static final long SIBLING_SUCCESS_MICROS = 500 * MS;
+
+    // Measured rates.
+    /** Span over which a relay measures the rate of messages that it accepts, and of calls that deliver. */
+    private static final long RATE_SPAN_MICROS = 15 * SECOND;
+    /** Such a rate counts as measured over this time at least. */
+    private static final long MIN_RATE_AGE_MICROS = 3 * SECOND;
+
+    // Idle connections.
+    /** Connections stay open where this many uses of one are expected within the time it would be held. */
+    private static final double MIN_EXPECTED_USES = 0.5;
+    /** A failed connect reduces the time for which idle connections are held to this share. */
+    private static final double IDLE_HOLD_CUT = 0.5;
+    /** An answer raises it, and the time for which they are trusted to be alive, by this factor. */
+    private static final double IDLE_HOLD_GROWTH = 1.02;
+    /**
+     * Lower bound of that time. A connection that is reused sooner harms nobody, and the failed connects of
+     * an outage would otherwise reduce the time without end.
+     */
+    private static final double MIN_IDLE_HOLD_MICROS = 2 * SECOND;
+    /** Shortest idle time after which a connection may be assumed to have been dropped. */
+    private static final double MIN_IDLE_TRUST_MICROS = 250 * MS;
+    /** An idle time after which a connection still worked proves this multiple of it as safe. */
+    private static final double IDLE_TRUST_FACTOR = 1.25;
+
+    // Probes and slow start.
+    /** Shortest time between probes of an endpoint. */
+    private static final long PROBE_GAP_MICROS = 400 * MS;
+    /** A suspicion that is cleared within this leaves no slow start. */
+    private static final long SUSPICION_MICROS = 2 * SECOND;
+    /** An endpoint that had not answered for this long before a probe or refusal may have been out since. */
+    private static final long LONG_SILENCE_MICROS = 5 * SECOND;
+    /**
+     * While a destination is out, a relay that delivered less to it before takes this share of the rate at
+     * which it accepts messages as its own rate in the slow start.
+     */
+    private static final double OUTAGE_RATE_SHARE = 0.5;
+
+    // Quotas, waiting, and what is forgotten when.
+    /** A tenant within its quota may run ahead of it by this much. */
+    private static final double QUOTA_BURST_SECONDS = 2;
+    /** A waiting message whose limit scope is closed is considered again after this at the latest. */
+    private static final long RECHECK_MICROS = 500 * MS;
+    /** After a start, nothing is sent by an old list while a newer one may still arrive within this. */
+    private static final long LIST_WAIT_MICROS = SECOND;
+    /** An endpoint off the list is forgotten after this, which exceeds any Retry-After or warm-up time. */
+    private static final long FORGET_AFTER_MICROS = 600 * SECOND;
+    /** An unused destination is kept for this long, or longer for warm-up, key pause and dedup window. */
+    private static final long MIN_UNUSED_MICROS = 60 * SECOND;
+    /** With more destinations than this, unused ones are kept only for those three. */
+    private static final int MANY_DESTINATIONS = 4_096;
+
+    // Failures of the relay's own machine.
+    /** First backoff of an endpoint for which this machine had no socket. */
+    private static final long NO_SOCKET_BACKOFF_MICROS = 50 * MS;
+    /** With this many such failures in a row, the endpoint is taken to be at fault. */
+    private static final int NO_SOCKET_FAILURES = 6;
 
     // ---- State ----------------------------------------------------------------------------------
-    private record Pick(Msg msg, Route route, double priority) { }
+    /** A message that may be sent now, and the best endpoint for it. */
+    private record Candidate(Message message, EndpointState endpoint, double priority) { }
 
-    private Settings set;
+    private Settings settings;
     private final SplittableRandom random;
-    private final Map<String, Msg> messages = new HashMap<>();
-    private final Map<String, Key> keys = new HashMap<>();
-    private final Map<Long, Dest> dests = new TreeMap<>();
-    private final Map<Long, Route> routes = new TreeMap<>();
-    private final Set<Dest> active = new LinkedHashSet<>();
-    /** All destinations, the one used last at the end. */
-    private final Set<Dest> used = new LinkedHashSet<>();
-    /** Of destinations released before their bucket was full again: when it is. */
-    private final Map<Long, Long> spent = new LinkedHashMap<>();
-    private Bucket[] shares;
-    /** us, by kind: how long idle connections are held (endpoints may take few), and trusted to be alive. */
-    private final double[] holds, trusts;
-    private final double[] eases;
-    private final PriorityQueue<Entry> agenda = new PriorityQueue<>();
-    private List<Action> out = new ArrayList<>();
-    private long now, beganAt, seq, turns, wakeAt = NEVER, listBy = Long.MIN_VALUE;
-    private int slotsUsed, elsewhere, open, avoided;
-    private boolean leaving, releasing, storageDown;
-
-    /** A relay that knows nothing yet but its settings. */
-    public Control(long seed, Settings settings) {
-        set = Objects.requireNonNull(settings, "settings");
+    /** Messages that have not ended or have attempts in flight, by id. */
+    private final Map<String, Message> messages = new HashMap<>();
+    private final Map<String, OrderingKey> orderingKeys = new HashMap<>();
+    private final Map<Long, Destination> destinations = new TreeMap<>();
+    /** All endpoints, including those that are off the list and not yet forgotten. */
+    private final Map<Long, EndpointState> endpoints = new TreeMap<>();
+    /** Destinations that the next dispatch considers. */
+    private final Set<Destination> dispatchCandidates = new LinkedHashSet<>();
+    /** All destinations, the most recently used last. */
+    private final Set<Destination> byLastUse = new LinkedHashSet<>();
+    /** For destinations that were released before their token bucket was full: when it will be, by id. */
+    private final Map<Long, Long> releasedBucketFullAt = new LinkedHashMap<>();
+    /** Token buckets of the tenants' quotas, in the order of {@link Settings#tenants()}. */
+    private TokenBucket[] quotaBuckets;
+    /** By kind: how long idle connections are held, as endpoints may take only few connections. */
+    private final double[] idleHoldMicros;
+    /** By kind: how long idle connections are assumed to stay alive. */
+    private final double[] idleTrustMicros;
+    /** By kind: moving average of the share of calls after a refusal that are accepted. */
+    private final double[] retrySuccess;
+    private final PriorityQueue<TimerEntry> timers = new PriorityQueue<>();
+    /** The actions of the present turn. */
+    private List<Action> actions = new ArrayList<>();
+    /** Time of the present turn. */
+    private long now;
+    /** Time of the first turn. */
+    private long startedAt;
+    private long timerSequence;
+    private long turnCount;
+    /** When the timer that the caller was asked for is due. */
+    private long timerSetFor = NEVER;
+    /** Nothing is sent before this, as a newer list has been requested. */
+    private long listAwaitedUntil = Long.MIN_VALUE;
+    /** Calls in flight from this process. */
+    private int slotsUsed;
+    /** Calls that the previous process still has in flight. */
+    private int externalCalls;
+    /** Messages that have not ended. */
+    private int openMessages;
+    /** Endpoints that are listed as ready and are out with a confirmed outage. */
+    private int unavailableCount;
+    /** Another process takes over; nothing more is sent from here. */
+    private boolean handingOver;
+    private boolean releaseRequested;
+    /** Attempts cannot be written to the journal, so none may be made. */
+    private boolean storageUnwritable;
+
+    /**
+     * Creates the module of one relay, with no endpoints and no messages.
+     *
+     * @param seed seed of all random decisions
+     */
+    public Control(long seed, Settings initialSettings) {
+        settings = Objects.requireNonNull(initialSettings, "settings");
         random = new SplittableRandom(seed);
-        shares = new Bucket[set.tenants().size()];
-        Arrays.setAll(shares, i -> new Bucket());
-        holds = new double[set.kinds().size()];
-        Arrays.fill(holds, set.allowed().keepAlive());
-        trusts = holds.clone();
-        eases = new double[holds.length];
-        Arrays.fill(eases, 1);
+        quotaBuckets = new TokenBucket[settings.tenants().size()];
+        Arrays.setAll(quotaBuckets, i -> new TokenBucket());
+        idleHoldMicros = new double[settings.kinds().size()];
+        Arrays.fill(idleHoldMicros, settings.limits().keepAlive());
+        idleTrustMicros = idleHoldMicros.clone();
+        retrySuccess = new double[idleHoldMicros.length];
+        Arrays.fill(retrySuccess, 1);
     }
 
     // ---- Events ---------------------------------------------------------------------------------
-    /** One turn: the time, which never goes back, and the events since the last. Returns what to do. */
+    /**
+     * Runs one turn.
+     *
+     * @param time the present time, which must not be before that of the previous turn
+     * @param events what has happened since the previous turn, in order
+     * @return what the caller is to do, in order
+     * @throws IllegalArgumentException if the time is before that of the previous turn
+     */
     public List<Action> turn(long time, List<Event> events) {
         Objects.requireNonNull(events, "events");
-        if (turns > 0 && time < now) {
+        if (turnCount > 0 && time < now) {
             throw new IllegalArgumentException("clock went back from " + now + " to " + time);
         }
         now = time;
-        beganAt = turns++ == 0 ? now : beganAt;
-        out = new ArrayList<>();
+        startedAt = turnCount++ == 0 ? now : startedAt;
+        actions = new ArrayList<>();
         for (Event event : events) {
-            take(Objects.requireNonNull(event, "event"));
+            handle(Objects.requireNonNull(event, "event"));
         }
-        // Only now: what the turn tells of later may have made room, or have ended the message given back.
-        for (int over = open - set.allowed().open(); over >= 0; over--) {
-            shed();
+        // After all events: a later event may have made room, or ended the message that would be refused.
+        for (int excess = openMessages - settings.limits().maxOpenMessages(); excess >= 0; excess--) {
+            shedLowestWorth();
         }
-        runAgenda();
+        runTimers();
         dispatch();
-        if (releasing) {
-            // Only now: a message of this very turn may be a destination's first for long.
-            releasing = false;
-            release();
-        }
-        arm();
-        return out;
-    }
-
-    /** How many endpoints that the list calls ready are out; a pause for a limit does not count. */
-    public int unavailable() {
-        return avoided;
-    }
-
-    private void take(Event event) {
-        if (event instanceof Accepted e) {
-            accept(e);
-        } else if (event instanceof Ended e) {
-            attemptEnded(e);
-        } else if (event instanceof Listed e) {
-            listed(e);
-        } else if (event instanceof Introduced e) {
-            e.endpoints().forEach(p -> listed(p, true));
-        } else if (event instanceof Release) {
-            releasing = true;
-        } else if (event instanceof Retuned e) {
-            retune(e.settings());
-        } else if (event instanceof ListAsked) {
-            listBy = now + LIST_WAIT;
-        } else if (event instanceof Leave) {
-            leaving = true;
-            messages.values().stream().filter(m -> m.queued).toList().forEach(this::pass);
-        } else if (event instanceof Known e) {
-            known(e);
-        } else if (event instanceof Elsewhere e) {
-            Dest d = dest(e.destination());
-            elsewhere += e.calls() - d.elsewhere;
-            d.elsewhere = e.calls();
-            active.add(d);
-        } else if (event instanceof Withdrawn e && messages.containsKey(e.id())) {
-            close(messages.get(e.id()));
-        } else if (event instanceof Storage e) {
-            storageDown = !e.writable();
-            dests.values().stream().filter(d -> d.waiting > 0).forEach(active::add);
-        } else if (event instanceof Due && wakeAt <= now) {
-            wakeAt = NEVER;
-        }
-    }
-
-    /** Other settings bind from here on; what is known of partners stays, and messages keep their class. */
-    private void retune(Settings settings) {
-        Map<String, Bucket> before = new HashMap<>();
-        for (int i = 0; i < shares.length; i++) {
-            before.put(set.tenants().get(i).name(), shares[i]);
-        }
-        set = settings;
-        shares = set.tenants().stream().map(t -> before.getOrDefault(t.name(), new Bucket()))
-            .toArray(Bucket[]::new);
-        for (Dest d : dests.values()) {
-            d.widen(set.classes().size() * 3);
-            active.add(d);
-        }
-    }
-
-    // ---- Message life ---------------------------------------------------------------------------
-    private void accept(Accepted e) {
-        if (messages.containsKey(e.id())) {
+        if (releaseRequested) {
+            // After dispatch: a destination may have its first message in a long time in this very turn.
+            releaseRequested = false;
+            releaseUnused();
+        }
+        setTimer();
+        return actions;
+    }
+
+    /**
+     * The number of endpoints that are out although the list calls them ready. Endpoints that only wait for a
+     * rate limit or a backoff are not counted.
+     */
+    public int unavailableEndpoints() {
+        return unavailableCount;
+    }
+
+    private void handle(Event event) {
+        if (event instanceof MessageAccepted e) {
+            acceptMessage(e);
+        } else if (event instanceof AttemptEnded e) {
+            endAttempt(e);
+        } else if (event instanceof ListUpdated e) {
+            applyList(e);
+        } else if (event instanceof DestinationIntroduced e) {
+            e.endpoints().forEach(listed -> applyList(listed, true));
+        } else if (event instanceof ReleaseRequested) {
+            releaseRequested = true;
+        } else if (event instanceof SettingsChanged e) {
+            applySettings(e.settings());
+        } else if (event instanceof ListRequested) {
+            listAwaitedUntil = now + LIST_WAIT_MICROS;
+        } else if (event instanceof HandoverStarted) {
+            handingOver = true;
+            messages.values().stream().filter(message -> message.queued).toList().forEach(this::handOver);
+        } else if (event instanceof EndpointSnapshot e) {
+            carryOver(e);
+        } else if (event instanceof ExternalCalls e) {
+            Destination destination = destination(e.destination());
+            externalCalls += e.calls() - destination.externalCalls;
+            destination.externalCalls = e.calls();
+            dispatchCandidates.add(destination);
+        } else if (event instanceof MessageWithdrawn e && messages.containsKey(e.id())) {
+            endMessage(messages.get(e.id()));
+        } else if (event instanceof StorageChanged e) {
+            storageUnwritable = !e.writable();
+            destinations.values().stream().filter(destination -> destination.waitingMessages > 0)
+                .forEach(dispatchCandidates::add);
+        } else if (event instanceof TimerDue && timerSetFor <= now) {
+            timerSetFor = NEVER;
+        }
+    }
+
+    /** Applies new settings. What is known about endpoints stays, and messages keep their class. */
+    private void applySettings(Settings newSettings) {
+        Map<String, TokenBucket> quotasByTenant = new HashMap<>();
+        for (int i = 0; i < quotaBuckets.length; i++) {
+            quotasByTenant.put(settings.tenants().get(i).name(), quotaBuckets[i]);
+        }
+        settings = newSettings;
+        quotaBuckets = settings.tenants().stream()
+            .map(tenant -> quotasByTenant.getOrDefault(tenant.name(), new TokenBucket()))
+            .toArray(TokenBucket[]::new);
+        for (Destination destination : destinations.values()) {
+            destination.growQueues(settings.classes().size() * 3);
+            dispatchCandidates.add(destination);
+        }
+    }
+
+    // ---- Message lifecycle ----------------------------------------------------------------------
+    private void acceptMessage(MessageAccepted event) {
+        if (messages.containsKey(event.id())) {
             return;
         }
-        Msg m = new Msg();
-        m.id = e.id();
-        m.cls = set.classes().get(e.messageClass());
-        m.halving = set.halvingLate();
-        m.dest = dest(e.destination());
-        m.dest.held++;
-        if (!e.takenUp()) {
-            // What is taken up has come in over seconds, and tells nothing of what comes in now.
-            m.dest.mark(now, RATE_SPAN, Math.max(RATE_AGE, now - beganAt));
-        }
-        m.deadline = e.deadline();
-        m.aim = m.deadline + e.reserve() - m.cls.life() + m.cls.aim();
-        // What is taken up counted against the share when it was taken on.
-        boolean inShare = e.takenUp() || inShare(e.tenant());
-        m.band = e.messageClass() * 3 + (inShare ? 0 : 1);
-        m.full = m.cls.worth() * (inShare ? 1 : set.overShareWorth());
-        messages.put(m.id, m);
-        open++;
-        at(m.deadline, Duty.DEADLINE, m);
-        if (m.cls.inOrder() && e.key() != null) {
-            m.key = keys.computeIfAbsent(e.key(), k -> new Key());
-            m.key.name = e.key();
-            m.key.line.addLast(m);
-        }
-        for (Earlier before : e.earlier()) {
-            m.attempts.add(recovered(m, before));
-        }
-        m.owed = e.takenUp() && m.attempts.isEmpty();
-        if (!m.attempts.isEmpty() && (m.tries() >= m.cls.tries()
-            || m.cls.effect() == Effect.UNSAFE && m.mayHaveRun())) {
-            giveUp(m);
-        } else if (m.key == null || m.key.line.peekFirst() == m) {
-            enqueue(m, false);
-        }
-    }
-
-    /** An attempt made before a restart; one that was out then may have run. */
-    private Attempt recovered(Msg m, Earlier before) {
-        Attempt a = new Attempt();
-        a.msg = m;
-        a.route = new Route();
-        a.route.zone = before.zone();
-        a.sent = before.sent();
-        a.done = true;
-        a.maybeRan = before.mayHaveRun();
-        if (a.maybeRan && m.key != null) {
-            m.key.restUntil = now + set.rules().keyRest();
-        }
-        return a;
-    }
-
-    private boolean inShare(int tenant) {
-        if (tenant >= shares.length) {
+        Message message = new Message();
+        message.id = event.id();
+        message.messageClass = settings.classes().get(event.messageClass());
+        message.lateWorthHalves = settings.lateWorthHalves();
+        message.destination = destination(event.destination());
+        message.destination.unsettledMessages++;
+        if (!event.recovered()) {
+            // Recovered messages were accepted over several seconds, so they say nothing about the rate now.
+            message.destination.recordAccepted(now, RATE_SPAN_MICROS,
+                Math.max(MIN_RATE_AGE_MICROS, now - startedAt));
+        }
+        message.deadline = event.deadline();
+        message.aim = message.deadline + event.answerReserve() - message.messageClass.lifetime()
+            + message.messageClass.aim();
+        // A recovered message counted against the quota when it was accepted.
+        boolean inQuota = event.recovered() || withinQuota(event.tenant());
+        message.queueIndex = event.messageClass() * 3 + (inQuota ? 0 : 1);
+        message.fullWorth = message.messageClass.worth() * (inQuota ? 1 : settings.overShareWorth());
+        messages.put(message.id, message);
+        openMessages++;
+        schedule(message.deadline, TimerKind.DEADLINE, message);
+        if (message.messageClass.inOrder() && event.orderingKey() != null) {
+            message.orderingKey = orderingKeys.computeIfAbsent(event.orderingKey(), k -> new OrderingKey());
+            message.orderingKey.name = event.orderingKey();
+            message.orderingKey.messages.addLast(message);
+        }
+        for (EarlierAttempt earlier : event.earlierAttempts()) {
+            message.attempts.add(recoveredAttempt(message, earlier));
+        }
+        message.recoveredUntried = event.recovered() && message.attempts.isEmpty();
+        if (!message.attempts.isEmpty() && (message.attemptCount() >= message.messageClass.maxAttempts()
+            || message.messageClass.effect() == Effect.UNSAFE && message.mayHaveRun())) {
+            refuseOrFail(message);
+        } else if (message.orderingKey == null || message.orderingKey.messages.peekFirst() == message) {
+            enqueue(message, false);
+        }
+    }
+
+    /** Creates an attempt made before a restart. One that was in flight then may have run. */
+    private Attempt recoveredAttempt(Message message, EarlierAttempt earlier) {
+        Attempt attempt = new Attempt();
+        attempt.message = message;
+        attempt.endpoint = new EndpointState();
+        attempt.endpoint.zone = earlier.zone();
+        attempt.sentAt = earlier.sentAt();
+        attempt.ended = true;
+        attempt.mayHaveRun = earlier.mayHaveRun();
+        if (attempt.mayHaveRun && message.orderingKey != null) {
+            message.orderingKey.pausedUntil = now + settings.rules().keyPause();
+        }
+        return attempt;
+    }
+
+    /** Counts a message against this relay's share of its tenant's quota; false if it exceeds the quota. */
+    private boolean withinQuota(int tenant) {
+        if (tenant >= quotaBuckets.length) {
             return true;
         }
-        double rate = set.tenants().get(tenant).quota() / set.relays();
-        shares[tenant].fill(rate, rate * SHARE_BURST, now);
-        return shares[tenant].take();
+        double rate = settings.tenants().get(tenant).quotaPerSecond() / settings.relayCount();
+        quotaBuckets[tenant].refill(rate, rate * QUOTA_BURST_SECONDS, now);
+        return quotaBuckets[tenant].tryTake();
     }
 
-    private void enqueue(Msg m, boolean again) {
-        if (leaving) {
-            pass(m);
+    /**
+     * Makes a message wait to be sent, or hands it over.
+     *
+     * @param retried the message goes to the head of its queue, as an attempt has just failed
+     */
+    private void enqueue(Message message, boolean retried) {
+        if (handingOver) {
+            handOver(message);
             return;
         }
-        if (m.cls.effect() == Effect.KEYED && m.mayHaveRun()) {
-            m.band = m.band / 3 * 3 + 2;
+        if (message.messageClass.effect() == Effect.KEYED && message.mayHaveRun()) {
+            message.queueIndex = message.queueIndex / 3 * 3 + 2;
         }
-        m.queued = true;
-        m.dest.waiting++;
-        active.add(m.dest);
-        if (m.owed) {
-            m.dest.owe(m);
-        } else if (again) {
-            m.dest.band(m.band).fresh.addFirst(m);
+        message.queued = true;
+        message.destination.waitingMessages++;
+        dispatchCandidates.add(message.destination);
+        if (message.recoveredUntried) {
+            message.destination.addRecovered(message);
+        } else if (retried) {
+            message.destination.queue(message.queueIndex).onTime.addFirst(message);
         } else {
-            m.dest.band(m.band).fresh.addLast(m);
+            message.destination.queue(message.queueIndex).onTime.addLast(message);
         }
     }
 
-    /** Nothing of it is out: the next process decides from here on, and the next of its key may follow it. */
-    private void pass(Msg m) {
-        out.add(new Pass(m.id));
-        close(m);
+    /** Leaves a message without open attempts to the next process; the next of its key may follow it. */
+    private void handOver(Message message) {
+        actions.add(new HandOver(message.id));
+        endMessage(message);
     }
 
-    private boolean mayRefuse(Msg m) {
-        return m.cls.effect() == Effect.SAFE || !m.mayHaveRun()
-            || m.cls.effect() == Effect.KEYED && !m.cls.zoneGroup();
+    /** True when the sender may safely hand the message in again. */
+    private boolean mayRefuse(Message message) {
+        return message.messageClass.effect() == Effect.SAFE || !message.mayHaveRun()
+            || message.messageClass.effect() == Effect.KEYED && !message.messageClass.dedupPerZone();
     }
 
-    /** Ends a message for want of a better answer: handed back where the rules allow it, else failed. */
-    private void giveUp(Msg m) {
-        if (m.ended) {
+    /** Ends a message that was not delivered: refuses it where the rules permit that, else fails it. */
+    private void refuseOrFail(Message message) {
+        if (message.ended) {
             return;
         }
-        out.add(mayRefuse(m) && now < m.deadline ? new Refuse(m.id, comeBack(m.dest)) : new Fail(m.id));
-        close(m);
-    }
-
-    /** When to hand a refused message in again: once a route is open and those that wait have gone. */
-    private long comeBack(Dest d) {
-        long opens = d.routes.values().stream().mapToLong(Route::closedUntil).min().orElse(now);
-        long queue = (long) (d.waiting / d.window * Math.max(d.latest, FIRST_DELAY));
-        return Math.min(set.allowed().longestAdvice(), Math.max(opens - now, queue));
-    }
-
-    /** The message is over: nothing more goes out for it, and copies still out are called off. */
-    private void close(Msg m) {
-        open -= m.ended ? 0 : 1;
-        m.ended = true;
-        m.dest.waiting -= m.queued ? 1 : 0;
-        m.queued = false;
-        for (int i = 0; i < m.attempts.size(); i++) {
-            Attempt a = m.attempts.get(i);
-            if (!a.done && !a.cancelled && set.allowed().cancel()) {
-                a.cancelled = true;
-                out.add(new Cancel(m.id, i));
+        actions.add(mayRefuse(message) && now < message.deadline
+            ? new Refuse(message.id, retryAfter(message.destination)) : new Fail(message.id));
+        endMessage(message);
+    }
+
+    /** When to hand in a refused message again: once an endpoint is available and the queue has drained. */
+    private long retryAfter(Destination destination) {
+        long availableAt = destination.endpoints.values().stream()
+            .mapToLong(EndpointState::unavailableUntil).min().orElse(now);
+        long queueTime = (long) (destination.waitingMessages / destination.congestionWindow
+            * Math.max(destination.recentLatency, INITIAL_COPY_DELAY_MICROS));
+        return Math.min(settings.limits().maxRetryAfter(), Math.max(availableAt - now, queueTime));
+    }
+
+    /** Ends a message: it is not sent any more, and its attempts in flight are cancelled if permitted. */
+    private void endMessage(Message message) {
+        openMessages -= message.ended ? 0 : 1;
+        message.ended = true;
+        message.destination.waitingMessages -= message.queued ? 1 : 0;
+        message.queued = false;
+        for (int i = 0; i < message.attempts.size(); i++) {
+            Attempt attempt = message.attempts.get(i);
+            if (!attempt.ended && !attempt.cancelled && settings.limits().cancelAllowed()) {
+                attempt.cancelled = true;
+                actions.add(new CancelAttempt(message.id, i));
             }
         }
-        settle(m);
+        forgetIfSettled(message);
     }
 
-    /** Forgets an ended message once its last attempt is known, and lets the next of its key go. */
-    private void settle(Msg m) {
-        if (!m.ended || m.open > 0) {
+    /** Forgets an ended message when its last attempt has ended, and lets the next of its key proceed. */
+    private void forgetIfSettled(Message message) {
+        if (!message.ended || message.openAttempts > 0) {
             return;
         }
-        m.dest.held -= messages.remove(m.id) == null ? 0 : 1;
-        if (m.key != null) {
-            advance(m.key);
+        message.destination.unsettledMessages -= messages.remove(message.id) == null ? 0 : 1;
+        if (message.orderingKey != null) {
+            advanceKey(message.orderingKey);
         }
     }
 
-    private void advance(Key key) {
-        while (!key.line.isEmpty() && key.line.peekFirst().ended && key.line.peekFirst().open == 0) {
-            key.line.pollFirst();
+    /** Removes the settled messages at the head of a key, and queues the next one when its pause is over. */
+    private void advanceKey(OrderingKey key) {
+        while (!key.messages.isEmpty() && key.messages.peekFirst().ended
+                && key.messages.peekFirst().openAttempts == 0) {
+            key.messages.pollFirst();
         }
-        Msg head = key.line.peekFirst();
-        boolean idle = head == null || !head.ended && !head.queued && head.open == 0;
-        if (idle && key.restUntil > now) {
-            at(key.restUntil, Duty.KEY, key);
+        Message head = key.messages.peekFirst();
+        boolean idle = head == null || !head.ended && !head.queued && head.openAttempts == 0;
+        if (idle && key.pausedUntil > now) {
+            schedule(key.pausedUntil, TimerKind.ORDERING_KEY, key);
         } else if (head == null) {
-            keys.remove(key.name);
+            orderingKeys.remove(key.name);
         } else if (idle) {
             enqueue(head, false);
         }
     }
 
-    private void attemptEnded(Ended e) {
-        Msg m = messages.get(e.id());
-        if (m == null || e.attempt() < 0 || e.attempt() >= m.attempts.size()
-            || m.attempts.get(e.attempt()).done) {
+    private void endAttempt(AttemptEnded event) {
+        Message message = messages.get(event.id());
+        if (message == null || event.attempt() < 0 || event.attempt() >= message.attempts.size()
+            || message.attempts.get(event.attempt()).ended) {
             return;
         }
-        Attempt a = m.attempts.get(e.attempt());
-        a.done = true;
-        a.maybeRan = !e.outcome().neverRan();
-        a.unmade = e.outcome().neverMade();
-        m.open--;
-        free(a);
-        observe(a, e);
-        if (m.key != null && (e.outcome() == Outcome.TIMEOUT || e.outcome() == Outcome.RESET
-            || e.outcome() == Outcome.CANCELLED)) {
-            m.key.restUntil = now + set.rules().keyRest();
-        }
-        if (!m.ended && (e.over() || e.outcome() == Outcome.OK)) {
-            close(m);
-        } else if (!m.ended && m.open == 0) {
-            afterFailure(m);
+        Attempt attempt = message.attempts.get(event.attempt());
+        attempt.ended = true;
+        attempt.mayHaveRun = !event.outcome().provesNotExecuted();
+        attempt.failedLocally = event.outcome().isLocalFailure();
+        message.openAttempts--;
+        releaseSlot(attempt);
+        recordOutcome(attempt, event);
+        if (message.orderingKey != null
+            && (event.outcome() == Outcome.TIMEOUT || event.outcome() == Outcome.RESET
+            || event.outcome() == Outcome.CANCELLED)) {
+            message.orderingKey.pausedUntil = now + settings.rules().keyPause();
+        }
+        if (!message.ended && (event.messageOver() || event.outcome() == Outcome.OK)) {
+            endMessage(message);
+        } else if (!message.ended && message.openAttempts == 0) {
+            retryOrEnd(message);
         } else {
-            settle(m);
+            forgetIfSettled(message);
         }
     }
 
-    /** No attempt is out and none has delivered: wait for another, or end. */
-    private void afterFailure(Msg m) {
-        boolean spent = m.tries() >= m.cls.tries() || now >= m.deadline;
-        if (spent || m.cls.effect() == Effect.UNSAFE && m.mayHaveRun()) {
-            giveUp(m);
+    /** All attempts have ended without delivering the message: queues it again or ends it. */
+    private void retryOrEnd(Message message) {
+        boolean exhausted = message.attemptCount() >= message.messageClass.maxAttempts()
+            || now >= message.deadline;
+        if (exhausted || message.messageClass.effect() == Effect.UNSAFE && message.mayHaveRun()) {
+            refuseOrFail(message);
         } else {
-            enqueue(m, true);
+            enqueue(message, true);
         }
     }
 
-    private void free(Attempt a) {
-        Route r = a.route;
-        touch(r.dest);
-        r.inflight--;
-        if (--a.call.open == 0) {
+    /** Updates the counts of calls in flight, and frees the slot with the last message of a call. */
+    private void releaseSlot(Attempt attempt) {
+        EndpointState endpoint = attempt.endpoint;
+        markUsed(endpoint.destination);
+        endpoint.inFlight--;
+        if (--attempt.call.openAttempts == 0) {
             slotsUsed--;
-            r.dest.calls--;
-            if (!a.unmade) {
-                r.idle.addLast(now);
+            endpoint.destination.openCalls--;
+            if (!attempt.failedLocally) {
+                endpoint.idleSince.addLast(now);
             }
-            release(r);
+            releaseUnused(endpoint);
         }
-        r.trials -= a.trial ? 1 : 0;
-        r.overdue -= a.overdue ? 1 : 0;
-        r.dest.overdue -= a.overdue ? 1 : 0;
-        active.add(r.dest);
+        endpoint.openProbes -= attempt.isProbe ? 1 : 0;
+        endpoint.overdueAttempts -= attempt.overdue ? 1 : 0;
+        endpoint.destination.overdueAttempts -= attempt.overdue ? 1 : 0;
+        dispatchCandidates.add(endpoint.destination);
     }
 
-    /** Guards tables of few connections, idle ones counted, against a fleet that each keeps its own. */
-    private void release(Route r) {
-        double held = Math.min(holds[r.kind], trusts[r.kind]);
-        double uses = r.dest.usualRate / Math.max(1, r.dest.routes.size()) * held / SECOND;
-        if (uses < KEEP_USES && r.inflight == 0) {
-            drop(r);
+    /**
+     * Closes the idle connections of an endpoint that is used too rarely to keep them. Endpoints may accept
+     * few connections, idle ones included, and every relay of a fleet would otherwise keep its own.
+     */
+    private void releaseUnused(EndpointState endpoint) {
+        double heldFor = Math.min(idleHoldMicros[endpoint.kind], idleTrustMicros[endpoint.kind]);
+        double expectedUses = endpoint.destination.acceptedPerSecond
+            / Math.max(1, endpoint.destination.endpoints.size()) * heldFor / SECOND;
+        if (expectedUses < MIN_EXPECTED_USES && endpoint.inFlight == 0) {
+            closeIdleConnections(endpoint);
         }
     }
 
-    private void drop(Route r) {
-        r.idle.clear();
-        out.add(new Close(r.id));
+    private void closeIdleConnections(EndpointState endpoint) {
+        endpoint.idleSince.clear();
+        actions.add(new CloseIdleConnections(endpoint.id));
     }
 
-    /** The hold is full: give back the waiting message that has least left to gain. */
-    private void shed() {
-        Msg worst = null;
-        double least = Double.MAX_VALUE;
-        for (Dest d : dests.values()) {
-            if (d.waiting == 0) {
+    /** Load shedding: refuses the waiting message that has the least worth left to earn. */
+    private void shedLowestWorth() {
+        Message leastWorthy = null;
+        double leastWorth = Double.MAX_VALUE;
+        for (Destination destination : destinations.values()) {
+            if (destination.waitingMessages == 0) {
                 continue;
             }
-            double wait = d.waiting / d.window * Math.max(d.latest, FIRST_DELAY);
-            for (Band band : d.bands) {
-                if (band == null) {
+            double wait = destination.waitingMessages / destination.congestionWindow
+                * Math.max(destination.recentLatency, INITIAL_COPY_DELAY_MICROS);
+            for (MessageQueue queue : destination.queues) {
+                if (queue == null) {
                     continue;
                 }
-                Msg m = Band.first(band.late) != null ? Band.first(band.late) : Band.last(band.fresh);
-                double left = m != null && mayRefuse(m) ? m.worth(now + (long) wait) : least;
-                if (left < least) {
-                    least = left;
-                    worst = m;
+                Message message = MessageQueue.firstQueued(queue.late) != null
+                    ? MessageQueue.firstQueued(queue.late) : MessageQueue.lastQueued(queue.onTime);
+                double worth = message != null && mayRefuse(message)
+                    ? message.worthAt(now + (long) wait) : leastWorth;
+                if (worth < leastWorth) {
+                    leastWorth = worth;
+                    leastWorthy = message;
                 }
             }
         }
-        if (worst != null) {
-            giveUp(worst);
+        if (leastWorthy != null) {
+            refuseOrFail(leastWorthy);
         }
     }
 
-    // ---- Dispatch and the send gate -------------------------------------------------------------
-    /** What was taken up untried goes first: a restart must not end it without a call. */
-    private double priority(Msg m) {
-        if (m.owed) {
+    // ---- Dispatch and the conditions for a send -------------------------------------------------
+    /** Recovered messages that were never sent go first: a restart must not end them without an attempt. */
+    private double priority(Message message) {
+        if (message.recoveredUntried) {
             return Double.MAX_VALUE;
         }
-        long when = now + (long) m.dest.latest;
-        double soon = m.worth(when);
-        return soon + URGENCY * (soon - m.worth(when + SECOND));
+        long when = now + (long) message.destination.recentLatency;
+        double worth = message.worthAt(when);
+        return worth + URGENCY_WEIGHT * (worth - message.worthAt(when + SECOND));
     }
 
-    /** Sends what may go, best first. What cannot go is looked at again in time, or when something ends. */
+    /**
+     * Sends the messages that may be sent now, in order of priority. The others are considered again when a
+     * timer is due or an attempt ends.
+     */
     private void dispatch() {
-        List<Pick> picks = new ArrayList<>();
-        for (var it = active.iterator(); it.hasNext() && slotsUsed < slots();) {
-            Pick p = pick(it.next());
-            if (p != null) {
-                picks.add(p);
+        List<Candidate> candidates = new ArrayList<>();
+        for (var it = dispatchCandidates.iterator(); it.hasNext() && slotsUsed < availableSlots();) {
+            Candidate candidate = chooseCandidate(it.next());
+            if (candidate != null) {
+                candidates.add(candidate);
             } else {
                 it.remove();
             }
         }
-        while (!picks.isEmpty()) {
-            Pick best = Collections.max(picks, Comparator.comparingDouble(Pick::priority));
-            picks.remove(best);
-            if (gate(best.msg, best.route, false) <= now) {
-                send(best.msg, best.route, false);
+        while (!candidates.isEmpty()) {
+            Candidate best = Collections.max(candidates, Comparator.comparingDouble(Candidate::priority));
+            candidates.remove(best);
+            if (earliestSend(best.message, best.endpoint, false) <= now) {
+                send(best.message, best.endpoint, false);
             }
-            Pick next = slotsUsed < slots() || joins(best.route) ? pick(best.msg.dest) : null;
+            Candidate next = slotsUsed < availableSlots() || canJoinCall(best.endpoint)
+                ? chooseCandidate(best.message.destination) : null;
             if (next != null) {
-                picks.add(next);
+                candidates.add(next);
             }
         }
     }
 
-    /** The best message of a destination that can go now, with its route; else arranges another look. */
-    private Pick pick(Dest d) {
-        Pick best = null;
-        long look = now + RECHECK;
-        for (int i = -1; i < d.bands.length; i++) {
-            Msg m = d.waiting == 0 ? null : i < 0 ? d.owed() : head(d.bands[i]);
-            double priority = m == null ? 0 : priority(m);
-            if (m == null || best != null && best.priority >= priority) {
+    /**
+     * The message of a destination with the highest priority among those that may be sent now, and the
+     * endpoint for it. If there is none, sets a timer to consider the destination again and returns null.
+     */
+    private Candidate chooseCandidate(Destination destination) {
+        Candidate best = null;
+        long recheckAt = now + RECHECK_MICROS;
+        for (int i = -1; i < destination.queues.length; i++) {
+            Message message = destination.waitingMessages == 0 ? null
+                : i < 0 ? destination.firstRecovered() : nextMessage(destination.queues[i]);
+            double priority = message == null ? 0 : priority(message);
+            if (message == null || best != null && best.priority >= priority) {
                 continue;
             }
-            Route choice = null;
-            double least = Double.MAX_VALUE;
-            for (Route r : d.routes.values()) {
-                long when = gate(m, r, false);
-                double cost = when <= now ? cost(m, r) : least;
-                look = when <= now ? look : Math.min(look, when);
-                if (cost < least) {
-                    least = cost;
-                    choice = r;
+            EndpointState choice = null;
+            double lowestCost = Double.MAX_VALUE;
+            for (EndpointState endpoint : destination.endpoints.values()) {
+                long when = earliestSend(message, endpoint, false);
+                double cost = when <= now ? cost(message, endpoint) : lowestCost;
+                recheckAt = when <= now ? recheckAt : Math.min(recheckAt, when);
+                if (cost < lowestCost) {
+                    lowestCost = cost;
+                    choice = endpoint;
                 }
             }
             if (choice != null) {
-                best = new Pick(m, choice, priority);
+                best = new Candidate(message, choice, priority);
             }
         }
-        if (best == null && d.waiting > 0 && (d.lookAt <= now || look < d.lookAt)) {
-            d.lookAt = look;
-            at(look, Duty.LOOK, d);
+        if (best == null && destination.waitingMessages > 0
+            && (destination.recheckAt <= now || recheckAt < destination.recheckAt)) {
+            destination.recheckAt = recheckAt;
+            schedule(recheckAt, TimerKind.RECHECK, destination);
         }
         return best;
     }
 
-    /** Inside the aim the oldest goes first; past it the newest, which has most worth left. */
-    private Msg head(Band band) {
-        if (band == null) {
+    /** Within the target time the oldest message is next; past it the newest, which has most worth left. */
+    private Message nextMessage(MessageQueue queue) {
+        if (queue == null) {
             return null;
         }
-        for (Msg m = Band.first(band.fresh); m != null; m = Band.first(band.fresh)) {
-            if (now + (long) m.dest.latest <= m.aim) {
-                return m;
+        for (Message message = MessageQueue.firstQueued(queue.onTime); message != null;
+                message = MessageQueue.firstQueued(queue.onTime)) {
+            if (now + (long) message.destination.recentLatency <= message.aim) {
+                return message;
             }
-            band.late.addLast(band.fresh.pollFirst());
+            queue.late.addLast(queue.onTime.pollFirst());
         }
-        return Band.last(band.late);
+        return MessageQueue.lastQueued(queue.late);
     }
 
-    private double cost(Msg m, Route r) {
-        double latency = r.latency > 0 ? r.latency : Math.max(r.dest.latest, FIRST_DELAY);
-        double points = r.zone == set.zone() ? 0 : set.prices().crossZone();
-        if (set.kinds().get(r.kind).apart() && r.zone < set.prices().zoneFee().size()) {
-            points += set.prices().zoneFee().get(r.zone);
+    /** Cost of sending a message to an endpoint: the expected response time, in us, and surcharges. */
+    private double cost(Message message, EndpointState endpoint) {
+        double latency = endpoint.latency > 0 ? endpoint.latency
+            : Math.max(endpoint.destination.recentLatency, INITIAL_COPY_DELAY_MICROS);
+        double points = endpoint.zone == settings.zone() ? 0 : settings.costs().crossZone();
+        if (settings.kinds().get(endpoint.kind).independentEndpoints()
+            && endpoint.zone < settings.costs().zoneFees().size()) {
+            points += settings.costs().zoneFees().get(endpoint.zone);
         }
-        int streams = Math.max(1, set.allowed().streams());
-        boolean warm = r.warm(now - set.allowed().keepAlive()) || r.inflight % streams != 0;
-        return latency * (1 + r.inflight) * (1 + 0.1 * random.nextDouble()) + (warm ? 0 : COST_CONNECT)
-            + points * 100 * COST_POINT + (double) (r.failRun + r.overdue + m.tries(r)) * COST_FAILURE;
+        int maxStreams = Math.max(1, settings.limits().maxStreams());
+        boolean connected = endpoint.hasIdleConnection(now - settings.limits().keepAlive())
+            || endpoint.inFlight % maxStreams != 0;
+        return latency * (1 + endpoint.inFlight) * (1 + 0.1 * random.nextDouble())
+            + (connected ? 0 : CONNECT_COST_MICROS)
+            + points * 100 * POINT_COST_MICROS
+            + (double) (endpoint.consecutiveFailures + endpoint.overdueAttempts
+                + message.attemptCount(endpoint)) * FAILURE_COST_MICROS;
     }
 
-    /** Guards the partners' limit on calls at once, which the process before this one may still use. */
-    private int slots() {
-        return set.allowed().slots() - elsewhere;
+    /** Slots that this process may use: the limit holds together with calls of the previous process. */
+    private int availableSlots() {
+        return settings.limits().callSlots() - externalCalls;
     }
 
-    private boolean joins(Route r) {
-        return r.bundleTurn == turns && r.bundle.size < set.kinds().get(r.kind).bundle();
+    /** True when a message can still join the call that was made to this endpoint in the same turn. */
+    private boolean canJoinCall(EndpointState endpoint) {
+        return endpoint.latestCallTurn == turnCount
+            && endpoint.latestCall.messageCount < settings.kinds().get(endpoint.kind).maxMessagesPerCall();
     }
 
-    /** The one gate of every send: when this message may go to this route; now or earlier means it may. */
-    private long gate(Msg m, Route r, boolean copy) {
-        if (storageDown || !r.ready || m.ended || m.dest != r.dest || m.tries() >= m.cls.tries()
-            || m.deadline <= now || !effectAllows(m, r, copy)) {
+    /**
+     * The earliest time at which this message may be sent to this endpoint; it may be sent now if that is not
+     * after the present time. Every send must be permitted by this method.
+     */
+    private long earliestSend(Message message, EndpointState endpoint, boolean copy) {
+        if (storageUnwritable || !endpoint.ready || message.ended
+            || message.destination != endpoint.destination
+            || message.attemptCount() >= message.messageClass.maxAttempts()
+            || message.deadline <= now || !effectAllows(message, endpoint, copy)) {
             return NEVER;
         }
-        if (m.key != null && (m.key.line.peekFirst() != m || m.key.restUntil > now && m.attempts.isEmpty())) {
+        if (message.orderingKey != null && (message.orderingKey.messages.peekFirst() != message
+            || message.orderingKey.pausedUntil > now && message.attempts.isEmpty())) {
             return NEVER;
         }
-        boolean joins = joins(r);
-        if (!joins && (slotsUsed >= slots() || r.dest.calls + r.dest.elsewhere >= room(r.dest))) {
+        boolean joinsCall = canJoinCall(endpoint);
+        if (!joinsCall && (slotsUsed >= availableSlots()
+            || endpoint.destination.openCalls + endpoint.destination.externalCalls
+                >= callLimit(endpoint.destination))) {
             return NEVER;
         }
-        return Math.max(listBy, opens(r, joins));
+        return Math.max(listAwaitedUntil, nextCallAt(endpoint, joinsCall));
     }
 
-    /** The rule on effects: where an earlier attempt may have run, only what the class allows. */
-    private boolean effectAllows(Msg m, Route r, boolean copy) {
-        if (copy ? !set.allowed().copies() || m.cls.effect() == Effect.UNSAFE : m.open > 0) {
+    /** The rule on effects: after an attempt that may have run, only what the class permits may be sent. */
+    private boolean effectAllows(Message message, EndpointState endpoint, boolean copy) {
+        if (copy ? !settings.limits().copiesAllowed() || message.messageClass.effect() == Effect.UNSAFE
+            : message.openAttempts > 0) {
             return false;
         }
-        if (m.cls.effect() == Effect.SAFE) {
+        if (message.messageClass.effect() == Effect.SAFE) {
             return true;
         }
-        for (Attempt a : m.attempts) {
-            if (a.maybeRan && (m.cls.effect() == Effect.UNSAFE || now >= a.sent + m.cls.window()
-                || m.cls.zoneGroup() && a.route.zone != r.zone)) {
+        for (Attempt attempt : message.attempts) {
+            if (attempt.mayHaveRun && (message.messageClass.effect() == Effect.UNSAFE
+                || now >= attempt.sentAt + message.messageClass.dedupWindow()
+                || message.messageClass.dedupPerZone() && attempt.endpoint.zone != endpoint.zone)) {
                 return false;
             }
         }
         return true;
     }
 
-    private void send(Msg m, Route r, boolean copy) {
-        Attempt a = new Attempt();
-        a.msg = m;
-        a.route = r;
-        a.sent = now;
-        a.again = r.dest.refusals > 0;
-        if (joins(r)) {
-            a.call = r.bundle;
+    /** Sends a message, in a call of its own or in the one made to the endpoint in this turn. */
+    private void send(Message message, EndpointState endpoint, boolean copy) {
+        Attempt attempt = new Attempt();
+        attempt.message = message;
+        attempt.endpoint = endpoint;
+        attempt.sentAt = now;
+        attempt.afterRefusal = endpoint.destination.consecutiveRefusals > 0;
+        if (canJoinCall(endpoint)) {
+            attempt.call = endpoint.latestCall;
         } else {
-            a.call = new Call();
-            r.bundle = a.call;
-            r.bundleTurn = turns;
+            attempt.call = new Call();
+            endpoint.latestCall = attempt.call;
+            endpoint.latestCallTurn = turnCount;
             slotsUsed++;
-            r.dest.calls++;
-            r.lane.bucket.tokens--;
-            r.lane.sent.mark(now, PACE_SPAN);
-            if (!r.idle.isEmpty() && r.idle.peekLast() < now - trusts[r.kind]) {
-                drop(r);
+            endpoint.destination.openCalls++;
+            endpoint.limitScope.bucket.tokens--;
+            endpoint.limitScope.callRate.record(now, CALL_RATE_SPAN_MICROS);
+            if (!endpoint.idleSince.isEmpty()
+                && endpoint.idleSince.peekLast() < now - idleTrustMicros[endpoint.kind]) {
+                closeIdleConnections(endpoint);
             }
-            a.idle = r.idle.isEmpty() ? -1 : now - r.idle.pollLast();
-        }
-        a.call.open++;
-        a.call.size++;
-        r.inflight++;
-        sent(r, a);
-        m.attempts.add(a);
-        m.open++;
-        if (m.queued) {
-            m.queued = false;
-            m.dest.waiting--;
-            m.dest.band(m.band).remove(m);
-        }
-        m.owed = false;
-        out.add(new Send(m.id, r.id, patience(m)));
+            attempt.connectionIdleTime = endpoint.idleSince.isEmpty() ? -1
+                : now - endpoint.idleSince.pollLast();
+        }
+        attempt.call.openAttempts++;
+        attempt.call.messageCount++;
+        endpoint.inFlight++;
+        recordCallWhileUnhealthy(endpoint, attempt);
+        message.attempts.add(attempt);
+        message.openAttempts++;
+        if (message.queued) {
+            message.queued = false;
+            message.destination.waitingMessages--;
+            message.destination.queue(message.queueIndex).remove(message);
+        }
+        message.recoveredUntried = false;
+        actions.add(new Send(message.id, endpoint.id, attemptTimeout(message)));
         if (!copy) {
-            m.dest.copies = Math.min(COPY_SAVED, m.dest.copies + COPY_SHARE);
+            message.destination.copyTokens = Math.min(MAX_COPY_TOKENS,
+                message.destination.copyTokens + COPY_TOKENS_PER_SEND);
         }
-        at(now + delay(m.dest), Duty.COPY, a);
+        schedule(now + copyDelay(message.destination), TimerKind.COPY, attempt);
     }
 
-    private long patience(Msg m) {
-        Dest d = m.dest;
-        double base = Math.max(PATIENCE_LEAST, PATIENCE * delay(d));
-        base = d.answers.count < KNOWN ? PATIENCE_FIRST : Math.min(PATIENCE_MOST, base);
-        base *= m.cls.effect() == Effect.UNSAFE ? PATIENCE_UNSAFE : 1;
-        return Math.min(m.deadline - now, (long) base);
+    private long attemptTimeout(Message message) {
+        Destination destination = message.destination;
+        double base = Math.max(MIN_TIMEOUT_MICROS, TIMEOUT_FACTOR * copyDelay(destination));
+        base = destination.latencies.count < MIN_LATENCY_SAMPLES ? INITIAL_TIMEOUT_MICROS
+            : Math.min(MAX_TIMEOUT_MICROS, base);
+        base *= message.messageClass.effect() == Effect.UNSAFE ? UNSAFE_TIMEOUT_FACTOR : 1;
+        return Math.min(message.deadline - now, (long) base);
     }
 
-    // ---- Copies (the design) --------------------------------------------------------------------
-    /** The copy delay of a destination: above about nine in ten of its recent answers. */
-    private long delay(Dest d) {
-        return d.answers.count < KNOWN ? FIRST_DELAY : d.answers.rank(DELAY_RANK);
+    // ---- Copies (hedged requests) ---------------------------------------------------------------
+    /** The time after which an attempt without an answer is worth a copy; most answers arrive before it. */
+    private long copyDelay(Destination destination) {
+        return destination.latencies.count < MIN_LATENCY_SAMPLES ? INITIAL_COPY_DELAY_MICROS
+            : destination.latencies.percentile(COPY_DELAY_PERCENTILE);
     }
 
-    /** The delay has passed with no answer: a copy to another endpoint, if there is room for one. */
-    private void considerCopy(Attempt a) {
-        Msg m = a.msg;
-        if (a.done) {
+    /** The copy delay has passed: sends a copy to another endpoint if the limits leave room for one. */
+    private void considerCopy(Attempt attempt) {
+        Message message = attempt.message;
+        if (attempt.ended) {
             return;
         }
-        if (!a.overdue) {
-            a.overdue = true;
-            a.route.overdue++;
-            m.dest.overdue++;
+        if (!attempt.overdue) {
+            attempt.overdue = true;
+            attempt.endpoint.overdueAttempts++;
+            message.destination.overdueAttempts++;
         }
-        if (leaving || m.ended || m.extras >= EXTRAS || m.cls.effect() == Effect.UNSAFE
-            || !set.allowed().copies()) {
+        if (handingOver || message.ended || message.copiesSent >= MAX_COPIES
+            || message.messageClass.effect() == Effect.UNSAFE || !settings.limits().copiesAllowed()) {
             return;
         }
-        Route choice = null;
-        // Unsent messages go first; and copies are held to a share of sends, lest an overload, in which every
-        // call trips the delay, pile them onto a full destination.
-        if (m.dest.waiting == 0 && m.dest.copies >= 1 && !slow(m.dest)) {
-            double least = Double.MAX_VALUE;
-            for (Route r : m.dest.routes.values()) {
-                double cost = cost(m, r);
-                boolean free = gate(m, r, true) <= now && r.lane.bucket.tokens >= COPY_ROOM;
-                if (r != a.route && r.health == Health.GOOD && free && cost < least) {
-                    least = cost;
-                    choice = r;
+        EndpointState choice = null;
+        // Unsent messages go first. Copies are limited to a share of all sends, since in an overload every
+        // call exceeds the copy delay, and unlimited copies would add to the load of a full destination.
+        if (message.destination.waitingMessages == 0 && message.destination.copyTokens >= 1
+            && !isSlow(message.destination)) {
+            double lowestCost = Double.MAX_VALUE;
+            for (EndpointState endpoint : message.destination.endpoints.values()) {
+                double cost = cost(message, endpoint);
+                boolean permitted = earliestSend(message, endpoint, true) <= now
+                    && endpoint.limitScope.bucket.tokens >= MIN_TOKENS_FOR_COPY;
+                if (endpoint != attempt.endpoint && endpoint.health == Health.GOOD && permitted
+                    && cost < lowestCost) {
+                    lowestCost = cost;
+                    choice = endpoint;
                 }
             }
         }
         if (choice != null) {
-            m.extras++;
-            m.dest.copies--;
-            send(m, choice, true);
-        }
-    }
-
-    // ---- Window and pace ------------------------------------------------------------------------
-    /** Calls that a destination may have out: its window, under a cap lower while failing or slow. */
-    private int room(Dest d) {
-        boolean out = d.routes.values().stream().allMatch(r -> r.health == Health.OUT);
-        boolean poor = slow(d) || 2 * d.overdue > d.calls || out;
-        // Guards the slots against places that take calls and do not answer, before a time-out tells.
-        double cap = (poor ? WINDOW_POOR : WINDOW_SHARE) * set.allowed().slots();
-        return (int) Math.max(1, Math.min(d.window, cap));
-    }
-
-    private static boolean slow(Dest d) {
-        return d.usual > 0 && d.latest > SLOW * d.usual;
-    }
-
-    /** Learns from how an attempt ended. */
-    private void observe(Attempt a, Ended e) {
-        Dest d = a.route.dest;
-        Lane lane = a.route.lane;
-        int kind = a.route.kind;
-        // A bundle's answer may carry a wait whatever became of this message.
-        lane.waitUntil = Math.max(lane.waitUntil, now + e.waitFor());
-        // The messages of a bundle share one fate, which tells no more than that of a single one.
-        if (a.call.learned == e.outcome()) {
+            message.copiesSent++;
+            message.destination.copyTokens--;
+            send(message, choice, true);
+        }
+    }
+
+    // ---- Congestion window and send rate --------------------------------------------------------
+    /** Calls that a destination may have in flight: its window, capped at a share of the slots. */
+    private int callLimit(Destination destination) {
+        boolean allOut = destination.endpoints.values().stream()
+            .allMatch(endpoint -> endpoint.health == Health.OUT);
+        boolean degraded = isSlow(destination) || 2 * destination.overdueAttempts > destination.openCalls
+            || allOut;
+        // A destination that takes calls and does not answer must not occupy the slots until they time out.
+        double cap = (degraded ? DEGRADED_SLOT_SHARE : MAX_WINDOW_SLOT_SHARE) * settings.limits().callSlots();
+        return (int) Math.max(1, Math.min(destination.congestionWindow, cap));
+    }
+
+    private static boolean isSlow(Destination destination) {
+        return destination.baselineLatency > 0
+            && destination.recentLatency > SLOW_LATENCY_FACTOR * destination.baselineLatency;
+    }
+
+    /** Updates rates, windows and health by the outcome of an attempt. */
+    private void recordOutcome(Attempt attempt, AttemptEnded event) {
+        Destination destination = attempt.endpoint.destination;
+        LimitScope scope = attempt.endpoint.limitScope;
+        int kind = attempt.endpoint.kind;
+        // The answer to a call may carry a Retry-After whatever the outcome of this message.
+        scope.retryAfterUntil = Math.max(scope.retryAfterUntil, now + event.retryAfter());
+        // Messages of one call mostly end the same way, which tells no more than a single message.
+        if (attempt.call.lastOutcome == event.outcome()) {
             return;
         }
-        a.call.learned = e.outcome();
-        if (a.again && (e.outcome() == Outcome.OK || e.outcome() == Outcome.FULL)) {
-            eases[kind] += EASE_WEIGHT * ((e.outcome() == Outcome.OK ? 1 : 0) - eases[kind]);
+        attempt.call.lastOutcome = event.outcome();
+        if (attempt.afterRefusal && (event.outcome() == Outcome.OK || event.outcome() == Outcome.FULL)) {
+            retrySuccess[kind] += RETRY_SUCCESS_WEIGHT
+                * ((event.outcome() == Outcome.OK ? 1 : 0) - retrySuccess[kind]);
         }
-        a.route.unopened = e.outcome() == Outcome.NO_SOCKET ? a.route.unopened + 1 : 0;
-        switch (e.outcome()) {
+        attempt.endpoint.consecutiveSocketFailures = event.outcome() == Outcome.NO_SOCKET
+            ? attempt.endpoint.consecutiveSocketFailures + 1 : 0;
+        switch (event.outcome()) {
             case OK -> {
-                answered(d, a.route, e.latency());
-                holds[kind] = Math.min(set.allowed().keepAlive(), holds[kind] * HOLD_GROW);
-                double trust = Math.max(trusts[kind] * HOLD_GROW, a.idle * TRUST_PROVEN);
-                trusts[kind] = Math.min(set.allowed().keepAlive(), trust);
-                d.window = Math.min(d.window + 1, Math.max(1, WINDOW_SHARE * set.allowed().slots()));
-                succeeded(a);
+                recordLatency(destination, attempt.endpoint, event.latency());
+                idleHoldMicros[kind] = Math.min(settings.limits().keepAlive(),
+                    idleHoldMicros[kind] * IDLE_HOLD_GROWTH);
+                double trust = Math.max(idleTrustMicros[kind] * IDLE_HOLD_GROWTH,
+                    attempt.connectionIdleTime * IDLE_TRUST_FACTOR);
+                idleTrustMicros[kind] = Math.min(settings.limits().keepAlive(), trust);
+                destination.congestionWindow = Math.min(destination.congestionWindow + 1,
+                    Math.max(1, MAX_WINDOW_SLOT_SHARE * settings.limits().callSlots()));
+                recordSuccess(attempt);
             }
             case FULL -> {
-                d.window = Math.max(1, d.window / 2);
-                refused(lane, e.waitFor(), a);
+                destination.congestionWindow = Math.max(1, destination.congestionWindow / 2);
+                recordRefusal(scope, event.retryAfter(), attempt);
             }
             case TIMEOUT -> {
-                d.window = Math.max(1, d.window / 2);
-                doubt(a);
-                failed(a);
+                destination.congestionWindow = Math.max(1, destination.congestionWindow / 2);
+                adjustIdleTrust(attempt);
+                recordFailure(attempt);
             }
             case CONNECT_FAILED -> {
-                holds[kind] = Math.max(HOLD_LEAST, holds[kind] * HOLD_CUT);
-                failed(a);
-                a.route.backoffUntil = now + backoff(d, a.route.failRun);
+                idleHoldMicros[kind] = Math.max(MIN_IDLE_HOLD_MICROS, idleHoldMicros[kind] * IDLE_HOLD_CUT);
+                recordFailure(attempt);
+                attempt.endpoint.backoffUntil = now
+                    + randomBackoff(destination, attempt.endpoint.consecutiveFailures);
             }
             case RESET -> {
-                doubt(a);
-                failed(a);
+                adjustIdleTrust(attempt);
+                recordFailure(attempt);
             }
-            case ERROR -> failed(a);
-            case NO_SOCKET -> unopened(a);
+            case ERROR -> recordFailure(attempt);
+            case NO_SOCKET -> recordSocketFailure(attempt);
             default -> { }
         }
-        if (e.limit() > 0) {
-            lane.weight = e.limit();
-            lane.pace = Math.min(lane.pace, e.limit());
-            if (e.left() >= 0 && e.left() < LEFT_LOW) {
-                lane.pace = Math.max(paceLeast(lane), lane.pace * LEFT_CUT);
+        if (event.limitPerSecond() > 0) {
+            scope.weight = event.limitPerSecond();
+            scope.sendRate = Math.min(scope.sendRate, event.limitPerSecond());
+            if (event.remainingShare() >= 0 && event.remainingShare() < LOW_REMAINING_SHARE) {
+                scope.sendRate = Math.max(minSendRate(scope), scope.sendRate * LOW_REMAINING_RATE_FACTOR);
             }
         }
     }
 
-    /** Guards a route that is well against this machine's own trouble, unless that lasts. */
-    private void unopened(Attempt a) {
-        if (a.route.unopened >= UNOPENED_MOST) {
-            failed(a);
+    /** Backs off. A failure of this machine counts against the endpoint only when it persists. */
+    private void recordSocketFailure(Attempt attempt) {
+        if (attempt.endpoint.consecutiveSocketFailures >= NO_SOCKET_FAILURES) {
+            recordFailure(attempt);
         }
-        long gap = UNOPENED_GAP << Math.min(a.route.unopened, UNOPENED_MOST);
-        a.route.backoffUntil = Math.max(a.route.backoffUntil, now + Math.min(BACKOFF, gap));
+        long gap = NO_SOCKET_BACKOFF_MICROS
+            << Math.min(attempt.endpoint.consecutiveSocketFailures, NO_SOCKET_FAILURES);
+        attempt.endpoint.backoffUntil = Math.max(attempt.endpoint.backoffUntil,
+            now + Math.min(MAX_INITIAL_BACKOFF_MICROS, gap));
     }
 
-    /** Guards against idle connections dropped unseen; failures in a row or on new ones tell otherwise. */
-    private void doubt(Attempt a) {
-        double trust = trusts[a.route.kind];
-        if (a.idle < 0) {
-            trusts[a.route.kind] = Math.min(set.allowed().keepAlive(), trust * 2);
-        } else if (a.idle >= TRUST_LEAST && a.route.failRun == 0 && !slow(a.route.dest)) {
-            trusts[a.route.kind] = Math.min(trust, Math.max(TRUST_LEAST, a.idle / 2.0));
+    /**
+     * After a timeout or reset: an idle connection may have been dropped without notice, so idle connections
+     * are trusted for a shorter time. A failure on a new connection, or one of several in a row, has another
+     * cause.
+     */
+    private void adjustIdleTrust(Attempt attempt) {
+        double trust = idleTrustMicros[attempt.endpoint.kind];
+        if (attempt.connectionIdleTime < 0) {
+            idleTrustMicros[attempt.endpoint.kind] = Math.min(settings.limits().keepAlive(), trust * 2);
+        } else if (attempt.connectionIdleTime >= MIN_IDLE_TRUST_MICROS
+            && attempt.endpoint.consecutiveFailures == 0 && !isSlow(attempt.endpoint.destination)) {
+            idleTrustMicros[attempt.endpoint.kind] = Math.min(trust,
+                Math.max(MIN_IDLE_TRUST_MICROS, attempt.connectionIdleTime / 2.0));
         }
     }
 
-    private void answered(Dest d, Route r, long latency) {
-        d.answers.add(latency);
-        r.latency = r.latency == 0 ? latency : r.latency + LATEST * (latency - r.latency);
-        d.latest = d.latest == 0 ? latency : d.latest + LATEST * (latency - d.latest);
-        double sample = d.usual == 0 ? latency : Math.min(latency, SLOW * d.usual);
-        double weight = d.answers.count < 2 * KNOWN ? LATEST : USUAL;
-        d.usual = d.usual == 0 ? latency : d.usual + weight * (sample - d.usual);
+    private void recordLatency(Destination destination, EndpointState endpoint, long latency) {
+        destination.latencies.add(latency);
+        endpoint.latency = endpoint.latency == 0 ? latency
+            : endpoint.latency + RECENT_LATENCY_WEIGHT * (latency - endpoint.latency);
+        destination.recentLatency = destination.recentLatency == 0 ? latency
+            : destination.recentLatency + RECENT_LATENCY_WEIGHT * (latency - destination.recentLatency);
+        double sample = destination.baselineLatency == 0 ? latency
+            : Math.min(latency, SLOW_LATENCY_FACTOR * destination.baselineLatency);
+        double weight = destination.latencies.count < 2 * MIN_LATENCY_SAMPLES ? RECENT_LATENCY_WEIGHT
+            : BASELINE_LATENCY_WEIGHT;
+        destination.baselineLatency = destination.baselineLatency == 0 ? latency
+            : destination.baselineLatency + weight * (sample - destination.baselineLatency);
+    }
+
+    /** Listed calls per second that a limit scope accepts from all relays together. */
+    private double listedRate(LimitScope scope) {
+        return settings.weights() == Weights.NONE ? UNLISTED_CALLS_PER_SECOND : scope.weight;
     }
 
-    /** Listed calls a second that a lane takes from all relays together. */
-    private double listedRate(Lane lane) {
-        return set.weights() == Weights.NONE ? UNLISTED : lane.weight;
+    private double maxSendRate(LimitScope scope) {
+        return MAX_LISTED_RATE_FACTOR * listedRate(scope);
     }
 
-    private double paceMost(Lane lane) {
-        return PACE_MOST * listedRate(lane);
+    private double minSendRate(LimitScope scope) {
+        return settings.weights() == Weights.NONE
+            ? Math.min(MIN_CALLS_PER_SECOND, 1.0 / settings.relayCount())
+            : Math.max(MIN_CALLS_PER_SECOND,
+                MIN_EVEN_SHARE_FACTOR * listedRate(scope) / settings.relayCount());
     }
 
-    private double paceLeast(Lane lane) {
-        return set.weights() == Weights.NONE ? Math.min(PACE_SLOWEST, 1.0 / set.relays())
-            : Math.max(PACE_SLOWEST, PACE_LEAST * listedRate(lane) / set.relays());
+    /**
+     * Sets the send rate as a function of time where no rates are listed.
+     *
+     * <p>While no limit has been met, the rate follows the usual rate of accepted messages, up to a multiple
+     * of the rate reached so far. After a limit has been met, the rate follows a cubic curve: it rises from
+     * below the limit back to it, grows slowly past it, then faster. The refusals of all relays add up, so
+     * the curve is slower the more relays there are.
+     */
+    private void regainSendRate(EndpointState endpoint) {
+        LimitScope scope = endpoint.limitScope;
+        if (settings.weights() == Weights.NONE && scope.limitRate == 0) {
+            int maxMessagesPerCall = settings.kinds().get(endpoint.kind).maxMessagesPerCall();
+            double startRate = startRate(endpoint.kind);
+            double observedRate = Math.max(endpoint.destination.acceptedPerSecond / maxMessagesPerCall,
+                scope.callRate.perSecond(now, CALL_RATE_SPAN_MICROS, CALL_RATE_SPAN_MICROS));
+            // After a restart all relays hold the messages of the time in between, which must not set the
+            // rate to begin with.
+            double maxRate = startRate * Math.pow(RATE_GROWTH_FACTOR,
+                (double) scope.callRate.age(now) / SECOND);
+            scope.sendRate = Math.min(maxRate, Math.max(startRate, RATE_GROWTH_FACTOR * observedRate));
+        } else if (settings.weights() == Weights.NONE) {
+            double span = (REGAIN_CALLS + settings.relayCount()) / scope.limitRate * SECOND;
+            span = Math.max(MIN_REGAIN_MICROS, Math.min(MAX_REGAIN_MICROS, span));
+            double progress = (now - scope.limitMetAt) / span - 1;
+            double maxRate = RATE_GROWTH_FACTOR
+                * Math.max(scope.limitRate, scope.callRate.perSecond(now, CALL_RATE_SPAN_MICROS));
+            scope.sendRate = Math.min(maxRate,
+                scope.limitRate * (1 + LIMIT_RATE_DROP * progress * progress * progress));
+        }
+    }
+
+    /** Reduces the send rate after a refusal and backs off; ejects the endpoint if it seems to be out. */
+    private void recordRefusal(LimitScope scope, long retryAfter, Attempt attempt) {
+        Destination destination = attempt.endpoint.destination;
+        if (attempt.sentAt >= destination.lastRefusalAt) {
+            destination.consecutiveRefusals++;
+        }
+        if (settings.weights() != Weights.NONE) {
+            scope.sendRate = Math.max(minSendRate(scope), scope.sendRate * REFUSAL_RATE_FACTOR);
+        } else if (attempt.sentAt >= scope.limitMetAt && attempt.endpoint.health == Health.GOOD) {
+            // The recent rate exceeds the limit. Refusals of calls that were in flight when the limit was met
+            // tell nothing new, and what an endpoint in slow start can serve is not its limit.
+            double recentRate = Math.min(scope.sendRate,
+                scope.callRate.perSecond(now, CALL_RATE_SPAN_MICROS));
+            double limitRate = recentRate * (destination.consecutiveRefusals > 1 ? REPEATED_LIMIT_FACTOR : 1);
+            // The limit is assumed to be no lower than the rate of accepted messages, in full calls, since
+            // the send rate itself would make messages late otherwise. In a large fleet only a part of that
+            // rate counts: relays that all kept to it would exceed a lower limit all the time.
+            int maxMessagesPerCall = settings.kinds().get(attempt.endpoint.kind).maxMessagesPerCall();
+            double acceptedCallRate = destination.acceptedPerSecond / maxMessagesPerCall
+                * (maxMessagesPerCall > 1 ? 1 : Math.min(1, SMALL_FLEET_RELAYS / settings.relayCount()));
+            scope.limitRate = Math.max(Math.max(minSendRate(scope), acceptedCallRate), limitRate);
+            scope.limitMetAt = now;
+        }
+        destination.lastRefusalAt = now;
+        long spread = (long) (Math.min(retryAfter,
+            INITIAL_BACKOFF_GAPS * SECOND / destination.acceptedPerSecond) * random.nextDouble());
+        spread = Math.max(spread,
+            randomBackoff(destination, destination.consecutiveRefusals - (retryAfter > 0 ? 1 : 0)));
+        scope.backoffUntil = Math.max(scope.backoffUntil, now + retryAfter + spread);
+        // After as many refusals in a row as there are endpoints, the backoff applies to all of them, so that
+        // a destination that refuses everything is not tried at one endpoint after the other.
+        destination.backoffUntil = destination.consecutiveRefusals >= destination.endpoints.size()
+            ? scope.backoffUntil : destination.backoffUntil;
+        scope.bucket.tokens = Math.min(scope.bucket.tokens, 1);
+        boolean longSilent = destination.consecutiveRefusals > 1 && attempt.endpoint.lastSuccessSentAt >= 0
+            && attempt.sentAt - attempt.endpoint.lastSuccessSentAt > LONG_SILENCE_MICROS;
+        if (retryAfter > OUTAGE_RETRY_AFTER_MICROS || destination.consecutiveRefusals >= OUTAGE_REFUSALS
+            || longSilent || attempt.endpoint.health == Health.OUT) {
+            eject(attempt.endpoint, true, HealthReason.REFUSALS);
+        }
     }
 
     /**
-     * Where no rate is listed: back from the dip to where the limit was last met, slowly past it, then
-     * faster. Refusals sum up over a fleet: the more relays, the more calls from one to the next. A limit
-     * not met yet gives way to what usually comes in, and to a multiple of what it has carried.
+     * A random backoff after so many failures in a row. It is proportional to the mean gap between the
+     * messages that this relay accepts for the destination, so that the retries of a whole fleet add up to a
+     * rate that the destination can take.
      */
-    private void regain(Route r) {
-        Lane lane = r.lane;
-        if (set.weights() == Weights.NONE && lane.met == 0) {
-            int bundle = set.kinds().get(r.kind).bundle();
-            double start = startPace(r.kind);
-            double seen = Math.max(r.dest.usualRate / bundle, lane.sent.perSecond(now, PACE_SPAN, PACE_SPAN));
-            // After a restart all relays hold what came in meanwhile: that is no rate to begin with.
-            double bound = start * Math.pow(PACE_AHEAD, (double) lane.sent.age(now) / SECOND);
-            lane.pace = Math.min(bound, Math.max(start, PACE_AHEAD * seen));
-        } else if (set.weights() == Weights.NONE) {
-            double span = (PROBE_CALLS + set.relays()) / lane.met * SECOND;
-            span = Math.max(PROBE_LEAST, Math.min(PROBE_MOST, span));
-            double past = (now - lane.metAt) / span - 1;
-            double most = PACE_AHEAD * Math.max(lane.met, lane.sent.perSecond(now, PACE_SPAN));
-            lane.pace = Math.min(most, lane.met * (1 + PACE_DIP * past * past * past));
-        }
-    }
-
-    private void refused(Lane lane, long told, Attempt a) {
-        Dest d = a.route.dest;
-        if (a.sent >= d.refusedAt) {
-            d.refusals++;
-        }
-        if (set.weights() != Weights.NONE) {
-            lane.pace = Math.max(paceLeast(lane), lane.pace * PACE_CUT);
-        } else if (a.sent >= lane.metAt && a.route.health == Health.GOOD) {
-            // What was sent of late was too much; calls already out then say nothing new, and what a cold
-            // partner bears is no limit.
-            double sent = Math.min(lane.pace, lane.sent.perSecond(now, PACE_SPAN));
-            double met = sent * (d.refusals > 1 ? LIMIT_DROP : 1);
-            // No slower than what comes in, in full bundles: else it is the pace that makes messages late.
-            // Many relays that each insist on that would run into a limit below it all the time.
-            int bundle = set.kinds().get(a.route.kind).bundle();
-            double comesIn = d.usualRate / bundle * (bundle > 1 ? 1 : Math.min(1, INSISTENT / set.relays()));
-            lane.met = Math.max(Math.max(paceLeast(lane), comesIn), met);
-            lane.metAt = now;
-        }
-        d.refusedAt = now;
-        long spread = (long) (Math.min(told, BACKOFF_GAPS * SECOND / d.usualRate) * random.nextDouble());
-        spread = Math.max(spread, backoff(d, d.refusals - (told > 0 ? 1 : 0)));
-        lane.backoffUntil = Math.max(lane.backoffUntil, now + told + spread);
-        // Once all routes refused in a row, the back-off is for all: a shut place is not asked by turns.
-        d.backoffUntil = d.refusals >= d.routes.size() ? lane.backoffUntil : d.backoffUntil;
-        lane.bucket.tokens = Math.min(lane.bucket.tokens, 1);
-        boolean unheard = d.refusals > 1 && a.route.lastOkSent >= 0 && a.sent - a.route.lastOkSent > UNHEARD;
-        if (told > SHUT_TOLD || d.refusals >= SHUT_RUN || unheard || a.route.health == Health.OUT) {
-            outage(a.route, true, HealthReason.REFUSALS);
-        }
-    }
-
-    /** By this relay's own usual gap between messages there, so that a fleet's tries fit together. */
-    private long backoff(Dest d, int failures) {
-        double gap = SECOND / Math.max(RATE_LEAST, d.usualRate);
-        double first = Math.max(BACKOFF_LEAST, Math.min(BACKOFF, gap * BACKOFF_GAPS));
-        double most = Math.max(BACKOFF_MID, Math.min(BACKOFF_MOST, gap * BACKOFF_MOST_GAPS));
-        // Where limits count refused calls too, asking again keeps them shut: back off longer there.
-        double ease = Math.min(1, Math.max(EASE_LEAST, eases[d.kind]) / EASE_USUAL);
-        double span = Math.min(most, first * Math.pow(BACKOFF_GROW, failures - 1)) / ease;
+    private long randomBackoff(Destination destination, int failures) {
+        double gap = SECOND / Math.max(MIN_ACCEPTED_PER_SECOND, destination.acceptedPerSecond);
+        double first = Math.max(MIN_INITIAL_BACKOFF_MICROS,
+            Math.min(MAX_INITIAL_BACKOFF_MICROS, gap * INITIAL_BACKOFF_GAPS));
+        double cap = Math.max(MIN_BACKOFF_CAP_MICROS,
+            Math.min(MAX_BACKOFF_CAP_MICROS, gap * MAX_BACKOFF_GAPS));
+        // Where refused calls count against the limit as well, retries keep it exhausted. There few calls
+        // after a refusal succeed, and the backoff is longer.
+        double success = Math.min(1,
+            Math.max(MIN_RETRY_SUCCESS, retrySuccess[destination.kind]) / USUAL_RETRY_SUCCESS);
+        double span = Math.min(cap, first * Math.pow(BACKOFF_GROWTH, failures - 1)) / success;
         return failures < 1 ? 0 : (long) (span * (0.5 + random.nextDouble()));
     }
 
     // ---- Health and slow start ------------------------------------------------------------------
-    private void succeeded(Attempt a) {
-        Route r = a.route;
-        Lane lane = r.lane;
-        r.dest.refusals = 0;
-        if (set.weights() != Weights.NONE && lane.bucket.tokens < 1) {
-            double grown = lane.pace + PACE_GROW * paceLeast(lane);
-            lane.pace = Math.max(lane.pace, Math.min(paceMost(lane), grown));
-        }
-        lane.carried.mark(now, RATE_SPAN);
-        // A quiet route sees one failure of an outage: only one that answered just before was not out.
-        r.confirmed |= r.health == Health.OUT
-            && (a.sent - r.outSince > SUSPICION || a.sent - r.lastOkSent > UNHEARD);
-        r.lastOk = now;
-        r.lastOkSent = Math.max(r.lastOkSent, a.sent);
-        r.failing *= 1 - OUTCOME_WEIGHT;
-        if (r.health != Health.OUT || a.sent >= r.outSince) {
-            r.failRun = 0;
-        }
-        if (r.health == Health.OUT && a.sent >= r.outSince) {
-            r.health = r.confirmed ? Health.RETURNING : Health.GOOD;
-            r.returnAt = now;
-            changed(r, r.confirmed ? HealthReason.TRIAL_ANSWERED : HealthReason.SUSPICION_CLEARED);
-        }
-        note(r);
-    }
-
-    /** A failed call counts only while no call sent after it has been answered, or once failures prevail. */
-    private void failed(Attempt a) {
-        Route r = a.route;
-        r.failing += OUTCOME_WEIGHT * (1 - r.failing);
-        if (r.lane.slowStart != null) {
-            r.lane.slowStart.metOutage(a.sent);
-        }
-        boolean prevails = r.failing >= OUTAGE_SHARE;
-        if (a.sent >= r.lastOkSent) {
-            r.failRun++;
-        }
-        // A busy route that fails part of its calls answers the others: no outage while answers are recent.
-        boolean silent = now - r.lastOk >= SILENT;
-        boolean trial = r.health == Health.OUT && a.sent >= r.outSince;
-        r.timedOut = a.call.learned == Outcome.TIMEOUT;
-        if (prevails || trial || silent && r.failRun >= OUTAGE_RUN) {
-            outage(r, true, trial ? HealthReason.TRIAL_FAILED : HealthReason.FAILURES);
-        } else if (r.health == Health.RETURNING && a.sent >= r.returnAt) {
-            // It may still have been out then: what it bears grows from now on at the earliest.
-            r.returnAt = now;
-            changed(r, HealthReason.FAILED_IN_SLOW_START);
-        } else if (r.failRun > 0 && silent && r.health != Health.RETURNING) {
-            outage(r, false, HealthReason.SUSPECTED);
-        }
-    }
-
-    /** Trials only. One failure is a suspicion, which one answer clears; an outage ends in a slow start. */
-    private void outage(Route r, boolean confirmed, HealthReason reason) {
-        boolean wasOut = r.health == Health.OUT;
+    /** Updates the endpoint's health by an answered call: a probe's answer ends its ejection. */
+    private void recordSuccess(Attempt attempt) {
+        EndpointState endpoint = attempt.endpoint;
+        LimitScope scope = endpoint.limitScope;
+        endpoint.destination.consecutiveRefusals = 0;
+        if (settings.weights() != Weights.NONE && scope.bucket.tokens < 1) {
+            double grown = scope.sendRate + RATE_GROWTH_SHARE * minSendRate(scope);
+            scope.sendRate = Math.max(scope.sendRate, Math.min(maxSendRate(scope), grown));
+        }
+        scope.deliveryRate.record(now, RATE_SPAN_MICROS);
+        // An endpoint with little traffic shows a single failure in an outage. The outage therefore counts as
+        // confirmed unless the probe came soon after the failure and the endpoint had answered just before.
+        endpoint.outageConfirmed |= endpoint.health == Health.OUT
+            && (attempt.sentAt - endpoint.outSince > SUSPICION_MICROS
+                || attempt.sentAt - endpoint.lastSuccessSentAt > LONG_SILENCE_MICROS);
+        endpoint.lastSuccessAt = now;
+        endpoint.lastSuccessSentAt = Math.max(endpoint.lastSuccessSentAt, attempt.sentAt);
+        endpoint.failureShare *= 1 - OUTCOME_WEIGHT;
+        if (endpoint.health != Health.OUT || attempt.sentAt >= endpoint.outSince) {
+            endpoint.consecutiveFailures = 0;
+        }
+        if (endpoint.health == Health.OUT && attempt.sentAt >= endpoint.outSince) {
+            endpoint.health = endpoint.outageConfirmed ? Health.RETURNING : Health.GOOD;
+            endpoint.returnedAt = now;
+            reportHealth(endpoint,
+                endpoint.outageConfirmed ? HealthReason.TRIAL_ANSWERED : HealthReason.SUSPICION_CLEARED);
+        }
+        updateUnavailable(endpoint);
+    }
+
+    /**
+     * Updates the endpoint's health by a failed call. The failure counts only while no call sent later has
+     * been answered, or when most recent calls fail.
+     */
+    private void recordFailure(Attempt attempt) {
+        EndpointState endpoint = attempt.endpoint;
+        endpoint.failureShare += OUTCOME_WEIGHT * (1 - endpoint.failureShare);
+        if (endpoint.limitScope.slowStart != null) {
+            endpoint.limitScope.slowStart.discardCallsUpTo(attempt.sentAt);
+        }
+        boolean prevails = endpoint.failureShare >= OUTAGE_FAILURE_SHARE;
+        if (attempt.sentAt >= endpoint.lastSuccessSentAt) {
+            endpoint.consecutiveFailures++;
+        }
+        // A busy endpoint that fails part of its calls answers the others: recent answers mean no outage.
+        boolean silent = now - endpoint.lastSuccessAt >= RECENT_SUCCESS_MICROS;
+        boolean probe = endpoint.health == Health.OUT && attempt.sentAt >= endpoint.outSince;
+        endpoint.lastFailureTimedOut = attempt.call.lastOutcome == Outcome.TIMEOUT;
+        if (prevails || probe || silent && endpoint.consecutiveFailures >= OUTAGE_FAILURES) {
+            eject(endpoint, true, probe ? HealthReason.TRIAL_FAILED : HealthReason.FAILURES);
+        } else if (endpoint.health == Health.RETURNING && attempt.sentAt >= endpoint.returnedAt) {
+            // It may still have been out when the call was sent: its warm-up began now at the earliest.
+            endpoint.returnedAt = now;
+            reportHealth(endpoint, HealthReason.FAILED_IN_SLOW_START);
+        } else if (endpoint.consecutiveFailures > 0 && silent && endpoint.health != Health.RETURNING) {
+            eject(endpoint, false, HealthReason.SUSPECTED);
+        }
+    }
+
+    /**
+     * Ejects an endpoint, so that it gets single probes only.
+     *
+     * @param confirmed false for a suspicion from a single failure, which one answer clears; a confirmed
+     *     outage ends in a slow start
+     */
+    private void eject(EndpointState endpoint, boolean confirmed, HealthReason reason) {
+        boolean wasOut = endpoint.health == Health.OUT;
         if (!wasOut) {
-            beginSlowStart(r);
-            r.confirmed = false;
-            r.outSince = now;
+            beginSlowStart(endpoint);
+            endpoint.outageConfirmed = false;
+            endpoint.outSince = now;
         }
-        r.health = Health.OUT;
-        boolean newlyConfirmed = confirmed && !r.confirmed;
+        endpoint.health = Health.OUT;
+        boolean newlyConfirmed = confirmed && !endpoint.outageConfirmed;
         if (newlyConfirmed) {
-            r.confirmed = true;
-            r.lane.slowStart.confirm();
-            note(r);
+            endpoint.outageConfirmed = true;
+            endpoint.limitScope.slowStart.confirmOutage();
+            updateUnavailable(endpoint);
         }
         if (!wasOut || newlyConfirmed) {
-            changed(r, reason);
+            reportHealth(endpoint, reason);
         }
         if (newlyConfirmed) {
-            suspectSiblings(r);
+            suspectSiblings(endpoint);
         }
     }
 
-    /** Routes of a destination mostly fail together: those not heard from must answer a trial. */
-    private void suspectSiblings(Route r) {
-        for (Route other : r.dest.routes.values()) {
-            boolean silent = other.lastOkSent < r.outSince - SUSPECT;
-            if (other.lane == r.lane && other.health == Health.GOOD && silent) {
-                outage(other, false, HealthReason.SIBLING_OUT);
+    /**
+     * The endpoints of a destination mostly fail together: those in the same limit scope that have not
+     * answered lately must answer a probe first.
+     */
+    private void suspectSiblings(EndpointState endpoint) {
+        for (EndpointState other : endpoint.destination.endpoints.values()) {
+            boolean silent = other.lastSuccessSentAt < endpoint.outSince - SIBLING_SUCCESS_MICROS;
+            if (other.limitScope == endpoint.limitScope && other.health == Health.GOOD && silent) {
+                eject(other, false, HealthReason.SIBLING_OUT);
             }
         }
     }
 
-    /** When the route may take another message: waits, back-off, pace, trials, slow start. */
-    private long opens(Route r, boolean joins) {
-        Lane lane = r.lane;
-        long when = r.closedUntil();
-        if (r.health == Health.RETURNING && now - r.returnAt >= set.rules().cold()) {
-            r.health = Health.GOOD;
-            r.failing = 0;
-            changed(r, HealthReason.WARM);
-        }
-        if (r.health == Health.OUT) {
-            if (r.trials > 0) {
+    /**
+     * The earliest time for another message to this endpoint, by Retry-After, backoff, probe gap, slow start
+     * and send rate. Also ends a slow start that is complete.
+     *
+     * @param joinsCall the message joins a call that has already been counted
+     */
+    private long nextCallAt(EndpointState endpoint, boolean joinsCall) {
+        LimitScope scope = endpoint.limitScope;
+        long openAt = endpoint.unavailableUntil();
+        if (endpoint.health == Health.RETURNING
+            && now - endpoint.returnedAt >= settings.rules().warmUpTime()) {
+            endpoint.health = Health.GOOD;
+            endpoint.failureShare = 0;
+            reportHealth(endpoint, HealthReason.WARM);
+        }
+        if (endpoint.health == Health.OUT) {
+            if (endpoint.openProbes > 0) {
                 return NEVER;
             }
-            when = Math.max(when, Math.max(r.outSince, r.trialAt) + TRIAL_GAP);
+            openAt = Math.max(openAt, Math.max(endpoint.outSince, endpoint.lastProbeAt) + PROBE_GAP_MICROS);
         }
-        if (!joins && startsSlowly(r)) {
-            when = Math.max(when, lane.slowStart.opensAt(set, callsInWindow(r), now));
+        if (!joinsCall && isSlowStarting(endpoint)) {
+            openAt = Math.max(openAt, scope.slowStart.nextCallAt(settings, slowStartBudget(endpoint), now));
         }
-        regain(r);
-        lane.bucket.fill(lane.pace, Math.max(BURST_LEAST, lane.pace * PACE_BURST), now);
-        if (!joins && lane.bucket.tokens < 1) {
-            when = Math.max(when, now + (long) ((1 - lane.bucket.tokens) / lane.pace * SECOND) + 1);
+        regainSendRate(endpoint);
+        scope.bucket.refill(scope.sendRate, Math.max(MIN_BURST_CALLS, scope.sendRate * BURST_SECONDS), now);
+        if (!joinsCall && scope.bucket.tokens < 1) {
+            openAt = Math.max(openAt,
+                now + (long) ((1 - scope.bucket.tokens) / scope.sendRate * SECOND) + 1);
         }
-        return when;
+        return openAt;
     }
 
-    private static boolean startsSlowly(Route r) {
-        // One call that failed at once may be a stray one; one that timed out met whatever it met long ago.
-        boolean suspected = r.health == Health.OUT && !r.confirmed && !r.timedOut
-            && !r.lane.slowStart.isConfirmed();
-        return r.health != Health.GOOD && !suspected;
+    /** True when the slow start limits the calls to an endpoint. */
+    private static boolean isSlowStarting(EndpointState endpoint) {
+        // A suspicion is exempt: a single call that failed at once may be an isolated failure. A call that
+        // timed out is not: it met the fault long ago, and the endpoint may have returned cold since.
+        boolean suspected = endpoint.health == Health.OUT && !endpoint.outageConfirmed
+            && !endpoint.lastFailureTimedOut && !endpoint.limitScope.slowStart.isOutageConfirmed();
+        return endpoint.health != Health.GOOD && !suspected;
     }
 
-    /** Opens the account of a lane none of whose routes has been out or returning. */
-    private void beginSlowStart(Route r) {
-        if (r.dest.coldRoutes(r.lane) == 0) {
-            double carried = r.lane.carried.perSecond(now, RATE_SPAN, Math.max(RATE_AGE, now - beganAt));
-            r.lane.slowStart = new SlowStart(carried, now, 2 * random.nextDouble());
+    /** Begins a slow start, unless an endpoint of the scope is out or returning, whose slow start applies. */
+    private void beginSlowStart(EndpointState endpoint) {
+        if (endpoint.destination.unhealthyEndpoints(endpoint.limitScope) == 0) {
+            double deliveredPerSecond = endpoint.limitScope.deliveryRate.perSecond(now, RATE_SPAN_MICROS,
+                Math.max(MIN_RATE_AGE_MICROS, now - startedAt));
+            endpoint.limitScope.slowStart = new SlowStart(deliveredPerSecond, now, 2 * random.nextDouble());
         }
     }
 
-    /** This relay's part of the calls that a lane bears in a window. */
-    private double callsInWindow(Route r) {
-        boolean out = r.health == Health.OUT;
-        double share = r.lane == r.dest.shared
-            ? (double) Math.max(1, r.dest.coldRoutes(r.lane)) / Math.max(1, r.dest.routes.size()) : 1;
-        return r.lane.slowStart.callsInWindow(set, SlowStart.warmth(set.rules(), out ? 0 : now - r.returnAt),
-            (out ? QUIET_PART : 1) * r.dest.usualRate, listedRate(r.lane), Math.min(1, share));
+    /** This relay's share of the calls that an endpoint's limit scope can serve in a window. */
+    private double slowStartBudget(EndpointState endpoint) {
+        boolean out = endpoint.health == Health.OUT;
+        double unhealthyShare = endpoint.limitScope == endpoint.destination.sharedScope
+            ? (double) Math.max(1, endpoint.destination.unhealthyEndpoints(endpoint.limitScope))
+                / Math.max(1, endpoint.destination.endpoints.size()) : 1;
+        return endpoint.limitScope.slowStart.callBudget(settings,
+            SlowStart.capacityShare(settings.rules(), out ? 0 : now - endpoint.returnedAt),
+            (out ? OUTAGE_RATE_SHARE : 1) * endpoint.destination.acceptedPerSecond,
+            listedRate(endpoint.limitScope), Math.min(1, unhealthyShare));
     }
 
-    private void sent(Route r, Attempt a) {
-        if (a.call.size == 1 && r.health != Health.GOOD) {
-            r.lane.slowStart.sent(now, 0.5 + random.nextDouble());
+    /** Counts a call to an endpoint that is out or returning for the slow start, and as a probe if out. */
+    private void recordCallWhileUnhealthy(EndpointState endpoint, Attempt attempt) {
+        if (attempt.call.messageCount == 1 && endpoint.health != Health.GOOD) {
+            endpoint.limitScope.slowStart.recordCall(now, 0.5 + random.nextDouble());
         }
-        if (r.health == Health.OUT) {
-            r.trials++;
-            r.trialAt = now;
-            a.trial = true;
+        if (endpoint.health == Health.OUT) {
+            endpoint.openProbes++;
+            endpoint.lastProbeAt = now;
+            attempt.isProbe = true;
         }
     }
 
-    /** Keeps the count of those that are ready by the list and out. */
-    private void note(Route r) {
-        boolean listed = r.dest.routes.get(r.id) == r;
-        boolean avoid = listed && r.ready && r.health == Health.OUT && r.confirmed;
-        avoided += avoid == r.avoided ? 0 : avoid ? 1 : -1;
-        r.avoided = avoid;
+    /** Updates the number of endpoints that are listed as ready and are out with a confirmed outage. */
+    private void updateUnavailable(EndpointState endpoint) {
+        boolean listed = endpoint.destination.endpoints.get(endpoint.id) == endpoint;
+        boolean unavailable = listed && endpoint.ready && endpoint.health == Health.OUT
+            && endpoint.outageConfirmed;
+        unavailableCount += unavailable == endpoint.countedUnavailable ? 0 : unavailable ? 1 : -1;
+        endpoint.countedUnavailable = unavailable;
     }
 
-    /** Tells of a change of a route's health, with what its slow start allows and has used. */
-    private void changed(Route r, HealthReason reason) {
-        long since = r.health == Health.OUT ? r.outSince : r.returnAt;
-        SlowStart account = r.lane.slowStart;
-        out.add(new HealthChanged(r.id, r.health, since, account.carriedBefore(), reason,
-            account.sentInWindow(now, set.rules()), callsInWindow(r)));
+    /** Reports the changed health of an endpoint, with what its slow start allows and has used. */
+    private void reportHealth(EndpointState endpoint, HealthReason reason) {
+        long since = endpoint.health == Health.OUT ? endpoint.outSince : endpoint.returnedAt;
+        SlowStart slowStart = endpoint.limitScope.slowStart;
+        actions.add(new HealthChanged(endpoint.id, endpoint.health, since, slowStart.rateBeforeOutage(),
+            reason, slowStart.sentInWindow(now, settings.rules()), slowStartBudget(endpoint)));
     }
 
     /**
-     * What the next process must know of each listed endpoint, in this clock's time. First what binds, then
-     * what was found out the hard way, for there may be no room for all of it.
+     * What the next process must know about each endpoint, in this clock's time. The caller may have no room
+     * for all of it, so the order is: endpoints that asked to wait, then those that are out, returning or
+     * backed off, then the others.
      */
-    public List<Known> knowledge() {
-        Comparator<Route> first = Comparator.comparingInt(r -> r.lane.waitUntil > now ? 0
-            : r.health != Health.GOOD || r.closedUntil() > now ? 1 : 2);
-        return routes.values().stream().sorted(first).map(this::known).toList();
-    }
-
-    private Known known(Route r) {
-        long since = r.health == Health.OUT ? r.outSince : r.returnAt;
-        double carried = r.health == Health.GOOD ? 0 : r.lane.slowStart.carriedBefore();
-        return new Known(r.id, r.lane.waitUntil, r.closedUntil(), r.health, since, carried, r.lane.pace,
-            r.dest.window, r.latency);
-    }
-
-    /** Goes on where the process before stood: its waits bind, and what it found out is not tried again. */
-    private void known(Known e) {
-        Route r = routes.get(e.endpoint());
-        if (r == null) {
+    public List<EndpointSnapshot> endpointSnapshots() {
+        Comparator<EndpointState> byImportance = Comparator.comparingInt(endpoint ->
+            endpoint.limitScope.retryAfterUntil > now ? 0
+                : endpoint.health != Health.GOOD || endpoint.unavailableUntil() > now ? 1 : 2);
+        return endpoints.values().stream().sorted(byImportance).map(this::carryOver).toList();
+    }
+
+    /** The snapshot of an endpoint for the next process. */
+    private EndpointSnapshot carryOver(EndpointState endpoint) {
+        long since = endpoint.health == Health.OUT ? endpoint.outSince : endpoint.returnedAt;
+        double deliveredPerSecond = endpoint.health == Health.GOOD ? 0
+            : endpoint.limitScope.slowStart.rateBeforeOutage();
+        return new EndpointSnapshot(endpoint.id, endpoint.limitScope.retryAfterUntil,
+            endpoint.unavailableUntil(), endpoint.health, since, deliveredPerSecond,
+            endpoint.limitScope.sendRate,
+            endpoint.destination.congestionWindow, endpoint.latency);
+    }
+
+    /** Applies a snapshot of the previous process: its waits bind, and its findings need no second trial. */
+    private void carryOver(EndpointSnapshot snapshot) {
+        EndpointState endpoint = endpoints.get(snapshot.endpoint());
+        if (endpoint == null) {
             return;
         }
-        r.lane.waitUntil = Math.max(r.lane.waitUntil, e.waitUntil());
-        r.backoffUntil = Math.max(r.backoffUntil, e.closedUntil());
-        if (e.pace() > 0) {
-            r.lane.pace = Math.min(r.lane.pace, e.pace());
-            r.lane.met = set.weights() == Weights.NONE ? e.pace() : 0;
-            r.lane.metAt = now;
-            r.latency = e.latency();
-            r.dest.latest = Math.max(r.dest.latest, e.latency());
-            r.dest.window = Math.max(r.dest.window, e.window());
+        endpoint.limitScope.retryAfterUntil = Math.max(endpoint.limitScope.retryAfterUntil,
+            snapshot.waitUntil());
+        endpoint.backoffUntil = Math.max(endpoint.backoffUntil, snapshot.unavailableUntil());
+        if (snapshot.sendRate() > 0) {
+            endpoint.limitScope.sendRate = Math.min(endpoint.limitScope.sendRate, snapshot.sendRate());
+            endpoint.limitScope.limitRate = settings.weights() == Weights.NONE ? snapshot.sendRate() : 0;
+            endpoint.limitScope.limitMetAt = now;
+            endpoint.latency = snapshot.latency();
+            endpoint.destination.recentLatency = Math.max(endpoint.destination.recentLatency,
+                snapshot.latency());
+            endpoint.destination.congestionWindow = Math.max(endpoint.destination.congestionWindow,
+                snapshot.congestionWindow());
         }
-        if (e.health() != Health.GOOD) {
-            resume(r, e);
+        if (snapshot.health() != Health.GOOD) {
+            restoreOutage(endpoint, snapshot);
         }
     }
 
-    /** An outage, or the return from one, that the process before this one knew of; never less cautious. */
-    private void resume(Route r, Known e) {
-        if (r.health == Health.OUT) {
+    /**
+     * Restores an outage, or the return from one, that the previous process had observed. The result is never
+     * less cautious than what this process has observed itself.
+     */
+    private void restoreOutage(EndpointState endpoint, EndpointSnapshot snapshot) {
+        if (endpoint.health == Health.OUT) {
             return;
         }
-        boolean first = r.health == Health.GOOD && r.dest.coldRoutes(r.lane) == 0;
-        if (first) {
-            r.lane.slowStart = new SlowStart(e.carried(), now, 0.5 + random.nextDouble());
+        boolean firstOfScope = endpoint.health == Health.GOOD
+            && endpoint.destination.unhealthyEndpoints(endpoint.limitScope) == 0;
+        if (firstOfScope) {
+            endpoint.limitScope.slowStart = new SlowStart(snapshot.carriedPerSecond(), now,
+                0.5 + random.nextDouble());
         }
-        r.confirmed = true;
-        r.lane.slowStart.confirm();
-        r.returnAt = r.health == Health.RETURNING ? Math.max(r.returnAt, e.since()) : e.since();
-        r.health = e.health();
-        r.outSince = now;
-        if (first) {
-            r.lane.slowStart.usedUpBefore(set, callsInWindow(r), now);
+        endpoint.outageConfirmed = true;
+        endpoint.limitScope.slowStart.confirmOutage();
+        endpoint.returnedAt = endpoint.health == Health.RETURNING
+            ? Math.max(endpoint.returnedAt, snapshot.since()) : snapshot.since();
+        endpoint.health = snapshot.health();
+        endpoint.outSince = now;
+        if (firstOfScope) {
+            endpoint.limitScope.slowStart.assumeBudgetSpent(settings, slowStartBudget(endpoint), now);
         }
-        note(r);
-        changed(r, HealthReason.RESTORED);
+        updateUnavailable(endpoint);
+        reportHealth(endpoint, HealthReason.RESTORED);
     }
 
     // ---- List of endpoints ----------------------------------------------------------------------
-    private Dest dest(long id) {
-        Dest d = dests.computeIfAbsent(id, k -> new Dest(k, set.classes().size() * 3, ANSWERS));
-        touch(d);
-        return d;
-    }
-
-    /** It is of use now, and stands last among those that may be released. */
-    private void touch(Dest d) {
-        d.usedAt = now;
-        used.remove(d);
-        used.add(d);
-    }
-
-    private void listed(Listed e) {
-        if (listBy != Long.MIN_VALUE) {
-            listBy = Long.MIN_VALUE;
-            dests.values().stream().filter(d -> d.waiting > 0).forEach(active::add);
-        }
-        Set<Long> named = new HashSet<>();
-        for (Endpoint p : e.endpoints()) {
-            named.add(p.id());
-            listed(p, false);
-        }
-        if (e.kind() == ListKind.WHOLE) {
-            routes.values().stream().filter(r -> !named.contains(r.id)).forEach(this::remove);
-        }
-    }
-
-    /** {@code known}: the list may have named it for long, only the module has not heard. */
-    private void listed(Endpoint p, boolean known) {
-        Route r = routes.get(p.id());
-        if (r != null && p.listing() != Listing.GONE && r.dest.id != p.destination()) {
-            remove(r);
-            routes.remove(r.id);
-            Route moved = add(p, false);
-            // A wait binds the endpoint wherever it stands.
-            moved.backoffUntil = r.lane.waitUntil;
-            r = moved;
-        }
-        if (p.listing() != Listing.GONE) {
-            r = r == null ? add(p, known) : r;
-            if (r.dest.routes.put(r.id, r) == null && r.goneAt >= 0) {
-                r.goneAt = -1;
-                r.dest.gone--;
+    /** The destination with this id, created when first used; marks it as used. */
+    private Destination destination(long id) {
+        Destination destination = destinations.computeIfAbsent(id,
+            k -> new Destination(k, settings.classes().size() * 3, LATENCY_SAMPLES));
+        markUsed(destination);
+        return destination;
+    }
+
+    /** Records the use of a destination, which makes it the last one to be released. */
+    private void markUsed(Destination destination) {
+        destination.lastUsedAt = now;
+        byLastUse.remove(destination);
+        byLastUse.add(destination);
+    }
+
+    private void applyList(ListUpdated update) {
+        if (listAwaitedUntil != Long.MIN_VALUE) {
+            listAwaitedUntil = Long.MIN_VALUE;
+            destinations.values().stream().filter(destination -> destination.waitingMessages > 0)
+                .forEach(dispatchCandidates::add);
+        }
+        Set<Long> listedIds = new HashSet<>();
+        for (Endpoint listed : update.endpoints()) {
+            listedIds.add(listed.id());
+            applyList(listed, false);
+        }
+        if (update.kind() == ListKind.WHOLE) {
+            endpoints.values().stream().filter(endpoint -> !listedIds.contains(endpoint.id))
+                .forEach(this::removeEndpoint);
+        }
+    }
+
+    /**
+     * Adds, updates, moves or removes an endpoint as listed.
+     *
+     * @param introduced the endpoint's destination is introduced to the module: the endpoint may have been
+     *     listed for long
+     */
+    private void applyList(Endpoint listed, boolean introduced) {
+        EndpointState endpoint = endpoints.get(listed.id());
+        if (endpoint != null && listed.listing() != Listing.GONE
+            && endpoint.destination.id != listed.destination()) {
+            removeEndpoint(endpoint);
+            endpoints.remove(endpoint.id);
+            EndpointState moved = addEndpoint(listed, false);
+            // A Retry-After binds the endpoint in its new destination too.
+            moved.backoffUntil = endpoint.limitScope.retryAfterUntil;
+            endpoint = moved;
+        }
+        if (listed.listing() != Listing.GONE) {
+            endpoint = endpoint == null ? addEndpoint(listed, introduced) : endpoint;
+            if (endpoint.destination.endpoints.put(endpoint.id, endpoint) == null
+                && endpoint.removedAt >= 0) {
+                endpoint.removedAt = -1;
+                endpoint.destination.removedEndpoints--;
             }
-            r.ready = p.listing() == Listing.READY;
-            note(r);
-            r.lane.weight = p.weight() > 0 ? p.weight() : r.lane.weight;
-            if (set.weights() != Weights.NONE) {
-                r.lane.pace = Math.min(r.lane.pace, paceMost(r.lane));
+            endpoint.ready = listed.listing() == Listing.READY;
+            updateUnavailable(endpoint);
+            endpoint.limitScope.weight = listed.weight() > 0 ? listed.weight() : endpoint.limitScope.weight;
+            if (settings.weights() != Weights.NONE) {
+                endpoint.limitScope.sendRate = Math.min(endpoint.limitScope.sendRate,
+                    maxSendRate(endpoint.limitScope));
             }
-            active.add(r.dest);
-        } else if (r != null) {
-            remove(r);
-        }
-    }
-
-    private Route add(Endpoint p, boolean known) {
-        Route r = new Route();
-        r.id = p.id();
-        r.zone = p.zone();
-        r.kind = p.kind();
-        r.dest = dest(p.destination());
-        r.dest.kind = p.kind();
-        boolean apart = set.kinds().get(p.kind()).apart();
-        r.lane = apart || r.dest.shared == null ? new Lane() : r.dest.shared;
-        r.dest.shared = apart ? r.dest.shared : r.lane;
-        if (r.lane.pace == 0) {
-            r.lane.weight = p.weight();
-            r.lane.pace = PACE_START * paceLeast(r.lane) / PACE_LEAST;
-            if (set.relays() > INSISTENT) {
-                // A first call of each relay at once, out of a full bucket, would be more than a place bears.
-                double first = random.nextDouble();
-                r.lane.bucket.fill(0, known ? saved(p, first) : first, now);
+            dispatchCandidates.add(endpoint.destination);
+        } else if (endpoint != null) {
+            removeEndpoint(endpoint);
+        }
+    }
+
+    private EndpointState addEndpoint(Endpoint listed, boolean introduced) {
+        EndpointState endpoint = new EndpointState();
+        endpoint.id = listed.id();
+        endpoint.zone = listed.zone();
+        endpoint.kind = listed.kind();
+        endpoint.destination = destination(listed.destination());
+        endpoint.destination.kind = listed.kind();
+        boolean independent = settings.kinds().get(listed.kind()).independentEndpoints();
+        endpoint.limitScope = independent || endpoint.destination.sharedScope == null ? new LimitScope()
+            : endpoint.destination.sharedScope;
+        endpoint.destination.sharedScope = independent ? endpoint.destination.sharedScope
+            : endpoint.limitScope;
+        if (endpoint.limitScope.sendRate == 0) {
+            endpoint.limitScope.weight = listed.weight();
+            endpoint.limitScope.sendRate = INITIAL_EVEN_SHARE_FACTOR * minSendRate(endpoint.limitScope)
+                / MIN_EVEN_SHARE_FACTOR;
+            if (settings.relayCount() > SMALL_FLEET_RELAYS) {
+                // With full buckets, the first calls of all relays at once would exceed what it can serve.
+                double randomTokens = random.nextDouble();
+                endpoint.limitScope.bucket.refill(0,
+                    introduced ? initialTokens(listed, randomTokens) : randomTokens, now);
             }
         }
-        // A new endpoint is cold, and the messages held for a failing destination would all go there at once.
-        if (!r.dest.routes.isEmpty() && !r.dest.sound()) {
-            outage(r, true, HealthReason.NEW_AMONG_OUT);
-            r.lane.slowStart.waitFrom(now);
+        // A new endpoint is cold, and all messages that wait for a failing destination would go there at
+        // once.
+        if (!endpoint.destination.endpoints.isEmpty() && !endpoint.destination.hasHealthyEndpoint()) {
+            eject(endpoint, true, HealthReason.NEW_AMONG_OUT);
+            endpoint.limitScope.slowStart.restartSpacing(now);
         }
-        routes.put(r.id, r);
-        return r;
+        endpoints.put(endpoint.id, endpoint);
+        return endpoint;
     }
 
-    /** What a bucket holds that has filled by the first pace since the relay began, or since it was spent. */
-    private double saved(Endpoint p, double first) {
-        double perMicro = startPace(p.kind()) / SECOND;
-        Long whole = spent.get(p.destination());
-        double saved = whole == null ? first + (now - beganAt) * perMicro
-            : BURST_LEAST - (whole - now) * perMicro;
-        return Math.min(BURST_LEAST, saved);
+    /**
+     * The tokens of a bucket that has been filled at the start rate since the relay began or, if the
+     * destination was released before, since its last use.
+     */
+    private double initialTokens(Endpoint listed, double randomTokens) {
+        double perMicro = startRate(listed.kind()) / SECOND;
+        Long fullAt = releasedBucketFullAt.get(listed.destination());
+        double tokens = fullAt == null ? randomTokens + (now - startedAt) * perMicro
+            : MIN_BURST_CALLS - (fullAt - now) * perMicro;
+        return Math.min(MIN_BURST_CALLS, tokens);
     }
 
-    /** Calls a second of this relay to a place that has not shown its limit. */
-    private double startPace(int kind) {
-        return (set.kinds().get(kind).bundle() > 1 ? START_BUNDLES : START_TOGETHER) / set.relays();
+    /** Calls per second that this relay may send to a destination whose limit is unknown. */
+    private double startRate(int kind) {
+        return (settings.kinds().get(kind).maxMessagesPerCall() > 1 ? FLEET_START_BATCHES_PER_SECOND
+            : FLEET_START_CALLS_PER_SECOND) / settings.relayCount();
     }
 
-    /** Takes a route off; what is known of it is kept a while: waits and health outlast a gap. */
-    private void remove(Route r) {
-        r.ready = false;
-        if (r.dest.routes.remove(r.id) != null) {
-            r.goneAt = now;
-            r.dest.gone++;
-            at(now + FORGET, Duty.FORGET, r);
+    /**
+     * Takes an endpoint off its destination. What is known about it is kept for a while, so that its
+     * Retry-After and health outlast a gap in the list.
+     */
+    private void removeEndpoint(EndpointState endpoint) {
+        endpoint.ready = false;
+        if (endpoint.destination.endpoints.remove(endpoint.id) != null) {
+            endpoint.removedAt = now;
+            endpoint.destination.removedEndpoints++;
+            schedule(now + FORGET_AFTER_MICROS, TimerKind.FORGET_ENDPOINT, endpoint);
         }
-        note(r);
+        updateUnavailable(endpoint);
     }
 
-    private void forget(Route r) {
-        if (r.goneAt < 0 || r.goneAt + FORGET > now) {
+    /** Forgets an endpoint that has been off the list for long enough, unless it has calls in flight. */
+    private void forgetEndpoint(EndpointState endpoint) {
+        if (endpoint.removedAt < 0 || endpoint.removedAt + FORGET_AFTER_MICROS > now) {
             return;
         }
-        if (r.inflight > 0) {
-            at(now + FORGET, Duty.FORGET, r);
+        if (endpoint.inFlight > 0) {
+            schedule(now + FORGET_AFTER_MICROS, TimerKind.FORGET_ENDPOINT, endpoint);
             return;
         }
-        r.goneAt = -1;
-        r.dest.gone--;
-        if (routes.remove(r.id, r)) {
-            out.add(new Forgotten(r.id));
+        endpoint.removedAt = -1;
+        endpoint.destination.removedEndpoints--;
+        if (endpoints.remove(endpoint.id, endpoint)) {
+            actions.add(new EndpointForgotten(endpoint.id));
         }
     }
 
     /**
-     * Forgets destinations, those not used for longest first. A fleet's relay meets each of them once in
-     * many minutes: what it learned then is worth nothing by the next time, and all together would not fit.
+     * Releases destinations that are not in use, least recently used first. In a large fleet a relay sends to
+     * each of them once in many minutes: what it learned then is outdated by the next time, and the data of
+     * all destinations together would not fit into memory.
      */
-    private void release() {
-        spent.values().removeIf(whole -> whole <= now);
-        long least = Math.max(set.rules().cold() + set.rules().tipAfter(), set.rules().keyRest());
-        for (MessageClass c : set.classes()) {
-            least = Math.max(least, c.window());
-        }
-        for (var it = used.iterator(); it.hasNext();) {
-            Dest d = it.next();
-            if (now - d.usedAt <= (dests.size() > KNOWN_MOST ? least : Math.max(OF_USE, least))) {
+    private void releaseUnused() {
+        releasedBucketFullAt.values().removeIf(fullAt -> fullAt <= now);
+        long minUnused = Math.max(settings.rules().warmUpTime() + settings.rules().overloadWindow(),
+            settings.rules().keyPause());
+        for (MessageClass messageClass : settings.classes()) {
+            minUnused = Math.max(minUnused, messageClass.dedupWindow());
+        }
+        for (var it = byLastUse.iterator(); it.hasNext();) {
+            Destination destination = it.next();
+            if (now - destination.lastUsedAt
+                    <= (destinations.size() > MANY_DESTINATIONS ? minUnused
+                        : Math.max(MIN_UNUSED_MICROS, minUnused))) {
                 return;
             }
-            if (!rests(d)) {
+            if (!isInUse(destination)) {
                 it.remove();
-                dests.remove(d.id);
-                active.remove(d);
-                for (Route r : d.routes.values()) {
-                    routes.remove(r.id);
-                    avoided -= r.avoided ? 1 : 0;
-                    r.lane.bucket.fill(startPace(r.kind), BURST_LEAST, now);
-                    double lacks = set.relays() > INSISTENT ? BURST_LEAST - r.lane.bucket.tokens : 0;
-                    if (lacks > 0) {
-                        spent.merge(d.id, now + (long) (lacks / startPace(r.kind) * SECOND), Math::max);
+                destinations.remove(destination.id);
+                dispatchCandidates.remove(destination);
+                for (EndpointState endpoint : destination.endpoints.values()) {
+                    endpoints.remove(endpoint.id);
+                    unavailableCount -= endpoint.countedUnavailable ? 1 : 0;
+                    endpoint.limitScope.bucket.refill(startRate(endpoint.kind), MIN_BURST_CALLS, now);
+                    double missingTokens = settings.relayCount() > SMALL_FLEET_RELAYS
+                        ? MIN_BURST_CALLS - endpoint.limitScope.bucket.tokens : 0;
+                    if (missingTokens > 0) {
+                        releasedBucketFullAt.merge(destination.id,
+                            now + (long) (missingTokens / startRate(endpoint.kind) * SECOND), Math::max);
                     }
                 }
-                out.add(new Released(d.id));
+                actions.add(new DestinationReleased(destination.id));
             }
         }
     }
 
-    /** True while something rests on it: a message, a wait, an outage, a warm-up, or a gone route. */
-    private boolean rests(Dest d) {
-        boolean rests = d.held > 0 || d.calls > 0 || d.elsewhere > 0 || d.gone > 0;
-        for (Route r : d.routes.values()) {
-            rests |= r.inflight > 0 || r.closedUntil() > now
-                || r.health == Health.OUT && now - d.usedAt < FORGET
-                || r.health == Health.RETURNING && now - r.returnAt < set.rules().cold();
-        }
-        return rests;
-    }
-
-    // ---- Clockwork ------------------------------------------------------------------------------
-    private void at(long when, Duty duty, Object of) {
-        agenda.add(new Entry(when, seq++, duty, of));
-    }
-
-    private void runAgenda() {
-        while (!agenda.isEmpty() && agenda.peek().at() <= now) {
-            Entry entry = agenda.poll();
-            switch (entry.duty()) {
-                case DEADLINE -> giveUp((Msg) entry.of());
-                case COPY -> considerCopy((Attempt) entry.of());
-                case LOOK -> active.add((Dest) entry.of());
-                case FORGET -> forget((Route) entry.of());
-                case KEY -> advance((Key) entry.of());
+    /**
+     * True while a destination must not be released: it has messages, calls, a Retry-After or backoff, an
+     * outage, a slow start, or endpoints that are off the list and not forgotten.
+     */
+    private boolean isInUse(Destination destination) {
+        boolean inUse = destination.unsettledMessages > 0 || destination.openCalls > 0
+            || destination.externalCalls > 0 || destination.removedEndpoints > 0;
+        for (EndpointState endpoint : destination.endpoints.values()) {
+            inUse |= endpoint.inFlight > 0 || endpoint.unavailableUntil() > now
+                || endpoint.health == Health.OUT && now - destination.lastUsedAt < FORGET_AFTER_MICROS
+                || endpoint.health == Health.RETURNING
+                    && now - endpoint.returnedAt < settings.rules().warmUpTime();
+        }
+        return inUse;
+    }
+
+    // ---- Timers ---------------------------------------------------------------------------------
+    private void schedule(long when, TimerKind kind, Object subject) {
+        timers.add(new TimerEntry(when, timerSequence++, kind, subject));
+    }
+
+    private void runTimers() {
+        while (!timers.isEmpty() && timers.peek().dueAt() <= now) {
+            TimerEntry timer = timers.poll();
+            switch (timer.kind()) {
+                case DEADLINE -> refuseOrFail((Message) timer.subject());
+                case COPY -> considerCopy((Attempt) timer.subject());
+                case RECHECK -> dispatchCandidates.add((Destination) timer.subject());
+                case FORGET_ENDPOINT -> forgetEndpoint((EndpointState) timer.subject());
+                case ORDERING_KEY -> advanceKey((OrderingKey) timer.subject());
             }
         }
     }
 
-    private static boolean stale(Entry e) {
-        return e.of() instanceof Attempt a && a.done || e.duty() == Duty.DEADLINE && ((Msg) e.of()).ended;
+    /** True for the timer of an attempt or message that has ended. */
+    private static boolean isObsolete(TimerEntry timer) {
+        return timer.subject() instanceof Attempt attempt && attempt.ended
+            || timer.kind() == TimerKind.DEADLINE && ((Message) timer.subject()).ended;
     }
 
-    private void arm() {
-        while (!agenda.isEmpty() && stale(agenda.peek())) {
-            agenda.poll();
+    /** Asks the caller for a timer if one is due before the timer that it was asked for last. */
+    private void setTimer() {
+        while (!timers.isEmpty() && isObsolete(timers.peek())) {
+            timers.poll();
         }
-        if (!agenda.isEmpty() && agenda.peek().at() < wakeAt) {
-            wakeAt = agenda.peek().at();
-            out.add(new Wake(Math.max(1, wakeAt - now)));
+        if (!timers.isEmpty() && timers.peek().dueAt() < timerSetFor) {
+            timerSetFor = timers.peek().dueAt();
+            actions.add(new SetTimer(Math.max(1, timerSetFor - now)));
         }
     }
 }
