--- a/src/test/java/wrenkeel/ControlTest.java
+++ b/src/test/java/wrenkeel/ControlTest.java
@@ -1,7 +1,7 @@
 package wrenkeel;
 
 import static org.junit.jupiter.api.Assertions.*;
-import static wrenkeel.Bench.*;
+import static wrenkeel.ScriptedRelay.*;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,44 +10,44 @@
 
 /** Scripted events: the design's ordinary path, its exceptions, and one small test for each failure found. */
 class ControlTest {
-    private static Bench bench(int kind, int slots, boolean copies) {
-        Bench b = new Bench(settings(slots, copies, 2));
+    private static ScriptedRelay bench(int kind, int slots, boolean copies) {
+        ScriptedRelay b = new ScriptedRelay(settings(slots, copies, 2));
         b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, kind, 1, 50), endpoint(12, 1, kind, 1, 50))));
         return b;
     }
 
     @Test
     void copyGoesToAnotherEndpointAfterTheDelayAndTheFirstAnswerCancelsTheRest() {
-        Bench b = bench(0, 8, true);
+        ScriptedRelay b = bench(0, 8, true);
         b.warmUp(20, 1);
         Send first = sends(b.turn(b.message(0, 1))).get(0);
-        List<Send> copies = sends(b.pass(90 * MS));
+        List<Send> copies = sends(b.advance(90 * MS));
         assertTrue(copies.isEmpty(), "no copy before nine in ten answers would have come");
-        copies = sends(b.pass(60 * MS));
+        copies = sends(b.advance(60 * MS));
         assertEquals(1, copies.size());
         assertEquals(first.id(), copies.get(0).id());
         assertNotEquals(first.endpoint(), copies.get(0).endpoint());
-        List<Action> after = b.turn(ended(copies.get(0), 1, Outcome.OK));
+        List<Action> after = b.turn(attemptEnded(copies.get(0), 1, Outcome.OK));
         assertEquals(List.of(new Cancel(first.id(), 0)), after.stream().filter(Cancel.class::isInstance).toList());
     }
 
-    private static Event recovered(Bench b, int cls, Earlier... earlier) {
+    private static Event recovered(ScriptedRelay b, int cls, Earlier... earlier) {
         return new Accepted("r", cls, 0, null, b.message(cls, 1).deadline(), 1, true, List.of(earlier));
     }
 
-    private static Earlier earlier(Bench b, long ago, int zone, boolean mayHaveRun) {
+    private static Earlier earlier(ScriptedRelay b, long ago, int zone, boolean mayHaveRun) {
         return new Earlier(b.now - ago, zone, mayHaveRun);
     }
 
     private static List<Action> recover(int cls, Earlier... earlier) {
-        Bench b = bench(1, 8, false);
+        ScriptedRelay b = bench(1, 8, false);
         return b.control.turn(b.now, List.of(recovered(b, cls, earlier)));
     }
 
     /** Guards against double effects after a restart: the module knows the attempts made before it. */
     @Test
     void recoveredMessagesKeepTheirHistory() {
-        Bench b = new Bench(settings(8, false, 2));
+        ScriptedRelay b = new ScriptedRelay(settings(8, false, 2));
         Earlier ran = earlier(b, SECOND, 0, true), old = earlier(b, 10 * SECOND, 0, true);
         Earlier never = earlier(b, SECOND, 0, false);
         assertEquals(1, count(recover(2, ran), Fail.class), "unsafe and may have run");
@@ -61,7 +61,7 @@
     /** Guards what a restart finds untried: it goes before what comes in, and what is out of time first goes first. */
     @Test
     void whatIsTakenUpUntriedIsTriedBeforeWhatComesIn() {
-        Bench b = bench(1, 1, false);
+        ScriptedRelay b = bench(1, 1, false);
         long soon = b.now + 2 * SECOND, later = b.now + 3 * SECOND;
         Event late = new Accepted("late", 1, 0, null, later, 1, true, List.of());
         Event first = new Accepted("first", 1, 0, null, soon, 1, true, List.of());
@@ -70,8 +70,8 @@
         for (int i = 0; i < 3; i++) {
             order.add(sent.get(0).id());
             b.now += 10 * MS;
-            sent = new ArrayList<>(sends(b.turn(ended(sent.get(0), 0, Outcome.OK))));
-            sent.addAll(sends(b.pass(sent.isEmpty() ? SECOND : 0)));
+            sent = new ArrayList<>(sends(b.turn(attemptEnded(sent.get(0), 0, Outcome.OK))));
+            sent.addAll(sends(b.advance(sent.isEmpty() ? SECOND : 0)));
         }
         assertEquals(List.of("first", "late"), order.subList(0, 2));
     }
@@ -79,7 +79,7 @@
     /** Guards the same against a full hold: what waits otherwise is given back, newcomers first. */
     @Test
     void whatIsTakenUpUntriedIsNotGivenBackForRoom() {
-        Bench b = new Bench(settings(1, false, 2, 8, 4));
+        ScriptedRelay b = new ScriptedRelay(settings(1, false, 2, 8, 4));
         List<Event> events = new ArrayList<>();
         events.add(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
         for (int i = 0; i < 5; i++) {
@@ -95,7 +95,7 @@
     /** Guards a tenant's share: what it handed in before a restart counted against it then. */
     @Test
     void whatIsTakenUpIsNotChargedToItsTenantAgain() {
-        Bench b = bench(1, 8, false);
+        ScriptedRelay b = bench(1, 8, false);
         List<Event> events = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             events.add(new Accepted("r" + i, 1, 0, null, b.now + 3 * SECOND, 2, true, List.of()));
@@ -117,7 +117,7 @@
     @Test
     void aReloadThatPutsTenantsInAnotherOrderKeepsToEachItsOwnUse() {
         Settings set = settings(8, false, 2);
-        Bench b = new Bench(tenants(set, "busy", "calm"));
+        ScriptedRelay b = new ScriptedRelay(tenants(set, "busy", "calm"));
         b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50), endpoint(12, 1, 1, 2, 50))));
         List<Event> events = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
@@ -134,7 +134,7 @@
     @Test
     void aRecoveredKeyedMessageStaysInItsZoneGroup() {
         for (int zone = 0; zone < 2; zone++) {
-            Bench b = bench(1, 8, false);
+            ScriptedRelay b = bench(1, 8, false);
             Event again = recovered(b, 3, earlier(b, SECOND, zone, true));
             assertEquals(11 + zone, sends(b.control.turn(b.now, List.of(again))).get(0).endpoint());
         }
@@ -143,17 +143,17 @@
     /** Guards the rule on drains at a start: nothing goes out by an old list while a newer one may still come. */
     @Test
     void aListOfBeforeTheStartIsNotSentByUntilANewerOneComesOrAShortTimeIsOver() {
-        Bench b = bench(0, 8, false);
+        ScriptedRelay b = bench(0, 8, false);
         b.turn(new ListAsked());
         assertTrue(sends(b.turn(b.message(0, 1))).isEmpty());
-        assertTrue(sends(b.pass(900 * MS)).isEmpty());
+        assertTrue(sends(b.advance(900 * MS)).isEmpty());
         Endpoint drains = new Endpoint(11, 0, 0, 1, Listing.DRAINING, 50);
         assertEquals(12, sends(b.turn(new Listed(ListKind.CHANGES, List.of(drains)))).get(0).endpoint());
-        Bench silent = bench(0, 8, false);
+        ScriptedRelay silent = bench(0, 8, false);
         silent.turn(new ListAsked());
         silent.turn(silent.message(0, 1));
-        assertEquals(1, sends(silent.pass(1_100 * MS)).size());
-        Bench unchanged = bench(0, 8, false);
+        assertEquals(1, sends(silent.advance(1_100 * MS)).size());
+        ScriptedRelay unchanged = bench(0, 8, false);
         unchanged.turn(new ListAsked());
         unchanged.turn(unchanged.message(0, 1));
         assertEquals(1, sends(unchanged.turn(new Listed(ListKind.CHANGES, List.of()))).size());
@@ -161,54 +161,54 @@
 
     @Test
     void delayStartsAt200MillisecondsUntilAnswersAreKnown() {
-        Bench b = bench(0, 8, true);
+        ScriptedRelay b = bench(0, 8, true);
         b.warmUp(3, 1);
         b.turn(b.message(0, 1));
-        assertTrue(sends(b.pass(195 * MS)).isEmpty());
-        assertEquals(1, sends(b.pass(10 * MS)).size());
+        assertTrue(sends(b.advance(195 * MS)).isEmpty());
+        assertEquals(1, sends(b.advance(10 * MS)).size());
     }
 
     @Test
     void unsafeMessagesAndSitesWithoutCopiesSendNone() {
-        Bench b = bench(0, 8, true);
+        ScriptedRelay b = bench(0, 8, true);
         b.warmUp(20, 1);
         assertEquals(1, sends(b.turn(b.message(2, 1))).size());
-        assertTrue(sends(b.pass(SECOND)).isEmpty());
-        Bench none = bench(0, 8, false);
+        assertTrue(sends(b.advance(SECOND)).isEmpty());
+        ScriptedRelay none = bench(0, 8, false);
         none.warmUp(20, 1);
         none.turn(none.message(0, 1));
-        assertTrue(sends(none.pass(SECOND)).isEmpty());
+        assertTrue(sends(none.advance(SECOND)).isEmpty());
     }
 
     @Test
     void keyedCopyStaysInItsZoneGroup() {
-        Bench b = bench(0, 8, true);
+        ScriptedRelay b = bench(0, 8, true);
         b.warmUp(20, 1);
         assertEquals(1, sends(b.turn(b.message(3, 1))).size());
-        assertTrue(sends(b.pass(SECOND)).isEmpty(), "the only other endpoint is in another zone");
+        assertTrue(sends(b.advance(SECOND)).isEmpty(), "the only other endpoint is in another zone");
     }
 
     @Test
     void windowStartsAtOneGrowsToThreeQuartersAndCountsCopies() {
-        Bench b = bench(0, 8, true);
+        ScriptedRelay b = bench(0, 8, true);
         assertEquals(1, sends(b.turn(b.message(1, 1), b.message(1, 1), b.message(1, 1))).size());
-        Bench warm = bench(0, 8, true);
+        ScriptedRelay warm = bench(0, 8, true);
         warm.warmUp(20, 1);
         List<Event> many = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             many.add(warm.message(1, 1));
         }
         assertEquals(6, sends(warm.turn(many)).size(), "three quarters of eight slots");
-        assertTrue(sends(warm.pass(150 * MS)).isEmpty(), "no copy beyond the window");
+        assertTrue(sends(warm.advance(150 * MS)).isEmpty(), "no copy beyond the window");
     }
 
     @Test
     void windowHalvesOnRefusal() {
-        Bench b = bench(0, 8, false);
+        ScriptedRelay b = bench(0, 8, false);
         b.warmUp(20, 1);
         Send sent = sends(b.turn(b.message(1, 1))).get(0);
-        b.turn(ended(sent, 0, Outcome.FULL));
-        b.pass(3 * SECOND);
+        b.turn(attemptEnded(sent, 0, Outcome.FULL));
+        b.advance(3 * SECOND);
         List<Event> many = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             many.add(b.message(1, 1));
@@ -218,26 +218,26 @@
 
     @Test
     void unsentMessagesGoBeforeCopies() {
-        Bench b = bench(0, 2, true);
+        ScriptedRelay b = bench(0, 2, true);
         b.warmUp(20, 1);
         Send first = sends(b.turn(b.message(0, 1), b.message(0, 1))).get(0);
-        for (Send s : sends(b.pass(300 * MS))) {
+        for (Send s : sends(b.advance(300 * MS))) {
             assertNotEquals(first.id(), s.id(), "a copy went out while a message waited");
         }
     }
 
     @Test
     void anOverloadDoesNotPileUpCopies() {
-        Bench b = bench(0, 16, true);
+        ScriptedRelay b = bench(0, 16, true);
         b.warmUp(30, 1);
         int copies = 0;
         for (int i = 0; i < 40; i++) {
             Send s = sends(b.turn(b.message(0, 1))).get(0);
-            List<Send> more = sends(b.pass(250 * MS));
+            List<Send> more = sends(b.advance(250 * MS));
             copies += more.size();
-            b.turn(ended(s, 0, Outcome.OK));
+            b.turn(attemptEnded(s, 0, Outcome.OK));
             for (Send copy : more) {
-                b.turn(ended(copy, 1, Outcome.CANCELLED));
+                b.turn(attemptEnded(copy, 1, Outcome.CANCELLED));
             }
         }
         assertTrue(copies >= 1 && copies <= 10, "copies in an overload: " + copies);
@@ -245,74 +245,74 @@
 
     @Test
     void toldWaitIsKeptForTheWholeDestinationButOnlyForTheRouteWhereApart() {
-        Bench b = bench(0, 8, true);
+        ScriptedRelay b = bench(0, 8, true);
         b.warmUp(5, 1);
         Send s = sends(b.turn(b.message(0, 1))).get(0);
-        b.turn(ended(s, 0, Outcome.FULL, SECOND));
-        assertTrue(sends(b.pass(990 * MS)).isEmpty());
-        assertEquals(1, sends(b.pass(300 * MS)).size());
-        Bench apart = bench(1, 8, true);
+        b.turn(attemptEnded(s, 0, Outcome.FULL, SECOND));
+        assertTrue(sends(b.advance(990 * MS)).isEmpty());
+        assertEquals(1, sends(b.advance(300 * MS)).size());
+        ScriptedRelay apart = bench(1, 8, true);
         apart.warmUp(5, 1);
         Send t = sends(apart.turn(apart.message(0, 1))).get(0);
-        List<Send> next = sends(apart.turn(ended(t, 0, Outcome.FULL, SECOND)));
+        List<Send> next = sends(apart.turn(attemptEnded(t, 0, Outcome.FULL, SECOND)));
         assertEquals(1, next.size());
         assertNotEquals(t.endpoint(), next.get(0).endpoint());
     }
 
     @Test
     void unsafeMessageIsTriedAgainOnlyWhenItNeverRan() {
-        Bench b = bench(0, 8, true);
+        ScriptedRelay b = bench(0, 8, true);
         b.warmUp(5, 1);
         Send s = sends(b.turn(b.message(2, 1, "k"))).get(0);
-        List<Send> again = new ArrayList<>(sends(b.turn(ended(s, 0, Outcome.FULL))));
-        again.addAll(sends(b.pass(SECOND)));
+        List<Send> again = new ArrayList<>(sends(b.turn(attemptEnded(s, 0, Outcome.FULL))));
+        again.addAll(sends(b.advance(SECOND)));
         assertEquals(1, again.size());
-        List<Action> end = b.turn(ended(again.get(0), 1, Outcome.RESET));
+        List<Action> end = b.turn(attemptEnded(again.get(0), 1, Outcome.RESET));
         assertEquals(1, count(end, Fail.class));
-        assertTrue(sends(b.pass(2 * SECOND)).isEmpty());
+        assertTrue(sends(b.advance(2 * SECOND)).isEmpty());
     }
 
     @Test
     void sameKeyGoesOneAtATimeInOrderAndRests() {
-        Bench b = bench(0, 8, true);
+        ScriptedRelay b = bench(0, 8, true);
         b.warmUp(20, 1);
         Accepted one = b.message(2, 1, "k");
         Accepted two = b.message(2, 1, "k");
         List<Send> sent = sends(b.turn(one, two));
         assertEquals(List.of(one.id()), sent.stream().map(Send::id).toList());
-        List<Action> end = b.turn(ended(sent.get(0), 0, Outcome.TIMEOUT));
+        List<Action> end = b.turn(attemptEnded(sent.get(0), 0, Outcome.TIMEOUT));
         assertEquals(1, count(end, Fail.class));
         assertTrue(sends(end).isEmpty(), "the key rests");
-        assertEquals(List.of(two.id()), sends(b.pass(3 * SECOND)).stream().map(Send::id).toList());
+        assertEquals(List.of(two.id()), sends(b.advance(3 * SECOND)).stream().map(Send::id).toList());
     }
 
     @Test
     void drainedAndGoneEndpointsGetNothing() {
-        Bench b = bench(0, 8, true);
+        ScriptedRelay b = bench(0, 8, true);
         b.turn(new Listed(ListKind.CHANGES, List.of(new Endpoint(11, 0, 0, 1, Listing.DRAINING, 50))));
         assertEquals(12, sends(b.turn(b.message(0, 1))).get(0).endpoint());
         b.turn(new Listed(ListKind.WHOLE, List.of()));
         assertTrue(sends(b.turn(b.message(1, 1))).isEmpty());
-        List<Action> end = b.pass(17 * SECOND);
+        List<Action> end = b.advance(17 * SECOND);
         assertEquals(2, count(end, Fail.class) + count(end, Refuse.class), "both end in time with nowhere to go");
     }
 
     @Test
     void bundleSharesOneSlot() {
-        Bench b = bench(2, 1, false);
-        Bench plain = bench(1, 1, false);
+        ScriptedRelay b = bench(2, 1, false);
+        ScriptedRelay plain = bench(1, 1, false);
         assertEquals(3, sends(b.turn(b.message(1, 1), b.message(1, 1), b.message(1, 1))).size());
         assertEquals(1, sends(plain.turn(plain.message(1, 1), plain.message(1, 1))).size());
     }
 
-    private static List<Event> bundle(Bench b, int messages, Outcome outcome) {
+    private static List<Event> bundle(ScriptedRelay b, int messages, Outcome outcome) {
         List<Event> all = new ArrayList<>();
         for (int i = 0; i < messages; i++) {
             all.add(b.message(1, 1));
         }
         List<Event> ended = new ArrayList<>();
         for (Send s : sends(b.turn(all))) {
-            ended.add(ended(s, 0, outcome));
+            ended.add(attemptEnded(s, 0, outcome));
         }
         assertEquals(messages, ended.size());
         return ended;
@@ -321,18 +321,18 @@
     /** Guards against one refused call that shuts the window as many would: its messages share one fate. */
     @Test
     void aRefusedBundleHalvesTheWindowOnce() {
-        Bench b = new Bench(settings(8, false, 2));
+        ScriptedRelay b = new ScriptedRelay(settings(8, false, 2));
         b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 2, 1, 50))));
         b.warmUp(10, 1);
         b.turn(bundle(b, 6, Outcome.FULL));
         List<Send> again = List.of();
         for (int i = 0; i < 300 && again.isEmpty(); i++) {
-            again = sends(b.pass(10 * MS));
+            again = sends(b.advance(10 * MS));
         }
         assertEquals(6, again.size(), "all six go out again, as one call");
         int calls = 1;
         for (int i = 0; i < 5; i++) {
-            calls += sends(b.pass(15 * MS)).size() + sends(b.turn(b.message(1, 1))).size();
+            calls += sends(b.advance(15 * MS)).size() + sends(b.turn(b.message(1, 1))).size();
         }
         assertEquals(3, calls, "half of a window of six");
     }
@@ -345,7 +345,7 @@
 
     @Test
     void aFailedBundleIsOneFailure() {
-        Bench b = new Bench(settings(8, false, 2));
+        ScriptedRelay b = new ScriptedRelay(settings(8, false, 2));
         b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 2, 1, 50))));
         b.warmUp(10, 1);
         List<Event> ended = bundle(b, 6, Outcome.ERROR);
@@ -353,13 +353,13 @@
         assertEquals(0, outages(b.turn(ended)), "no outage after a single failed call");
     }
 
-    private static Bench unlisted(int relays, int kind) {
+    private static ScriptedRelay unlisted(int relays, int kind) {
         return unlisted(relays, kind, 1);
     }
 
-    private static Bench unlisted(int relays, int kind, long seed) {
+    private static ScriptedRelay unlisted(int relays, int kind, long seed) {
         Settings s = settings(8, false, relays);
-        Bench b = new Bench(new Settings(s.rank(), s.relays(), s.zone(), s.halvingLate(), s.overShareWorth(),
+        ScriptedRelay b = new ScriptedRelay(new Settings(s.rank(), s.relays(), s.zone(), s.halvingLate(), s.overShareWorth(),
             Weights.NONE, s.classes(), s.tenants(), s.kinds(), s.allowed(), s.rules(), s.prices()), seed);
         b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, kind, 1, 1))));
         return b;
@@ -368,7 +368,7 @@
     private record Carried(int calls, int refused, int delivered) { }
 
     /** For 40 s eight messages come in a second; the destination takes two calls, and an answer takes 20 ms. */
-    private static Carried underALimit(Bench b) {
+    private static Carried underALimit(ScriptedRelay b) {
         List<Long> admitted = new ArrayList<>();
         List<List<Event>> answers = new ArrayList<>();
         int calls = 0, refused = 0, delivered = 0;
@@ -390,7 +390,7 @@
                     admitted.add(b.now);
                 }
                 for (Send send : call) {
-                    ended.add(ended(send, b.checker.messages.get(send.id()).sends.size() - 1,
+                    ended.add(attemptEnded(send, b.checker.messages.get(send.id()).sends.size() - 1,
                         full ? Outcome.FULL : Outcome.OK));
                 }
             }
@@ -428,8 +428,8 @@
     void theFirstCallsOfAFleetAreSpreadOverTime() {
         int calls = 0;
         for (int relay = 0; relay < 100; relay++) {
-            Bench b = unlisted(100, 0, relay);
-            calls += sends(b.turn(b.message(1, 1))).size() + sends(b.pass(100 * MS)).size();
+            ScriptedRelay b = unlisted(100, 0, relay);
+            calls += sends(b.turn(b.message(1, 1))).size() + sends(b.advance(100 * MS)).size();
         }
         assertTrue(calls <= 20, "calls of a hundred relays in a tenth of a second: " + calls);
     }
@@ -437,7 +437,7 @@
     /** Guards partners of relays that come back together, each with what its clients hand in again at once. */
     @Test
     void aBacklogAtTheStartIsNoRateToBeginWith() {
-        Bench b = unlisted(14, 0);
+        ScriptedRelay b = unlisted(14, 0);
         List<Event> backlog = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             backlog.add(b.message(1, 1));
@@ -447,9 +447,9 @@
         for (long end = b.now + SECOND; b.now < end;) {
             calls += out.size();
             List<Event> answers = new ArrayList<>();
-            out.forEach(send -> answers.add(ended(send, 0, Outcome.OK)));
+            out.forEach(send -> answers.add(attemptEnded(send, 0, Outcome.OK)));
             out = new ArrayList<>(answers.isEmpty() ? List.of() : sends(b.turn(answers)));
-            out.addAll(sends(b.pass(20 * MS)));
+            out.addAll(sends(b.advance(20 * MS)));
         }
         assertTrue(calls > 1 && calls <= 9, "calls in the first second: " + calls);
     }
@@ -457,7 +457,7 @@
     /** Guards a busy place: what no refusal has spoken against is not held to the starting pace. */
     @Test
     void aPlaceThatTakesAllThatComesInIsNotHeldToTheStartingPace() {
-        Bench b = unlisted(14, 0);
+        ScriptedRelay b = unlisted(14, 0);
         int calls = 0;
         for (int second = 0; second < 6; second++) {
             calls = callsInASecond(b);
@@ -466,20 +466,20 @@
     }
 
     /** A relay alone, and its only partner that was out and has just answered a trial. */
-    private static Bench returning() {
-        Bench b = unlisted(1, 0);
+    private static ScriptedRelay returning() {
+        ScriptedRelay b = unlisted(1, 0);
         b.warmUp(20, 1);
-        b.pass(SECOND);
+        b.advance(SECOND);
         List<Send> sent = sends(b.turn(b.message(1, 1)));
         for (int failures = 1; failures <= 4; failures++) {
-            sends(b.turn(ended(sent.get(0), failures - 1, Outcome.CONNECT_FAILED)));
+            sends(b.turn(attemptEnded(sent.get(0), failures - 1, Outcome.CONNECT_FAILED)));
             sent = new ArrayList<>();
             for (int step = 0; sent.isEmpty() && step < 400; step++) {
-                sent.addAll(sends(b.pass(10 * MS)));
+                sent.addAll(sends(b.advance(10 * MS)));
             }
         }
         assertEquals(1, b.control.unavailable(), "out");
-        b.turn(ended(sent.get(0), 4, Outcome.OK));
+        b.turn(attemptEnded(sent.get(0), 4, Outcome.OK));
         assertEquals(0, b.control.unavailable(), "returning");
         return b;
     }
@@ -487,36 +487,36 @@
     /** Guards a ramp too slow: a partner that answers again is not held to the few calls of a failing one. */
     @Test
     void aReturningPartnerHasMoreCallsOutThanAFailingOne() {
-        Bench b = returning();
+        ScriptedRelay b = returning();
         List<Send> out = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             out.addAll(sends(b.turn(b.message(1, 1))));
         }
-        out.addAll(sends(b.pass(SECOND)));
+        out.addAll(sends(b.advance(SECOND)));
         assertTrue(out.size() >= 4, "calls out while it returns: " + out.size());
     }
 
     /** Guards a partner that was cold: what it refused then is not learned as its limit for when it is warm. */
     @Test
     void aRefusalOfAColdPartnerIsNoLimit() {
-        Bench b = returning();
+        ScriptedRelay b = returning();
         List<Send> sent = new ArrayList<>(sends(b.turn(b.message(1, 1))));
-        sent.addAll(sends(b.pass(SECOND)));
+        sent.addAll(sends(b.advance(SECOND)));
         Send refused = sent.get(0);
-        b.turn(ended(refused, 0, Outcome.FULL), new Withdrawn(refused.id()));
-        b.pass(b.set.rules().cold());
+        b.turn(attemptEnded(refused, 0, Outcome.FULL), new Withdrawn(refused.id()));
+        b.advance(b.settings.rules().cold());
         int calls = callsInASecond(b) + callsInASecond(b);
         assertTrue(calls >= 20, "of 24 messages in two seconds once it is warm: " + calls);
     }
 
     /** Calls that are all answered, of twelve messages in a second. */
-    private static int callsInASecond(Bench b) {
+    private static int callsInASecond(ScriptedRelay b) {
         int calls = 0;
         for (int i = 0; i < 12; i++) {
             List<Send> sent = new ArrayList<>(sends(b.turn(b.message(1, 1))));
-            sent.addAll(sends(b.pass(80 * MS)));
+            sent.addAll(sends(b.advance(80 * MS)));
             for (int next = 0; next < sent.size(); next++) {
-                sent.addAll(sends(b.turn(ended(sent.get(next), 0, Outcome.OK))));
+                sent.addAll(sends(b.turn(attemptEnded(sent.get(next), 0, Outcome.OK))));
             }
             calls += sent.size();
         }
@@ -526,7 +526,7 @@
     /** Guards a partner that was shut for a while: few calls are made then, which says nothing of its limit. */
     @Test
     void aPaceMetWhileShutDoesNotHoldBackWhatComesIn() {
-        Bench b = unlisted(2, 0);
+        ScriptedRelay b = unlisted(2, 0);
         List<List<Event>> answers = new ArrayList<>();
         int delivered = 0;
         for (int step = 0; step < 4_800; step++) {
@@ -539,7 +539,7 @@
             List<Event> ended = new ArrayList<>();
             for (Send send : events.isEmpty() && b.wakeAt > b.now ? List.<Send>of() : sends(b.turn(events))) {
                 delivered += shut ? 0 : 1;
-                ended.add(ended(send, b.checker.messages.get(send.id()).sends.size() - 1,
+                ended.add(attemptEnded(send, b.checker.messages.get(send.id()).sends.size() - 1,
                     shut ? Outcome.FULL : Outcome.OK));
             }
             answers.add(ended);
@@ -549,42 +549,42 @@
 
     @Test
     void attemptsAreLimited() {
-        Bench b = new Bench(settings(8, true, 2, 2, 200));
+        ScriptedRelay b = new ScriptedRelay(settings(8, true, 2, 2, 200));
         b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 0, 1, 50))));
         Accepted m = b.message(1, 1);
         Send s = sends(b.turn(m)).get(0);
-        List<Send> again = new ArrayList<>(sends(b.turn(ended(s, 0, Outcome.FULL))));
-        again.addAll(sends(b.pass(SECOND)));
-        assertEquals(1, count(b.turn(ended(again.get(0), 1, Outcome.FULL)), Refuse.class));
+        List<Send> again = new ArrayList<>(sends(b.turn(attemptEnded(s, 0, Outcome.FULL))));
+        again.addAll(sends(b.advance(SECOND)));
+        assertEquals(1, count(b.turn(attemptEnded(again.get(0), 1, Outcome.FULL)), Refuse.class));
     }
 
     /** Guards a destination that is well, and a message's attempts, against this machine's own trouble. */
     @Test
     void aMachineWithoutSocketsForAMomentUsesUpNoAttempt() {
-        Bench b = new Bench(settings(8, false, 1, 3, 200));
+        ScriptedRelay b = new ScriptedRelay(settings(8, false, 1, 3, 200));
         b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
         b.warmUp(10, 1);
         Accepted message = b.message(1, 1);
         List<Send> sent = sends(b.turn(message));
         for (int i = 0; i < 5; i++) {
-            List<Action> after = b.turn(ended(sent.get(0), i, Outcome.NO_SOCKET));
+            List<Action> after = b.turn(attemptEnded(sent.get(0), i, Outcome.NO_SOCKET));
             assertTrue(sends(after).isEmpty(), "not again at once");
-            sent = sends(b.pass(SECOND));
+            sent = sends(b.advance(SECOND));
             assertEquals(1, sent.size(), "again after a moment, try " + i);
         }
         assertEquals(0, b.control.unavailable(), "the endpoint is not to blame");
-        b.turn(ended(sent.get(0), 5, Outcome.OK));
+        b.turn(attemptEnded(sent.get(0), 5, Outcome.OK));
     }
 
     /** Guards the others: a route for which there is never a socket fails in the end. */
     @Test
     void aRouteWithoutASocketForLongIsTakenForFailing() {
-        Bench b = new Bench(settings(8, false, 1, 3, 200));
+        ScriptedRelay b = new ScriptedRelay(settings(8, false, 1, 3, 200));
         b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
         List<Send> sent = sends(b.turn(b.message(2, 1)));
         for (int i = 0; i < 12 && b.control.unavailable() == 0; i++) {
-            List<Action> after = b.turn(ended(sent.get(0), i, Outcome.NO_SOCKET));
-            sent = sends(b.control.unavailable() == 0 ? b.pass(2 * SECOND) : after);
+            List<Action> after = b.turn(attemptEnded(sent.get(0), i, Outcome.NO_SOCKET));
+            sent = sends(b.control.unavailable() == 0 ? b.advance(2 * SECOND) : after);
         }
         assertEquals(1, b.control.unavailable());
     }
@@ -592,24 +592,24 @@
     /** Guards what was taken on while nothing can be written down: it waits, and goes out as soon as that can be. */
     @Test
     void nothingIsSentWhileAttemptsCannotBeWrittenDown() {
-        Bench b = new Bench(settings(8, false, 1, 1, 200));
+        ScriptedRelay b = new ScriptedRelay(settings(8, false, 1, 1, 200));
         b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
         Accepted message = b.message(2, 1);
         List<Send> sent = sends(b.turn(message));
         assertEquals(1, sent.size());
-        assertTrue(b.turn(new Storage(false), ended(sent.get(0), 0, Outcome.NOT_JOURNALED)).stream()
+        assertTrue(b.turn(new Storage(false), attemptEnded(sent.get(0), 0, Outcome.NOT_JOURNALED)).stream()
             .noneMatch(a -> a instanceof Send || a instanceof Refuse || a instanceof Fail));
-        assertTrue(sends(b.pass(2 * SECOND)).isEmpty());
+        assertTrue(sends(b.advance(2 * SECOND)).isEmpty());
         assertEquals(1, sends(b.turn(new Storage(true))).size(), "its only attempt is still to be made");
     }
 
     /** Guards against clients that come back to a closed door: a refusal tells when the told wait is over. */
     @Test
     void aRefusalTellsWhenToComeBack() {
-        Bench b = new Bench(settings(8, true, 2, 1, 200));
+        ScriptedRelay b = new ScriptedRelay(settings(8, true, 2, 1, 200));
         b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
         Send s = sends(b.turn(b.message(1, 1))).get(0);
-        for (Action a : b.turn(ended(s, 0, Outcome.FULL, 700 * MS))) {
+        for (Action a : b.turn(attemptEnded(s, 0, Outcome.FULL, 700 * MS))) {
             if (a instanceof Refuse refusal) {
                 assertTrue(refusal.retryAfter() >= 700 * MS && refusal.retryAfter() <= 3 * SECOND, "" + refusal);
                 return;
@@ -620,7 +620,7 @@
 
     @Test
     void aFullHoldGivesBackWhatHasLeastLeftToGain() {
-        Bench b = new Bench(settings(1, true, 2, 8, 5));
+        ScriptedRelay b = new ScriptedRelay(settings(1, true, 2, 8, 5));
         List<Event> five = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             five.add(b.message(i == 2 ? 1 : 0, 9));
@@ -633,7 +633,7 @@
     /** Guards against a refusal that the same turn makes needless, and a second end of a message that it ends. */
     @Test
     void aFullHoldGivesNothingBackIfTheTurnMakesRoom() {
-        Bench b = new Bench(settings(1, true, 2, 8, 5));
+        ScriptedRelay b = new ScriptedRelay(settings(1, true, 2, 8, 5));
         Accepted first = b.message(0, 9);
         b.turn(first, b.message(0, 9), b.message(0, 9), b.message(0, 9));
         assertEquals(0, count(b.turn(b.message(0, 9), new Withdrawn(first.id())), Refuse.class));
@@ -643,7 +643,7 @@
     /** Found on merkez-atolye: one failing zone sent the whole of a shared destination to trials. */
     @Test
     void aFailingEndpointDoesNotStopItsSibling() {
-        Bench b = bench(0, 8, true);
+        ScriptedRelay b = bench(0, 8, true);
         b.warmUp(20, 1);
         int served = 0;
         List<Send> out = new ArrayList<>();
@@ -653,10 +653,10 @@
                 Send s = out.remove(0);
                 b.now += 20 * MS;
                 served += s.endpoint() == 12 ? 1 : 0;
-                out.addAll(sends(b.turn(ended(s, b.checker.messages.get(s.id()).sends.size() - 1,
+                out.addAll(sends(b.turn(attemptEnded(s, b.checker.messages.get(s.id()).sends.size() - 1,
                     s.endpoint() == 12 ? Outcome.OK : Outcome.ERROR))));
             }
-            out.addAll(sends(b.pass(100 * MS)));
+            out.addAll(sends(b.advance(100 * MS)));
         }
         assertTrue(served > 40, "served by the sound sibling: " + served);
     }
@@ -664,7 +664,7 @@
     /** Found in i62d03c: places that take calls and answer none held the slots until their time-outs. */
     @Test
     void silentDestinationsLeaveSlotsToTheOthers() {
-        Bench b = new Bench(settings(8, true, 1));
+        ScriptedRelay b = new ScriptedRelay(settings(8, true, 1));
         List<Endpoint> items = new ArrayList<>();
         for (int d = 1; d <= 9; d++) {
             items.add(endpoint(10 + d, 0, 1, d, 50));
@@ -677,23 +677,23 @@
             for (int d = 1; d <= 3; d++) {
                 b.turn(b.message(1, d));
             }
-            b.pass(150 * MS);
+            b.advance(150 * MS);
         }
-        b.pass(SECOND);
+        b.advance(SECOND);
         assertEquals(1, sends(b.turn(b.message(1, 9))).size(), "a slot is left for the sound destination");
     }
 
     /** Found on thu-duc big-1: a limit shared with other relays was taken for an outage. */
     @Test
     void refusalsAboveALimitAreNoOutage() {
-        Bench b = bench(1, 8, true);
+        ScriptedRelay b = bench(1, 8, true);
         b.warmUp(20, 1);
         List<Action> all = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
             for (Send s : sends(b.turn(b.message(2, 1)))) {
-                all.addAll(b.turn(ended(s, 0, i % 3 == 0 ? Outcome.OK : Outcome.FULL, i % 3 == 0 ? 0 : 300 * MS)));
+                all.addAll(b.turn(attemptEnded(s, 0, i % 3 == 0 ? Outcome.OK : Outcome.FULL, i % 3 == 0 ? 0 : 300 * MS)));
             }
-            all.addAll(b.pass(400 * MS));
+            all.addAll(b.advance(400 * MS));
         }
         assertEquals(0, outages(all), "no outage was judged");
     }
@@ -701,23 +701,23 @@
     /** Found in ic0f6d2: single resets among answers were taken for outages. */
     @Test
     void scatteredFailuresAreNoOutage() {
-        Bench b = bench(1, 8, true);
+        ScriptedRelay b = bench(1, 8, true);
         b.warmUp(20, 1);
         int sent = 0;
         for (int i = 0; i < 100; i++) {
             for (Send s : sends(b.turn(b.message(2, 1)))) {
                 sent++;
                 b.now += 50 * MS;
-                b.turn(ended(s, 0, i % 5 == 0 ? Outcome.RESET : Outcome.OK));
+                b.turn(attemptEnded(s, 0, i % 5 == 0 ? Outcome.RESET : Outcome.OK));
             }
-            b.pass(100 * MS);
+            b.advance(100 * MS);
         }
         assertTrue(sent > 90, "sent " + sent);
     }
 
     @Test
     void aReturningRouteGetsNoMoreThanTheShareOfWhatItBears() {
-        Bench b = new Bench(settings(40, true, 2, 8, 400));
+        ScriptedRelay b = new ScriptedRelay(settings(40, true, 2, 8, 400));
         b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 20))));
         b.warmUp(30, 1);
         List<Send> out = new ArrayList<>();
@@ -727,7 +727,7 @@
         boolean told = false;
         while (b.now < end) {
             out.addAll(sends(b.turn(b.message(1, 1))));
-            out.addAll(sends(b.pass(100 * MS)));
+            out.addAll(sends(b.advance(100 * MS)));
             List<Send> now = new ArrayList<>(out);
             out.clear();
             for (Send s : now) {
@@ -739,7 +739,7 @@
                     told = true;
                 }
                 int attempt = b.checker.messages.get(s.id()).sends.size() - 1;
-                out.addAll(sends(b.turn(ended(s, attempt, o))));
+                out.addAll(sends(b.turn(attemptEnded(s, attempt, o))));
             }
         }
         assertTrue(late > 100, "full service once warm: " + late);
@@ -749,15 +749,15 @@
     @Test
     void aLateAnswerToASuspicionEndsInARampAndAQuickOneClearsIt() {
         for (long gap : new long[] {500 * MS, 5 * SECOND}) {
-            Bench b = new Bench(settings(8, true, 2));
+            ScriptedRelay b = new ScriptedRelay(settings(8, true, 2));
             b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 20))));
             b.warmUp(20, 1);
-            b.pass(2 * SECOND);
+            b.advance(2 * SECOND);
             Send one = sends(b.turn(b.message(2, 1))).get(0);
-            b.turn(ended(one, 0, Outcome.ERROR));
-            b.pass(gap);
+            b.turn(attemptEnded(one, 0, Outcome.ERROR));
+            b.advance(gap);
             Send two = sends(b.turn(b.message(2, 1))).get(0);
-            List<Action> back = b.turn(ended(two, 0, Outcome.OK), b.message(0, 1), b.message(0, 1));
+            List<Action> back = b.turn(attemptEnded(two, 0, Outcome.OK), b.message(0, 1), b.message(0, 1));
             assertEquals(gap > SECOND ? 1 : 0, outages(back), "the slow start is on");
             assertEquals(gap > SECOND ? 0 : 2, sends(back).size());
         }
@@ -766,34 +766,34 @@
     /** i80fd1b: endpoints that take few connections were full of idle ones held by hundreds of relays. */
     @Test
     void idleConnectionsAreClosedWhereConnectsFailAndFewUsesAreExpected() {
-        Bench b = new Bench(settings(8, true, 300));
+        ScriptedRelay b = new ScriptedRelay(settings(8, true, 300));
         b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 600))));
         b.warmUp(20, 1);
         for (int i = 0; i < 6; i++) {
-            b.pass(10 * SECOND);
+            b.advance(10 * SECOND);
             Accepted m = b.message(2, 1);
-            b.turn(ended(firstSend(b, m), 0, Outcome.CONNECT_FAILED), new Withdrawn(m.id()));
+            b.turn(attemptEnded(firstSend(b, m), 0, Outcome.CONNECT_FAILED), new Withdrawn(m.id()));
         }
         Send s = firstSend(b, b.message(2, 1));
-        assertEquals(1, count(b.turn(ended(s, 0, Outcome.OK)), Close.class), "not kept for another relay's harm");
+        assertEquals(1, count(b.turn(attemptEnded(s, 0, Outcome.OK)), Close.class), "not kept for another relay's harm");
     }
 
     /** Guards handshakes: an outage, in which every connect fails, is no sign of partners that take few connections. */
     @Test
     void anOutageDoesNotMakeBusyConnectionsShortLived() {
-        Bench b = new Bench(settings(8, true, 14));
+        ScriptedRelay b = new ScriptedRelay(settings(8, true, 14));
         b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 600), endpoint(12, 0, 1, 2, 600))));
         b.warmUp(20, 2);
         for (int i = 0; i < 20; i++) {
             Accepted m = b.message(2, 1);
-            b.turn(ended(firstSend(b, m), 0, Outcome.CONNECT_FAILED), new Withdrawn(m.id()));
+            b.turn(attemptEnded(firstSend(b, m), 0, Outcome.CONNECT_FAILED), new Withdrawn(m.id()));
         }
         b.warmUp(20, 2);
         int closed = 0;
         for (int i = 0; i < 20; i++) {
             Send s = firstSend(b, b.message(2, 2));
-            closed += (int) count(b.turn(ended(s, 0, Outcome.OK)), Close.class);
-            b.pass(400 * MS);
+            closed += (int) count(b.turn(attemptEnded(s, 0, Outcome.OK)), Close.class);
+            b.advance(400 * MS);
         }
         assertEquals(0, closed, "each is used again in less than half a second");
     }
@@ -801,10 +801,10 @@
     /** thu-duc-later: a call on a connection idle for long fails where these are dropped unseen. */
     @Test
     void aLongIdleConnectionIsDoubtedAfterAFailureOnOneAndTrustComesBack() {
-        Bench b = new Bench(settings(8, true, 300));
+        ScriptedRelay b = new ScriptedRelay(settings(8, true, 300));
         b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 20))));
         b.warmUp(20, 1);
-        b.pass(4 * SECOND);
+        b.advance(4 * SECOND);
         Send lost = sends(b.turn(b.message(2, 1))).get(0);
         b.turn(new Ended(lost.id(), 0, 11, Outcome.RESET, true, 0, 100 * MS, -1, -1));
         assertEquals(1, closed(b, 4 * SECOND), "idle for longer than is trusted");
@@ -815,31 +815,31 @@
         assertEquals(0, closed(b, 3 * SECOND), "trusted again");
     }
 
-    private static Send firstSend(Bench b, Accepted m) {
+    private static Send firstSend(ScriptedRelay b, Accepted m) {
         List<Send> sent = sends(b.turn(m));
         while (sent.isEmpty() && b.now < m.deadline()) {
-            sent = sends(b.pass(5 * MS));
+            sent = sends(b.advance(5 * MS));
         }
         return sent.get(0);
     }
 
     /** Sends and answers one message after a pause; how many connections were closed before the send. */
-    private static long closed(Bench b, long pause) {
-        b.pass(pause);
+    private static long closed(ScriptedRelay b, long pause) {
+        b.advance(pause);
         List<Action> all = b.turn(b.message(2, 1));
         long closed = count(all, Close.class);
         for (int step = 0; sends(all).isEmpty() && step < 400; step++) {
-            all = b.pass(10 * MS);
+            all = b.advance(10 * MS);
         }
         b.now += 100 * MS;
-        b.turn(ended(sends(all).get(0), 0, Outcome.OK));
+        b.turn(attemptEnded(sends(all).get(0), 0, Outcome.OK));
         return closed;
     }
 
     /** thu-duc-later big-2: a shut destination with several routes was asked by turns, and pushed over. */
     @Test
     void refusalsByEveryRouteInARowHoldBackAllOfThem() {
-        Bench b = new Bench(settings(8, false, 300));
+        ScriptedRelay b = new ScriptedRelay(settings(8, false, 300));
         b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50), endpoint(12, 0, 1, 1, 50))));
         List<Send> asked = new ArrayList<>();
         List<Send> sent = new ArrayList<>(sends(b.turn(b.message(2, 1), b.message(2, 1), b.message(2, 1))));
@@ -848,7 +848,7 @@
             List<Event> refused = new ArrayList<>();
             for (Send s : sent) {
                 long attempt = asked.stream().filter(o -> o.id().equals(s.id())).count();
-                refused.add(ended(s, (int) attempt, Outcome.FULL));
+                refused.add(attemptEnded(s, (int) attempt, Outcome.FULL));
                 asked.add(s);
             }
             sent = sends(b.turn(refused));
@@ -859,11 +859,11 @@
     /** i038d82: messages held for a failing destination all went to its replacements, new and cold. */
     @Test
     void anEndpointNewToAFailingDestinationStartsOnTrials() {
-        Bench b = new Bench(settings(8, false, 2));
+        ScriptedRelay b = new ScriptedRelay(settings(8, false, 2));
         b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
         b.warmUp(20, 1);
         for (int i = 0; i < 3; i++) {
-            b.pass(3 * SECOND);
+            b.advance(3 * SECOND);
             sends(b.turn(b.message(2, 1))).forEach(s ->
                 b.turn(new Ended(s.id(), 0, 11, Outcome.ERROR, true, 0, 100 * MS, -1, -1)));
         }
@@ -873,7 +873,7 @@
             events.add(b.message(0, 1));
         }
         long cold = sends(b.turn(events)).stream().filter(s -> s.endpoint() == 12).count()
-            + sends(b.pass(SECOND)).stream().filter(s -> s.endpoint() == 12).count();
+            + sends(b.advance(SECOND)).stream().filter(s -> s.endpoint() == 12).count();
         assertTrue(cold <= 1, "one trial at a time, sent " + cold);
     }
 
@@ -882,16 +882,16 @@
     void aFleetComesBackSpreadOverTime() {
         List<Long> backs = new ArrayList<>();
         for (int relay = 0; relay < 200; relay++) {
-            Bench b = new Bench(settings(2, false, 200), relay);
+            ScriptedRelay b = new ScriptedRelay(settings(2, false, 200), relay);
             b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 0, 1, 50))));
             b.warmUp(2, 1);
-            b.pass(10 * SECOND);
+            b.advance(10 * SECOND);
             Send s = sends(b.turn(b.message(1, 1))).get(0);
-            b.turn(ended(s, 0, Outcome.FULL));
+            b.turn(attemptEnded(s, 0, Outcome.FULL));
             long start = b.now;
             List<Send> again = List.of();
             while (again.isEmpty() && b.now < start + 14 * SECOND) {
-                again = sends(b.pass(5 * MS));
+                again = sends(b.advance(5 * MS));
             }
             assertFalse(again.isEmpty(), "it starves");
             backs.add((b.now - start) / (100 * MS));
@@ -904,7 +904,7 @@
 
     @Test
     void oddButLegalEventsAreAbsorbed() {
-        Bench b = bench(0, 8, true);
+        ScriptedRelay b = bench(0, 8, true);
         assertTrue(sends(b.control.turn(b.now, List.of(new Ended("x", 0, 11, Outcome.OK, true, 0, 1, -1, -1),
             new Withdrawn("x"), new Due()))).isEmpty());
         Accepted m = b.message(0, 1);
@@ -918,7 +918,7 @@
 
     @Test
     void illegalUseIsAPlainException() {
-        Bench b = bench(0, 8, true);
+        ScriptedRelay b = bench(0, 8, true);
         assertThrows(IllegalArgumentException.class, () -> b.control.turn(b.now - 1, List.of()));
         assertThrows(NullPointerException.class, () -> b.control.turn(b.now, null));
         assertThrows(NullPointerException.class, () -> new Control(1, null));
--- a/src/test/java/wrenkeel/EmbeddingTest.java
+++ b/src/test/java/wrenkeel/EmbeddingTest.java
@@ -17,7 +17,7 @@
 class EmbeddingTest {
     /** A host with a clock of its own and a network that answers every send after 30 ms. */
     private static final class Host {
-        private final Control control = new Control(7, Bench.settings(8, true, 1));
+        private final Control control = new Control(7, ScriptedRelay.settings(8, true, 1));
         private final PriorityQueue<Long> timers = new PriorityQueue<>();
         private final ArrayDeque<Map.Entry<Long, Ended>> network = new ArrayDeque<>();
         private final Map<String, Integer> attempts = new HashMap<>();
@@ -54,7 +54,7 @@
     @Test
     void aRelayDeliversWhatItTakes() {
         Host host = new Host();
-        host.tell(new Listed(ListKind.WHOLE, List.of(Bench.endpoint(1, 0, 0, 9, 50), Bench.endpoint(2, 1, 0, 9, 50))));
+        host.tell(new Listed(ListKind.WHOLE, List.of(ScriptedRelay.endpoint(1, 0, 0, 9, 50), ScriptedRelay.endpoint(2, 1, 0, 9, 50))));
         List<String> taken = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             taken.add("bill-" + i);
--- a/src/test/java/wrenkeel/RandomStreamTest.java
+++ b/src/test/java/wrenkeel/RandomStreamTest.java
@@ -1,7 +1,7 @@
 package wrenkeel;
 
 import static org.junit.jupiter.api.Assertions.*;
-import static wrenkeel.Bench.*;
+import static wrenkeel.ScriptedRelay.*;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -40,7 +40,7 @@
 
     private static List<Action> run(long seed, int slots, int relays, int oneIn) {
         Random random = new Random(seed);
-        Bench b = new Bench(settings(slots, seed % 3 != 0, relays, 8, 60), seed);
+        ScriptedRelay b = new ScriptedRelay(settings(slots, seed % 3 != 0, relays, 8, 60), seed);
         List<Action> all = new ArrayList<>();
         List<Flight> flying = new ArrayList<>();
         List<Accepted> taken = new ArrayList<>();
@@ -58,8 +58,8 @@
             for (Flight f : List.copyOf(flying)) {
                 if (f.at <= b.now) {
                     flying.remove(f);
-                    RuleChecker.Seen s = b.checker.messages.get(f.send.id());
-                    boolean over = s.over || f.outcome == Outcome.OK;
+                    RuleChecker.TrackedMessage s = b.checker.messages.get(f.send.id());
+                    boolean over = s.finished || f.outcome == Outcome.OK;
                     events.add(new Ended(f.send.id(), f.attempt, f.send.endpoint(), f.outcome, over, f.waitFor,
                         f.at, random.nextDouble(), random.nextInt(3) == 0 ? 5 : -1));
                 }
@@ -72,7 +72,7 @@
             }
             if (!taken.isEmpty() && random.nextInt(200) == 0) {
                 Accepted m = taken.get(random.nextInt(taken.size()));
-                if (b.checker.messages.containsKey(m.id()) && !b.checker.messages.get(m.id()).over) {
+                if (b.checker.messages.containsKey(m.id()) && !b.checker.messages.get(m.id()).finished) {
                     events.add(new Withdrawn(m.id()));
                 }
             }
@@ -93,13 +93,13 @@
         b.now += 40 * SECOND;
         b.turn();
         for (Accepted m : taken) {
-            RuleChecker.Seen s = b.checker.messages.get(m.id());
-            assertTrue(s == null || s.over, "no end for " + m.id());
+            RuleChecker.TrackedMessage s = b.checker.messages.get(m.id());
+            assertTrue(s == null || s.finished, "no end for " + m.id());
         }
         return all;
     }
 
-    private static Flight flight(Bench b, Send s, Random random, int trouble) {
+    private static Flight flight(ScriptedRelay b, Send s, Random random, int trouble) {
         Outcome outcome = Outcome.OK;
         long took = 50 * MS + random.nextInt(300) * MS;
         long wait = 0;
@@ -116,7 +116,7 @@
         return new Flight(s, b.checker.messages.get(s.id()).sends.size() - 1, b.now + took, outcome, wait);
     }
 
-    private static Listed list(Bench b, Random random, boolean whole) {
+    private static Listed list(ScriptedRelay b, Random random, boolean whole) {
         List<Endpoint> items = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             if (whole ? random.nextInt(8) > 0 : random.nextInt(3) == 0) {
--- a/src/test/java/wrenkeel/ReleaseTest.java
+++ b/src/test/java/wrenkeel/ReleaseTest.java
@@ -1,7 +1,7 @@
 package wrenkeel;
 
 import static org.junit.jupiter.api.Assertions.*;
-import static wrenkeel.Bench.*;
+import static wrenkeel.ScriptedRelay.*;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -19,8 +19,8 @@
     /** us; past any span for which a quiet destination is kept. */
     private static final long LONG = 120 * SECOND;
 
-    private static Bench bench() {
-        Bench b = new Bench(settings(8, true, 2_300));
+    private static ScriptedRelay bench() {
+        ScriptedRelay b = new ScriptedRelay(settings(8, true, 2_300));
         b.turn(new Introduced(List.of(endpoint(11, 0, 1, 1, 50), endpoint(12, 0, 1, 1, 50))));
         return b;
     }
@@ -30,25 +30,25 @@
     }
 
     /** What a relay's driver does: it asks every second. */
-    private static List<Long> quiet(Bench b, long span) {
+    private static List<Long> quiet(ScriptedRelay b, long span) {
         List<Action> all = new ArrayList<>();
         for (long end = b.now + span; b.now < end;) {
-            all.addAll(b.pass(SECOND));
+            all.addAll(b.advance(SECOND));
             all.addAll(b.turn(new Release()));
         }
         return released(all);
     }
 
-    private static Send sendOne(Bench b) {
+    private static Send sendOne(ScriptedRelay b) {
         List<Send> sent = new ArrayList<>(sends(b.turn(b.message(1, 1))));
-        sent.addAll(sent.isEmpty() ? sends(b.pass(4 * SECOND)) : List.of());
+        sent.addAll(sent.isEmpty() ? sends(b.advance(4 * SECOND)) : List.of());
         return sent.get(0);
     }
 
     @Test
     void aQuietDestinationIsReleasedOnceAndServedAgainWhenIntroducedAgain() {
-        Bench b = bench();
-        b.turn(ended(sendOne(b), 0, Outcome.OK));
+        ScriptedRelay b = bench();
+        b.turn(attemptEnded(sendOne(b), 0, Outcome.OK));
         assertEquals(List.of(), quiet(b, 50 * SECOND), "what was just learned is still of use");
         assertEquals(List.of(1L), quiet(b, LONG));
         assertEquals(List.of(), quiet(b, LONG));
@@ -59,16 +59,16 @@
     /** Without being asked to, the module forgets nothing: the simulator introduces nothing twice. */
     @Test
     void nothingIsReleasedUnasked() {
-        Bench b = bench();
-        b.turn(ended(sendOne(b), 0, Outcome.OK));
-        assertEquals(List.of(), released(b.pass(LONG)));
+        ScriptedRelay b = bench();
+        b.turn(attemptEnded(sendOne(b), 0, Outcome.OK));
+        assertEquals(List.of(), released(b.advance(LONG)));
     }
 
     @Test
     void aMessageOfTheTurnThatReleasesKeepsItsDestination() {
-        Bench b = bench();
-        b.turn(ended(sendOne(b), 0, Outcome.OK));
-        b.pass(LONG);
+        ScriptedRelay b = bench();
+        b.turn(attemptEnded(sendOne(b), 0, Outcome.OK));
+        b.advance(LONG);
         List<Action> actions = b.turn(new Release(), b.message(1, 1));
         assertEquals(List.of(), released(actions));
         assertEquals(1, sends(actions).size());
@@ -76,32 +76,32 @@
 
     @Test
     void aDestinationWithACallOutIsKeptUntilThatHasEnded() {
-        Bench b = bench();
+        ScriptedRelay b = bench();
         Send out = sendOne(b);
         b.turn(new Withdrawn(out.id()));
         assertEquals(List.of(), quiet(b, LONG), "its call may still come back");
-        b.turn(ended(out, 0, Outcome.CANCELLED));
+        b.turn(attemptEnded(out, 0, Outcome.CANCELLED));
         assertEquals(List.of(1L), quiet(b, LONG));
     }
 
     @Test
     void aWaitOutlastsAnyQuiet() {
-        Bench b = bench();
+        ScriptedRelay b = bench();
         Send refused = sendOne(b);
-        b.turn(ended(refused, 0, Outcome.FULL, 4 * LONG), new Withdrawn(refused.id()));
+        b.turn(attemptEnded(refused, 0, Outcome.FULL, 4 * LONG), new Withdrawn(refused.id()));
         assertEquals(List.of(), quiet(b, 3 * LONG));
         assertEquals(List.of(1L), quiet(b, 2 * LONG));
     }
 
     @Test
     void anOutageAndTheWarmUpAfterItAreKept() {
-        Bench b = bench();
+        ScriptedRelay b = bench();
         for (int i = 0; i < 6; i++) {
             List<Send> sent = new ArrayList<>(sends(b.turn(b.message(1, 1))));
             for (int step = 0; sent.isEmpty() && step < 1_600; step++) {
-                sent.addAll(sends(b.pass(10 * MS)));
+                sent.addAll(sends(b.advance(10 * MS)));
             }
-            sent.forEach(s -> b.turn(ended(s, 0, Outcome.CONNECT_FAILED), new Withdrawn(s.id())));
+            sent.forEach(s -> b.turn(attemptEnded(s, 0, Outcome.CONNECT_FAILED), new Withdrawn(s.id())));
         }
         assertTrue(b.control.unavailable() > 0, "out");
         assertEquals(List.of(), quiet(b, LONG), "an outage is still of use");
@@ -111,27 +111,27 @@
 
     @Test
     void anEndpointOffTheListIsForgottenAndHoldsItsDestinationUntilThen() {
-        Bench b = bench();
+        ScriptedRelay b = bench();
         b.turn(new Listed(ListKind.CHANGES, List.of(new Endpoint(12, 0, 1, 1, Listing.GONE, 50))));
         assertEquals(List.of(), quiet(b, 4 * LONG));
-        List<Action> after = new ArrayList<>(b.pass(2 * LONG));
+        List<Action> after = new ArrayList<>(b.advance(2 * LONG));
         assertEquals(List.of(new Forgotten(12)), after.stream().filter(Forgotten.class::isInstance).toList());
         assertEquals(List.of(1L), quiet(b, LONG));
     }
 
     @Test
     void anEndpointThatComesBackIsNotForgotten() {
-        Bench b = bench();
+        ScriptedRelay b = bench();
         b.turn(new Listed(ListKind.CHANGES, List.of(new Endpoint(12, 0, 1, 1, Listing.GONE, 50))));
         b.turn(new Listed(ListKind.CHANGES, List.of(endpoint(12, 0, 1, 1, 50))));
-        assertEquals(0, count(b.pass(700 * SECOND), Forgotten.class));
+        assertEquals(0, count(b.advance(700 * SECOND), Forgotten.class));
         assertEquals(List.of(1L), quiet(b, LONG));
     }
 
     /** Where very many are met, each is kept for the settings' spans only: here a window of repeats of 10 s. */
     @Test
     void aCrowdOfDestinationsIsKeptForTheSettingsSpansOnly() {
-        Bench b = bench();
+        ScriptedRelay b = bench();
         for (long d = 2; d < 5_000; d++) {
             b.turn(new Introduced(List.of(endpoint(100 + d, 0, 1, d, 50))));
         }
@@ -141,9 +141,9 @@
     }
 
     /** A relay of a large fleet where no rates are listed. */
-    private static Bench large() {
+    private static ScriptedRelay large() {
         Settings s = settings(64, true, 2_300, 8, 1_000);
-        Bench b = new Bench(new Settings(s.rank(), s.relays(), s.zone(), s.halvingLate(), s.overShareWorth(),
+        ScriptedRelay b = new ScriptedRelay(new Settings(s.rank(), s.relays(), s.zone(), s.halvingLate(), s.overShareWorth(),
             Weights.NONE, s.classes(), s.tenants(), s.kinds(), s.allowed(), s.rules(), s.prices()));
         b.turn();
         return b;
@@ -153,7 +153,7 @@
         return new Introduced(List.of(endpoint(10 + destination, 0, 1, destination, 1)));
     }
 
-    private static List<Send> first(Bench b, int places) {
+    private static List<Send> first(ScriptedRelay b, int places) {
         List<Event> events = new ArrayList<>();
         for (long d = 1; d <= places; d++) {
             events.add(introduced(d));
@@ -168,12 +168,12 @@
      */
     @Test
     void aPlaceThatIsIntroducedLateMayBeCalledAtOnceAndAgainAfterARelease() {
-        Bench b = large();
-        b.pass(LONG);
+        ScriptedRelay b = large();
+        b.advance(LONG);
         List<Send> sent = first(b, 40);
         assertEquals(40, sent.size());
         List<Event> ends = new ArrayList<>();
-        sent.forEach(s -> ends.add(ended(s, 0, Outcome.OK)));
+        sent.forEach(s -> ends.add(attemptEnded(s, 0, Outcome.OK)));
         b.turn(ends);
         assertEquals(40, quiet(b, LONG).size());
         assertEquals(40, first(b, 40).size());
@@ -182,11 +182,11 @@
     /** Guards a message whose first call is refused: the second need not wait for a pace that has just begun. */
     @Test
     void aRefusedFirstCallIsRepeatedAfterItsBackOff() {
-        Bench b = large();
-        b.pass(LONG);
+        ScriptedRelay b = large();
+        b.advance(LONG);
         Send refused = first(b, 1).get(0);
-        b.turn(ended(refused, 0, Outcome.FULL));
-        assertEquals(1, sends(b.pass(8 * SECOND)).size());
+        b.turn(attemptEnded(refused, 0, Outcome.FULL));
+        assertEquals(1, sends(b.advance(8 * SECOND)).size());
     }
 
     /** Guards the fleet's first second: all relays together begin with a part of their calls. */
@@ -198,27 +198,27 @@
     /** Guards a place against one that forgets that it has just called: many are met, so it is released early. */
     @Test
     void aCallThatWasSpentIsRememberedAcrossARelease() {
-        Bench b = large();
-        b.pass(LONG);
-        b.turn(ended(first(b, 1).get(0), 0, Outcome.OK));
+        ScriptedRelay b = large();
+        b.advance(LONG);
+        b.turn(attemptEnded(first(b, 1).get(0), 0, Outcome.OK));
         // The two calls that it had saved up.
-        b.turn(ended(sendOne(b), 0, Outcome.OK));
+        b.turn(attemptEnded(sendOne(b), 0, Outcome.OK));
         for (long d = 2; d < 5_000; d++) {
             b.turn(introduced(d));
         }
         assertTrue(quiet(b, 20 * SECOND).contains(1L));
         assertEquals(0, first(b, 1).size(), "a call each 57.5 s");
-        b.pass(30 * SECOND);
+        b.advance(30 * SECOND);
         List<Send> again = new ArrayList<>(sends(b.turn(b.message(1, 1))));
         assertEquals(0, again.size());
-        again.addAll(sends(b.pass(15 * SECOND)));
+        again.addAll(sends(b.advance(15 * SECOND)));
         assertEquals(1, again.size());
     }
 
     /** The list of before binds nothing: a first message's introduction is no answer of discovery. */
     @Test
     void anIntroductionDoesNotOpenTheGateThatWaitsForTheList() {
-        Bench b = new Bench(settings(8, true, 2));
+        ScriptedRelay b = new ScriptedRelay(settings(8, true, 2));
         b.turn(new ListAsked());
         assertEquals(0, sends(b.turn(new Introduced(List.of(endpoint(11, 0, 1, 1, 50))), b.message(1, 1))).size());
         assertEquals(1, sends(b.turn(new Listed(ListKind.CHANGES, List.of()))).size());
@@ -226,29 +226,29 @@
 
     @Test
     void anEndpointThatMovesServesItsNewDestinationOnlyAndItsWaitGoesWithIt() {
-        Bench b = new Bench(settings(8, false, 2));
+        ScriptedRelay b = new ScriptedRelay(settings(8, false, 2));
         b.turn(new Introduced(List.of(endpoint(11, 0, 1, 1, 50), endpoint(21, 0, 1, 2, 50))));
         Send refused = sendOne(b);
-        b.turn(ended(refused, 0, Outcome.FULL, 2 * SECOND), new Withdrawn(refused.id()));
+        b.turn(attemptEnded(refused, 0, Outcome.FULL, 2 * SECOND), new Withdrawn(refused.id()));
         b.turn(new Listed(ListKind.CHANGES, List.of(endpoint(11, 0, 1, 2, 50),
             new Endpoint(21, 0, 1, 2, Listing.GONE, 50))));
         assertEquals(0, sends(b.turn(b.message(1, 1))).size(), "none is left there");
         List<Send> sent = new ArrayList<>(sends(b.turn(b.message(1, 2))));
-        sent.addAll(sends(b.pass(SECOND)));
+        sent.addAll(sends(b.advance(SECOND)));
         assertEquals(0, sent.size(), "told to wait");
-        sent.addAll(sends(b.pass(3 * SECOND)));
+        sent.addAll(sends(b.advance(3 * SECOND)));
         assertEquals(List.of(11L), sent.stream().map(Send::endpoint).toList());
     }
 
     @Test
     void theCountOfThoseOutFollowsTheList() {
-        Bench b = bench();
+        ScriptedRelay b = bench();
         Consumer<Listing> list = listing -> b.turn(new Listed(ListKind.CHANGES,
             List.of(new Endpoint(11, 0, 1, 1, listing, 50), new Endpoint(12, 0, 1, 1, listing, 50))));
         for (int i = 0; i < 6; i++) {
             List<Send> sent = new ArrayList<>(sends(b.turn(b.message(1, 1))));
-            sent.addAll(sends(b.pass(4 * SECOND)));
-            sent.forEach(s -> b.turn(ended(s, 0, Outcome.CONNECT_FAILED), new Withdrawn(s.id())));
+            sent.addAll(sends(b.advance(4 * SECOND)));
+            sent.forEach(s -> b.turn(attemptEnded(s, 0, Outcome.CONNECT_FAILED), new Withdrawn(s.id())));
         }
         int out = b.control.unavailable();
         assertTrue(out > 0);
@@ -268,7 +268,7 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void rulesHoldWhileDestinationsComeAndGo(long seed) {
         Random random = new Random(seed);
-        Bench b = new Bench(settings(4, seed % 2 == 0, 30, 8, 60), seed);
+        ScriptedRelay b = new ScriptedRelay(settings(4, seed % 2 == 0, 30, 8, 60), seed);
         Set<Long> introduced = new HashSet<>();
         List<Flight> out = new ArrayList<>();
         List<Event> events = new ArrayList<>();
@@ -306,11 +306,11 @@
         assertTrue(releases > 20 && sent > 300, releases + " releases, " + sent + " sends");
     }
 
-    private static Ended outcome(Bench b, Flight f, Random random) {
-        RuleChecker.Seen seen = b.checker.messages.get(f.send.id());
+    private static Ended outcome(ScriptedRelay b, Flight f, Random random) {
+        RuleChecker.TrackedMessage seen = b.checker.messages.get(f.send.id());
         Outcome outcome = random.nextInt(3) > 0 ? Outcome.OK : Outcome.values()[1 + random.nextInt(5)];
         long wait = outcome == Outcome.FULL && random.nextBoolean() ? random.nextInt(90) * SECOND : 0;
-        return new Ended(f.send.id(), f.attempt, f.send.endpoint(), outcome, seen.over || outcome == Outcome.OK, wait,
+        return new Ended(f.send.id(), f.attempt, f.send.endpoint(), outcome, seen.finished || outcome == Outcome.OK, wait,
             20 * MS, -1, -1);
     }
 }
--- a/src/test/java/wrenkeel/RuleChecker.java
+++ b/src/test/java/wrenkeel/RuleChecker.java
@@ -11,23 +11,23 @@
 /** Watches one relay's events and actions and throws on the first breach of a rule. */
 final class RuleChecker {
     /** What is known of one message. */
-    static final class Seen {
-        Accepted taken;
-        MessageClass cls;
-        boolean over;
-        long overAt;
+    static final class TrackedMessage {
+        Accepted accepted;
+        MessageClass messageClass;
+        boolean finished;
+        long finishedAt;
         final List<Send> sends = new ArrayList<>();
         final List<Long> sentAt = new ArrayList<>();
-        final Map<Integer, Outcome> ends = new HashMap<>();
+        final Map<Integer, Outcome> outcomes = new HashMap<>();
 
-        boolean maybeRan(int attempt) {
-            Outcome o = ends.get(attempt);
+        boolean mayHaveRun(int attempt) {
+            Outcome o = outcomes.get(attempt);
             return o == null || !o.neverRan();
         }
 
-        boolean anyMaybeRan() {
+        boolean anyMayHaveRun() {
             for (int i = 0; i < sends.size(); i++) {
-                if (maybeRan(i)) {
+                if (mayHaveRun(i)) {
                     return true;
                 }
             }
@@ -35,195 +35,195 @@
         }
 
         /** Sends that the relay's own machine did not keep from being made. */
-        long made() {
-            return sends.size() - ends.values().stream().filter(Outcome::neverMade).count();
+        long countAttemptsMade() {
+            return sends.size() - outcomes.values().stream().filter(Outcome::neverMade).count();
         }
 
-        boolean open() {
-            return ends.size() < sends.size();
+        boolean hasOpenAttempts() {
+            return outcomes.size() < sends.size();
         }
     }
 
-    final Settings set;
-    final Map<String, Seen> messages = new LinkedHashMap<>();
-    private final Map<String, List<Seen>> keys = new HashMap<>();
-    private final Map<String, Long> keyRest = new HashMap<>();
+    final Settings settings;
+    final Map<String, TrackedMessage> messages = new LinkedHashMap<>();
+    private final Map<String, List<TrackedMessage>> messagesByKey = new HashMap<>();
+    private final Map<String, Long> keyPausedUntil = new HashMap<>();
     final Map<Long, Endpoint> endpoints = new HashMap<>();
-    private final Map<Long, Long> drained = new HashMap<>();
-    private final Map<Long, Long> waits = new HashMap<>();
+    private final Map<Long, Long> notReadySince = new HashMap<>();
+    private final Map<Long, Long> waitUntil = new HashMap<>();
     /** Endpoints under the return budget: set by a test that declares an outage and its end. */
     final Map<Long, Long> coldSince = new HashMap<>();
-    private final Map<Long, ArrayDeque<Long>> sends = new HashMap<>();
-    int breaches;
+    private final Map<Long, ArrayDeque<Long>> recentSends = new HashMap<>();
+    int violations;
 
     RuleChecker(Settings set) {
-        this.set = set;
+        this.settings = set;
     }
 
     /** The lane that a wait binds: the destination, or the route where routes are apart. */
-    private long lane(Endpoint e) {
-        return set.kinds().get(e.kind()).apart() ? e.id() : -1 - e.destination();
+    private long limitScope(Endpoint e) {
+        return settings.kinds().get(e.kind()).apart() ? e.id() : -1 - e.destination();
     }
 
-    void event(long now, Event event) {
+    void recordEvent(long now, Event event) {
         if (event instanceof Accepted e) {
-            Seen s = new Seen();
-            s.taken = e;
-            s.cls = set.classes().get(e.messageClass());
+            TrackedMessage s = new TrackedMessage();
+            s.accepted = e;
+            s.messageClass = settings.classes().get(e.messageClass());
             messages.put(e.id(), s);
-            if (s.cls.inOrder() && e.key() != null) {
-                keys.computeIfAbsent(e.key(), k -> new ArrayList<>()).add(s);
+            if (s.messageClass.inOrder() && e.key() != null) {
+                messagesByKey.computeIfAbsent(e.key(), k -> new ArrayList<>()).add(s);
             }
         } else if (event instanceof Ended e) {
-            Seen s = messages.get(e.id());
-            s.ends.put(e.attempt(), e.outcome());
+            TrackedMessage s = messages.get(e.id());
+            s.outcomes.put(e.attempt(), e.outcome());
             if (e.outcome() == Outcome.OK || e.over()) {
-                end(s, now);
+                finish(s, now);
             }
             if (e.waitFor() > 0) {
-                waits.merge(lane(endpoints.get(e.endpoint())), now + e.waitFor(), Math::max);
+                waitUntil.merge(limitScope(endpoints.get(e.endpoint())), now + e.waitFor(), Math::max);
             }
             boolean rests = e.outcome() == Outcome.TIMEOUT || e.outcome() == Outcome.RESET
                 || e.outcome() == Outcome.CANCELLED;
-            if (s.taken.key() != null && s.cls.inOrder() && rests) {
-                keyRest.put(s.taken.key(), now + set.rules().keyRest());
+            if (s.accepted.key() != null && s.messageClass.inOrder() && rests) {
+                keyPausedUntil.put(s.accepted.key(), now + settings.rules().keyRest());
             }
         } else if (event instanceof Withdrawn e) {
-            end(messages.get(e.id()), now);
+            finish(messages.get(e.id()), now);
         } else if (event instanceof Listed e) {
-            e.endpoints().forEach(p -> listed(now, p));
+            e.endpoints().forEach(p -> recordListing(now, p));
             if (e.kind() == ListKind.WHOLE) {
                 List<Long> named = e.endpoints().stream().map(Endpoint::id).toList();
                 endpoints.keySet().stream().filter(id -> !named.contains(id))
-                    .forEach(id -> drained.putIfAbsent(id, now));
+                    .forEach(id -> notReadySince.putIfAbsent(id, now));
             }
         } else if (event instanceof Introduced e) {
-            e.endpoints().forEach(p -> listed(now, p));
+            e.endpoints().forEach(p -> recordListing(now, p));
         }
     }
 
-    private void listed(long now, Endpoint p) {
+    private void recordListing(long now, Endpoint p) {
         endpoints.put(p.id(), p);
         if (p.listing() == Listing.READY) {
-            drained.remove(p.id());
+            notReadySince.remove(p.id());
         } else {
-            drained.putIfAbsent(p.id(), now);
+            notReadySince.putIfAbsent(p.id(), now);
         }
     }
 
     /** What rests on a destination may not be forgotten; from here on it must be introduced before a send. */
-    private void released(long now, long destination) {
-        require(messages.values().stream().allMatch(s -> s.taken.destination() != destination
-            || s.over && !s.open()), "released with a message that is not over");
+    private void checkRelease(long now, long destination) {
+        require(messages.values().stream().allMatch(s -> s.accepted.destination() != destination
+            || s.finished && !s.hasOpenAttempts()), "released with a message that is not over");
         for (Endpoint e : List.copyOf(endpoints.values())) {
             if (e.destination() == destination) {
-                require(now >= waits.getOrDefault(lane(e), 0L), "released inside a wait");
+                require(now >= waitUntil.getOrDefault(limitScope(e), 0L), "released inside a wait");
                 Long cold = coldSince.get(e.id());
-                require(cold == null || now - cold >= set.rules().cold(), "released while it warms up");
+                require(cold == null || now - cold >= settings.rules().cold(), "released while it warms up");
                 endpoints.remove(e.id());
             }
         }
     }
 
-    private static void end(Seen s, long now) {
-        if (!s.over) {
-            s.over = true;
-            s.overAt = now;
+    private static void finish(TrackedMessage s, long now) {
+        if (!s.finished) {
+            s.finished = true;
+            s.finishedAt = now;
         }
     }
 
-    void action(long now, Action action) {
+    void checkAction(long now, Action action) {
         if (action instanceof Send a) {
-            send(now, a);
+            checkSend(now, a);
         } else if (action instanceof Refuse a) {
-            Seen s = messages.get(a.id());
-            require(!s.over, "1: a second final answer");
-            boolean zoneBound = s.cls.effect() == Effect.KEYED && s.cls.zoneGroup();
-            require(s.cls.effect() == Effect.SAFE || s.cls.effect() == Effect.KEYED && !zoneBound || !s.anyMaybeRan(),
+            TrackedMessage s = messages.get(a.id());
+            require(!s.finished, "1: a second final answer");
+            boolean zoneBound = s.messageClass.effect() == Effect.KEYED && s.messageClass.zoneGroup();
+            require(s.messageClass.effect() == Effect.SAFE || s.messageClass.effect() == Effect.KEYED && !zoneBound || !s.anyMayHaveRun(),
                 "2: refused though it may have run");
-            end(s, now);
+            finish(s, now);
         } else if (action instanceof Fail a) {
-            Seen s = messages.get(a.id());
-            require(!s.over, "1: a second final answer");
-            end(s, now);
+            TrackedMessage s = messages.get(a.id());
+            require(!s.finished, "1: a second final answer");
+            finish(s, now);
         } else if (action instanceof Cancel a) {
-            require(set.allowed().cancel(), "cancel is not allowed");
+            require(settings.allowed().cancel(), "cancel is not allowed");
             require(a.attempt() < messages.get(a.id()).sends.size(), "cancel of an attempt never made");
         } else if (action instanceof Released a) {
-            released(now, a.destination());
+            checkRelease(now, a.destination());
         }
     }
 
-    private void send(long now, Send a) {
-        Seen s = messages.get(a.id());
+    private void checkSend(long now, Send a) {
+        TrackedMessage s = messages.get(a.id());
         Endpoint to = endpoints.get(a.endpoint());
-        require(s != null && !s.over, "1: sent after its end");
-        require(to != null && to.destination() == s.taken.destination(), "sent to another destination");
-        require(s.made() < set.classes().get(s.taken.messageClass()).tries(), "too many attempts");
-        require(a.timeout() > 0 && now + a.timeout() <= s.taken.deadline(), "time-out beyond the deadline");
-        Long told = drained.get(a.endpoint());
-        require(told == null || now <= told + set.rules().drainGrace(), "3: sent to a drained endpoint");
-        require(now >= waits.getOrDefault(lane(to), 0L), "5: sent inside a wait");
-        require(set.allowed().copies() || !s.open(), "2: two attempts out together");
-        effects(now, s, to);
-        order(now, s);
-        budget(now, to);
+        require(s != null && !s.finished, "1: sent after its end");
+        require(to != null && to.destination() == s.accepted.destination(), "sent to another destination");
+        require(s.countAttemptsMade() < settings.classes().get(s.accepted.messageClass()).tries(), "too many attempts");
+        require(a.timeout() > 0 && now + a.timeout() <= s.accepted.deadline(), "time-out beyond the deadline");
+        Long told = notReadySince.get(a.endpoint());
+        require(told == null || now <= told + settings.rules().drainGrace(), "3: sent to a drained endpoint");
+        require(now >= waitUntil.getOrDefault(limitScope(to), 0L), "5: sent inside a wait");
+        require(settings.allowed().copies() || !s.hasOpenAttempts(), "2: two attempts out together");
+        checkEffects(now, s, to);
+        checkKeyOrder(now, s);
+        checkReturnBudget(now, to);
         s.sends.add(a);
         s.sentAt.add(now);
     }
 
-    private void effects(long now, Seen s, Endpoint to) {
+    private void checkEffects(long now, TrackedMessage s, Endpoint to) {
         for (int i = 0; i < s.sends.size(); i++) {
-            if (!s.maybeRan(i) || s.cls.effect() == Effect.SAFE) {
+            if (!s.mayHaveRun(i) || s.messageClass.effect() == Effect.SAFE) {
                 continue;
             }
-            require(s.cls.effect() == Effect.KEYED, "2: an unsafe message sent again");
-            require(now < s.sentAt.get(i) + s.cls.window(), "2: sent again outside the window");
+            require(s.messageClass.effect() == Effect.KEYED, "2: an unsafe message sent again");
+            require(now < s.sentAt.get(i) + s.messageClass.window(), "2: sent again outside the window");
             Endpoint before = endpoints.get(s.sends.get(i).endpoint());
-            require(!s.cls.zoneGroup() || before.zone() == to.zone(), "2: sent again outside the group");
+            require(!s.messageClass.zoneGroup() || before.zone() == to.zone(), "2: sent again outside the group");
         }
     }
 
-    private void order(long now, Seen s) {
-        if (s.taken.key() == null || !s.cls.inOrder()) {
+    private void checkKeyOrder(long now, TrackedMessage s) {
+        if (s.accepted.key() == null || !s.messageClass.inOrder()) {
             return;
         }
-        for (Seen earlier : keys.get(s.taken.key())) {
+        for (TrackedMessage earlier : messagesByKey.get(s.accepted.key())) {
             if (earlier == s) {
                 break;
             }
-            require(earlier.over && !earlier.open(), "6: sent before an earlier message of its key was over");
+            require(earlier.finished && !earlier.hasOpenAttempts(), "6: sent before an earlier message of its key was over");
         }
-        require(!s.sends.isEmpty() || now >= keyRest.getOrDefault(s.taken.key(), 0L), "6: sent while the key rests");
+        require(!s.sends.isEmpty() || now >= keyPausedUntil.getOrDefault(s.accepted.key(), 0L), "6: sent while the key rests");
     }
 
-    private void budget(long now, Endpoint to) {
+    private void checkReturnBudget(long now, Endpoint to) {
         Long cold = coldSince.get(to.id());
-        if (cold == null || now - cold >= set.rules().cold()) {
+        if (cold == null || now - cold >= settings.rules().cold()) {
             return;
         }
-        ArrayDeque<Long> recent = sends.computeIfAbsent(to.id(), k -> new ArrayDeque<>());
+        ArrayDeque<Long> recent = recentSends.computeIfAbsent(to.id(), k -> new ArrayDeque<>());
         recent.addLast(now);
-        recent.removeIf(t -> t <= now - set.rules().tipAfter());
-        double warm = set.rules().coldFrom()
-            + (1 - set.rules().coldFrom()) * Math.min(1.0, (double) Math.max(0, now - cold) / set.rules().cold());
-        double limit = set.rules().fallMultiple() * to.weight() * warm * set.rules().tipAfter() / 1e6
-            / set.relays();
+        recent.removeIf(t -> t <= now - settings.rules().tipAfter());
+        double warm = settings.rules().coldFrom()
+            + (1 - settings.rules().coldFrom()) * Math.min(1.0, (double) Math.max(0, now - cold) / settings.rules().cold());
+        double limit = settings.rules().fallMultiple() * to.weight() * warm * settings.rules().tipAfter() / 1e6
+            / settings.relays();
         require(recent.size() <= Math.max(1, limit), "4: pushed a returning endpoint, " + recent.size() + " > " + limit);
     }
 
     /** Every message whose time is up must be over; call at the end of each turn. */
-    void time(long now) {
-        for (Seen s : messages.values()) {
-            long due = s.taken.deadline() + set.rules().answerSlack();
-            require(s.over || now <= due, "1: no final answer in time for " + s.taken.id());
+    void checkDeadlines(long now) {
+        for (TrackedMessage s : messages.values()) {
+            long due = s.accepted.deadline() + settings.rules().answerSlack();
+            require(s.finished || now <= due, "1: no final answer in time for " + s.accepted.id());
         }
-        messages.values().removeIf(s -> s.over && !s.open() && s.overAt + 60_000_000L < now);
+        messages.values().removeIf(s -> s.finished && !s.hasOpenAttempts() && s.finishedAt + 60_000_000L < now);
     }
 
     private void require(boolean kept, String breach) {
         if (!kept) {
-            breaches++;
+            violations++;
             throw new AssertionError("rule " + breach);
         }
     }
--- a/src/test/java/wrenkeel/Bench.java
+++ b/src/test/java/wrenkeel/ScriptedRelay.java
@@ -5,14 +5,14 @@
 import wrenkeel.Relay.*;
 
 /** Drives one Control by script: events in, actions out, every one of them past the rule checker. */
-final class Bench {
+final class ScriptedRelay {
     static final long MS = 1_000, SECOND = 1_000_000;
-    final Settings set;
+    final Settings settings;
     final RuleChecker checker;
     final Control control;
     long now = 5 * SECOND;
     long wakeAt = Long.MAX_VALUE;
-    private int next;
+    private int nextMessageId;
 
     /** Classes: 0 safe, 1 keyed (group all), 2 unsafe in order, 3 keyed (zone group). Kinds: 0 shared, 1 apart, 2 bundles. */
     static Settings settings(int slots, boolean copies, int relays) {
@@ -34,12 +34,12 @@
             new Prices(0.05, 0.06, 0, 0.05, List.of(0.0, 0.0)));
     }
 
-    Bench(Settings set) {
+    ScriptedRelay(Settings set) {
         this(set, 1);
     }
 
-    Bench(Settings set, long seed) {
-        this.set = set;
+    ScriptedRelay(Settings set, long seed) {
+        this.settings = set;
         checker = new RuleChecker(set);
         control = new Control(seed, set);
     }
@@ -54,7 +54,7 @@
 
     List<Action> turn(List<Event> events) {
         for (Event e : events) {
-            checker.event(now, e);
+            checker.recordEvent(now, e);
         }
         if (wakeAt <= now) {
             wakeAt = Long.MAX_VALUE;
@@ -63,24 +63,24 @@
         }
         List<Action> actions = control.turn(now, events);
         for (Action a : actions) {
-            checker.action(now, a);
+            checker.checkAction(now, a);
             if (a instanceof Wake w) {
                 wakeAt = Math.min(wakeAt, now + w.after());
             }
         }
-        checker.time(now);
+        checker.checkDeadlines(now);
         return actions;
     }
 
     /** Lets time pass in steps of 5 ms, as a host with a clock of that grain would; returns all actions on the way. */
-    List<Action> pass(long span) {
+    List<Action> advance(long span) {
         List<Action> all = new ArrayList<>();
         for (long end = now + span; now < end;) {
             now += 5 * MS;
             if (wakeAt <= now) {
                 all.addAll(turn());
             } else {
-                checker.time(now);
+                checker.checkDeadlines(now);
             }
         }
         return all;
@@ -91,14 +91,14 @@
     }
 
     Accepted message(int cls, long destination, String key) {
-        return new Accepted("m" + next++, cls, 0, key, now + set.classes().get(cls).life(), destination);
+        return new Accepted("m" + nextMessageId++, cls, 0, key, now + settings.classes().get(cls).life(), destination);
     }
 
-    static Ended ended(Send send, int attempt, Outcome outcome) {
-        return ended(send, attempt, outcome, 0);
+    static Ended attemptEnded(Send send, int attempt, Outcome outcome) {
+        return attemptEnded(send, attempt, outcome, 0);
     }
 
-    static Ended ended(Send send, int attempt, Outcome outcome, long waitFor) {
+    static Ended attemptEnded(Send send, int attempt, Outcome outcome, long waitFor) {
         return new Ended(send.id(), attempt, send.endpoint(), outcome, outcome == Outcome.OK, waitFor, 100 * MS, -1, -1);
     }
 
@@ -115,10 +115,10 @@
         for (int i = 0; i < messages; i++) {
             List<Send> sent = new ArrayList<>(sends(turn(message(0, destination))));
             for (int step = 0; sent.isEmpty() && step < 400; step++) {
-                sent.addAll(sends(pass(10 * MS)));
+                sent.addAll(sends(advance(10 * MS)));
             }
             now += 100 * MS;
-            turn(ended(sent.get(0), 0, Outcome.OK));
+            turn(attemptEnded(sent.get(0), 0, Outcome.OK));
             now += 200 * MS;
         }
     }
