--- a/src/test/java/wrenkeel/KnownRed.java
+++ b/src/test/java/wrenkeel/KnownRed.java
@@ -19,19 +19,19 @@
  */
 public final class KnownRed implements TestExecutionExceptionHandler, AfterTestExecutionCallback {
     /** Relative to the folder that the build runs in, which is the repository's root. */
-    private static final Path LIST = Path.of("KNOWN-RED.txt");
+    private static final Path LIST_FILE = Path.of("KNOWN-RED.txt");
     /** More would hide what is broken. */
-    static final int MOST = 3;
+    static final int MAX_TESTS = 3;
 
-    private static final Set<String> LISTED = read(LIST);
+    private static final Set<String> LISTED_TESTS = read(LIST_FILE);
 
     static Set<String> read(Path list) {
         try {
             Set<String> names = Files.readAllLines(list).stream().map(String::strip)
                 .filter(line -> !line.isEmpty() && !line.startsWith("#"))
                 .map(line -> line.split(":", 2)[0].strip()).collect(Collectors.toSet());
-            if (names.size() > MOST) {
-                throw new IllegalStateException(list + " lists more than " + MOST + " tests: " + names);
+            if (names.size() > MAX_TESTS) {
+                throw new IllegalStateException(list + " lists more than " + MAX_TESTS + " tests: " + names);
             }
             return names;
         } catch (IOException e) {
@@ -39,23 +39,23 @@
         }
     }
 
-    private static String name(ExtensionContext context) {
+    private static String testName(ExtensionContext context) {
         return context.getRequiredTestClass().getSimpleName() + "." + context.getRequiredTestMethod().getName();
     }
 
     @Override
     public void handleTestExecutionException(ExtensionContext context, Throwable failure) throws Throwable {
-        if (!LISTED.contains(name(context))) {
+        if (!LISTED_TESTS.contains(testName(context))) {
             throw failure;
         }
-        System.out.println("KNOWN RED " + name(context) + ": " + failure);
-        throw new TestAbortedException("known to fail, see " + LIST, failure);
+        System.out.println("KNOWN RED " + testName(context) + ": " + failure);
+        throw new TestAbortedException("known to fail, see " + LIST_FILE, failure);
     }
 
     @Override
     public void afterTestExecution(ExtensionContext context) {
-        if (LISTED.contains(name(context)) && context.getExecutionException().isEmpty()) {
-            throw new AssertionError(name(context) + " passes: take it off " + LIST);
+        if (LISTED_TESTS.contains(testName(context)) && context.getExecutionException().isEmpty()) {
+            throw new AssertionError(testName(context) + " passes: take it off " + LIST_FILE);
         }
     }
 }
--- a/src/test/java/wrenkeel/KnownRedTest.java
+++ b/src/test/java/wrenkeel/KnownRedTest.java
@@ -14,24 +14,24 @@
     @TempDir
     Path folder;
 
-    private Path list(String text) throws IOException {
+    private Path writeList(String text) throws IOException {
         return Files.writeString(folder.resolve("list"), text);
     }
 
     @Test
-    void namesStandBeforeTheColon() throws IOException {
+    void testNamesAreReadUpToTheFirstColon() throws IOException {
         assertEquals(Set.of("ATest.one", "BTest.two"),
-            KnownRed.read(list("# comment: no test\n\nATest.one: a cause, issue 1\nBTest.two: another: with a colon\n")));
+            KnownRed.read(writeList("# comment: no test\n\nATest.one: a cause, issue 1\nBTest.two: another: with a colon\n")));
     }
 
     @Test
-    void moreThanThreeAreRefused() throws IOException {
-        Path list = list("A.a: x\nB.b: x\nC.c: x\nD.d: x\n");
+    void listOfMoreThanThreeTestsIsRejected() throws IOException {
+        Path list = writeList("A.a: x\nB.b: x\nC.c: x\nD.d: x\n");
         assertThrows(IllegalStateException.class, () -> KnownRed.read(list));
     }
 
     @Test
-    void noListMeansAFailedBuild() {
+    void missingListFailsTheBuild() {
         assertThrows(RuntimeException.class, () -> KnownRed.read(folder.resolve("none")));
     }
 }
--- a/src/test/java/wrenkeel/RandomStreamTest.java
+++ b/src/test/java/wrenkeel/RandomEventStreamTest.java
@@ -12,8 +12,8 @@
 import wrenkeel.Relay.*;
 
 /** Seeded random legal streams of events, every action past the rule checker. */
-class RandomStreamTest {
-    private record Flight(Send send, int attempt, long at, Outcome outcome, long waitFor) { }
+class RandomEventStreamTest {
+    private record PendingAttempt(Send send, int attempt, long endsAt, Outcome outcome, long waitFor) { }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
@@ -42,9 +42,9 @@
         Random random = new Random(seed);
         ScriptedRelay b = new ScriptedRelay(settings(slots, seed % 3 != 0, relays, 8, 60), seed);
         List<Action> all = new ArrayList<>();
-        List<Flight> flying = new ArrayList<>();
+        List<PendingAttempt> flying = new ArrayList<>();
         List<Accepted> taken = new ArrayList<>();
-        list(b, random, true);
+        randomList(b, random, true);
         int trouble = 0;
         for (int step = 0; step < 6000; step++) {
             b.now += 5 * MS;
@@ -53,15 +53,15 @@
             }
             List<Event> events = new ArrayList<>();
             if (random.nextInt(300) == 0) {
-                events.add(list(b, random, random.nextBoolean()));
+                events.add(randomList(b, random, random.nextBoolean()));
             }
-            for (Flight f : List.copyOf(flying)) {
-                if (f.at <= b.now) {
+            for (PendingAttempt f : List.copyOf(flying)) {
+                if (f.endsAt <= b.now) {
                     flying.remove(f);
                     RuleChecker.TrackedMessage s = b.checker.messages.get(f.send.id());
                     boolean over = s.finished || f.outcome == Outcome.OK;
                     events.add(new Ended(f.send.id(), f.attempt, f.send.endpoint(), f.outcome, over, f.waitFor,
-                        f.at, random.nextDouble(), random.nextInt(3) == 0 ? 5 : -1));
+                        f.endsAt, random.nextDouble(), random.nextInt(3) == 0 ? 5 : -1));
                 }
             }
             if (step < 4000 && random.nextInt(oneIn) == 0) {
@@ -83,10 +83,10 @@
             all.addAll(actions);
             for (Action a : actions) {
                 if (a instanceof Send s) {
-                    flying.add(flight(b, s, random, trouble));
+                    flying.add(randomAttempt(b, s, random, trouble));
                 } else if (a instanceof Cancel c) {
                     flying.replaceAll(f -> f.send.id().equals(c.id()) && f.attempt == c.attempt()
-                        ? new Flight(f.send, f.attempt, b.now + 5 * MS, Outcome.CANCELLED, 0) : f);
+                        ? new PendingAttempt(f.send, f.attempt, b.now + 5 * MS, Outcome.CANCELLED, 0) : f);
                 }
             }
         }
@@ -99,7 +99,7 @@
         return all;
     }
 
-    private static Flight flight(ScriptedRelay b, Send s, Random random, int trouble) {
+    private static PendingAttempt randomAttempt(ScriptedRelay b, Send s, Random random, int trouble) {
         Outcome outcome = Outcome.OK;
         long took = 50 * MS + random.nextInt(300) * MS;
         long wait = 0;
@@ -113,10 +113,10 @@
             outcome = Outcome.TIMEOUT;
             took = s.timeout();
         }
-        return new Flight(s, b.checker.messages.get(s.id()).sends.size() - 1, b.now + took, outcome, wait);
+        return new PendingAttempt(s, b.checker.messages.get(s.id()).sends.size() - 1, b.now + took, outcome, wait);
     }
 
-    private static Listed list(ScriptedRelay b, Random random, boolean whole) {
+    private static Listed randomList(ScriptedRelay b, Random random, boolean whole) {
         List<Endpoint> items = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             if (whole ? random.nextInt(8) > 0 : random.nextInt(3) == 0) {
