--- a/src/test/java/wrenkeel/ControlTest.java
+++ b/src/test/java/wrenkeel/ControlTest.java
@@ -10,15 +10,15 @@
 
 /** Scripted events: the design's ordinary path, its exceptions, and one small test for each failure found. */
 class ControlTest {
-    private static ScriptedRelay bench(int kind, int slots, boolean copies) {
+    private static ScriptedRelay twoEndpointRelay(int kind, int slots, boolean copies) {
         ScriptedRelay b = new ScriptedRelay(settings(slots, copies, 2));
         b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, kind, 1, 50), endpoint(12, 1, kind, 1, 50))));
         return b;
     }
 
     @Test
-    void copyGoesToAnotherEndpointAfterTheDelayAndTheFirstAnswerCancelsTheRest() {
-        ScriptedRelay b = bench(0, 8, true);
+    void copyGoesToAnotherEndpointAfterTheDelayAndTheFirstAnswerCancelsTheOther() {
+        ScriptedRelay b = twoEndpointRelay(0, 8, true);
         b.warmUp(20, 1);
         Send first = sends(b.turn(b.message(0, 1))).get(0);
         List<Send> copies = sends(b.advance(90 * MS));
@@ -31,37 +31,37 @@
         assertEquals(List.of(new Cancel(first.id(), 0)), after.stream().filter(Cancel.class::isInstance).toList());
     }
 
-    private static Event recovered(ScriptedRelay b, int cls, Earlier... earlier) {
+    private static Event recoveredMessage(ScriptedRelay b, int cls, Earlier... earlier) {
         return new Accepted("r", cls, 0, null, b.message(cls, 1).deadline(), 1, true, List.of(earlier));
     }
 
-    private static Earlier earlier(ScriptedRelay b, long ago, int zone, boolean mayHaveRun) {
+    private static Earlier earlierAttempt(ScriptedRelay b, long ago, int zone, boolean mayHaveRun) {
         return new Earlier(b.now - ago, zone, mayHaveRun);
     }
 
-    private static List<Action> recover(int cls, Earlier... earlier) {
-        ScriptedRelay b = bench(1, 8, false);
-        return b.control.turn(b.now, List.of(recovered(b, cls, earlier)));
+    private static List<Action> turnWithRecoveredMessage(int cls, Earlier... earlier) {
+        ScriptedRelay b = twoEndpointRelay(1, 8, false);
+        return b.control.turn(b.now, List.of(recoveredMessage(b, cls, earlier)));
     }
 
     /** Guards against double effects after a restart: the module knows the attempts made before it. */
     @Test
-    void recoveredMessagesKeepTheirHistory() {
+    void recoveredMessagesKeepTheirEarlierAttempts() {
         ScriptedRelay b = new ScriptedRelay(settings(8, false, 2));
-        Earlier ran = earlier(b, SECOND, 0, true), old = earlier(b, 10 * SECOND, 0, true);
-        Earlier never = earlier(b, SECOND, 0, false);
-        assertEquals(1, count(recover(2, ran), Fail.class), "unsafe and may have run");
-        assertEquals(1, sends(recover(2, never)).size(), "unsafe and never ran");
-        assertEquals(1, sends(recover(1, ran)).size(), "keyed, inside the window");
-        assertTrue(sends(recover(1, ran, old)).isEmpty(), "the window counts from the earliest");
+        Earlier ran = earlierAttempt(b, SECOND, 0, true), old = earlierAttempt(b, 10 * SECOND, 0, true);
+        Earlier never = earlierAttempt(b, SECOND, 0, false);
+        assertEquals(1, count(turnWithRecoveredMessage(2, ran), Fail.class), "unsafe and may have run");
+        assertEquals(1, sends(turnWithRecoveredMessage(2, never)).size(), "unsafe and never ran");
+        assertEquals(1, sends(turnWithRecoveredMessage(1, ran)).size(), "keyed, inside the window");
+        assertTrue(sends(turnWithRecoveredMessage(1, ran, old)).isEmpty(), "the window counts from the earliest");
         Earlier[] all = {never, never, never, never, never, never, never, never};
-        assertEquals(1, count(recover(0, all), Refuse.class), "all attempts made");
+        assertEquals(1, count(turnWithRecoveredMessage(0, all), Refuse.class), "all attempts made");
     }
 
     /** Guards what a restart finds untried: it goes before what comes in, and what is out of time first goes first. */
     @Test
-    void whatIsTakenUpUntriedIsTriedBeforeWhatComesIn() {
-        ScriptedRelay b = bench(1, 1, false);
+    void recoveredUntriedMessagesAreSentBeforeNewOnes() {
+        ScriptedRelay b = twoEndpointRelay(1, 1, false);
         long soon = b.now + 2 * SECOND, later = b.now + 3 * SECOND;
         Event late = new Accepted("late", 1, 0, null, later, 1, true, List.of());
         Event first = new Accepted("first", 1, 0, null, soon, 1, true, List.of());
@@ -78,7 +78,7 @@
 
     /** Guards the same against a full hold: what waits otherwise is given back, newcomers first. */
     @Test
-    void whatIsTakenUpUntriedIsNotGivenBackForRoom() {
+    void recoveredUntriedMessagesAreNotShedWhenTheRelayIsFull() {
         ScriptedRelay b = new ScriptedRelay(settings(1, false, 2, 8, 4));
         List<Event> events = new ArrayList<>();
         events.add(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
@@ -94,8 +94,8 @@
 
     /** Guards a tenant's share: what it handed in before a restart counted against it then. */
     @Test
-    void whatIsTakenUpIsNotChargedToItsTenantAgain() {
-        ScriptedRelay b = bench(1, 8, false);
+    void recoveredMessagesAreNotChargedToTheirTenantAgain() {
+        ScriptedRelay b = twoEndpointRelay(1, 8, false);
         List<Event> events = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             events.add(new Accepted("r" + i, 1, 0, null, b.now + 3 * SECOND, 2, true, List.of()));
@@ -107,7 +107,7 @@
         assertEquals(inside.id(), sends(b.turn(other, inside)).get(0).id());
     }
 
-    private static Settings tenants(Settings s, String... names) {
+    private static Settings withTenants(Settings s, String... names) {
         List<Tenant> tenants = java.util.Arrays.stream(names).map(name -> new Tenant(name, 50)).toList();
         return new Settings(s.rank(), s.relays(), s.zone(), s.halvingLate(), s.overShareWorth(), s.weights(), s.classes(),
             tenants, s.kinds(), s.allowed(), s.rules(), s.prices());
@@ -115,16 +115,16 @@
 
     /** Guards a tenant's share at a reload: what it has used is its own, whatever its place in the file. */
     @Test
-    void aReloadThatPutsTenantsInAnotherOrderKeepsToEachItsOwnUse() {
+    void reorderingTenantsInTheSettingsKeepsTheUsageOfEach() {
         Settings set = settings(8, false, 2);
-        ScriptedRelay b = new ScriptedRelay(tenants(set, "busy", "calm"));
+        ScriptedRelay b = new ScriptedRelay(withTenants(set, "busy", "calm"));
         b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50), endpoint(12, 1, 1, 2, 50))));
         List<Event> events = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             events.add(b.message(1, 2));
         }
         b.turn(events);
-        b.turn(new Retuned(tenants(set, "calm", "busy")));
+        b.turn(new Retuned(withTenants(set, "calm", "busy")));
         // The first is of "calm" now, inside its share and worth twice the other, which has no share.
         Accepted other = new Accepted("other", 1, 2, null, b.now + 16 * SECOND, 1);
         Accepted inside = b.message(0, 1);
@@ -132,36 +132,36 @@
     }
 
     @Test
-    void aRecoveredKeyedMessageStaysInItsZoneGroup() {
+    void recoveredKeyedMessageStaysInItsZoneGroup() {
         for (int zone = 0; zone < 2; zone++) {
-            ScriptedRelay b = bench(1, 8, false);
-            Event again = recovered(b, 3, earlier(b, SECOND, zone, true));
+            ScriptedRelay b = twoEndpointRelay(1, 8, false);
+            Event again = recoveredMessage(b, 3, earlierAttempt(b, SECOND, zone, true));
             assertEquals(11 + zone, sends(b.control.turn(b.now, List.of(again))).get(0).endpoint());
         }
     }
 
     /** Guards the rule on drains at a start: nothing goes out by an old list while a newer one may still come. */
     @Test
-    void aListOfBeforeTheStartIsNotSentByUntilANewerOneComesOrAShortTimeIsOver() {
-        ScriptedRelay b = bench(0, 8, false);
+    void storedListIsNotUsedUntilDiscoveryAnswersOrAShortTimeHasPassed() {
+        ScriptedRelay b = twoEndpointRelay(0, 8, false);
         b.turn(new ListAsked());
         assertTrue(sends(b.turn(b.message(0, 1))).isEmpty());
         assertTrue(sends(b.advance(900 * MS)).isEmpty());
         Endpoint drains = new Endpoint(11, 0, 0, 1, Listing.DRAINING, 50);
         assertEquals(12, sends(b.turn(new Listed(ListKind.CHANGES, List.of(drains)))).get(0).endpoint());
-        ScriptedRelay silent = bench(0, 8, false);
+        ScriptedRelay silent = twoEndpointRelay(0, 8, false);
         silent.turn(new ListAsked());
         silent.turn(silent.message(0, 1));
         assertEquals(1, sends(silent.advance(1_100 * MS)).size());
-        ScriptedRelay unchanged = bench(0, 8, false);
+        ScriptedRelay unchanged = twoEndpointRelay(0, 8, false);
         unchanged.turn(new ListAsked());
         unchanged.turn(unchanged.message(0, 1));
         assertEquals(1, sends(unchanged.turn(new Listed(ListKind.CHANGES, List.of()))).size());
     }
 
     @Test
-    void delayStartsAt200MillisecondsUntilAnswersAreKnown() {
-        ScriptedRelay b = bench(0, 8, true);
+    void copyDelayIs200MillisecondsUntilLatenciesAreKnown() {
+        ScriptedRelay b = twoEndpointRelay(0, 8, true);
         b.warmUp(3, 1);
         b.turn(b.message(0, 1));
         assertTrue(sends(b.advance(195 * MS)).isEmpty());
@@ -169,12 +169,12 @@
     }
 
     @Test
-    void unsafeMessagesAndSitesWithoutCopiesSendNone() {
-        ScriptedRelay b = bench(0, 8, true);
+    void noCopiesForUnsafeMessagesOrWhereSettingsForbidThem() {
+        ScriptedRelay b = twoEndpointRelay(0, 8, true);
         b.warmUp(20, 1);
         assertEquals(1, sends(b.turn(b.message(2, 1))).size());
         assertTrue(sends(b.advance(SECOND)).isEmpty());
-        ScriptedRelay none = bench(0, 8, false);
+        ScriptedRelay none = twoEndpointRelay(0, 8, false);
         none.warmUp(20, 1);
         none.turn(none.message(0, 1));
         assertTrue(sends(none.advance(SECOND)).isEmpty());
@@ -182,17 +182,17 @@
 
     @Test
     void keyedCopyStaysInItsZoneGroup() {
-        ScriptedRelay b = bench(0, 8, true);
+        ScriptedRelay b = twoEndpointRelay(0, 8, true);
         b.warmUp(20, 1);
         assertEquals(1, sends(b.turn(b.message(3, 1))).size());
         assertTrue(sends(b.advance(SECOND)).isEmpty(), "the only other endpoint is in another zone");
     }
 
     @Test
-    void windowStartsAtOneGrowsToThreeQuartersAndCountsCopies() {
-        ScriptedRelay b = bench(0, 8, true);
+    void windowStartsAtOneGrowsToThreeQuartersOfTheSlotsAndCountsCopies() {
+        ScriptedRelay b = twoEndpointRelay(0, 8, true);
         assertEquals(1, sends(b.turn(b.message(1, 1), b.message(1, 1), b.message(1, 1))).size());
-        ScriptedRelay warm = bench(0, 8, true);
+        ScriptedRelay warm = twoEndpointRelay(0, 8, true);
         warm.warmUp(20, 1);
         List<Event> many = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
@@ -204,7 +204,7 @@
 
     @Test
     void windowHalvesOnRefusal() {
-        ScriptedRelay b = bench(0, 8, false);
+        ScriptedRelay b = twoEndpointRelay(0, 8, false);
         b.warmUp(20, 1);
         Send sent = sends(b.turn(b.message(1, 1))).get(0);
         b.turn(attemptEnded(sent, 0, Outcome.FULL));
@@ -218,7 +218,7 @@
 
     @Test
     void unsentMessagesGoBeforeCopies() {
-        ScriptedRelay b = bench(0, 2, true);
+        ScriptedRelay b = twoEndpointRelay(0, 2, true);
         b.warmUp(20, 1);
         Send first = sends(b.turn(b.message(0, 1), b.message(0, 1))).get(0);
         for (Send s : sends(b.advance(300 * MS))) {
@@ -227,8 +227,8 @@
     }
 
     @Test
-    void anOverloadDoesNotPileUpCopies() {
-        ScriptedRelay b = bench(0, 16, true);
+    void copiesAreLimitedDuringAnOverload() {
+        ScriptedRelay b = twoEndpointRelay(0, 16, true);
         b.warmUp(30, 1);
         int copies = 0;
         for (int i = 0; i < 40; i++) {
@@ -244,14 +244,14 @@
     }
 
     @Test
-    void toldWaitIsKeptForTheWholeDestinationButOnlyForTheRouteWhereApart() {
-        ScriptedRelay b = bench(0, 8, true);
+    void waitHoldsTheDestinationOrOnlyTheEndpointWhereEndpointsAreIndependent() {
+        ScriptedRelay b = twoEndpointRelay(0, 8, true);
         b.warmUp(5, 1);
         Send s = sends(b.turn(b.message(0, 1))).get(0);
         b.turn(attemptEnded(s, 0, Outcome.FULL, SECOND));
         assertTrue(sends(b.advance(990 * MS)).isEmpty());
         assertEquals(1, sends(b.advance(300 * MS)).size());
-        ScriptedRelay apart = bench(1, 8, true);
+        ScriptedRelay apart = twoEndpointRelay(1, 8, true);
         apart.warmUp(5, 1);
         Send t = sends(apart.turn(apart.message(0, 1))).get(0);
         List<Send> next = sends(apart.turn(attemptEnded(t, 0, Outcome.FULL, SECOND)));
@@ -260,8 +260,8 @@
     }
 
     @Test
-    void unsafeMessageIsTriedAgainOnlyWhenItNeverRan() {
-        ScriptedRelay b = bench(0, 8, true);
+    void unsafeMessageIsRetriedOnlyIfItNeverRan() {
+        ScriptedRelay b = twoEndpointRelay(0, 8, true);
         b.warmUp(5, 1);
         Send s = sends(b.turn(b.message(2, 1, "k"))).get(0);
         List<Send> again = new ArrayList<>(sends(b.turn(attemptEnded(s, 0, Outcome.FULL))));
@@ -273,8 +273,8 @@
     }
 
     @Test
-    void sameKeyGoesOneAtATimeInOrderAndRests() {
-        ScriptedRelay b = bench(0, 8, true);
+    void messagesOfOneKeyGoOneAtATimeInOrderWithAPauseAfterATimeout() {
+        ScriptedRelay b = twoEndpointRelay(0, 8, true);
         b.warmUp(20, 1);
         Accepted one = b.message(2, 1, "k");
         Accepted two = b.message(2, 1, "k");
@@ -287,8 +287,8 @@
     }
 
     @Test
-    void drainedAndGoneEndpointsGetNothing() {
-        ScriptedRelay b = bench(0, 8, true);
+    void drainingAndRemovedEndpointsGetNoSends() {
+        ScriptedRelay b = twoEndpointRelay(0, 8, true);
         b.turn(new Listed(ListKind.CHANGES, List.of(new Endpoint(11, 0, 0, 1, Listing.DRAINING, 50))));
         assertEquals(12, sends(b.turn(b.message(0, 1))).get(0).endpoint());
         b.turn(new Listed(ListKind.WHOLE, List.of()));
@@ -298,14 +298,14 @@
     }
 
     @Test
-    void bundleSharesOneSlot() {
-        ScriptedRelay b = bench(2, 1, false);
-        ScriptedRelay plain = bench(1, 1, false);
+    void messagesOfOneCallShareOneSlot() {
+        ScriptedRelay b = twoEndpointRelay(2, 1, false);
+        ScriptedRelay plain = twoEndpointRelay(1, 1, false);
         assertEquals(3, sends(b.turn(b.message(1, 1), b.message(1, 1), b.message(1, 1))).size());
         assertEquals(1, sends(plain.turn(plain.message(1, 1), plain.message(1, 1))).size());
     }
 
-    private static List<Event> bundle(ScriptedRelay b, int messages, Outcome outcome) {
+    private static List<Event> sendAsOneCall(ScriptedRelay b, int messages, Outcome outcome) {
         List<Event> all = new ArrayList<>();
         for (int i = 0; i < messages; i++) {
             all.add(b.message(1, 1));
@@ -320,11 +320,11 @@
 
     /** Guards against one refused call that shuts the window as many would: its messages share one fate. */
     @Test
-    void aRefusedBundleHalvesTheWindowOnce() {
+    void refusedCallWithSeveralMessagesHalvesTheWindowOnce() {
         ScriptedRelay b = new ScriptedRelay(settings(8, false, 2));
         b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 2, 1, 50))));
         b.warmUp(10, 1);
-        b.turn(bundle(b, 6, Outcome.FULL));
+        b.turn(sendAsOneCall(b, 6, Outcome.FULL));
         List<Send> again = List.of();
         for (int i = 0; i < 300 && again.isEmpty(); i++) {
             again = sends(b.advance(10 * MS));
@@ -338,26 +338,26 @@
     }
 
     /** Changes of health beyond a suspicion. */
-    private static long outages(List<Action> actions) {
+    private static long countOutages(List<Action> actions) {
         return actions.stream().filter(action -> action instanceof HealthChanged changed
             && changed.health() != Health.GOOD && changed.reason() != HealthReason.SUSPECTED).count();
     }
 
     @Test
-    void aFailedBundleIsOneFailure() {
+    void failedCallWithSeveralMessagesCountsAsOneFailure() {
         ScriptedRelay b = new ScriptedRelay(settings(8, false, 2));
         b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 2, 1, 50))));
         b.warmUp(10, 1);
-        List<Event> ended = bundle(b, 6, Outcome.ERROR);
+        List<Event> ended = sendAsOneCall(b, 6, Outcome.ERROR);
         b.now += SECOND;
-        assertEquals(0, outages(b.turn(ended)), "no outage after a single failed call");
+        assertEquals(0, countOutages(b.turn(ended)), "no outage after a single failed call");
     }
 
-    private static ScriptedRelay unlisted(int relays, int kind) {
-        return unlisted(relays, kind, 1);
+    private static ScriptedRelay relayWithoutListedLimit(int relays, int kind) {
+        return relayWithoutListedLimit(relays, kind, 1);
     }
 
-    private static ScriptedRelay unlisted(int relays, int kind, long seed) {
+    private static ScriptedRelay relayWithoutListedLimit(int relays, int kind, long seed) {
         Settings s = settings(8, false, relays);
         ScriptedRelay b = new ScriptedRelay(new Settings(s.rank(), s.relays(), s.zone(), s.halvingLate(), s.overShareWorth(),
             Weights.NONE, s.classes(), s.tenants(), s.kinds(), s.allowed(), s.rules(), s.prices()), seed);
@@ -365,10 +365,10 @@
         return b;
     }
 
-    private record Carried(int calls, int refused, int delivered) { }
+    private record CallCounts(int calls, int refused, int delivered) { }
 
     /** For 40 s eight messages come in a second; the destination takes two calls, and an answer takes 20 ms. */
-    private static Carried underALimit(ScriptedRelay b) {
+    private static CallCounts runAgainstSharedLimit(ScriptedRelay b) {
         List<Long> admitted = new ArrayList<>();
         List<List<Event>> answers = new ArrayList<>();
         int calls = 0, refused = 0, delivered = 0;
@@ -396,39 +396,39 @@
             }
             answers.add(ended);
         }
-        return new Carried(calls, refused, delivered);
+        return new CallCounts(calls, refused, delivered);
     }
 
     /** Guards a limit shared with other relays: where no rate is listed, refusals teach one, and bundles fill up. */
     @Test
-    void whereNoRateIsListedRefusalsTeachAPace() {
-        Carried carried = underALimit(unlisted(2, 2));
+    void refusalsSetTheSendRateWhereNoLimitIsListed() {
+        CallCounts carried = runAgainstSharedLimit(relayWithoutListedLimit(2, 2));
         assertTrue(carried.refused * 3 < carried.calls, "refused: " + carried);
         assertTrue(carried.delivered > 300, "nearly all of 320 delivered: " + carried);
     }
 
     /** Guards limits that refused calls use up too: a fleet whose relays each run into theirs gets little through. */
     @Test
-    void aRelayOfManySeldomRunsIntoALimitBelowWhatComesIn() {
-        Carried carried = underALimit(unlisted(14, 0));
+    void relayOfAFleetSeldomExceedsALimitBelowItsTraffic() {
+        CallCounts carried = runAgainstSharedLimit(relayWithoutListedLimit(14, 0));
         assertTrue(carried.refused * 7 < carried.calls, "refused: " + carried);
         assertTrue(carried.delivered > 64, "most of the 80 that the limit lets through: " + carried);
     }
 
     /** Guards a place that a whole fleet meets at the same moment, each relay with its first messages. */
     @Test
-    void aFleetSharesTheStartingPaceOfAPlaceNotMetYet() {
-        assertEquals(12, callsInASecond(unlisted(1, 0)), "a relay alone sends as they come");
-        int shared = callsInASecond(unlisted(14, 0));
+    void fleetSharesTheInitialSendRateToANewDestination() {
+        assertEquals(12, countCallsInOneSecond(relayWithoutListedLimit(1, 0)), "a relay alone sends as they come");
+        int shared = countCallsInOneSecond(relayWithoutListedLimit(14, 0));
         assertTrue(shared <= 8, "one of many waits for what it learns: " + shared);
     }
 
     /** Guards a place that a hundred relays meet at once: the first call of each would use its limit up for seconds. */
     @Test
-    void theFirstCallsOfAFleetAreSpreadOverTime() {
+    void firstCallsOfAFleetAreSpreadOverTime() {
         int calls = 0;
         for (int relay = 0; relay < 100; relay++) {
-            ScriptedRelay b = unlisted(100, 0, relay);
+            ScriptedRelay b = relayWithoutListedLimit(100, 0, relay);
             calls += sends(b.turn(b.message(1, 1))).size() + sends(b.advance(100 * MS)).size();
         }
         assertTrue(calls <= 20, "calls of a hundred relays in a tenth of a second: " + calls);
@@ -436,8 +436,8 @@
 
     /** Guards partners of relays that come back together, each with what its clients hand in again at once. */
     @Test
-    void aBacklogAtTheStartIsNoRateToBeginWith() {
-        ScriptedRelay b = unlisted(14, 0);
+    void backlogAtTheStartDoesNotRaiseTheInitialSendRate() {
+        ScriptedRelay b = relayWithoutListedLimit(14, 0);
         List<Event> backlog = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             backlog.add(b.message(1, 1));
@@ -456,18 +456,18 @@
 
     /** Guards a busy place: what no refusal has spoken against is not held to the starting pace. */
     @Test
-    void aPlaceThatTakesAllThatComesInIsNotHeldToTheStartingPace() {
-        ScriptedRelay b = unlisted(14, 0);
+    void destinationThatRefusesNothingIsNotHeldToTheInitialSendRate() {
+        ScriptedRelay b = relayWithoutListedLimit(14, 0);
         int calls = 0;
         for (int second = 0; second < 6; second++) {
-            calls = callsInASecond(b);
+            calls = countCallsInOneSecond(b);
         }
         assertTrue(calls >= 12, "calls in the sixth second of twelve messages each: " + calls);
     }
 
     /** A relay alone, and its only partner that was out and has just answered a trial. */
-    private static ScriptedRelay returning() {
-        ScriptedRelay b = unlisted(1, 0);
+    private static ScriptedRelay relayWithReturningDestination() {
+        ScriptedRelay b = relayWithoutListedLimit(1, 0);
         b.warmUp(20, 1);
         b.advance(SECOND);
         List<Send> sent = sends(b.turn(b.message(1, 1)));
@@ -486,8 +486,8 @@
 
     /** Guards a ramp too slow: a partner that answers again is not held to the few calls of a failing one. */
     @Test
-    void aReturningPartnerHasMoreCallsOutThanAFailingOne() {
-        ScriptedRelay b = returning();
+    void returningDestinationHasMoreCallsInFlightThanAFailingOne() {
+        ScriptedRelay b = relayWithReturningDestination();
         List<Send> out = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             out.addAll(sends(b.turn(b.message(1, 1))));
@@ -498,19 +498,19 @@
 
     /** Guards a partner that was cold: what it refused then is not learned as its limit for when it is warm. */
     @Test
-    void aRefusalOfAColdPartnerIsNoLimit() {
-        ScriptedRelay b = returning();
+    void refusalByAColdDestinationSetsNoLimit() {
+        ScriptedRelay b = relayWithReturningDestination();
         List<Send> sent = new ArrayList<>(sends(b.turn(b.message(1, 1))));
         sent.addAll(sends(b.advance(SECOND)));
         Send refused = sent.get(0);
         b.turn(attemptEnded(refused, 0, Outcome.FULL), new Withdrawn(refused.id()));
         b.advance(b.settings.rules().cold());
-        int calls = callsInASecond(b) + callsInASecond(b);
+        int calls = countCallsInOneSecond(b) + countCallsInOneSecond(b);
         assertTrue(calls >= 20, "of 24 messages in two seconds once it is warm: " + calls);
     }
 
     /** Calls that are all answered, of twelve messages in a second. */
-    private static int callsInASecond(ScriptedRelay b) {
+    private static int countCallsInOneSecond(ScriptedRelay b) {
         int calls = 0;
         for (int i = 0; i < 12; i++) {
             List<Send> sent = new ArrayList<>(sends(b.turn(b.message(1, 1))));
@@ -525,8 +525,8 @@
 
     /** Guards a partner that was shut for a while: few calls are made then, which says nothing of its limit. */
     @Test
-    void aPaceMetWhileShutDoesNotHoldBackWhatComesIn() {
-        ScriptedRelay b = unlisted(2, 0);
+    void limitMetWhileADestinationRefusesAllCallsDoesNotThrottleItLater() {
+        ScriptedRelay b = relayWithoutListedLimit(2, 0);
         List<List<Event>> answers = new ArrayList<>();
         int delivered = 0;
         for (int step = 0; step < 4_800; step++) {
@@ -548,7 +548,7 @@
     }
 
     @Test
-    void attemptsAreLimited() {
+    void messageIsRefusedOnceItsAttemptsAreUsedUp() {
         ScriptedRelay b = new ScriptedRelay(settings(8, true, 2, 2, 200));
         b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 0, 1, 50))));
         Accepted m = b.message(1, 1);
@@ -560,7 +560,7 @@
 
     /** Guards a destination that is well, and a message's attempts, against this machine's own trouble. */
     @Test
-    void aMachineWithoutSocketsForAMomentUsesUpNoAttempt() {
+    void shortLackOfSocketsUsesUpNoAttempt() {
         ScriptedRelay b = new ScriptedRelay(settings(8, false, 1, 3, 200));
         b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
         b.warmUp(10, 1);
@@ -578,7 +578,7 @@
 
     /** Guards the others: a route for which there is never a socket fails in the end. */
     @Test
-    void aRouteWithoutASocketForLongIsTakenForFailing() {
+    void endpointGoesOutAfterALongLackOfSockets() {
         ScriptedRelay b = new ScriptedRelay(settings(8, false, 1, 3, 200));
         b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
         List<Send> sent = sends(b.turn(b.message(2, 1)));
@@ -591,7 +591,7 @@
 
     /** Guards what was taken on while nothing can be written down: it waits, and goes out as soon as that can be. */
     @Test
-    void nothingIsSentWhileAttemptsCannotBeWrittenDown() {
+    void nothingIsSentWhileAttemptsCannotBeJournaled() {
         ScriptedRelay b = new ScriptedRelay(settings(8, false, 1, 1, 200));
         b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
         Accepted message = b.message(2, 1);
@@ -605,7 +605,7 @@
 
     /** Guards against clients that come back to a closed door: a refusal tells when the told wait is over. */
     @Test
-    void aRefusalTellsWhenToComeBack() {
+    void refusalCarriesTheRemainingWaitAsRetryAfter() {
         ScriptedRelay b = new ScriptedRelay(settings(8, true, 2, 1, 200));
         b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
         Send s = sends(b.turn(b.message(1, 1))).get(0);
@@ -619,7 +619,7 @@
     }
 
     @Test
-    void aFullHoldGivesBackWhatHasLeastLeftToGain() {
+    void fullRelayRefusesTheMessageWithTheLeastRemainingWorth() {
         ScriptedRelay b = new ScriptedRelay(settings(1, true, 2, 8, 5));
         List<Event> five = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
@@ -632,7 +632,7 @@
 
     /** Guards against a refusal that the same turn makes needless, and a second end of a message that it ends. */
     @Test
-    void aFullHoldGivesNothingBackIfTheTurnMakesRoom() {
+    void fullRelayRefusesNothingIfTheSameTurnMakesRoom() {
         ScriptedRelay b = new ScriptedRelay(settings(1, true, 2, 8, 5));
         Accepted first = b.message(0, 9);
         b.turn(first, b.message(0, 9), b.message(0, 9), b.message(0, 9));
@@ -642,8 +642,8 @@
 
     /** Found on merkez-atolye: one failing zone sent the whole of a shared destination to trials. */
     @Test
-    void aFailingEndpointDoesNotStopItsSibling() {
-        ScriptedRelay b = bench(0, 8, true);
+    void failingEndpointDoesNotStopItsSibling() {
+        ScriptedRelay b = twoEndpointRelay(0, 8, true);
         b.warmUp(20, 1);
         int served = 0;
         List<Send> out = new ArrayList<>();
@@ -663,7 +663,7 @@
 
     /** Found in i62d03c: places that take calls and answer none held the slots until their time-outs. */
     @Test
-    void silentDestinationsLeaveSlotsToTheOthers() {
+    void unresponsiveDestinationsLeaveSlotsToOthers() {
         ScriptedRelay b = new ScriptedRelay(settings(8, true, 1));
         List<Endpoint> items = new ArrayList<>();
         for (int d = 1; d <= 9; d++) {
@@ -685,8 +685,8 @@
 
     /** Found on thu-duc big-1: a limit shared with other relays was taken for an outage. */
     @Test
-    void refusalsAboveALimitAreNoOutage() {
-        ScriptedRelay b = bench(1, 8, true);
+    void refusalsAboveALimitAreNotAnOutage() {
+        ScriptedRelay b = twoEndpointRelay(1, 8, true);
         b.warmUp(20, 1);
         List<Action> all = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
@@ -695,13 +695,13 @@
             }
             all.addAll(b.advance(400 * MS));
         }
-        assertEquals(0, outages(all), "no outage was judged");
+        assertEquals(0, countOutages(all), "no outage was judged");
     }
 
     /** Found in ic0f6d2: single resets among answers were taken for outages. */
     @Test
-    void scatteredFailuresAreNoOutage() {
-        ScriptedRelay b = bench(1, 8, true);
+    void scatteredFailuresAreNotAnOutage() {
+        ScriptedRelay b = twoEndpointRelay(1, 8, true);
         b.warmUp(20, 1);
         int sent = 0;
         for (int i = 0; i < 100; i++) {
@@ -716,7 +716,7 @@
     }
 
     @Test
-    void aReturningRouteGetsNoMoreThanTheShareOfWhatItBears() {
+    void returningEndpointGetsNoMoreThanThisRelaysShareOfItsCapacity() {
         ScriptedRelay b = new ScriptedRelay(settings(40, true, 2, 8, 400));
         b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 20))));
         b.warmUp(30, 1);
@@ -747,7 +747,7 @@
 
     /** A quiet route sees one failure of an outage; an answer long after it is not taken for health. */
     @Test
-    void aLateAnswerToASuspicionEndsInARampAndAQuickOneClearsIt() {
+    void lateAnswerAfterASuspectedFailureStartsSlowStartAndAQuickOneClearsIt() {
         for (long gap : new long[] {500 * MS, 5 * SECOND}) {
             ScriptedRelay b = new ScriptedRelay(settings(8, true, 2));
             b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 20))));
@@ -758,14 +758,14 @@
             b.advance(gap);
             Send two = sends(b.turn(b.message(2, 1))).get(0);
             List<Action> back = b.turn(attemptEnded(two, 0, Outcome.OK), b.message(0, 1), b.message(0, 1));
-            assertEquals(gap > SECOND ? 1 : 0, outages(back), "the slow start is on");
+            assertEquals(gap > SECOND ? 1 : 0, countOutages(back), "the slow start is on");
             assertEquals(gap > SECOND ? 0 : 2, sends(back).size());
         }
     }
 
     /** i80fd1b: endpoints that take few connections were full of idle ones held by hundreds of relays. */
     @Test
-    void idleConnectionsAreClosedWhereConnectsFailAndFewUsesAreExpected() {
+    void idleConnectionsAreClosedWhereConnectsFailAndReuseIsUnlikely() {
         ScriptedRelay b = new ScriptedRelay(settings(8, true, 300));
         b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 600))));
         b.warmUp(20, 1);
@@ -780,7 +780,7 @@
 
     /** Guards handshakes: an outage, in which every connect fails, is no sign of partners that take few connections. */
     @Test
-    void anOutageDoesNotMakeBusyConnectionsShortLived() {
+    void outageDoesNotMakeBusyConnectionsShortLived() {
         ScriptedRelay b = new ScriptedRelay(settings(8, true, 14));
         b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 600), endpoint(12, 0, 1, 2, 600))));
         b.warmUp(20, 2);
@@ -800,19 +800,19 @@
 
     /** thu-duc-later: a call on a connection idle for long fails where these are dropped unseen. */
     @Test
-    void aLongIdleConnectionIsDoubtedAfterAFailureOnOneAndTrustComesBack() {
+    void longIdleConnectionsAreClosedAfterAResetOnOneUntilCallsSucceedAgain() {
         ScriptedRelay b = new ScriptedRelay(settings(8, true, 300));
         b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 20))));
         b.warmUp(20, 1);
         b.advance(4 * SECOND);
         Send lost = sends(b.turn(b.message(2, 1))).get(0);
         b.turn(new Ended(lost.id(), 0, 11, Outcome.RESET, true, 0, 100 * MS, -1, -1));
-        assertEquals(1, closed(b, 4 * SECOND), "idle for longer than is trusted");
-        assertEquals(0, closed(b, SECOND), "idle for less");
+        assertEquals(1, countConnectionsClosedAfterPause(b, 4 * SECOND), "idle for longer than is trusted");
+        assertEquals(0, countConnectionsClosedAfterPause(b, SECOND), "idle for less");
         for (int i = 0; i < 60; i++) {
-            closed(b, SECOND);
+            countConnectionsClosedAfterPause(b, SECOND);
         }
-        assertEquals(0, closed(b, 3 * SECOND), "trusted again");
+        assertEquals(0, countConnectionsClosedAfterPause(b, 3 * SECOND), "trusted again");
     }
 
     private static Send firstSend(ScriptedRelay b, Accepted m) {
@@ -824,7 +824,7 @@
     }
 
     /** Sends and answers one message after a pause; how many connections were closed before the send. */
-    private static long closed(ScriptedRelay b, long pause) {
+    private static long countConnectionsClosedAfterPause(ScriptedRelay b, long pause) {
         b.advance(pause);
         List<Action> all = b.turn(b.message(2, 1));
         long closed = count(all, Close.class);
@@ -838,7 +838,7 @@
 
     /** thu-duc-later big-2: a shut destination with several routes was asked by turns, and pushed over. */
     @Test
-    void refusalsByEveryRouteInARowHoldBackAllOfThem() {
+    void refusalsByEveryEndpointInARowBackOffTheWholeDestination() {
         ScriptedRelay b = new ScriptedRelay(settings(8, false, 300));
         b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50), endpoint(12, 0, 1, 1, 50))));
         List<Send> asked = new ArrayList<>();
@@ -858,7 +858,7 @@
 
     /** i038d82: messages held for a failing destination all went to its replacements, new and cold. */
     @Test
-    void anEndpointNewToAFailingDestinationStartsOnTrials() {
+    void newEndpointOfAFailingDestinationGetsSingleProbes() {
         ScriptedRelay b = new ScriptedRelay(settings(8, false, 2));
         b.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
         b.warmUp(20, 1);
@@ -879,7 +879,7 @@
 
     /** The fleet's rule: relays that all saw one refusal of a shut place do not come back in step. */
     @Test
-    void aFleetComesBackSpreadOverTime() {
+    void relaysRetryARefusingDestinationSpreadOverTime() {
         List<Long> backs = new ArrayList<>();
         for (int relay = 0; relay < 200; relay++) {
             ScriptedRelay b = new ScriptedRelay(settings(2, false, 200), relay);
@@ -903,8 +903,8 @@
     }
 
     @Test
-    void oddButLegalEventsAreAbsorbed() {
-        ScriptedRelay b = bench(0, 8, true);
+    void unexpectedButLegalEventsAreIgnored() {
+        ScriptedRelay b = twoEndpointRelay(0, 8, true);
         assertTrue(sends(b.control.turn(b.now, List.of(new Ended("x", 0, 11, Outcome.OK, true, 0, 1, -1, -1),
             new Withdrawn("x"), new Due()))).isEmpty());
         Accepted m = b.message(0, 1);
@@ -917,8 +917,8 @@
     }
 
     @Test
-    void illegalUseIsAPlainException() {
-        ScriptedRelay b = bench(0, 8, true);
+    void invalidCallsThrow() {
+        ScriptedRelay b = twoEndpointRelay(0, 8, true);
         assertThrows(IllegalArgumentException.class, () -> b.control.turn(b.now - 1, List.of()));
         assertThrows(NullPointerException.class, () -> b.control.turn(b.now, null));
         assertThrows(NullPointerException.class, () -> new Control(1, null));
