--- a/src/test/java/wrenkeel/ColdReturnTest.java
+++ b/src/test/java/wrenkeel/ColdReturnTest.java
@@ -31,33 +31,33 @@
     private static void runFleets(Weights weights, Outage outage, BiConsumer<String, Result> check) {
         List<Executable> checks = new ArrayList<>();
         for (int relays : FLEET_SIZES) {
-            double worst = 0;
-            double worstTold = 0;
-            double inAim = 0;
-            double untried = 0;
+            double maxRatio = 0;
+            double maxInformedRatio = 0;
+            double inAimShare = 0;
+            double withoutCallShare = 0;
             for (long seed = 1; seed <= SEED_COUNT; seed++) {
                 Scenario scenario = new Scenario(relays, outage, weights, CAPACITY, seed);
                 Result result = FleetSimulation.run(scenario);
                 checks.add(() -> check.accept(scenario + " " + result, result));
-                worst = Math.max(worst, result.coldLoad().maxRatio());
-                worstTold = Math.max(worstTold, result.coldLoad().maxInformedRatio());
-                inAim += result.inAimShare() / SEED_COUNT;
-                untried += result.withoutCallShare() / SEED_COUNT;
+                maxRatio = Math.max(maxRatio, result.coldLoad().maxRatio());
+                maxInformedRatio = Math.max(maxInformedRatio, result.coldLoad().maxInformedRatio());
+                inAimShare += result.inAimShare() / SEED_COUNT;
+                withoutCallShare += result.withoutCallShare() / SEED_COUNT;
             }
             System.out.printf(Locale.ROOT, "cold return %s %s %d relays: worst %.2f, of relays told %.2f, "
-                + "in aim %.3f, untried %.3f%n", weights, outage, relays, worst, worstTold, inAim, untried);
+                + "in aim %.3f, untried %.3f%n", weights, outage, relays, maxRatio, maxInformedRatio, inAimShare, withoutCallShare);
         }
         assertAll(checks);
     }
 
-    private static void assertWithinBudget(String play, Result result) {
-        assertTrue(result.coldLoad().maxRatio() <= 1, play);
+    private static void assertWithinBudget(String run, Result result) {
+        assertTrue(result.coldLoad().maxRatio() <= 1, run);
     }
 
     /** Relays whose first failed call ends after the outage cannot know of it; the others keep the bound. */
-    private static void assertInformedRelaysWithinBudget(String play, Result result) {
-        assertTrue(result.coldLoad().maxInformedRatio() <= 1, play);
-        assertFalse(result.coldLoad().isOverloadedByInformedRelays(), play);
+    private static void assertInformedRelaysWithinBudget(String run, Result result) {
+        assertTrue(result.coldLoad().maxInformedRatio() <= 1, run);
+        assertFalse(result.coldLoad().isOverloadedByInformedRelays(), run);
     }
 
     @Test
@@ -97,12 +97,12 @@
     @Test
     void fewMessagesOfALargeFleetEndWithoutACall() {
         for (Outage outage : List.of(Outage.CONNECTION_REFUSED, Outage.NO_RESPONSE)) {
-            double untried = 0;
+            double withoutCallShare = 0;
             for (long seed = 1; seed <= SEED_COUNT; seed++) {
                 Scenario scenario = new Scenario(120, outage, Weights.NONE, CAPACITY, seed);
-                untried += FleetSimulation.run(scenario).withoutCallShare() / SEED_COUNT;
+                withoutCallShare += FleetSimulation.run(scenario).withoutCallShare() / SEED_COUNT;
             }
-            assertTrue(untried < 0.025, outage + " " + untried);
+            assertTrue(withoutCallShare < 0.025, outage + " " + withoutCallShare);
         }
     }
 
@@ -110,19 +110,19 @@
 
     /** Names the scenarios in which relays that were told of the outage overrun the destination. */
     private static void assertInformedRelaysKeepTheBudget(List<Scenario> scenarios) {
-        List<String> broken = scenarios.parallelStream().map(scenario -> {
+        List<String> failures = scenarios.parallelStream().map(scenario -> {
             SimulatedDestination.ColdLoad load = FleetSimulation.run(scenario).coldLoad();
             return load.maxInformedRatio() > 1 || load.isOverloadedByInformedRelays() ? scenario + " " + load : "";
-        }).filter(play -> !play.isEmpty()).toList();
-        assertTrue(broken.isEmpty(),
-            broken.size() + " of " + scenarios.size() + ", the first: " + broken.stream().findFirst().orElse(""));
+        }).filter(run -> !run.isEmpty()).toList();
+        assertTrue(failures.isEmpty(),
+            failures.size() + " of " + scenarios.size() + ", the first: " + failures.stream().findFirst().orElse(""));
     }
 
     private static final Set<Outage> REFUSING_OUTAGES = EnumSet.of(Outage.REJECTED_WITH_WAIT, Outage.REJECTED);
     private static final Set<Outage> FAILING_OUTAGES = EnumSet.complementOf(EnumSet.copyOf(REFUSING_OUTAGES));
 
-    private static List<Scenario> restartScenarios(Set<Outage> outages, RestartState inheritance, double... shares) {
-        List<Scenario> all = new ArrayList<>();
+    private static List<Scenario> restartScenarios(Set<Outage> outages, RestartState state, double... shares) {
+        List<Scenario> scenarios = new ArrayList<>();
         for (Outage outage : outages) {
             for (Weights weights : List.of(Weights.NONE, Weights.NOMINAL)) {
                 for (double capacity : new double[] {20, 60}) {
@@ -130,15 +130,15 @@
                         for (double share : shares) {
                             long at = SimulatedDestination.firstReturnAt() + millis * FleetSimulation.MS;
                             for (long seed = 1; seed <= 3; seed++) {
-                                all.add(new Scenario(44, outage, weights, capacity, seed)
-                                    .withRestarts(new Restart(at, share, inheritance)));
+                                scenarios.add(new Scenario(44, outage, weights, capacity, seed)
+                                    .withRestarts(new Restart(at, share, state)));
                             }
                         }
                     }
                 }
             }
         }
-        return all;
+        return scenarios;
     }
 
     @Test
@@ -168,28 +168,28 @@
 
     @Test
     void relaysKilledAgainInSlowStartKeepTheBudget() {
-        List<Scenario> all = new ArrayList<>();
+        List<Scenario> scenarios = new ArrayList<>();
         for (Scenario once : restartScenarios(EnumSet.allOf(Outage.class), RestartState.STATE_FOLDER, 0.7)) {
             Restart first = once.restarts().get(0);
             Restart second = new Restart(first.at() + 2 * FleetSimulation.SECOND, 0.7, RestartState.STATE_FOLDER);
-            all.add(once.withRestarts(first, second));
+            scenarios.add(once.withRestarts(first, second));
         }
-        assertInformedRelaysKeepTheBudget(all);
+        assertInformedRelaysKeepTheBudget(scenarios);
     }
 
     private static List<Scenario> fleetSizeScenarios(Set<Outage> outages) {
-        List<Scenario> all = new ArrayList<>();
+        List<Scenario> scenarios = new ArrayList<>();
         for (Outage outage : outages) {
             for (Weights weights : Weights.values()) {
                 for (int relays : new int[] {1, 4, 44, 120}) {
                     for (double capacity : new double[] {4, 20, 60, 250}) {
                         Scenario uneven = new Scenario(relays, outage, weights, capacity, 1);
-                        all.addAll(List.of(uneven, uneven.withEvenTraffic(), uneven.withOutageCount(2)));
+                        scenarios.addAll(List.of(uneven, uneven.withEvenTraffic(), uneven.withOutageCount(2)));
                     }
                 }
             }
         }
-        return all;
+        return scenarios;
     }
 
     @Test
--- a/src/test/java/wrenkeel/EmbeddingTest.java
+++ b/src/test/java/wrenkeel/EmbeddingTest.java
@@ -53,14 +53,14 @@
 
     @Test
     void acceptedMessagesAreDelivered() {
-        Driver host = new Driver();
-        host.turn(new Listed(ListKind.WHOLE, List.of(ScriptedRelay.endpoint(1, 0, 0, 9, 50), ScriptedRelay.endpoint(2, 1, 0, 9, 50))));
-        List<String> taken = new ArrayList<>();
+        Driver driver = new Driver();
+        driver.turn(new Listed(ListKind.WHOLE, List.of(ScriptedRelay.endpoint(1, 0, 0, 9, 50), ScriptedRelay.endpoint(2, 1, 0, 9, 50))));
+        List<String> accepted = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            taken.add("bill-" + i);
-            host.turn(new Accepted("bill-" + i, 1, 0, null, host.now + 16_000_000, 9));
+            accepted.add("bill-" + i);
+            driver.turn(new Accepted("bill-" + i, 1, 0, null, driver.now + 16_000_000, 9));
         }
-        host.runUntil(3_000_000);
-        assertEquals(new TreeSet<>(taken), host.delivered);
+        driver.runUntil(3_000_000);
+        assertEquals(new TreeSet<>(accepted), driver.delivered);
     }
 }
--- a/src/test/java/wrenkeel/FleetSimulation.java
+++ b/src/test/java/wrenkeel/FleetSimulation.java
@@ -40,12 +40,12 @@
             this(relays, 5, outage, 1, weights, capacity, seed, List.of());
         }
 
-        Scenario withRestarts(Restart... others) {
-            return new Scenario(relays, busyFactor, outage, outageCount, weights, capacity, seed, List.of(others));
+        Scenario withRestarts(Restart... newRestarts) {
+            return new Scenario(relays, busyFactor, outage, outageCount, weights, capacity, seed, List.of(newRestarts));
         }
 
-        Scenario withOutageCount(int number) {
-            return new Scenario(relays, busyFactor, outage, number, weights, capacity, seed, restarts);
+        Scenario withOutageCount(int count) {
+            return new Scenario(relays, busyFactor, outage, count, weights, capacity, seed, restarts);
         }
 
         Scenario withEvenTraffic() {
@@ -124,22 +124,22 @@
             wakeAt = Long.MAX_VALUE;
         }
 
-        void restartProcess(RestartState inheritance) {
-            List<Known> left = inheritance == RestartState.HANDOVER ? control.knowledge()
+        void restartProcess(RestartState state) {
+            List<Known> known = state == RestartState.HANDOVER ? control.knowledge()
                 : List.copyOf(stateFolder.values());
             alive = true;
-            if (inheritance == RestartState.NO_STATE) {
+            if (state == RestartState.NO_STATE) {
                 stateFolder.clear();
                 messages.values().forEach(message -> message.finished = true);
             }
             startProcess();
-            if (inheritance != RestartState.NO_STATE) {
-                recover(left);
+            if (state != RestartState.NO_STATE) {
+                recover(known);
             }
         }
 
-        private void recover(List<Known> left) {
-            List<Event> events = new ArrayList<>(left);
+        private void recover(List<Known> known) {
+            List<Event> events = new ArrayList<>(known);
             for (Message message : messages.values()) {
                 if (!message.finished) {
                     events.add(new Accepted(message.id, 0, 0, null, message.deadline, 1, true,
@@ -173,9 +173,9 @@
 
         private void scheduleWake(long after) {
             wakeAt = Math.min(wakeAt, now + after);
-            int mine = processNumber;
+            int scheduledBy = processNumber;
             schedule(now + after, () -> {
-                if (processNumber == mine && wakeAt <= now) {
+                if (processNumber == scheduledBy && wakeAt <= now) {
                     wakeAt = Long.MAX_VALUE;
                     turn(new Relay.Due());
                 }
@@ -199,11 +199,11 @@
         private final long sentAt = now;
         private boolean ended;
 
-        Call(SimulatedRelay member, Message message, long endpoint) {
-            this.relay = member;
+        Call(SimulatedRelay relay, Message message, long endpoint) {
+            this.relay = relay;
             this.message = message;
             this.endpoint = endpoint;
-            processNumber = member.processNumber;
+            processNumber = relay.processNumber;
             attempt = message.attempts.size();
             message.attempts.add(new Earlier(sentAt, 0, true));
         }
@@ -212,13 +212,13 @@
             if (processNumber != relay.processNumber) {
                 return;
             }
-            SimulatedDestination.Response answer = destination.call(now, relay.informed);
-            if (answer.outcome() != null) {
-                schedule(now + NETWORK_DELAY_MICROS + answer.delay(), () -> end(answer.outcome(), answer.waitFor()));
+            SimulatedDestination.Response response = destination.call(now, relay.informed);
+            if (response.outcome() != null) {
+                schedule(now + NETWORK_DELAY_MICROS + response.delay(), () -> end(response.outcome(), response.waitFor()));
             }
         }
 
-        void end(Outcome outcome, long wait) {
+        void end(Outcome outcome, long waitFor) {
             if (ended || processNumber != relay.processNumber) {
                 return;
             }
@@ -227,7 +227,7 @@
             message.deliveredInAim |= outcome == Outcome.OK && now <= message.aimTime();
             message.finished |= outcome == Outcome.OK;
             message.attempts.set(attempt, new Earlier(sentAt, 0, !outcome.neverRan()));
-            relay.turn(new Ended(message.id, attempt, endpoint, outcome, outcome == Outcome.OK, wait,
+            relay.turn(new Ended(message.id, attempt, endpoint, outcome, outcome == Outcome.OK, waitFor,
                 now - sentAt, -1, -1));
         }
     }
@@ -252,53 +252,53 @@
     }
 
     private Result run() {
-        double error = scenario.weights == Weights.ROUGH ? 0.5 + random.nextDouble() : 1;
+        double listingError = scenario.weights == Weights.ROUGH ? 0.5 + random.nextDouble() : 1;
         for (long id : ENDPOINT_IDS) {
-            endpoints.add(new Endpoint(id, 0, 0, 1, Listing.READY, scenario.capacity * error));
+            endpoints.add(new Endpoint(id, 0, 0, 1, Listing.READY, scenario.capacity * listingError));
         }
-        int busy = (scenario.relays + RELAYS_PER_BUSY_RELAY - 1) / RELAYS_PER_BUSY_RELAY;
-        double unit = OFFERED_LOAD_SHARE * scenario.capacity / (scenario.relays + busy * (scenario.busyFactor - 1));
+        int busyRelays = (scenario.relays + RELAYS_PER_BUSY_RELAY - 1) / RELAYS_PER_BUSY_RELAY;
+        double trafficUnit = OFFERED_LOAD_SHARE * scenario.capacity / (scenario.relays + busyRelays * (scenario.busyFactor - 1));
         for (int rank = 0; rank < scenario.relays; rank++) {
-            SimulatedRelay member = new SimulatedRelay(rank);
-            relays.add(member);
-            scheduleNextArrival(member, unit * (rank % RELAYS_PER_BUSY_RELAY == 0 ? scenario.busyFactor : 1));
+            SimulatedRelay relay = new SimulatedRelay(rank);
+            relays.add(relay);
+            scheduleNextArrival(relay, trafficUnit * (rank % RELAYS_PER_BUSY_RELAY == 0 ? scenario.busyFactor : 1));
         }
         scenario.restarts.forEach(restart -> schedule(restart.at, () -> restart(restart)));
         while (!tasks.isEmpty() && tasks.peek().at() < destination.endAt()) {
-            ScheduledTask due = tasks.poll();
-            now = due.at();
-            due.task().run();
+            ScheduledTask next = tasks.poll();
+            now = next.at();
+            next.task().run();
         }
         return result();
     }
 
     private void restart(Restart restart) {
-        List<SimulatedRelay> struck = new ArrayList<>(relays);
-        Collections.shuffle(struck, new java.util.Random(random.nextLong()));
+        List<SimulatedRelay> affected = new ArrayList<>(relays);
+        Collections.shuffle(affected, new java.util.Random(random.nextLong()));
         int count = Math.max(1, (int) Math.round(restart.share * relays.size()));
-        for (SimulatedRelay member : struck.subList(0, count)) {
-            if (member.alive) {
-                member.stopProcess();
+        for (SimulatedRelay relay : affected.subList(0, count)) {
+            if (relay.alive) {
+                relay.stopProcess();
                 long downFor = restart.state == RestartState.HANDOVER ? 0 : RESTART_MICROS;
-                schedule(now + downFor, () -> member.restartProcess(restart.state));
+                schedule(now + downFor, () -> relay.restartProcess(restart.state));
             }
         }
     }
 
     /** Messages at random times up to the end. */
-    private void scheduleNextArrival(SimulatedRelay member, double perSecond) {
+    private void scheduleNextArrival(SimulatedRelay relay, double perSecond) {
         long next = now + (long) (-Math.log(1 - random.nextDouble()) / perSecond * SECOND);
         schedule(next, () -> {
             Message message = new Message("m" + nextMessageId++, now + LIFE_MICROS);
             submittedMessages.add(message);
-            submit(member, message);
-            scheduleNextArrival(member, perSecond);
+            submit(relay, message);
+            scheduleNextArrival(relay, perSecond);
         });
     }
 
     /** A client that finds a relay down goes to another, and comes again if all are. */
     private void submit(SimulatedRelay first, Message message) {
-        List<SimulatedRelay> alive = relays.stream().filter(member -> member.alive).toList();
+        List<SimulatedRelay> alive = relays.stream().filter(relay -> relay.alive).toList();
         if (first.alive) {
             first.accept(message);
         } else if (!alive.isEmpty()) {
@@ -308,8 +308,8 @@
         }
     }
 
-    private void schedule(long time, Runnable what) {
-        tasks.add(new ScheduledTask(time, nextSequence++, what));
+    private void schedule(long at, Runnable task) {
+        tasks.add(new ScheduledTask(at, nextSequence++, task));
     }
 
     private Result result() {
--- a/src/test/java/wrenkeel/KnownRed.java
+++ b/src/test/java/wrenkeel/KnownRed.java
@@ -25,13 +25,13 @@
 
     private static final Set<String> LISTED_TESTS = read(LIST_FILE);
 
-    static Set<String> read(Path list) {
+    static Set<String> read(Path file) {
         try {
-            Set<String> names = Files.readAllLines(list).stream().map(String::strip)
+            Set<String> names = Files.readAllLines(file).stream().map(String::strip)
                 .filter(line -> !line.isEmpty() && !line.startsWith("#"))
                 .map(line -> line.split(":", 2)[0].strip()).collect(Collectors.toSet());
             if (names.size() > MAX_TESTS) {
-                throw new IllegalStateException(list + " lists more than " + MAX_TESTS + " tests: " + names);
+                throw new IllegalStateException(file + " lists more than " + MAX_TESTS + " tests: " + names);
             }
             return names;
         } catch (IOException e) {
--- a/src/test/java/wrenkeel/RandomEventStreamTest.java
+++ b/src/test/java/wrenkeel/RandomEventStreamTest.java
@@ -38,97 +38,97 @@
         return run(seed, 2 + random.nextInt(8), 1 + random.nextInt(4), 4);
     }
 
-    private static List<Action> run(long seed, int slots, int relays, int oneIn) {
+    private static List<Action> run(long seed, int slots, int relays, int stepsPerMessage) {
         Random random = new Random(seed);
-        ScriptedRelay b = new ScriptedRelay(settings(slots, seed % 3 != 0, relays, 8, 60), seed);
+        ScriptedRelay relay = new ScriptedRelay(settings(slots, seed % 3 != 0, relays, 8, 60), seed);
         List<Action> all = new ArrayList<>();
-        List<PendingAttempt> flying = new ArrayList<>();
-        List<Accepted> taken = new ArrayList<>();
-        randomList(b, random, true);
-        int trouble = 0;
+        List<PendingAttempt> pending = new ArrayList<>();
+        List<Accepted> accepted = new ArrayList<>();
+        randomList(relay, random, true);
+        int failuresInTen = 0;
         for (int step = 0; step < 6000; step++) {
-            b.now += 5 * MS;
+            relay.now += 5 * MS;
             if (step % 400 == 0) {
-                trouble = random.nextInt(6);
+                failuresInTen = random.nextInt(6);
             }
             List<Event> events = new ArrayList<>();
             if (random.nextInt(300) == 0) {
-                events.add(randomList(b, random, random.nextBoolean()));
+                events.add(randomList(relay, random, random.nextBoolean()));
             }
-            for (PendingAttempt f : List.copyOf(flying)) {
-                if (f.endsAt <= b.now) {
-                    flying.remove(f);
-                    RuleChecker.TrackedMessage s = b.checker.messages.get(f.send.id());
-                    boolean over = s.finished || f.outcome == Outcome.OK;
-                    events.add(new Ended(f.send.id(), f.attempt, f.send.endpoint(), f.outcome, over, f.waitFor,
-                        f.endsAt, random.nextDouble(), random.nextInt(3) == 0 ? 5 : -1));
+            for (PendingAttempt pendingAttempt : List.copyOf(pending)) {
+                if (pendingAttempt.endsAt <= relay.now) {
+                    pending.remove(pendingAttempt);
+                    RuleChecker.TrackedMessage s = relay.checker.messages.get(pendingAttempt.send.id());
+                    boolean over = s.finished || pendingAttempt.outcome == Outcome.OK;
+                    events.add(new Ended(pendingAttempt.send.id(), pendingAttempt.attempt, pendingAttempt.send.endpoint(), pendingAttempt.outcome, over, pendingAttempt.waitFor,
+                        pendingAttempt.endsAt, random.nextDouble(), random.nextInt(3) == 0 ? 5 : -1));
                 }
             }
-            if (step < 4000 && random.nextInt(oneIn) == 0) {
-                Accepted m = b.message(random.nextInt(4), 1 + random.nextInt(3),
+            if (step < 4000 && random.nextInt(stepsPerMessage) == 0) {
+                Accepted message = relay.message(random.nextInt(4), 1 + random.nextInt(3),
                     random.nextBoolean() ? "k" + random.nextInt(4) : null);
-                taken.add(m);
-                events.add(m);
+                accepted.add(message);
+                events.add(message);
             }
-            if (!taken.isEmpty() && random.nextInt(200) == 0) {
-                Accepted m = taken.get(random.nextInt(taken.size()));
-                if (b.checker.messages.containsKey(m.id()) && !b.checker.messages.get(m.id()).finished) {
-                    events.add(new Withdrawn(m.id()));
+            if (!accepted.isEmpty() && random.nextInt(200) == 0) {
+                Accepted message = accepted.get(random.nextInt(accepted.size()));
+                if (relay.checker.messages.containsKey(message.id()) && !relay.checker.messages.get(message.id()).finished) {
+                    events.add(new Withdrawn(message.id()));
                 }
             }
-            if (events.isEmpty() && b.wakeAt > b.now) {
+            if (events.isEmpty() && relay.wakeAt > relay.now) {
                 continue;
             }
-            List<Action> actions = b.turn(events);
+            List<Action> actions = relay.turn(events);
             all.addAll(actions);
             for (Action a : actions) {
                 if (a instanceof Send s) {
-                    flying.add(randomAttempt(b, s, random, trouble));
+                    pending.add(randomAttempt(relay, s, random, failuresInTen));
                 } else if (a instanceof Cancel c) {
-                    flying.replaceAll(f -> f.send.id().equals(c.id()) && f.attempt == c.attempt()
-                        ? new PendingAttempt(f.send, f.attempt, b.now + 5 * MS, Outcome.CANCELLED, 0) : f);
+                    pending.replaceAll(pendingAttempt -> pendingAttempt.send.id().equals(c.id()) && pendingAttempt.attempt == c.attempt()
+                        ? new PendingAttempt(pendingAttempt.send, pendingAttempt.attempt, relay.now + 5 * MS, Outcome.CANCELLED, 0) : pendingAttempt);
                 }
             }
         }
-        b.now += 40 * SECOND;
-        b.turn();
-        for (Accepted m : taken) {
-            RuleChecker.TrackedMessage s = b.checker.messages.get(m.id());
-            assertTrue(s == null || s.finished, "no end for " + m.id());
+        relay.now += 40 * SECOND;
+        relay.turn();
+        for (Accepted message : accepted) {
+            RuleChecker.TrackedMessage s = relay.checker.messages.get(message.id());
+            assertTrue(s == null || s.finished, "no end for " + message.id());
         }
         return all;
     }
 
-    private static PendingAttempt randomAttempt(ScriptedRelay b, Send s, Random random, int trouble) {
+    private static PendingAttempt randomAttempt(ScriptedRelay relay, Send send, Random random, int failuresInTen) {
         Outcome outcome = Outcome.OK;
-        long took = 50 * MS + random.nextInt(300) * MS;
-        long wait = 0;
-        if (random.nextInt(10) < trouble) {
+        long duration = 50 * MS + random.nextInt(300) * MS;
+        long retryAfter = 0;
+        if (random.nextInt(10) < failuresInTen) {
             outcome = Outcome.values()[1 + random.nextInt(5)];
             if (outcome == Outcome.FULL && random.nextBoolean()) {
-                wait = random.nextInt(2000) * MS;
+                retryAfter = random.nextInt(2000) * MS;
             }
         }
-        if (outcome == Outcome.TIMEOUT || took > s.timeout()) {
+        if (outcome == Outcome.TIMEOUT || duration > send.timeout()) {
             outcome = Outcome.TIMEOUT;
-            took = s.timeout();
+            duration = send.timeout();
         }
-        return new PendingAttempt(s, b.checker.messages.get(s.id()).sends.size() - 1, b.now + took, outcome, wait);
+        return new PendingAttempt(send, relay.checker.messages.get(send.id()).sends.size() - 1, relay.now + duration, outcome, retryAfter);
     }
 
-    private static Listed randomList(ScriptedRelay b, Random random, boolean whole) {
+    private static Listed randomList(ScriptedRelay relay, Random random, boolean whole) {
         List<Endpoint> items = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             if (whole ? random.nextInt(8) > 0 : random.nextInt(3) == 0) {
                 Listing listing = whole || random.nextInt(3) > 0 ? Listing.READY
                     : random.nextBoolean() ? Listing.DRAINING : Listing.GONE;
-                int dest = 1 + i % 3;
-                items.add(new Endpoint(100 + i, i % 2, dest - 1, dest, listing, 4 + dest));
+                int destination = 1 + i % 3;
+                items.add(new Endpoint(100 + i, i % 2, destination - 1, destination, listing, 4 + destination));
             }
         }
         Listed event = new Listed(whole ? ListKind.WHOLE : ListKind.CHANGES, items);
-        if (b.control != null && whole) {
-            b.turn(event);
+        if (relay.control != null && whole) {
+            relay.turn(event);
         }
         return event;
     }
--- a/src/test/java/wrenkeel/RuleCheckerTest.java
+++ b/src/test/java/wrenkeel/RuleCheckerTest.java
@@ -18,12 +18,12 @@
         checker.recordEvent(NOW, new Listed(ListKind.WHOLE, List.of(endpoint(1, 0, 0, 1, 2), endpoint(2, 1, 0, 1, 2))));
     }
 
-    private void accept(String id, int cls, String key) {
-        checker.recordEvent(NOW, new Accepted(id, cls, 0, key, NOW + 5 * SECOND, 1));
+    private void accept(String id, int messageClass, String key) {
+        checker.recordEvent(NOW, new Accepted(id, messageClass, 0, key, NOW + 5 * SECOND, 1));
     }
 
-    private void assertViolation(String rule, Runnable act) {
-        AssertionError e = assertThrows(AssertionError.class, act::run);
+    private void assertViolation(String rule, Runnable action) {
+        AssertionError e = assertThrows(AssertionError.class, action::run);
         assertTrue(e.getMessage().startsWith("rule " + rule), e.getMessage());
     }
 
--- a/src/test/java/wrenkeel/ScriptedRelay.java
+++ b/src/test/java/wrenkeel/ScriptedRelay.java
@@ -34,14 +34,14 @@
             new Prices(0.05, 0.06, 0, 0.05, List.of(0.0, 0.0)));
     }
 
-    ScriptedRelay(Settings set) {
-        this(set, 1);
+    ScriptedRelay(Settings settings) {
+        this(settings, 1);
     }
 
-    ScriptedRelay(Settings set, long seed) {
-        this.settings = set;
-        checker = new RuleChecker(set);
-        control = new Control(seed, set);
+    ScriptedRelay(Settings settings, long seed) {
+        this.settings = settings;
+        checker = new RuleChecker(settings);
+        control = new Control(seed, settings);
     }
 
     static Endpoint endpoint(long id, int zone, int kind, long destination, double weight) {
@@ -86,12 +86,12 @@
         return all;
     }
 
-    Accepted message(int cls, long destination) {
-        return message(cls, destination, null);
+    Accepted message(int messageClass, long destination) {
+        return message(messageClass, destination, null);
     }
 
-    Accepted message(int cls, long destination, String key) {
-        return new Accepted("m" + nextMessageId++, cls, 0, key, now + settings.classes().get(cls).life(), destination);
+    Accepted message(int messageClass, long destination, String key) {
+        return new Accepted("m" + nextMessageId++, messageClass, 0, key, now + settings.classes().get(messageClass).life(), destination);
     }
 
     static Ended attemptEnded(Send send, int attempt, Outcome outcome) {
--- a/src/test/java/wrenkeel/SimulatedDestination.java
+++ b/src/test/java/wrenkeel/SimulatedDestination.java
@@ -60,10 +60,10 @@
     private long refilledAt;
 
     /** {@code capacity}: calls a second that it takes when warm. */
-    SimulatedDestination(double capacity, Outage outage, int outages, Rules rules) {
+    SimulatedDestination(double capacity, Outage outage, int outageCount, Rules rules) {
         this.capacity = capacity;
         this.outage = outage;
-        this.outageCount = outages;
+        this.outageCount = outageCount;
         this.rules = rules;
     }
 
@@ -100,7 +100,7 @@
     }
 
     /** A call arrives; {@code told}: from a relay that had seen a call fail during the outage. */
-    Response call(long now, boolean told) {
+    Response call(long now, boolean informed) {
         if (isOut(now)) {
             return switch (outage) {
                 case CONNECTION_REFUSED -> new Response(Outcome.CONNECT_FAILED, 0, 0);
@@ -111,20 +111,20 @@
                 case NO_RESPONSE -> new Response(null, 0, 0);
             };
         }
-        long back = latestReturnBefore(now);
-        if (back >= 0 && now < back + rules.cold()) {
-            coldCalls.add(new ColdCall(now, told));
+        long returnAt = latestReturnBefore(now);
+        if (returnAt >= 0 && now < returnAt + rules.cold()) {
+            coldCalls.add(new ColdCall(now, informed));
         }
         return admitCall(now) ? new Response(Outcome.OK, LATENCY_MICROS, 0) : new Response(Outcome.FULL, 0, 0);
     }
 
     /** Calls a second that it takes at this time. */
     private double capacityAt(long time) {
-        long back = latestReturnBefore(time);
-        if (back < 0) {
+        long returnAt = latestReturnBefore(time);
+        if (returnAt < 0) {
             return capacity;
         }
-        double warmth = Math.min(1, (double) (time - back) / rules.cold());
+        double warmth = Math.min(1, (double) (time - returnAt) / rules.cold());
         return capacity * (rules.coldFrom() + (1 - rules.coldFrom()) * warmth);
     }
 
@@ -132,37 +132,37 @@
         double rate = capacityAt(now);
         tokens = Math.min(Math.max(1, rate * QUEUE_SECONDS), tokens + rate * (now - refilledAt) / 1e6);
         refilledAt = now;
-        boolean taken = tokens >= 1;
-        tokens -= taken ? 1 : 0;
-        return taken;
+        boolean admitted = tokens >= 1;
+        tokens -= admitted ? 1 : 0;
+        return admitted;
     }
 
     /** Calls in a window that begins at this time, beyond which the cold destination falls. */
-    private double maxCallsInWindow(long begin) {
-        double allowed = rules.fallMultiple() * capacityAt(begin) * rules.tipAfter() / 1e6;
+    private double maxCallsInWindow(long windowStart) {
+        double allowed = rules.fallMultiple() * capacityAt(windowStart) * rules.tipAfter() / 1e6;
         return allowed < LARGE_WINDOW_CALLS ? allowed + 3 * Math.sqrt(allowed) + 3 : allowed + 2 * Math.sqrt(allowed) + 2;
     }
 
 
     ColdLoad load() {
-        double worst = 0;
-        double worstTold = 0;
-        double toldAtFall = 0;
+        double maxRatio = 0;
+        double maxInformedRatio = 0;
+        double informedShareAtOverload = 0;
         ArrayDeque<ColdCall> window = new ArrayDeque<>();
         for (ColdCall call : coldCalls) {
             window.addLast(call);
-            long begin = Math.max(latestReturnBefore(call.at), call.at - rules.tipAfter());
-            while (window.peekFirst().at < begin) {
+            long windowStart = Math.max(latestReturnBefore(call.at), call.at - rules.tipAfter());
+            while (window.peekFirst().at < windowStart) {
                 window.pollFirst();
             }
-            double told = window.stream().filter(ColdCall::fromInformedRelay).count();
-            double bound = maxCallsInWindow(begin);
-            if (window.size() > bound && worst <= 1) {
-                toldAtFall = told / window.size();
+            double informed = window.stream().filter(ColdCall::fromInformedRelay).count();
+            double maxCalls = maxCallsInWindow(windowStart);
+            if (window.size() > maxCalls && maxRatio <= 1) {
+                informedShareAtOverload = informed / window.size();
             }
-            worst = Math.max(worst, window.size() / bound);
-            worstTold = Math.max(worstTold, told / bound);
+            maxRatio = Math.max(maxRatio, window.size() / maxCalls);
+            maxInformedRatio = Math.max(maxInformedRatio, informed / maxCalls);
         }
-        return new ColdLoad(worst, worstTold, toldAtFall);
+        return new ColdLoad(maxRatio, maxInformedRatio, informedShareAtOverload);
     }
 }
