--- a/src/test/java/wrenkeel/ControlTest.java
+++ b/src/test/java/wrenkeel/ControlTest.java
@@ -11,7 +11,7 @@
 /** Scripted events: the design's ordinary path, its exceptions, and one small test for each failure found. */
 class ControlTest {
     private static ScriptedRelay twoEndpointRelay(int kind, int slots, boolean copies) {
-        ScriptedRelay relay = new ScriptedRelay(settings(slots, copies, 2));
+        ScriptedRelay relay = new ScriptedRelay(testSettings(slots, copies, 2));
         relay.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, kind, 1, 50), endpoint(12, 1, kind, 1, 50))));
         return relay;
     }
@@ -47,7 +47,7 @@
     /** Guards against double effects after a restart: the module knows the attempts made before it. */
     @Test
     void recoveredMessagesKeepTheirEarlierAttempts() {
-        ScriptedRelay relay = new ScriptedRelay(settings(8, false, 2));
+        ScriptedRelay relay = new ScriptedRelay(testSettings(8, false, 2));
         Earlier mayHaveRun = earlierAttempt(relay, SECOND, 0, true), beforeWindow = earlierAttempt(relay, 10 * SECOND, 0, true);
         Earlier neverRan = earlierAttempt(relay, SECOND, 0, false);
         assertEquals(1, count(turnWithRecoveredMessage(2, mayHaveRun), Fail.class), "unsafe and may have run");
@@ -79,7 +79,7 @@
     /** Guards the same against a full hold: what waits otherwise is given back, newcomers first. */
     @Test
     void recoveredUntriedMessagesAreNotShedWhenTheRelayIsFull() {
-        ScriptedRelay relay = new ScriptedRelay(settings(1, false, 2, 8, 4));
+        ScriptedRelay relay = new ScriptedRelay(testSettings(1, false, 2, 8, 4));
         List<Event> events = new ArrayList<>();
         events.add(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
         for (int i = 0; i < 5; i++) {
@@ -116,7 +116,7 @@
     /** Guards a tenant's share at a reload: what it has used is its own, whatever its place in the file. */
     @Test
     void reorderingTenantsInTheSettingsKeepsTheUsageOfEach() {
-        Settings set = settings(8, false, 2);
+        Settings set = testSettings(8, false, 2);
         ScriptedRelay relay = new ScriptedRelay(withTenants(set, "busy", "calm"));
         relay.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50), endpoint(12, 1, 1, 2, 50))));
         List<Event> events = new ArrayList<>();
@@ -321,7 +321,7 @@
     /** Guards against one refused call that shuts the window as many would: its messages share one fate. */
     @Test
     void refusedCallWithSeveralMessagesHalvesTheWindowOnce() {
-        ScriptedRelay relay = new ScriptedRelay(settings(8, false, 2));
+        ScriptedRelay relay = new ScriptedRelay(testSettings(8, false, 2));
         relay.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 2, 1, 50))));
         relay.warmUp(10, 1);
         relay.turn(sendAsOneCall(relay, 6, Outcome.FULL));
@@ -345,7 +345,7 @@
 
     @Test
     void failedCallWithSeveralMessagesCountsAsOneFailure() {
-        ScriptedRelay relay = new ScriptedRelay(settings(8, false, 2));
+        ScriptedRelay relay = new ScriptedRelay(testSettings(8, false, 2));
         relay.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 2, 1, 50))));
         relay.warmUp(10, 1);
         List<Event> ended = sendAsOneCall(relay, 6, Outcome.ERROR);
@@ -358,7 +358,7 @@
     }
 
     private static ScriptedRelay relayWithoutListedLimit(int relays, int kind, long seed) {
-        Settings settings = settings(8, false, relays);
+        Settings settings = testSettings(8, false, relays);
         ScriptedRelay relay = new ScriptedRelay(new Settings(settings.rank(), settings.relays(), settings.zone(), settings.halvingLate(), settings.overShareWorth(),
             Weights.NONE, settings.classes(), settings.tenants(), settings.kinds(), settings.allowed(), settings.rules(), settings.prices()), seed);
         relay.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, kind, 1, 1))));
@@ -549,7 +549,7 @@
 
     @Test
     void messageIsRefusedOnceItsAttemptsAreUsedUp() {
-        ScriptedRelay relay = new ScriptedRelay(settings(8, true, 2, 2, 200));
+        ScriptedRelay relay = new ScriptedRelay(testSettings(8, true, 2, 2, 200));
         relay.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 0, 1, 50))));
         Accepted message = relay.message(1, 1);
         Send send = sends(relay.turn(message)).get(0);
@@ -561,7 +561,7 @@
     /** Guards a destination that is well, and a message's attempts, against this machine's own trouble. */
     @Test
     void shortLackOfSocketsUsesUpNoAttempt() {
-        ScriptedRelay relay = new ScriptedRelay(settings(8, false, 1, 3, 200));
+        ScriptedRelay relay = new ScriptedRelay(testSettings(8, false, 1, 3, 200));
         relay.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
         relay.warmUp(10, 1);
         Accepted message = relay.message(1, 1);
@@ -579,7 +579,7 @@
     /** Guards the others: a route for which there is never a socket fails in the end. */
     @Test
     void endpointGoesOutAfterALongLackOfSockets() {
-        ScriptedRelay relay = new ScriptedRelay(settings(8, false, 1, 3, 200));
+        ScriptedRelay relay = new ScriptedRelay(testSettings(8, false, 1, 3, 200));
         relay.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
         List<Send> sent = sends(relay.turn(relay.message(2, 1)));
         for (int i = 0; i < 12 && relay.control.unavailable() == 0; i++) {
@@ -592,7 +592,7 @@
     /** Guards what was taken on while nothing can be written down: it waits, and goes out as soon as that can be. */
     @Test
     void nothingIsSentWhileAttemptsCannotBeJournaled() {
-        ScriptedRelay relay = new ScriptedRelay(settings(8, false, 1, 1, 200));
+        ScriptedRelay relay = new ScriptedRelay(testSettings(8, false, 1, 1, 200));
         relay.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
         Accepted message = relay.message(2, 1);
         List<Send> sent = sends(relay.turn(message));
@@ -606,7 +606,7 @@
     /** Guards against clients that come back to a closed door: a refusal tells when the told wait is over. */
     @Test
     void refusalCarriesTheRemainingWaitAsRetryAfter() {
-        ScriptedRelay relay = new ScriptedRelay(settings(8, true, 2, 1, 200));
+        ScriptedRelay relay = new ScriptedRelay(testSettings(8, true, 2, 1, 200));
         relay.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
         Send send = sends(relay.turn(relay.message(1, 1))).get(0);
         for (Action a : relay.turn(attemptEnded(send, 0, Outcome.FULL, 700 * MS))) {
@@ -620,7 +620,7 @@
 
     @Test
     void fullRelayRefusesTheMessageWithTheLeastRemainingWorth() {
-        ScriptedRelay relay = new ScriptedRelay(settings(1, true, 2, 8, 5));
+        ScriptedRelay relay = new ScriptedRelay(testSettings(1, true, 2, 8, 5));
         List<Event> five = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             five.add(relay.message(i == 2 ? 1 : 0, 9));
@@ -633,7 +633,7 @@
     /** Guards against a refusal that the same turn makes needless, and a second end of a message that it ends. */
     @Test
     void fullRelayRefusesNothingIfTheSameTurnMakesRoom() {
-        ScriptedRelay relay = new ScriptedRelay(settings(1, true, 2, 8, 5));
+        ScriptedRelay relay = new ScriptedRelay(testSettings(1, true, 2, 8, 5));
         Accepted first = relay.message(0, 9);
         relay.turn(first, relay.message(0, 9), relay.message(0, 9), relay.message(0, 9));
         assertEquals(0, count(relay.turn(relay.message(0, 9), new Withdrawn(first.id())), Refuse.class));
@@ -664,7 +664,7 @@
     /** Found in i62d03c: places that take calls and answer none held the slots until their time-outs. */
     @Test
     void unresponsiveDestinationsLeaveSlotsToOthers() {
-        ScriptedRelay relay = new ScriptedRelay(settings(8, true, 1));
+        ScriptedRelay relay = new ScriptedRelay(testSettings(8, true, 1));
         List<Endpoint> items = new ArrayList<>();
         for (int d = 1; d <= 9; d++) {
             items.add(endpoint(10 + d, 0, 1, d, 50));
@@ -717,7 +717,7 @@
 
     @Test
     void returningEndpointGetsNoMoreThanThisRelaysShareOfItsCapacity() {
-        ScriptedRelay relay = new ScriptedRelay(settings(40, true, 2, 8, 400));
+        ScriptedRelay relay = new ScriptedRelay(testSettings(40, true, 2, 8, 400));
         relay.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 20))));
         relay.warmUp(30, 1);
         List<Send> out = new ArrayList<>();
@@ -749,7 +749,7 @@
     @Test
     void lateAnswerAfterASuspectedFailureStartsSlowStartAndAQuickOneClearsIt() {
         for (long gap : new long[] {500 * MS, 5 * SECOND}) {
-            ScriptedRelay relay = new ScriptedRelay(settings(8, true, 2));
+            ScriptedRelay relay = new ScriptedRelay(testSettings(8, true, 2));
             relay.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 20))));
             relay.warmUp(20, 1);
             relay.advance(2 * SECOND);
@@ -766,7 +766,7 @@
     /** i80fd1b: endpoints that take few connections were full of idle ones held by hundreds of relays. */
     @Test
     void idleConnectionsAreClosedWhereConnectsFailAndReuseIsUnlikely() {
-        ScriptedRelay relay = new ScriptedRelay(settings(8, true, 300));
+        ScriptedRelay relay = new ScriptedRelay(testSettings(8, true, 300));
         relay.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 600))));
         relay.warmUp(20, 1);
         for (int i = 0; i < 6; i++) {
@@ -781,7 +781,7 @@
     /** Guards handshakes: an outage, in which every connect fails, is no sign of partners that take few connections. */
     @Test
     void outageDoesNotMakeBusyConnectionsShortLived() {
-        ScriptedRelay relay = new ScriptedRelay(settings(8, true, 14));
+        ScriptedRelay relay = new ScriptedRelay(testSettings(8, true, 14));
         relay.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 600), endpoint(12, 0, 1, 2, 600))));
         relay.warmUp(20, 2);
         for (int i = 0; i < 20; i++) {
@@ -801,7 +801,7 @@
     /** thu-duc-later: a call on a connection idle for long fails where these are dropped unseen. */
     @Test
     void longIdleConnectionsAreClosedAfterAResetOnOneUntilCallsSucceedAgain() {
-        ScriptedRelay relay = new ScriptedRelay(settings(8, true, 300));
+        ScriptedRelay relay = new ScriptedRelay(testSettings(8, true, 300));
         relay.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 20))));
         relay.warmUp(20, 1);
         relay.advance(4 * SECOND);
@@ -839,7 +839,7 @@
     /** thu-duc-later big-2: a shut destination with several routes was asked by turns, and pushed over. */
     @Test
     void refusalsByEveryEndpointInARowBackOffTheWholeDestination() {
-        ScriptedRelay relay = new ScriptedRelay(settings(8, false, 300));
+        ScriptedRelay relay = new ScriptedRelay(testSettings(8, false, 300));
         relay.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50), endpoint(12, 0, 1, 1, 50))));
         List<Send> asked = new ArrayList<>();
         List<Send> sent = new ArrayList<>(sends(relay.turn(relay.message(2, 1), relay.message(2, 1), relay.message(2, 1))));
@@ -859,7 +859,7 @@
     /** i038d82: messages held for a failing destination all went to its replacements, new and cold. */
     @Test
     void newEndpointOfAFailingDestinationGetsSingleProbes() {
-        ScriptedRelay relay = new ScriptedRelay(settings(8, false, 2));
+        ScriptedRelay relay = new ScriptedRelay(testSettings(8, false, 2));
         relay.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
         relay.warmUp(20, 1);
         for (int i = 0; i < 3; i++) {
@@ -882,7 +882,7 @@
     void relaysRetryARefusingDestinationSpreadOverTime() {
         List<Long> retryDelays = new ArrayList<>();
         for (int seed = 0; seed < 200; seed++) {
-            ScriptedRelay relay = new ScriptedRelay(settings(2, false, 200), seed);
+            ScriptedRelay relay = new ScriptedRelay(testSettings(2, false, 200), seed);
             relay.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 0, 1, 50))));
             relay.warmUp(2, 1);
             relay.advance(10 * SECOND);
--- a/src/test/java/wrenkeel/EmbeddingTest.java
+++ b/src/test/java/wrenkeel/EmbeddingTest.java
@@ -17,7 +17,7 @@
 class EmbeddingTest {
     /** A host with a clock of its own and a network that answers every send after 30 ms. */
     private static final class Driver {
-        private final Control control = new Control(7, ScriptedRelay.settings(8, true, 1));
+        private final Control control = new Control(7, ScriptedRelay.testSettings(8, true, 1));
         private final PriorityQueue<Long> timers = new PriorityQueue<>();
         private final ArrayDeque<Map.Entry<Long, Ended>> pendingAnswers = new ArrayDeque<>();
         private final Map<String, Integer> attemptCounts = new HashMap<>();
--- a/src/test/java/wrenkeel/RandomEventStreamTest.java
+++ b/src/test/java/wrenkeel/RandomEventStreamTest.java
@@ -40,7 +40,7 @@
 
     private static List<Action> run(long seed, int slots, int relays, int stepsPerMessage) {
         Random random = new Random(seed);
-        ScriptedRelay relay = new ScriptedRelay(settings(slots, seed % 3 != 0, relays, 8, 60), seed);
+        ScriptedRelay relay = new ScriptedRelay(testSettings(slots, seed % 3 != 0, relays, 8, 60), seed);
         List<Action> all = new ArrayList<>();
         List<PendingAttempt> pending = new ArrayList<>();
         List<Accepted> accepted = new ArrayList<>();
--- a/src/test/java/wrenkeel/ReleaseTest.java
+++ b/src/test/java/wrenkeel/ReleaseTest.java
@@ -20,7 +20,7 @@
     private static final long LONG_QUIET_MICROS = 120 * SECOND;
 
     private static ScriptedRelay relayWithOneDestination() {
-        ScriptedRelay relay = new ScriptedRelay(settings(8, true, 2_300));
+        ScriptedRelay relay = new ScriptedRelay(testSettings(8, true, 2_300));
         relay.turn(new Introduced(List.of(endpoint(11, 0, 1, 1, 50), endpoint(12, 0, 1, 1, 50))));
         return relay;
     }
@@ -142,7 +142,7 @@
 
     /** A relay of a large fleet where no rates are listed. */
     private static ScriptedRelay largeFleetRelay() {
-        Settings settings = settings(64, true, 2_300, 8, 1_000);
+        Settings settings = testSettings(64, true, 2_300, 8, 1_000);
         ScriptedRelay relay = new ScriptedRelay(new Settings(settings.rank(), settings.relays(), settings.zone(), settings.halvingLate(), settings.overShareWorth(),
             Weights.NONE, settings.classes(), settings.tenants(), settings.kinds(), settings.allowed(), settings.rules(), settings.prices()));
         relay.turn();
@@ -218,7 +218,7 @@
     /** The list of before binds nothing: a first message's introduction is no answer of discovery. */
     @Test
     void introductionDoesNotEndTheWaitForANewerList() {
-        ScriptedRelay relay = new ScriptedRelay(settings(8, true, 2));
+        ScriptedRelay relay = new ScriptedRelay(testSettings(8, true, 2));
         relay.turn(new ListAsked());
         assertEquals(0, sends(relay.turn(new Introduced(List.of(endpoint(11, 0, 1, 1, 50))), relay.message(1, 1))).size());
         assertEquals(1, sends(relay.turn(new Listed(ListKind.CHANGES, List.of()))).size());
@@ -226,7 +226,7 @@
 
     @Test
     void movedEndpointServesOnlyItsNewDestinationAndKeepsItsWait() {
-        ScriptedRelay relay = new ScriptedRelay(settings(8, false, 2));
+        ScriptedRelay relay = new ScriptedRelay(testSettings(8, false, 2));
         relay.turn(new Introduced(List.of(endpoint(11, 0, 1, 1, 50), endpoint(21, 0, 1, 2, 50))));
         Send refused = sendOneMessage(relay);
         relay.turn(attemptEnded(refused, 0, Outcome.FULL, 2 * SECOND), new Withdrawn(refused.id()));
@@ -268,7 +268,7 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void rulesHoldWhileDestinationsAreReleasedAndReintroduced(long seed) {
         Random random = new Random(seed);
-        ScriptedRelay relay = new ScriptedRelay(settings(4, seed % 2 == 0, 30, 8, 60), seed);
+        ScriptedRelay relay = new ScriptedRelay(testSettings(4, seed % 2 == 0, 30, 8, 60), seed);
         Set<Long> introduced = new HashSet<>();
         List<PendingAttempt> pending = new ArrayList<>();
         List<Event> events = new ArrayList<>();
--- a/src/test/java/wrenkeel/RuleCheckerTest.java
+++ b/src/test/java/wrenkeel/RuleCheckerTest.java
@@ -10,7 +10,7 @@
 
 /** The checker is itself fed a breach of each rule. */
 class RuleCheckerTest {
-    private final RuleChecker checker = new RuleChecker(settings(8, true, 1));
+    private final RuleChecker checker = new RuleChecker(testSettings(8, true, 1));
     private static final long NOW = 10 * SECOND;
 
     @BeforeEach
--- a/src/test/java/wrenkeel/ScriptedRelay.java
+++ b/src/test/java/wrenkeel/ScriptedRelay.java
@@ -15,11 +15,11 @@
     private int nextMessageId;
 
     /** Classes: 0 safe, 1 keyed (group all), 2 unsafe in order, 3 keyed (zone group). Kinds: 0 shared, 1 apart, 2 bundles. */
-    static Settings settings(int slots, boolean copies, int relays) {
-        return settings(slots, copies, relays, 8, 200);
+    static Settings testSettings(int slots, boolean copies, int relays) {
+        return testSettings(slots, copies, relays, 8, 200);
     }
 
-    static Settings settings(int slots, boolean copies, int relays, int attempts, int open) {
+    static Settings testSettings(int slots, boolean copies, int relays, int attempts, int open) {
         List<MessageClass> classes = List.of(
             new MessageClass("a", SECOND, 5 * SECOND, 2, 0, Effect.SAFE, false, 0, false, attempts),
             new MessageClass("b", 4 * SECOND, 16 * SECOND, 1, 0.5, Effect.KEYED, false, 10 * SECOND, false,
