--- a/src/test/java/wrenkeel/DecayingRateTest.java
+++ b/src/test/java/wrenkeel/DecayingRateTest.java
@@ -4,9 +4,13 @@
 
 import org.junit.jupiter.api.Test;
 
+/** The rate of events that {@code State} measures over an exponentially decaying span. */
 class DecayingRateTest {
-    private static final long SECOND = 1_000_000, SPAN_MICROS = 3 * SECOND;
+    /** A second, in microseconds. */
+    private static final long SECOND = 1_000_000;
+    private static final long SPAN_MICROS = 3 * SECOND;
 
+    /** The rate in calls a second after so many microseconds of evenly spaced calls. */
     private static double rateAfterSteadyCalls(long age, int callsPerSecond) {
         State.Rate rate = new State.Rate();
         long step = SECOND / callsPerSecond;
@@ -16,7 +20,10 @@
         return rate.perSecond(age, SPAN_MICROS);
     }
 
-    /** Guards against a pace far too slow, set by a refusal in a lane's first second. */
+    /**
+     * A refusal sets the send rate from the measured rate. If a measurement younger than its span were too
+     * low, a refusal in the first second of a rate limit's scope would set a send rate that is far too slow.
+     */
     @Test
     void rateIsAccurateBeforeAFullSpanHasPassed() {
         assertEquals(8, rateAfterSteadyCalls(SECOND / 2, 8), 1);
--- a/src/test/java/wrenkeel/KnownRed.java
+++ b/src/test/java/wrenkeel/KnownRed.java
@@ -12,19 +12,27 @@
 import org.opentest4j.TestAbortedException;
 
 /**
- * Lets the build pass over the tests listed in {@code KNOWN-RED.txt}, and over no other: such a test may fail,
- * which is printed and counted as skipped, but it must not pass, for then it has to come off the list.
+ * Keeps the build green while the tests listed in {@code KNOWN-RED.txt} fail. The failure of a listed test is
+ * printed and counted as skipped. A listed test that passes fails the build, as its line has to be removed.
+ * All other tests are unaffected.
  *
  * <p>Each line of the file is {@code Class.method: cause, issue}; lines that begin with # are comments.
  */
 public final class KnownRed implements TestExecutionExceptionHandler, AfterTestExecutionCallback {
-    /** Relative to the folder that the build runs in, which is the repository's root. */
+    /** Relative to the working directory of the build, which is the root of the repository. */
     private static final Path LIST_FILE = Path.of("KNOWN-RED.txt");
-    /** More would hide what is broken. */
+    /** Highest number of tests in the list; a longer list would hide what is broken. */
     static final int MAX_TESTS = 3;
 
     private static final Set<String> LISTED_TESTS = read(LIST_FILE);
 
+    /**
+     * Reads the names of the listed tests.
+     *
+     * @return names of the form {@code Class.method}
+     * @throws IllegalStateException if more than {@link #MAX_TESTS} tests are listed
+     * @throws UncheckedIOException if the file cannot be read
+     */
     static Set<String> read(Path file) {
         try {
             Set<String> names = Files.readAllLines(file).stream().map(String::strip)
@@ -35,12 +43,13 @@
             }
             return names;
         } catch (IOException e) {
-            throw new UncheckedIOException("the list of known failures cannot be read", e);
+            throw new UncheckedIOException("cannot read the list of known failures", e);
         }
     }
 
     private static String testName(ExtensionContext context) {
-        return context.getRequiredTestClass().getSimpleName() + "." + context.getRequiredTestMethod().getName();
+        return context.getRequiredTestClass().getSimpleName() + "."
+            + context.getRequiredTestMethod().getName();
     }
 
     @Override
--- a/src/test/java/wrenkeel/KnownRedTest.java
+++ b/src/test/java/wrenkeel/KnownRedTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The list of known failures stays short, and names tests. */
+/** How {@link KnownRed} reads its list of tests that are known to fail. */
 class KnownRedTest {
     @TempDir
     Path folder;
@@ -21,7 +21,8 @@
     @Test
     void testNamesAreReadUpToTheFirstColon() throws IOException {
         assertEquals(Set.of("ATest.one", "BTest.two"),
-            KnownRed.read(writeList("# comment: no test\n\nATest.one: a cause, issue 1\nBTest.two: another: with a colon\n")));
+            KnownRed.read(
+                writeList("# comment: no test\n\nATest.one: a cause, issue 1\nBTest.two: another: with a colon\n")));
     }
 
     @Test
--- a/src/test/java/wrenkeel/ReleaseTest.java
+++ b/src/test/java/wrenkeel/ReleaseTest.java
@@ -261,7 +261,7 @@
     }
 
     /** A send that is out, and which of its message's attempts it is. */
-    private record PendingAttempt(Send send, int attempt) { }
+    private record PendingAttempt(Send send, int number) { }
 
     /** Seeded bursts at a few destinations with quiet between, past the rule checker: each is met several times. */
     @ParameterizedTest
@@ -310,7 +310,7 @@
         RuleChecker.TrackedMessage seen = relay.checker.messages.get(attempt.send.id());
         Outcome outcome = random.nextInt(3) > 0 ? Outcome.OK : Outcome.values()[1 + random.nextInt(5)];
         long wait = outcome == Outcome.FULL && random.nextBoolean() ? random.nextInt(90) * SECOND : 0;
-        return new Ended(attempt.send.id(), attempt.attempt, attempt.send.endpoint(), outcome, seen.finished || outcome == Outcome.OK, wait,
+        return new Ended(attempt.send.id(), attempt.number, attempt.send.endpoint(), outcome, seen.finished || outcome == Outcome.OK, wait,
             20 * MS, -1, -1);
     }
 }
--- a/src/test/java/wrenkeel/RuleChecker.java
+++ b/src/test/java/wrenkeel/RuleChecker.java
@@ -8,18 +8,39 @@
 import java.util.Map;
 import wrenkeel.Relay.*;
 
-/** Watches one relay's events and actions and throws on the first breach of a rule. */
+/**
+ * Receives all events and actions of one relay's {@link Control} and throws an {@link AssertionError} on the
+ * first violation of a rule. Times are microseconds of the relay's clock. One thread.
+ *
+ * <p>The text of the error begins with "rule" and one of these numbers, or the subject of a rule without a
+ * number:
+ * <ol>
+ * <li>Each message gets exactly one final answer, in time, and nothing is sent for it afterwards.
+ * <li>A message takes effect at most once, unless it is safe to repeat.
+ * <li>Nothing is sent to an endpoint that is draining or off the list, after a short grace period.
+ * <li>An endpoint that has just returned from an outage gets no more calls than this relay's share of its
+ *     budget.
+ * <li>Nothing is sent to a destination or endpoint before the wait that it asked for is over.
+ * <li>Messages that share a key are sent one at a time and in order, with a pause after an attempt of unknown
+ *     outcome.
+ * </ol>
+ */
 final class RuleChecker {
-    /** What is known of one message. */
+    /** One message and all its attempts. */
     static final class TrackedMessage {
         Accepted accepted;
         MessageClass messageClass;
+        /** True once the message has a final answer, was delivered or was withdrawn. */
         boolean finished;
         long finishedAt;
+        /** The send of each attempt, by the attempt's number. */
         final List<Send> sends = new ArrayList<>();
+        /** The time of each send. */
         final List<Long> sentAt = new ArrayList<>();
+        /** The outcomes of the attempts that have ended, by the attempt's number. */
         final Map<Integer, Outcome> outcomes = new HashMap<>();
 
+        /** True unless the outcome of an attempt proves that it had no effect. */
         boolean mayHaveRun(int attempt) {
             Outcome outcome = outcomes.get(attempt);
             return outcome == null || !outcome.neverRan();
@@ -34,37 +55,53 @@
             return false;
         }
 
-        /** Sends that the relay's own machine did not keep from being made. */
+        /** The number of sends without those that the relay's own machine could not carry out. */
         long countAttemptsMade() {
             return sends.size() - outcomes.values().stream().filter(Outcome::neverMade).count();
         }
 
+        /** True while an attempt is in flight. */
         boolean hasOpenAttempts() {
             return outcomes.size() < sends.size();
         }
     }
 
     final Settings settings;
+    /** Messages by id; finished ones are dropped a minute after their end. */
     final Map<String, TrackedMessage> messages = new LinkedHashMap<>();
+    /** Messages that are sent in order, by key, in the order of acceptance. */
     private final Map<String, List<TrackedMessage>> messagesByKey = new HashMap<>();
+    /** When the pause of a key is over that follows an attempt of unknown outcome. */
     private final Map<String, Long> keyPausedUntil = new HashMap<>();
+    /** Endpoints by id, as listed last. */
     final Map<Long, Endpoint> endpoints = new HashMap<>();
+    /** By endpoint: since when it has been draining or off the list. */
     private final Map<Long, Long> notReadySince = new HashMap<>();
+    /** By {@linkplain #limitScope scope}: when the wait is over that an endpoint asked for. */
     private final Map<Long, Long> waitUntil = new HashMap<>();
-    /** Endpoints under the return budget: set by a test that declares an outage and its end. */
+    /**
+     * By endpoint: when its outage ended. Set by a test; the endpoint is then held to its budget (rule 4).
+     */
     final Map<Long, Long> coldSince = new HashMap<>();
+    /** By endpoint that is held to its budget: the times of recent sends. */
     private final Map<Long, ArrayDeque<Long>> recentSends = new HashMap<>();
+    /** Number of violations so far. */
     int violations;
 
     RuleChecker(Settings settings) {
         this.settings = settings;
     }
 
-    /** The lane that a wait binds: the destination, or the route where routes are apart. */
+    /**
+     * The scope of an endpoint's limits and waits: its destination, or the endpoint alone where the kind says
+     * that endpoints are apart. Destinations are mapped to negative numbers to keep them distinct from
+     * endpoints.
+     */
     private long limitScope(Endpoint endpoint) {
         return settings.kinds().get(endpoint.kind()).apart() ? endpoint.id() : -1 - endpoint.destination();
     }
 
+    /** Records an event; to be called before the module receives it. */
     void recordEvent(long now, Event event) {
         if (event instanceof Accepted e) {
             TrackedMessage message = new TrackedMessage();
@@ -83,9 +120,9 @@
             if (e.waitFor() > 0) {
                 waitUntil.merge(limitScope(endpoints.get(e.endpoint())), now + e.waitFor(), Math::max);
             }
-            boolean rests = e.outcome() == Outcome.TIMEOUT || e.outcome() == Outcome.RESET
+            boolean unknownOutcome = e.outcome() == Outcome.TIMEOUT || e.outcome() == Outcome.RESET
                 || e.outcome() == Outcome.CANCELLED;
-            if (message.accepted.key() != null && message.messageClass.inOrder() && rests) {
+            if (message.accepted.key() != null && message.messageClass.inOrder() && unknownOutcome) {
                 keyPausedUntil.put(message.accepted.key(), now + settings.rules().keyRest());
             }
         } else if (event instanceof Withdrawn e) {
@@ -111,15 +148,21 @@
         }
     }
 
-    /** What rests on a destination may not be forgotten; from here on it must be introduced before a send. */
+    /**
+     * A destination may be released only without unfinished messages, waits and warm-ups. From then on its
+     * endpoints are unknown, and it has to be introduced again before a send.
+     */
     private void checkRelease(long now, long destination) {
         require(messages.values().stream().allMatch(message -> message.accepted.destination() != destination
-            || message.finished && !message.hasOpenAttempts()), "released with a message that is not over");
+            || message.finished && !message.hasOpenAttempts()),
+            "on releases: destination released with an unfinished message");
         for (Endpoint endpoint : List.copyOf(endpoints.values())) {
             if (endpoint.destination() == destination) {
-                require(now >= waitUntil.getOrDefault(limitScope(endpoint), 0L), "released inside a wait");
+                require(now >= waitUntil.getOrDefault(limitScope(endpoint), 0L),
+                    "on releases: destination released before the end of a wait");
                 Long since = coldSince.get(endpoint.id());
-                require(since == null || now - since >= settings.rules().cold(), "released while it warms up");
+                require(since == null || now - since >= settings.rules().cold(),
+                    "on releases: destination released during its warm-up");
                 endpoints.remove(endpoint.id());
             }
         }
@@ -132,23 +175,31 @@
         }
     }
 
+    /**
+     * Checks an action.
+     *
+     * @throws AssertionError if the action violates a rule
+     */
     void checkAction(long now, Action action) {
         if (action instanceof Send a) {
             checkSend(now, a);
         } else if (action instanceof Refuse a) {
             TrackedMessage message = messages.get(a.id());
-            require(!message.finished, "1: a second final answer");
-            boolean zoneBound = message.messageClass.effect() == Effect.KEYED && message.messageClass.zoneGroup();
-            require(message.messageClass.effect() == Effect.SAFE || message.messageClass.effect() == Effect.KEYED && !zoneBound || !message.anyMayHaveRun(),
-                "2: refused though it may have run");
+            require(!message.finished, "1: second final answer (refused)");
+            boolean zoneBound = message.messageClass.effect() == Effect.KEYED
+                && message.messageClass.zoneGroup();
+            require(message.messageClass.effect() == Effect.SAFE
+                || message.messageClass.effect() == Effect.KEYED && !zoneBound || !message.anyMayHaveRun(),
+                "2: refused, which invites a retry, though an attempt may have run");
             finish(message, now);
         } else if (action instanceof Fail a) {
             TrackedMessage message = messages.get(a.id());
-            require(!message.finished, "1: a second final answer");
+            require(!message.finished, "1: second final answer (failed)");
             finish(message, now);
         } else if (action instanceof Cancel a) {
-            require(settings.allowed().cancel(), "cancel is not allowed");
-            require(a.attempt() < messages.get(a.id()).sends.size(), "cancel of an attempt never made");
+            require(settings.allowed().cancel(), "on cancels: the settings do not allow cancels");
+            require(a.attempt() < messages.get(a.id()).sends.size(),
+                "on cancels: cancelled an attempt that was never sent");
         } else if (action instanceof Released a) {
             checkRelease(now, a.destination());
         }
@@ -157,14 +208,19 @@
     private void checkSend(long now, Send send) {
         TrackedMessage message = messages.get(send.id());
         Endpoint to = endpoints.get(send.endpoint());
-        require(message != null && !message.finished, "1: sent after its end");
-        require(to != null && to.destination() == message.accepted.destination(), "sent to another destination");
-        require(message.countAttemptsMade() < settings.classes().get(message.accepted.messageClass()).tries(), "too many attempts");
-        require(send.timeout() > 0 && now + send.timeout() <= message.accepted.deadline(), "time-out beyond the deadline");
+        require(message != null && !message.finished, "1: sent an unknown or finished message");
+        require(to != null && to.destination() == message.accepted.destination(),
+            "on destinations: sent to an unknown endpoint or another destination");
+        require(message.countAttemptsMade() < settings.classes().get(message.accepted.messageClass()).tries(),
+            "on attempts: more attempts than the message class allows");
+        require(send.timeout() > 0 && now + send.timeout() <= message.accepted.deadline(),
+            "on timeouts: attempt timeout not positive or past the deadline");
         Long since = notReadySince.get(send.endpoint());
-        require(since == null || now <= since + settings.rules().drainGrace(), "3: sent to a drained endpoint");
-        require(now >= waitUntil.getOrDefault(limitScope(to), 0L), "5: sent inside a wait");
-        require(settings.allowed().copies() || !message.hasOpenAttempts(), "2: two attempts out together");
+        require(since == null || now <= since + settings.rules().drainGrace(),
+            "3: sent to an endpoint that is draining or off the list");
+        require(now >= waitUntil.getOrDefault(limitScope(to), 0L), "5: sent before the end of a wait");
+        require(settings.allowed().copies() || !message.hasOpenAttempts(),
+            "2: two attempts in flight though the settings allow no copies");
         checkEffects(now, message, to);
         checkKeyOrder(now, message);
         checkReturnBudget(now, to);
@@ -172,18 +228,23 @@
         message.sentAt.add(now);
     }
 
+    /** Checks that a send cannot repeat an effect, where an earlier attempt may have run (rule 2). */
     private void checkEffects(long now, TrackedMessage message, Endpoint to) {
         for (int i = 0; i < message.sends.size(); i++) {
             if (!message.mayHaveRun(i) || message.messageClass.effect() == Effect.SAFE) {
                 continue;
             }
-            require(message.messageClass.effect() == Effect.KEYED, "2: an unsafe message sent again");
-            require(now < message.sentAt.get(i) + message.messageClass.window(), "2: sent again outside the window");
+            require(message.messageClass.effect() == Effect.KEYED,
+                "2: resent an unsafe message that may have run");
+            require(now < message.sentAt.get(i) + message.messageClass.window(),
+                "2: resent a keyed message after its deduplication window");
             Endpoint before = endpoints.get(message.sends.get(i).endpoint());
-            require(!message.messageClass.zoneGroup() || before.zone() == to.zone(), "2: sent again outside the group");
+            require(!message.messageClass.zoneGroup() || before.zone() == to.zone(),
+                "2: resent a keyed message to a zone that does not know its earlier attempt");
         }
     }
 
+    /** Checks the order of messages that share a key (rule 6). */
     private void checkKeyOrder(long now, TrackedMessage message) {
         if (message.accepted.key() == null || !message.messageClass.inOrder()) {
             return;
@@ -192,11 +253,17 @@
             if (earlier == message) {
                 break;
             }
-            require(earlier.finished && !earlier.hasOpenAttempts(), "6: sent before an earlier message of its key was over");
+            require(earlier.finished && !earlier.hasOpenAttempts(),
+                "6: sent before an earlier message of its key had ended");
         }
-        require(!message.sends.isEmpty() || now >= keyPausedUntil.getOrDefault(message.accepted.key(), 0L), "6: sent while the key rests");
+        require(!message.sends.isEmpty() || now >= keyPausedUntil.getOrDefault(message.accepted.key(), 0L),
+            "6: sent during the pause of its key");
     }
 
+    /**
+     * Checks that a cold endpoint gets at most this relay's even share of the calls it bears in a window
+     * (rule 4).
+     */
     private void checkReturnBudget(long now, Endpoint to) {
         Long since = coldSince.get(to.id());
         if (since == null || now - since >= settings.rules().cold()) {
@@ -206,19 +273,28 @@
         recent.addLast(now);
         recent.removeIf(time -> time <= now - settings.rules().tipAfter());
         double warmth = settings.rules().coldFrom()
-            + (1 - settings.rules().coldFrom()) * Math.min(1.0, (double) Math.max(0, now - since) / settings.rules().cold());
-        double limit = settings.rules().fallMultiple() * to.weight() * warmth * settings.rules().tipAfter() / 1e6
+            + (1 - settings.rules().coldFrom())
+            * Math.min(1.0, (double) Math.max(0, now - since) / settings.rules().cold());
+        double limit = settings.rules().fallMultiple() * to.weight() * warmth
+            * settings.rules().tipAfter() / 1e6
             / settings.relays();
-        require(recent.size() <= Math.max(1, limit), "4: pushed a returning endpoint, " + recent.size() + " > " + limit);
+        require(recent.size() <= Math.max(1, limit),
+            "4: too many calls to a returning endpoint, " + recent.size() + " > " + limit);
     }
 
-    /** Every message whose time is up must be over; call at the end of each turn. */
+    /**
+     * Checks that every message past its deadline has ended; to be called at the end of each turn.
+     *
+     * @throws AssertionError if one has not
+     */
     void checkDeadlines(long now) {
         for (TrackedMessage message : messages.values()) {
             long due = message.accepted.deadline() + settings.rules().answerSlack();
-            require(message.finished || now <= due, "1: no final answer in time for " + message.accepted.id());
+            require(message.finished || now <= due,
+                "1: no final answer by the deadline for " + message.accepted.id());
         }
-        messages.values().removeIf(message -> message.finished && !message.hasOpenAttempts() && message.finishedAt + 60_000_000L < now);
+        messages.values().removeIf(message -> message.finished && !message.hasOpenAttempts()
+            && message.finishedAt + 60_000_000L < now);
     }
 
     private void require(boolean condition, String violation) {
--- a/src/test/java/wrenkeel/RuleCheckerTest.java
+++ b/src/test/java/wrenkeel/RuleCheckerTest.java
@@ -8,23 +8,26 @@
 import org.junit.jupiter.api.Test;
 import wrenkeel.Relay.*;
 
-/** The checker is itself fed a breach of each rule. */
+/** Checks that {@link RuleChecker} reports a violation of each of its numbered rules. */
 class RuleCheckerTest {
     private final RuleChecker checker = new RuleChecker(testSettings(8, true, 1));
+    /** The time of all events and, unless said otherwise, actions. */
     private static final long NOW = 10 * SECOND;
 
     @BeforeEach
     void listEndpoints() {
-        checker.recordEvent(NOW, new Listed(ListKind.WHOLE, List.of(endpoint(1, 0, 0, 1, 2), endpoint(2, 1, 0, 1, 2))));
+        checker.recordEvent(NOW,
+            new Listed(ListKind.WHOLE, List.of(endpoint(1, 0, 0, 1, 2), endpoint(2, 1, 0, 1, 2))));
     }
 
     private void accept(String id, int messageClass, String key) {
         checker.recordEvent(NOW, new Accepted(id, messageClass, 0, key, NOW + 5 * SECOND, 1));
     }
 
+    /** Expects a violation of the rule of this number. */
     private void assertViolation(String rule, Runnable action) {
-        AssertionError e = assertThrows(AssertionError.class, action::run);
-        assertTrue(e.getMessage().startsWith("rule " + rule), e.getMessage());
+        AssertionError error = assertThrows(AssertionError.class, action::run);
+        assertTrue(error.getMessage().startsWith("rule " + rule), error.getMessage());
     }
 
     @Test
@@ -52,7 +55,8 @@
     @Test
     void sendToADrainingEndpointIsReported() {
         accept("a", 0, null);
-        checker.recordEvent(NOW, new Listed(ListKind.CHANGES, List.of(new Endpoint(1, 0, 0, 1, Listing.DRAINING, 2))));
+        checker.recordEvent(NOW,
+            new Listed(ListKind.CHANGES, List.of(new Endpoint(1, 0, 0, 1, Listing.DRAINING, 2))));
         assertViolation("3", () -> checker.checkAction(NOW + SECOND, new Send("a", 1, SECOND)));
     }
 
--- a/src/test/java/wrenkeel/ScriptedRelay.java
+++ b/src/test/java/wrenkeel/ScriptedRelay.java
@@ -4,21 +4,50 @@
 import java.util.List;
 import wrenkeel.Relay.*;
 
-/** Drives one Control by script: events in, actions out, every one of them past the rule checker. */
+/**
+ * One {@link Control} on a virtual clock, driven by a test: the test hands in events and receives actions. A
+ * {@link RuleChecker} sees every event and action and fails the test on the first violation of a rule.
+ * Times and spans are microseconds. One thread.
+ */
 final class ScriptedRelay {
-    static final long MS = 1_000, SECOND = 1_000_000;
+    /** A millisecond, in microseconds. */
+    static final long MS = 1_000;
+    /** A second, in microseconds. */
+    static final long SECOND = 1_000_000;
     final Settings settings;
     final RuleChecker checker;
     final Control control;
+    /** The virtual clock. */
     long now = 5 * SECOND;
+    /** When the earliest timer that the module asked for is due; {@code Long.MAX_VALUE} for none. */
     long wakeAt = Long.MAX_VALUE;
     private int nextMessageId;
 
-    /** Classes: 0 safe, 1 keyed (group all), 2 unsafe in order, 3 keyed (zone group). Kinds: 0 shared, 1 apart, 2 bundles. */
+    /**
+     * Settings with eight attempts for each message and room for 200 messages; see
+     * {@link #testSettings(int, boolean, int, int, int)}.
+     */
     static Settings testSettings(int slots, boolean copies, int relays) {
         return testSettings(slots, copies, relays, 8, 200);
     }
 
+    /**
+     * Settings with one tenant ("t"), four message classes and three kinds of destination, and exact listed
+     * limits.
+     *
+     * <p>Message classes: 0 is safe to repeat; 1 is keyed, and receivers in all zones drop a repeat; 2 is
+     * unsafe to repeat and sent in the order of its keys; 3 is keyed, and only receivers in the same zone
+     * drop a repeat.
+     *
+     * <p>Kinds: the endpoints of kind 0 share limits and waits; those of kind 1 and 2 have their own; a call
+     * to kind 2 carries up to ten messages.
+     *
+     * @param slots calls that the relay may have in flight
+     * @param copies whether hedged attempts are allowed
+     * @param relays number of relays in the fleet
+     * @param attempts attempts that a message may use
+     * @param open messages that the relay may hold
+     */
     static Settings testSettings(int slots, boolean copies, int relays, int attempts, int open) {
         List<MessageClass> classes = List.of(
             new MessageClass("a", SECOND, 5 * SECOND, 2, 0, Effect.SAFE, false, 0, false, attempts),
@@ -34,6 +63,7 @@
             new Prices(0.05, 0.06, 0, 0.05, List.of(0.0, 0.0)));
     }
 
+    /** A relay whose module draws its random numbers from seed 1. */
     ScriptedRelay(Settings settings) {
         this(settings, 1);
     }
@@ -44,17 +74,20 @@
         control = new Control(seed, settings);
     }
 
+    /** An endpoint that is listed as ready; {@code weight} is its listed limit in calls a second. */
     static Endpoint endpoint(long id, int zone, int kind, long destination, double weight) {
         return new Endpoint(id, zone, kind, destination, Listing.READY, weight);
     }
 
+    /** See {@link #turn(List)}. */
     List<Action> turn(Event... events) {
         return turn(List.of(events));
     }
 
+    /** Hands events to the module at the present time, with a timer that is due, and returns its actions. */
     List<Action> turn(List<Event> events) {
-        for (Event e : events) {
-            checker.recordEvent(now, e);
+        for (Event event : events) {
+            checker.recordEvent(now, event);
         }
         if (wakeAt <= now) {
             wakeAt = Long.MAX_VALUE;
@@ -62,17 +95,17 @@
             events.add(new Due());
         }
         List<Action> actions = control.turn(now, events);
-        for (Action a : actions) {
-            checker.checkAction(now, a);
-            if (a instanceof Wake w) {
-                wakeAt = Math.min(wakeAt, now + w.after());
+        for (Action action : actions) {
+            checker.checkAction(now, action);
+            if (action instanceof Wake wake) {
+                wakeAt = Math.min(wakeAt, now + wake.after());
             }
         }
         checker.checkDeadlines(now);
         return actions;
     }
 
-    /** Lets time pass in steps of 5 ms, as a host with a clock of that grain would; returns all actions on the way. */
+    /** Advances the clock in steps of 5 ms, serves timers as they fall due, and returns all actions. */
     List<Action> advance(long span) {
         List<Action> all = new ArrayList<>();
         for (long end = now + span; now < end;) {
@@ -86,31 +119,47 @@
         return all;
     }
 
+    /** A new message without a key, see {@link #message(int, long, String)}. */
     Accepted message(int messageClass, long destination) {
         return message(messageClass, destination, null);
     }
 
+    /** A new message of tenant 0 that is accepted now; the caller still has to hand it to the module. */
     Accepted message(int messageClass, long destination, String key) {
-        return new Accepted("m" + nextMessageId++, messageClass, 0, key, now + settings.classes().get(messageClass).life(), destination);
+        return new Accepted("m" + nextMessageId++, messageClass, 0, key,
+            now + settings.classes().get(messageClass).life(), destination);
     }
 
+    /** The end of an attempt without a wait, see {@link #attemptEnded(Send, int, Outcome, long)}. */
     static Ended attemptEnded(Send send, int attempt, Outcome outcome) {
         return attemptEnded(send, attempt, outcome, 0);
     }
 
+    /**
+     * The end of an attempt after a latency of 100 ms; {@code OK} also ends the message.
+     *
+     * @param attempt number of the message's attempt, from 0
+     * @param waitFor wait that the endpoint asked for; 0 for none
+     */
     static Ended attemptEnded(Send send, int attempt, Outcome outcome, long waitFor) {
-        return new Ended(send.id(), attempt, send.endpoint(), outcome, outcome == Outcome.OK, waitFor, 100 * MS, -1, -1);
+        return new Ended(send.id(), attempt, send.endpoint(), outcome, outcome == Outcome.OK, waitFor,
+            100 * MS, -1, -1);
     }
 
+    /** The sends among these actions, in order. */
     static List<Send> sends(List<Action> actions) {
         return actions.stream().filter(Send.class::isInstance).map(Send.class::cast).toList();
     }
 
+    /** The number of actions of a type. */
     static <T extends Action> long count(List<Action> actions, Class<T> type) {
         return actions.stream().filter(type::isInstance).count();
     }
 
-    /** Sends and answers so many messages, one by one, so that answers are known and the window is open. */
+    /**
+     * Sends messages to a destination one by one and answers each, so that the module knows its latency and
+     * its congestion window has grown. Each round takes 300 ms and the time until the send.
+     */
     void warmUp(int messages, long destination) {
         for (int i = 0; i < messages; i++) {
             List<Send> sent = new ArrayList<>(sends(turn(message(0, destination))));
--- a/src/test/java/wrenkeel/SimulatedDestination.java
+++ b/src/test/java/wrenkeel/SimulatedDestination.java
@@ -82,8 +82,8 @@
     }
 
     boolean isOut(long time) {
-        for (int i = 0; i < outageCount; i++) {
-            if (time >= outageStart(i) && time < outageStart(i) + OUTAGE_MICROS) {
+        for (int number = 0; number < outageCount; number++) {
+            if (time >= outageStart(number) && time < outageStart(number) + OUTAGE_MICROS) {
                 return true;
             }
         }
@@ -93,8 +93,8 @@
     /** When the latest return before this time was; -1 for none. */
     private long latestReturnBefore(long time) {
         long latest = -1;
-        for (int i = 0; i < outageCount; i++) {
-            latest = time >= outageStart(i) + OUTAGE_MICROS ? outageStart(i) + OUTAGE_MICROS : latest;
+        for (int number = 0; number < outageCount; number++) {
+            latest = time >= outageStart(number) + OUTAGE_MICROS ? outageStart(number) + OUTAGE_MICROS : latest;
         }
         return latest;
     }
