--- a/src/test/java/wrenkeel/ColdReturnTest.java
+++ b/src/test/java/wrenkeel/ColdReturnTest.java
@@ -13,21 +13,34 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.ExtendWith;
 import org.junit.jupiter.api.function.Executable;
-import wrenkeel.SimulatedDestination.Outage;
-import wrenkeel.FleetSimulation.RestartState;
 import wrenkeel.FleetSimulation.Restart;
+import wrenkeel.FleetSimulation.RestartState;
 import wrenkeel.FleetSimulation.Result;
 import wrenkeel.FleetSimulation.Scenario;
 import wrenkeel.Relay.Weights;
+import wrenkeel.SimulatedDestination.Outage;
 
-/** Guards a destination that comes back cold against the sum of the calls of a whole fleet. */
+/**
+ * A destination that returns cold from an outage fails again if all relays of a fleet together send it more
+ * calls than it bears. These tests check that the slow starts of all relays keep to that budget.
+ *
+ * <p>Relays that have seen no call fail during the outage cannot know that the destination is cold. Where
+ * that may happen, only relays that have been told of the outage, by a failed call of any of their processes,
+ * are held to the budget; "stay told" in a test's name means that they keep to it after a restart too.
+ */
 @ExtendWith(KnownRed.class)
 class ColdReturnTest {
     private static final int[] FLEET_SIZES = {20, 60, 120};
     private static final int SEED_COUNT = 8;
+    /** Calls a second that the warm destination accepts. */
     private static final double CAPACITY = 20;
 
-    /** Plays every size of fleet and seed; prints the worst of each size. */
+    /**
+     * Runs each size of fleet with each seed, and then checks all results. Prints, for each size, the highest
+     * loads and the mean shares of messages that were delivered in time and for which no call was made.
+     *
+     * @param check receives a description of the run and its result
+     */
     private static void runFleets(Weights weights, Outage outage, BiConsumer<String, Result> check) {
         List<Executable> checks = new ArrayList<>();
         for (int relays : FLEET_SIZES) {
@@ -44,17 +57,20 @@
                 inAimShare += result.inAimShare() / SEED_COUNT;
                 withoutCallShare += result.withoutCallShare() / SEED_COUNT;
             }
-            System.out.printf(Locale.ROOT, "cold return %s %s %d relays: worst %.2f, of relays told %.2f, "
-                + "in aim %.3f, untried %.3f%n", weights, outage, relays, maxRatio, maxInformedRatio, inAimShare, withoutCallShare);
+            System.out.printf(Locale.ROOT,
+                "cold return, limits %s, outage %s, %d relays: highest load %.2f of the budget, "
+                + "of informed relays %.2f, delivered in aim %.3f, without a call %.3f%n",
+                weights, outage, relays, maxRatio, maxInformedRatio, inAimShare, withoutCallShare);
         }
         assertAll(checks);
     }
 
+    /** Checks that all relays together keep to the budget in every window. */
     private static void assertWithinBudget(String run, Result result) {
         assertTrue(result.coldLoad().maxRatio() <= 1, run);
     }
 
-    /** Relays whose first failed call ends after the outage cannot know of it; the others keep the bound. */
+    /** Checks informed relays only: one whose first failed call ends after the outage cannot know of it. */
     private static void assertInformedRelaysWithinBudget(String run, Result result) {
         assertTrue(result.coldLoad().maxInformedRatio() <= 1, run);
         assertFalse(result.coldLoad().isOverloadedByInformedRelays(), run);
@@ -93,7 +109,7 @@
         runFleets(Weights.ROUGH, Outage.REJECTED_WITH_WAIT, ColdReturnTest::assertWithinBudget);
     }
 
-    /** A relay that carried little before the outage still finds out in time that it is over. */
+    /** A relay that sent little before the outage still finds out in time that the destination is back. */
     @Test
     void fewMessagesOfALargeFleetEndWithoutACall() {
         for (Outage outage : List.of(Outage.CONNECTION_REFUSED, Outage.NO_RESPONSE)) {
@@ -106,22 +122,30 @@
         }
     }
 
+    /** Times of restarts, relative to the destination's return. */
     private static final long[] RESTART_TIMES_MS = {-3_000, -1_000, 300, 5_000};
 
-    /** Names the scenarios in which relays that were told of the outage overrun the destination. */
+    /** Runs all scenarios; a failure says in how many of them informed relays exceed the budget. */
     private static void assertInformedRelaysKeepTheBudget(List<Scenario> scenarios) {
         List<String> failures = scenarios.parallelStream().map(scenario -> {
             SimulatedDestination.ColdLoad load = FleetSimulation.run(scenario).coldLoad();
-            return load.maxInformedRatio() > 1 || load.isOverloadedByInformedRelays() ? scenario + " " + load : "";
+            return load.maxInformedRatio() > 1 || load.isOverloadedByInformedRelays()
+                ? scenario + " " + load : "";
         }).filter(run -> !run.isEmpty()).toList();
         assertTrue(failures.isEmpty(),
-            failures.size() + " of " + scenarios.size() + ", the first: " + failures.stream().findFirst().orElse(""));
+            failures.size() + " of " + scenarios.size() + " over budget, the first: "
+                + failures.stream().findFirst().orElse(""));
     }
 
-    private static final Set<Outage> REFUSING_OUTAGES = EnumSet.of(Outage.REJECTED_WITH_WAIT, Outage.REJECTED);
+    /** Outages in which calls are rejected as over a limit. */
+    private static final Set<Outage> REFUSING_OUTAGES =
+        EnumSet.of(Outage.REJECTED_WITH_WAIT, Outage.REJECTED);
+    /** Outages in which calls fail. */
     private static final Set<Outage> FAILING_OUTAGES = EnumSet.complementOf(EnumSet.copyOf(REFUSING_OUTAGES));
 
-    private static List<Scenario> restartScenarios(Set<Outage> outages, RestartState state, double... shares) {
+    /** Scenarios of 44 relays; each of these shares of them is restarted around the destination's return. */
+    private static List<Scenario> restartScenarios(Set<Outage> outages, RestartState state,
+                                                   double... shares) {
         List<Scenario> scenarios = new ArrayList<>();
         for (Outage outage : outages) {
             for (Weights weights : List.of(Weights.NONE, Weights.NOMINAL)) {
@@ -143,27 +167,32 @@
 
     @Test
     void relaysKilledInAnOutageOfFailuresKeepTheBudget() {
-        assertInformedRelaysKeepTheBudget(restartScenarios(FAILING_OUTAGES, RestartState.STATE_FOLDER, 0.02, 0.7, 1));
+        assertInformedRelaysKeepTheBudget(
+            restartScenarios(FAILING_OUTAGES, RestartState.STATE_FOLDER, 0.02, 0.7, 1));
     }
 
     @Test
     void relaysKilledInAnOutageOfRefusalsStayTold() {
-        assertInformedRelaysKeepTheBudget(restartScenarios(REFUSING_OUTAGES, RestartState.STATE_FOLDER, 0.02, 0.7, 1));
+        assertInformedRelaysKeepTheBudget(
+            restartScenarios(REFUSING_OUTAGES, RestartState.STATE_FOLDER, 0.02, 0.7, 1));
     }
 
     @Test
     void oneRelayThatLostItsStateFolderDoesNotOverloadTheDestination() {
-        assertInformedRelaysKeepTheBudget(restartScenarios(EnumSet.allOf(Outage.class), RestartState.NO_STATE, 0.02));
+        assertInformedRelaysKeepTheBudget(
+            restartScenarios(EnumSet.allOf(Outage.class), RestartState.NO_STATE, 0.02));
     }
 
     @Test
     void manyRelaysThatLostTheirFoldersStayTold() {
-        assertInformedRelaysKeepTheBudget(restartScenarios(EnumSet.allOf(Outage.class), RestartState.NO_STATE, 0.7, 1));
+        assertInformedRelaysKeepTheBudget(
+            restartScenarios(EnumSet.allOf(Outage.class), RestartState.NO_STATE, 0.7, 1));
     }
 
     @Test
     void relaysReplacedAroundTheReturnKeepTheBudget() {
-        assertInformedRelaysKeepTheBudget(restartScenarios(EnumSet.allOf(Outage.class), RestartState.HANDOVER, 0.02, 0.7, 1));
+        assertInformedRelaysKeepTheBudget(
+            restartScenarios(EnumSet.allOf(Outage.class), RestartState.HANDOVER, 0.02, 0.7, 1));
     }
 
     @Test
@@ -171,12 +200,14 @@
         List<Scenario> scenarios = new ArrayList<>();
         for (Scenario once : restartScenarios(EnumSet.allOf(Outage.class), RestartState.STATE_FOLDER, 0.7)) {
             Restart first = once.restarts().get(0);
-            Restart second = new Restart(first.at() + 2 * FleetSimulation.SECOND, 0.7, RestartState.STATE_FOLDER);
+            Restart second = new Restart(first.at() + 2 * FleetSimulation.SECOND, 0.7,
+                RestartState.STATE_FOLDER);
             scenarios.add(once.withRestarts(first, second));
         }
         assertInformedRelaysKeepTheBudget(scenarios);
     }
 
+    /** Scenarios of one to 120 relays and various capacities: uneven traffic, even traffic, two outages. */
     private static List<Scenario> fleetSizeScenarios(Set<Outage> outages) {
         List<Scenario> scenarios = new ArrayList<>();
         for (Outage outage : outages) {
@@ -184,7 +215,8 @@
                 for (int relays : new int[] {1, 4, 44, 120}) {
                     for (double capacity : new double[] {4, 20, 60, 250}) {
                         Scenario uneven = new Scenario(relays, outage, weights, capacity, 1);
-                        scenarios.addAll(List.of(uneven, uneven.withEvenTraffic(), uneven.withOutageCount(2)));
+                        scenarios.addAll(
+                            List.of(uneven, uneven.withEvenTraffic(), uneven.withOutageCount(2)));
                     }
                 }
             }
--- a/src/test/java/wrenkeel/FleetSimulation.java
+++ b/src/test/java/wrenkeel/FleetSimulation.java
@@ -8,70 +8,101 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import wrenkeel.SimulatedDestination.Outage;
 import wrenkeel.Relay.*;
+import wrenkeel.SimulatedDestination.Outage;
 
 /**
- * Many relays with unequal traffic against one destination that has outages and comes back cold, on a virtual
- * clock in microseconds. Relays may be restarted. One thread.
+ * Simulates a fleet of relays, each with its own {@link Control}, that send to one
+ * {@link SimulatedDestination}. Some relays get more traffic than others, and relays may be restarted. The
+ * clock is virtual; times and spans are microseconds. A run depends on nothing but its {@link Scenario}. One
+ * thread.
  */
 final class FleetSimulation {
-    /** What a process that is started again finds of the one before it. */
+    /** What a restarted process finds of the state of the process before it. */
     enum RestartState {
-        /** The lasting folder. */ STATE_FOLDER,
-        /** An empty folder: the machine was lost. */ NO_STATE,
-        /** What the process before left as it ended in order. */ HANDOVER
+        /** The state folder: its messages, and the last known health of the endpoints. */ STATE_FOLDER,
+        /** Nothing, as the machine was lost; its messages are lost too. */ NO_STATE,
+        /** The messages, and all that an orderly handover passes on about the endpoints. */ HANDOVER
     }
 
     /**
-     * @param at time at which processes end; they are started again {@link #RESTART_MICROS} later
-     * @param share of the relays whose processes end then
+     * A restart of some relays at the same time.
+     *
+     * @param at time at which their processes end; the next ones start {@link #RESTART_MICROS} later, or at
+     *     once after a handover
+     * @param share share of the relays that are restarted, at least one of them
+     * @param state what the next processes find
      */
     record Restart(long at, double share, RestartState state) { }
 
     /**
-     * @param relays in the fleet; one in ten gets so many times the traffic of each other
-     * @param capacity calls a second that the warm destination takes from all relays together
-     * @param outageCount that follow each other
+     * The parameters of a run.
+     *
+     * @param relays number of relays in the fleet
+     * @param busyFactor multiple of the usual traffic that one in ten relays gets
+     * @param outage how calls fail during an outage
+     * @param outageCount number of outages
+     * @param weights how exact the listed limits are
+     * @param capacity calls a second that the warm destination accepts from all relays together
+     * @param seed seed of all random numbers
+     * @param restarts restarts of relays during the run
      */
-    record Scenario(int relays, int busyFactor, Outage outage, int outageCount, Weights weights, double capacity,
-                    long seed, List<Restart> restarts) {
+    record Scenario(int relays, int busyFactor, Outage outage, int outageCount, Weights weights,
+                    double capacity, long seed, List<Restart> restarts) {
+        /** One outage, busy relays with five times the usual traffic, no restarts. */
         Scenario(int relays, Outage outage, Weights weights, double capacity, long seed) {
             this(relays, 5, outage, 1, weights, capacity, seed, List.of());
         }
 
+        /** The same scenario with these restarts only. */
         Scenario withRestarts(Restart... newRestarts) {
-            return new Scenario(relays, busyFactor, outage, outageCount, weights, capacity, seed, List.of(newRestarts));
+            return new Scenario(relays, busyFactor, outage, outageCount, weights, capacity, seed,
+                List.of(newRestarts));
         }
 
+        /** The same scenario with another number of outages. */
         Scenario withOutageCount(int count) {
             return new Scenario(relays, busyFactor, outage, count, weights, capacity, seed, restarts);
         }
 
+        /** The same scenario with the same traffic for each relay. */
         Scenario withEvenTraffic() {
             return new Scenario(relays, 1, outage, outageCount, weights, capacity, seed, restarts);
         }
     }
 
     /**
-     * @param coldLoad what the cold destination got
-     * @param inAimShare share of the messages that are delivered within their aim
-     * @param withoutCallShare share of the messages that end without any call
+     * The result of a run.
+     *
+     * @param coldLoad load on the destination while it was cold
+     * @param inAimShare share of the messages that were delivered within their target time
+     * @param withoutCallShare share of the messages for which no call was made
      */
     record Result(SimulatedDestination.ColdLoad coldLoad, double inAimShare, double withoutCallShare) { }
 
-    static final long MS = 1_000, SECOND = 1_000_000;
+    /** A millisecond, in microseconds. */
+    static final long MS = 1_000;
+    /** A second, in microseconds. */
+    static final long SECOND = 1_000_000;
+    /** Time from the end of a killed process to the start of the next. */
     static final long RESTART_MICROS = 600 * MS;
+    /** Time that a call or its response takes on the network. */
     private static final long NETWORK_DELAY_MICROS = 10 * MS;
-    private static final long LIFE_MICROS = 28 * SECOND, AIM_MICROS = 3 * SECOND;
+    /** Time from a message's submission to its deadline. */
+    private static final long LIFE_MICROS = 28 * SECOND;
+    /** Target time for the delivery of a message. */
+    private static final long AIM_MICROS = 3 * SECOND;
+    /** Time after which a client tries again that has found all relays down. */
     private static final long CLIENT_RETRY_MICROS = 500 * MS;
-    /** Share of the capacity that comes in. */
+    /** Messages a second of all relays together, as a share of the destination's capacity. */
     private static final double OFFERED_LOAD_SHARE = 0.75;
+    /** One in so many relays is busy. */
     private static final int RELAYS_PER_BUSY_RELAY = 10;
     private static final long[] ENDPOINT_IDS = {11, 12};
+    /** The rules that bind all relays, and the warm-up that the destination follows. */
     static final Rules RULES = new Rules(250 * MS, 2, 2 * SECOND, 0.2, 10 * SECOND, 50 * MS, 20 * MS);
 
-    /** Something due at a time; what is due at one time keeps its order. */
+    /** A task that runs at a time; tasks of the same time run in the order in which they were scheduled. */
     private record ScheduledTask(long at, long sequence, Runnable task) implements Comparable<ScheduledTask> {
         @Override
         public int compareTo(ScheduledTask other) {
@@ -79,33 +110,39 @@
         }
     }
 
+    /** A message and the attempts made for it by any process. */
     private static final class Message {
         final String id;
         final long deadline;
         final List<Earlier> attempts = new ArrayList<>();
-        boolean finished, deliveredInAim;
+        /** True once it was delivered, refused or failed, or was lost with its relay's machine. */
+        boolean finished;
+        boolean deliveredInAim;
 
         Message(String id, long deadline) {
             this.id = id;
             this.deadline = deadline;
         }
 
+        /** The latest time at which a delivery is within the target time. */
         long aimTime() {
             return deadline - LIFE_MICROS + AIM_MICROS;
         }
     }
 
-    /** One relay, its process and the messages that it holds. */
+    /** One relay, its present process and its messages. */
     private final class SimulatedRelay {
         final int rank;
         final Map<String, Message> messages = new LinkedHashMap<>();
-        /** What the lasting folder holds of the endpoints. */
+        /** Health of the endpoints, as stored in the state folder. */
         final Map<Long, Known> stateFolder = new HashMap<>();
         Control control;
-        /** Number of its process; what an earlier one has begun is lost. */
+        /** Number of the present process; timers and calls of earlier ones are ignored. */
         int processNumber;
         boolean alive = true;
+        /** When the earliest timer of the process is due; {@code Long.MAX_VALUE} for none. */
         long wakeAt = Long.MAX_VALUE;
+        /** True once a call of any of its processes has failed during an outage. */
         boolean informed;
 
         SimulatedRelay(int rank) {
@@ -113,17 +150,20 @@
             startProcess();
         }
 
+        /** Starts a process that knows nothing but its settings and the list of endpoints. */
         private void startProcess() {
             control = new Control(random.nextLong(), settings(rank));
             turn(new Listed(ListKind.WHOLE, endpoints));
         }
 
+        /** Ends the process; its calls in flight are lost. */
         void stopProcess() {
             alive = false;
             processNumber++;
             wakeAt = Long.MAX_VALUE;
         }
 
+        /** Starts the next process and lets it recover the state that it finds. */
         void restartProcess(RestartState state) {
             List<Known> known = state == RestartState.HANDOVER ? control.knowledge()
                 : List.copyOf(stateFolder.values());
@@ -138,6 +178,7 @@
             }
         }
 
+        /** Hands the present process what is known of the endpoints, and the unfinished messages. */
         private void recover(List<Known> known) {
             List<Event> events = new ArrayList<>(known);
             for (Message message : messages.values()) {
@@ -149,11 +190,13 @@
             turn(events.toArray(Event[]::new));
         }
 
+        /** Accepts a message from a client. */
         void accept(Message message) {
             messages.put(message.id, message);
             turn(new Accepted(message.id, 0, 0, null, message.deadline, 1));
         }
 
+        /** Hands events to the module and carries out its actions. */
         void turn(Event... events) {
             for (Action action : control.turn(now, List.of(events))) {
                 if (action instanceof Send send) {
@@ -182,6 +225,7 @@
             });
         }
 
+        /** Makes a call; it reaches the destination after the network delay and may time out. */
         private void send(Send send) {
             Call call = new Call(this, messages.get(send.id()), send.endpoint());
             schedule(now + NETWORK_DELAY_MICROS, call::arrive);
@@ -189,7 +233,7 @@
         }
     }
 
-    /** One call of a process. */
+    /** One call of one process, which carries one message. */
     private final class Call {
         private final SimulatedRelay relay;
         private final Message message;
@@ -208,16 +252,19 @@
             message.attempts.add(new Earlier(sentAt, 0, true));
         }
 
+        /** The call reaches the destination; its response, if there is one, is scheduled. */
         void arrive() {
             if (processNumber != relay.processNumber) {
                 return;
             }
             SimulatedDestination.Response response = destination.call(now, relay.informed);
             if (response.outcome() != null) {
-                schedule(now + NETWORK_DELAY_MICROS + response.delay(), () -> end(response.outcome(), response.waitFor()));
+                schedule(now + NETWORK_DELAY_MICROS + response.delay(),
+                    () -> end(response.outcome(), response.waitFor()));
             }
         }
 
+        /** Ends the call and notifies the module, unless the call has ended already or its process has. */
         void end(Outcome outcome, long waitFor) {
             if (ended || processNumber != relay.processNumber) {
                 return;
@@ -239,14 +286,19 @@
     private final List<Endpoint> endpoints = new ArrayList<>();
     private final List<SimulatedRelay> relays = new ArrayList<>();
     private final List<Message> submittedMessages = new ArrayList<>();
-    private long now, nextSequence, nextMessageId;
+    /** The virtual clock. */
+    private long now;
+    private long nextSequence;
+    private long nextMessageId;
 
     private FleetSimulation(Scenario scenario) {
         this.scenario = scenario;
         random = new SplittableRandom(scenario.seed);
-        destination = new SimulatedDestination(scenario.capacity, scenario.outage, scenario.outageCount, RULES);
+        destination = new SimulatedDestination(scenario.capacity, scenario.outage, scenario.outageCount,
+            RULES);
     }
 
+    /** Runs a scenario until its last outage and the time after it are over. */
     static Result run(Scenario scenario) {
         return new FleetSimulation(scenario).run();
     }
@@ -257,11 +309,13 @@
             endpoints.add(new Endpoint(id, 0, 0, 1, Listing.READY, scenario.capacity * listingError));
         }
         int busyRelays = (scenario.relays + RELAYS_PER_BUSY_RELAY - 1) / RELAYS_PER_BUSY_RELAY;
-        double trafficUnit = OFFERED_LOAD_SHARE * scenario.capacity / (scenario.relays + busyRelays * (scenario.busyFactor - 1));
+        double trafficUnit = OFFERED_LOAD_SHARE * scenario.capacity
+            / (scenario.relays + busyRelays * (scenario.busyFactor - 1));
         for (int rank = 0; rank < scenario.relays; rank++) {
             SimulatedRelay relay = new SimulatedRelay(rank);
             relays.add(relay);
-            scheduleNextArrival(relay, trafficUnit * (rank % RELAYS_PER_BUSY_RELAY == 0 ? scenario.busyFactor : 1));
+            scheduleNextArrival(relay,
+                trafficUnit * (rank % RELAYS_PER_BUSY_RELAY == 0 ? scenario.busyFactor : 1));
         }
         scenario.restarts.forEach(restart -> schedule(restart.at, () -> restart(restart)));
         while (!tasks.isEmpty() && tasks.peek().at() < destination.endAt()) {
@@ -272,6 +326,7 @@
         return result();
     }
 
+    /** Restarts a random choice of the relays; one that is down already is left alone. */
     private void restart(Restart restart) {
         List<SimulatedRelay> affected = new ArrayList<>(relays);
         Collections.shuffle(affected, new java.util.Random(random.nextLong()));
@@ -285,7 +340,7 @@
         }
     }
 
-    /** Messages at random times up to the end. */
+    /** Schedules the next message for a relay; messages come at random, {@code perSecond} in the mean. */
     private void scheduleNextArrival(SimulatedRelay relay, double perSecond) {
         long next = now + (long) (-Math.log(1 - random.nextDouble()) / perSecond * SECOND);
         schedule(next, () -> {
@@ -296,7 +351,7 @@
         });
     }
 
-    /** A client that finds a relay down goes to another, and comes again if all are. */
+    /** A client whose relay is down submits its message to another one, or later if all are down. */
     private void submit(SimulatedRelay first, Message message) {
         List<SimulatedRelay> alive = relays.stream().filter(relay -> relay.alive).toList();
         if (first.alive) {
@@ -312,17 +367,21 @@
         tasks.add(new ScheduledTask(at, nextSequence++, task));
     }
 
+    /** Sums up the run; messages with a deadline after its end are left out. */
     private Result result() {
-        List<Message> counted = submittedMessages.stream().filter(m -> m.deadline <= destination.endAt()).toList();
-        double inAim = counted.stream().filter(m -> m.deliveredInAim).count();
-        double untried = counted.stream().filter(m -> m.attempts.isEmpty()).count();
-        return new Result(destination.load(), inAim / counted.size(), untried / counted.size());
+        List<Message> counted = submittedMessages.stream()
+            .filter(message -> message.deadline <= destination.endAt()).toList();
+        double inAim = counted.stream().filter(message -> message.deliveredInAim).count();
+        double withoutCall = counted.stream().filter(message -> message.attempts.isEmpty()).count();
+        return new Result(destination.load(), inAim / counted.size(), withoutCall / counted.size());
     }
 
+    /** Settings of one relay: one class of messages, safe to repeat; hedged attempts are allowed. */
     private Settings settings(int rank) {
-        MessageClass only = new MessageClass("a", AIM_MICROS, LIFE_MICROS, 1, 0.5, Effect.SAFE, false, 0, false, 8);
-        return new Settings(rank, scenario.relays, 0, false, 0.2, scenario.weights, List.of(only), List.of(),
-            List.of(new Kind(false, 1)),
+        MessageClass messageClass = new MessageClass("a", AIM_MICROS, LIFE_MICROS, 1, 0.5, Effect.SAFE, false,
+            0, false, 8);
+        return new Settings(rank, scenario.relays, 0, false, 0.2, scenario.weights, List.of(messageClass),
+            List.of(), List.of(new Kind(false, 1)),
             new Allowed(60, 1_000, true, true, 1, 1_000 * MS, 15 * SECOND, 2 * SECOND), RULES,
             new Prices(0.05, 0.02, 0, 0.1, List.of()));
     }
--- a/src/test/java/wrenkeel/SimulatedDestination.java
+++ b/src/test/java/wrenkeel/SimulatedDestination.java
@@ -7,48 +7,69 @@
 import wrenkeel.Relay.Rules;
 
 /**
- * A destination with outages from which it comes back cold, and the record of the calls that it got then.
- * Times are microseconds of the caller's clock. One thread.
+ * A destination that has outages and returns from each of them cold: at first it accepts only a part of its
+ * usual rate of calls, which grows until the warm-up is over. It records the calls that it gets while it is
+ * cold. Times are microseconds of the caller's clock. One thread.
+ *
+ * <p>Calls that arrive while it is cold count against a budget. With more than the budget in a window, a real
+ * destination would fail again. A relay is informed if it has seen a call fail during an outage; only
+ * informed relays can know that the destination is cold.
  */
 final class SimulatedDestination {
-    /** What a call meets during an outage. */
+    /** How calls fail during an outage. */
     enum Outage {
-        /** A refused connection. */ CONNECTION_REFUSED,
-        /** A refusal, with a wait. */ REJECTED_WITH_WAIT,
-        /** A refusal, without a wait. */ REJECTED,
-        /** Nothing. */ NO_RESPONSE,
-        /** An error at once. */ ERROR_RESPONSE,
-        /** The end of its connection. */ CONNECTION_RESET
+        /** The connection is refused. */ CONNECTION_REFUSED,
+        /** The call is rejected as over the limit, with a time to wait. */ REJECTED_WITH_WAIT,
+        /** The call is rejected as over the limit, without a time to wait. */ REJECTED,
+        /** There is no response, and the call times out. */ NO_RESPONSE,
+        /** There is an error response at once. */ ERROR_RESPONSE,
+        /** The connection is reset. */ CONNECTION_RESET
     }
 
     /**
-     * @param outcome null for no answer
-     * @param delay time until the answer
-     * @param waitFor told with it; 0 for none
+     * The response to a call.
+     *
+     * @param outcome outcome of the call; null for no response
+     * @param delay time until the response is sent
+     * @param waitFor wait that the response asks for; 0 for none
      */
     record Response(Outcome outcome, long delay, long waitFor) { }
 
     /**
-     * @param maxRatio highest ratio of calls in a window to the calls that the cold destination bears in it
-     * @param maxInformedRatio the same of the calls from relays that had seen a call fail during the outage
-     * @param informedShareAtOverload share of such calls in the first window over the bound; 0 where none is over it
+     * The load on the cold destination.
+     *
+     * @param maxRatio highest ratio of the calls in a window to the budget of that window
+     * @param maxInformedRatio the same ratio for the calls of informed relays only
+     * @param informedShareAtOverload share of the informed relays' calls in the first window over its budget;
+     *     0 if there is no such window
      */
     record ColdLoad(double maxRatio, double maxInformedRatio, double informedShareAtOverload) {
-        /** True when the destination falls and the relays that could know are to blame. */
+        /** True if the budget was exceeded, and mostly by relays that could know that it applied. */
         boolean isOverloadedByInformedRelays() {
             return informedShareAtOverload > MAX_INFORMED_SHARE;
         }
     }
 
-    /** A call that the cold destination got. */
+    /** A call that arrived while the destination was cold. */
     private record ColdCall(long at, boolean fromInformedRelay) { }
 
-    static final long FIRST_OUTAGE_MICROS = 40_000_000, OUTAGE_MICROS = 10_000_000, OUTAGE_INTERVAL_MICROS = 16_000_000, AFTER_LAST_OUTAGE_MICROS = 50_000_000;
-    private static final long LATENCY_MICROS = 300_000, REJECTION_WAIT_MICROS = 500_000;
+    /** Start of the first outage. */
+    static final long FIRST_OUTAGE_MICROS = 40_000_000;
+    /** Duration of an outage. */
+    static final long OUTAGE_MICROS = 10_000_000;
+    /** Time from the start of one outage to the start of the next. */
+    static final long OUTAGE_INTERVAL_MICROS = 16_000_000;
+    /** Time from the end of the last outage to the end of the run. */
+    static final long AFTER_LAST_OUTAGE_MICROS = 50_000_000;
+    /** Time that an accepted call takes at the destination. */
+    private static final long LATENCY_MICROS = 300_000;
+    /** Wait that a rejection asks for. */
+    private static final long REJECTION_WAIT_MICROS = 500_000;
+    /** Over this share of the calls of informed relays, these are held responsible for an overload. */
     private static final double MAX_INFORMED_SHARE = 2.0 / 3;
-    /** s; calls that the destination may hold in its queue. */
+    /** Calls that the destination accepts in a burst, in seconds of its present rate. */
     private static final double QUEUE_SECONDS = 0.7;
-    /** Calls in a window, from which on the bound's slack is the smaller one. */
+    /** Expected calls in a window from which on the allowance for random variation is the smaller one. */
     private static final double LARGE_WINDOW_CALLS = 30;
 
     private final double capacity;
@@ -56,10 +77,18 @@
     private final int outageCount;
     private final Rules rules;
     private final List<ColdCall> coldCalls = new ArrayList<>();
+    /** Token bucket of the calls that it accepts, and when it was last refilled. */
     private double tokens;
     private long refilledAt;
 
-    /** {@code capacity}: calls a second that it takes when warm. */
+    /**
+     * Creates a destination.
+     *
+     * @param capacity calls a second that it accepts when warm
+     * @param outage how calls fail during outages
+     * @param outageCount number of outages
+     * @param rules length of the warm-up, share of the capacity at its beginning, and the budget of a window
+     */
     SimulatedDestination(double capacity, Outage outage, int outageCount, Rules rules) {
         this.capacity = capacity;
         this.outage = outage;
@@ -67,20 +96,22 @@
         this.rules = rules;
     }
 
-    /** Start of the first return. */
+    /** The time of the first return to service. */
     static long firstReturnAt() {
         return FIRST_OUTAGE_MICROS + OUTAGE_MICROS;
     }
 
-    /** When all outages and what follows them are over. */
+    /** The end of the run, after all outages and the time that follows the last one. */
     long endAt() {
         return outageStart(outageCount - 1) + OUTAGE_MICROS + AFTER_LAST_OUTAGE_MICROS;
     }
 
+    /** The start of the outage of this number, from 0. */
     private static long outageStart(int number) {
         return FIRST_OUTAGE_MICROS + number * OUTAGE_INTERVAL_MICROS;
     }
 
+    /** True during an outage. */
     boolean isOut(long time) {
         for (int number = 0; number < outageCount; number++) {
             if (time >= outageStart(number) && time < outageStart(number) + OUTAGE_MICROS) {
@@ -90,16 +121,17 @@
         return false;
     }
 
-    /** When the latest return before this time was; -1 for none. */
+    /** The latest return to service up to a time; -1 if there is none. */
     private long latestReturnBefore(long time) {
         long latest = -1;
         for (int number = 0; number < outageCount; number++) {
-            latest = time >= outageStart(number) + OUTAGE_MICROS ? outageStart(number) + OUTAGE_MICROS : latest;
+            latest = time >= outageStart(number) + OUTAGE_MICROS
+                ? outageStart(number) + OUTAGE_MICROS : latest;
         }
         return latest;
     }
 
-    /** A call arrives; {@code told}: from a relay that had seen a call fail during the outage. */
+    /** Responds to a call that arrives now; {@code informed}: from an informed relay. */
     Response call(long now, boolean informed) {
         if (isOut(now)) {
             return switch (outage) {
@@ -115,10 +147,11 @@
         if (returnAt >= 0 && now < returnAt + rules.cold()) {
             coldCalls.add(new ColdCall(now, informed));
         }
-        return admitCall(now) ? new Response(Outcome.OK, LATENCY_MICROS, 0) : new Response(Outcome.FULL, 0, 0);
+        return admitCall(now)
+            ? new Response(Outcome.OK, LATENCY_MICROS, 0) : new Response(Outcome.FULL, 0, 0);
     }
 
-    /** Calls a second that it takes at this time. */
+    /** Calls a second that it accepts at a time: its capacity when warm, a growing share of it when cold. */
     private double capacityAt(long time) {
         long returnAt = latestReturnBefore(time);
         if (returnAt < 0) {
@@ -128,6 +161,7 @@
         return capacity * (rules.coldFrom() + (1 - rules.coldFrom()) * warmth);
     }
 
+    /** Takes a token for a call; false if the call is over the present rate. */
     private boolean admitCall(long now) {
         double rate = capacityAt(now);
         tokens = Math.min(Math.max(1, rate * QUEUE_SECONDS), tokens + rate * (now - refilledAt) / 1e6);
@@ -137,13 +171,17 @@
         return admitted;
     }
 
-    /** Calls in a window that begins at this time, beyond which the cold destination falls. */
+    /**
+     * The budget of a window that begins at a time: the most calls that the cold destination bears in it. On
+     * top of the calls that the rules allow there is an allowance for random variation.
+     */
     private double maxCallsInWindow(long windowStart) {
         double allowed = rules.fallMultiple() * capacityAt(windowStart) * rules.tipAfter() / 1e6;
-        return allowed < LARGE_WINDOW_CALLS ? allowed + 3 * Math.sqrt(allowed) + 3 : allowed + 2 * Math.sqrt(allowed) + 2;
+        return allowed < LARGE_WINDOW_CALLS
+            ? allowed + 3 * Math.sqrt(allowed) + 3 : allowed + 2 * Math.sqrt(allowed) + 2;
     }
 
-
+    /** Finds the highest loads over all windows that end with a call to the cold destination. */
     ColdLoad load() {
         double maxRatio = 0;
         double maxInformedRatio = 0;
