--- a/src/test/java/wrenkeel/ReleaseTest.java
+++ b/src/test/java/wrenkeel/ReleaseTest.java
@@ -14,11 +14,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import wrenkeel.Relay.*;
 
-/** Destinations that a relay meets now and then: introduced with their first message, forgotten after their last. */
+/**
+ * The release of destinations. A destination is introduced to the module with its first message; once it has
+ * been quiet for a while, a {@link Release} event lets the module forget it, and the next message introduces
+ * it again.
+ */
 class ReleaseTest {
-    /** us; past any span for which a quiet destination is kept. */
+    /** Longer than a quiet destination is kept without a particular reason. */
     private static final long LONG_QUIET_MICROS = 120 * SECOND;
 
+    /** A relay of a large fleet that knows destination 1 with the endpoints 11 and 12. */
     private static ScriptedRelay relayWithOneDestination() {
         ScriptedRelay relay = new ScriptedRelay(testSettings(8, true, 2_300));
         relay.turn(new Introduced(List.of(endpoint(11, 0, 1, 1, 50), endpoint(12, 0, 1, 1, 50))));
@@ -26,10 +31,14 @@
     }
 
     private static List<Long> releasedDestinations(List<Action> actions) {
-        return actions.stream().filter(Released.class::isInstance).map(a -> ((Released) a).destination()).toList();
+        return actions.stream().filter(Released.class::isInstance)
+            .map(action -> ((Released) action).destination()).toList();
     }
 
-    /** What a relay's driver does: it asks every second. */
+    /**
+     * Advances the clock with a release event each second, as a relay process sends it, and returns the
+     * destinations released.
+     */
     private static List<Long> advanceWithReleases(ScriptedRelay relay, long span) {
         List<Action> all = new ArrayList<>();
         for (long end = relay.now + span; relay.now < end;) {
@@ -39,6 +48,7 @@
         return releasedDestinations(all);
     }
 
+    /** Hands in a message to destination 1 and waits up to 4 s for its send. */
     private static Send sendOneMessage(ScriptedRelay relay) {
         List<Send> sent = new ArrayList<>(sends(relay.turn(relay.message(1, 1))));
         sent.addAll(sent.isEmpty() ? sends(relay.advance(4 * SECOND)) : List.of());
@@ -49,14 +59,15 @@
     void quietDestinationIsReleasedOnceAndServedAfterReintroduction() {
         ScriptedRelay relay = relayWithOneDestination();
         relay.turn(attemptEnded(sendOneMessage(relay), 0, Outcome.OK));
-        assertEquals(List.of(), advanceWithReleases(relay, 50 * SECOND), "what was just learned is still of use");
+        assertEquals(List.of(), advanceWithReleases(relay, 50 * SECOND),
+            "kept for a minute after its last use");
         assertEquals(List.of(1L), advanceWithReleases(relay, LONG_QUIET_MICROS));
         assertEquals(List.of(), advanceWithReleases(relay, LONG_QUIET_MICROS));
         relay.turn(new Introduced(List.of(endpoint(12, 0, 1, 1, 50))));
         assertEquals(12, sendOneMessage(relay).endpoint());
     }
 
-    /** Without being asked to, the module forgets nothing: the simulator introduces nothing twice. */
+    /** Callers that introduce each destination only once, such as the simulator, send no release events. */
     @Test
     void nothingIsReleasedWithoutAReleaseEvent() {
         ScriptedRelay relay = relayWithOneDestination();
@@ -77,10 +88,10 @@
     @Test
     void destinationIsKeptWhileACallIsInFlight() {
         ScriptedRelay relay = relayWithOneDestination();
-        Send out = sendOneMessage(relay);
-        relay.turn(new Withdrawn(out.id()));
-        assertEquals(List.of(), advanceWithReleases(relay, LONG_QUIET_MICROS), "its call may still come back");
-        relay.turn(attemptEnded(out, 0, Outcome.CANCELLED));
+        Send inFlight = sendOneMessage(relay);
+        relay.turn(new Withdrawn(inFlight.id()));
+        assertEquals(List.of(), advanceWithReleases(relay, LONG_QUIET_MICROS), "the call may still end");
+        relay.turn(attemptEnded(inFlight, 0, Outcome.CANCELLED));
         assertEquals(List.of(1L), advanceWithReleases(relay, LONG_QUIET_MICROS));
     }
 
@@ -88,7 +99,8 @@
     void destinationIsKeptUntilItsWaitIsOver() {
         ScriptedRelay relay = relayWithOneDestination();
         Send refused = sendOneMessage(relay);
-        relay.turn(attemptEnded(refused, 0, Outcome.FULL, 4 * LONG_QUIET_MICROS), new Withdrawn(refused.id()));
+        relay.turn(attemptEnded(refused, 0, Outcome.FULL, 4 * LONG_QUIET_MICROS),
+            new Withdrawn(refused.id()));
         assertEquals(List.of(), advanceWithReleases(relay, 3 * LONG_QUIET_MICROS));
         assertEquals(List.of(1L), advanceWithReleases(relay, 2 * LONG_QUIET_MICROS));
     }
@@ -101,12 +113,14 @@
             for (int step = 0; sent.isEmpty() && step < 1_600; step++) {
                 sent.addAll(sends(relay.advance(10 * MS)));
             }
-            sent.forEach(s -> relay.turn(attemptEnded(s, 0, Outcome.CONNECT_FAILED), new Withdrawn(s.id())));
+            sent.forEach(send ->
+                relay.turn(attemptEnded(send, 0, Outcome.CONNECT_FAILED), new Withdrawn(send.id())));
         }
-        assertTrue(relay.control.unavailable() > 0, "out");
-        assertEquals(List.of(), advanceWithReleases(relay, LONG_QUIET_MICROS), "an outage is still of use");
-        assertEquals(List.of(1L), advanceWithReleases(relay, 700 * SECOND), "one that nobody asked about for ten minutes is not");
-        assertEquals(0, relay.control.unavailable(), "and is counted no more");
+        assertTrue(relay.control.unavailable() > 0, "an endpoint is out");
+        assertEquals(List.of(), advanceWithReleases(relay, LONG_QUIET_MICROS), "kept during an outage");
+        assertEquals(List.of(1L), advanceWithReleases(relay, 700 * SECOND),
+            "released after ten unused minutes");
+        assertEquals(0, relay.control.unavailable(), "released endpoints are not counted");
     }
 
     @Test
@@ -128,7 +142,10 @@
         assertEquals(List.of(1L), advanceWithReleases(relay, LONG_QUIET_MICROS));
     }
 
-    /** Where very many are met, each is kept for the settings' spans only: here a window of repeats of 10 s. */
+    /**
+     * Beyond 4096 destinations, a quiet one is kept only as long as the settings require: here for the 13 s of
+     * a warm-up and a window of its budget, which are longer than the deduplication window of 10 s.
+     */
     @Test
     void surplusDestinationsAreKeptOnlyForTheSpansInTheSettings() {
         ScriptedRelay relay = relayWithOneDestination();
@@ -136,23 +153,27 @@
             relay.turn(new Introduced(List.of(endpoint(100 + destination, 0, 1, destination, 50))));
         }
         assertEquals(List.of(), advanceWithReleases(relay, 10 * SECOND));
-        int gone = advanceWithReleases(relay, 10 * SECOND).size();
-        assertTrue(gone >= 900 && gone < 1_000, "down to the number that is kept for longer: " + gone);
+        int released = advanceWithReleases(relay, 10 * SECOND).size();
+        assertTrue(released >= 900 && released < 1_000, "released: " + released);
     }
 
-    /** A relay of a large fleet where no rates are listed. */
+    /** A relay of a large fleet for which no limits are listed. */
     private static ScriptedRelay largeFleetRelay() {
         Settings settings = testSettings(64, true, 2_300, 8, 1_000);
-        ScriptedRelay relay = new ScriptedRelay(new Settings(settings.rank(), settings.relays(), settings.zone(), settings.halvingLate(), settings.overShareWorth(),
-            Weights.NONE, settings.classes(), settings.tenants(), settings.kinds(), settings.allowed(), settings.rules(), settings.prices()));
+        ScriptedRelay relay = new ScriptedRelay(new Settings(settings.rank(), settings.relays(),
+            settings.zone(), settings.halvingLate(), settings.overShareWorth(), Weights.NONE,
+            settings.classes(), settings.tenants(), settings.kinds(), settings.allowed(), settings.rules(),
+            settings.prices()));
         relay.turn();
         return relay;
     }
 
+    /** The introduction of a destination with one endpoint. */
     private static Introduced introductionOf(long destination) {
         return new Introduced(List.of(endpoint(10 + destination, 0, 1, destination, 1)));
     }
 
+    /** Introduces so many destinations, each with a message, in one turn; the sends of that turn. */
     private static List<Send> sendFirstMessages(ScriptedRelay relay, int count) {
         List<Event> events = new ArrayList<>();
         for (long destination = 1; destination <= count; destination++) {
@@ -163,8 +184,9 @@
     }
 
     /**
-     * Guards nearly every message of a fleet in which a relay meets a destination once in many minutes: its
-     * part of the first calls has grown since the relay began, not since the module heard of the place.
+     * In a large fleet a relay meets each destination once in many minutes, so nearly every message is the
+     * first to its destination. If the tokens for first calls accumulated only from the introduction on,
+     * rather than from the relay's start, nearly every message would have to wait.
      */
     @Test
     void destinationIntroducedLateIsCalledAtOnceAndAgainAfterRelease() {
@@ -173,13 +195,13 @@
         List<Send> sent = sendFirstMessages(relay, 40);
         assertEquals(40, sent.size());
         List<Event> ends = new ArrayList<>();
-        sent.forEach(s -> ends.add(attemptEnded(s, 0, Outcome.OK)));
+        sent.forEach(send -> ends.add(attemptEnded(send, 0, Outcome.OK)));
         relay.turn(ends);
         assertEquals(40, advanceWithReleases(relay, LONG_QUIET_MICROS).size());
         assertEquals(40, sendFirstMessages(relay, 40).size());
     }
 
-    /** Guards a message whose first call is refused: the second need not wait for a pace that has just begun. */
+    /** The send rate to a new destination is low, but a refused first call has a token for its retry. */
     @Test
     void refusedFirstCallIsRetriedAfterItsBackoff() {
         ScriptedRelay relay = largeFleetRelay();
@@ -189,25 +211,28 @@
         assertEquals(1, sends(relay.advance(8 * SECOND)).size());
     }
 
-    /** Guards the fleet's first second: all relays together begin with a part of their calls. */
+    /** All relays of a fleet may start at once, so none may send all its first calls in the first second. */
     @Test
     void newDestinationsAreNotCalledRightAfterTheStart() {
         assertEquals(0, sendFirstMessages(largeFleetRelay(), 40).size());
     }
 
-    /** Guards a place against one that forgets that it has just called: many are met, so it is released early. */
+    /**
+     * A relay that knows many destinations releases them early. If it forgot the tokens that it has spent, it
+     * could call a destination again at once after each release.
+     */
     @Test
     void spentTokensAreRememberedAcrossARelease() {
         ScriptedRelay relay = largeFleetRelay();
         relay.advance(LONG_QUIET_MICROS);
         relay.turn(attemptEnded(sendFirstMessages(relay, 1).get(0), 0, Outcome.OK));
-        // The two calls that it had saved up.
+        // The second of the two tokens that had accumulated.
         relay.turn(attemptEnded(sendOneMessage(relay), 0, Outcome.OK));
         for (long destination = 2; destination < 5_000; destination++) {
             relay.turn(introductionOf(destination));
         }
         assertTrue(advanceWithReleases(relay, 20 * SECOND).contains(1L));
-        assertEquals(0, sendFirstMessages(relay, 1).size(), "a call each 57.5 s");
+        assertEquals(0, sendFirstMessages(relay, 1).size(), "one token in 57.5 s");
         relay.advance(30 * SECOND);
         List<Send> again = new ArrayList<>(sends(relay.turn(relay.message(1, 1))));
         assertEquals(0, again.size());
@@ -215,12 +240,16 @@
         assertEquals(1, again.size());
     }
 
-    /** The list of before binds nothing: a first message's introduction is no answer of discovery. */
+    /**
+     * At a start, nothing is sent by the stored list until discovery answers. An introduction, which may come
+     * from that list, must not count as an answer.
+     */
     @Test
     void introductionDoesNotEndTheWaitForANewerList() {
         ScriptedRelay relay = new ScriptedRelay(testSettings(8, true, 2));
         relay.turn(new ListAsked());
-        assertEquals(0, sends(relay.turn(new Introduced(List.of(endpoint(11, 0, 1, 1, 50))), relay.message(1, 1))).size());
+        Introduced introduced = new Introduced(List.of(endpoint(11, 0, 1, 1, 50)));
+        assertEquals(0, sends(relay.turn(introduced, relay.message(1, 1))).size());
         assertEquals(1, sends(relay.turn(new Listed(ListKind.CHANGES, List.of()))).size());
     }
 
@@ -232,10 +261,10 @@
         relay.turn(attemptEnded(refused, 0, Outcome.FULL, 2 * SECOND), new Withdrawn(refused.id()));
         relay.turn(new Listed(ListKind.CHANGES, List.of(endpoint(11, 0, 1, 2, 50),
             new Endpoint(21, 0, 1, 2, Listing.GONE, 50))));
-        assertEquals(0, sends(relay.turn(relay.message(1, 1))).size(), "none is left there");
+        assertEquals(0, sends(relay.turn(relay.message(1, 1))).size(), "its only endpoint has moved");
         List<Send> sent = new ArrayList<>(sends(relay.turn(relay.message(1, 2))));
         sent.addAll(sends(relay.advance(SECOND)));
-        assertEquals(0, sent.size(), "told to wait");
+        assertEquals(0, sent.size(), "the wait is not over");
         sent.addAll(sends(relay.advance(3 * SECOND)));
         assertEquals(List.of(11L), sent.stream().map(Send::endpoint).toList());
     }
@@ -248,22 +277,23 @@
         for (int i = 0; i < 6; i++) {
             List<Send> sent = new ArrayList<>(sends(relay.turn(relay.message(1, 1))));
             sent.addAll(sends(relay.advance(4 * SECOND)));
-            sent.forEach(s -> relay.turn(attemptEnded(s, 0, Outcome.CONNECT_FAILED), new Withdrawn(s.id())));
+            sent.forEach(send ->
+                relay.turn(attemptEnded(send, 0, Outcome.CONNECT_FAILED), new Withdrawn(send.id())));
         }
         int out = relay.control.unavailable();
         assertTrue(out > 0);
         list.accept(Listing.DRAINING);
-        assertEquals(0, relay.control.unavailable(), "the list says it already");
+        assertEquals(0, relay.control.unavailable(), "draining endpoints are not counted");
         list.accept(Listing.READY);
         assertEquals(out, relay.control.unavailable());
         list.accept(Listing.GONE);
         assertEquals(0, relay.control.unavailable());
     }
 
-    /** A send that is out, and which of its message's attempts it is. */
+    /** An attempt in flight; {@code number}: which of its message's attempts it is, from 0. */
     private record PendingAttempt(Send send, int number) { }
 
-    /** Seeded bursts at a few destinations with quiet between, past the rule checker: each is met several times. */
+    /** Random bursts of messages to three destinations, with quiet times in which these are released. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void rulesHoldWhileDestinationsAreReleasedAndReintroduced(long seed) {
@@ -275,7 +305,7 @@
         int releases = 0;
         int sent = 0;
         for (int step = 0; step < 16_000; step++) {
-            // A burst of two seconds, then up to five minutes in which what it left is worked off.
+            // A burst of two seconds, then 280 quiet seconds in which the messages end.
             int phase = step % 800;
             relay.now += phase < 100 ? 20 * MS : 400 * MS;
             if (phase < 100 && phase % 5 == 0) {
@@ -289,13 +319,13 @@
             events.add(new Release());
             List<Action> actions = relay.turn(events);
             events.clear();
-            for (Send s : sends(actions)) {
-                pending.add(new PendingAttempt(s, relay.checker.messages.get(s.id()).sends.size() - 1));
+            for (Send send : sends(actions)) {
+                pending.add(new PendingAttempt(send, relay.checker.messages.get(send.id()).sends.size() - 1));
             }
             sent += sends(actions).size();
             releasedDestinations(actions).forEach(introduced::remove);
             releases += releasedDestinations(actions).size();
-            // What is out ends with the next turn, some of it after its message.
+            // In each turn a third of the attempts ends, some of them after their message.
             for (PendingAttempt attempt : List.copyOf(pending)) {
                 if (random.nextInt(3) == 0) {
                     pending.remove(attempt);
@@ -306,11 +336,12 @@
         assertTrue(releases > 20 && sent > 300, releases + " releases, " + sent + " sends");
     }
 
+    /** Ends an attempt with a random outcome. */
     private static Ended randomEnd(ScriptedRelay relay, PendingAttempt attempt, Random random) {
-        RuleChecker.TrackedMessage seen = relay.checker.messages.get(attempt.send.id());
+        RuleChecker.TrackedMessage message = relay.checker.messages.get(attempt.send.id());
         Outcome outcome = random.nextInt(3) > 0 ? Outcome.OK : Outcome.values()[1 + random.nextInt(5)];
         long wait = outcome == Outcome.FULL && random.nextBoolean() ? random.nextInt(90) * SECOND : 0;
-        return new Ended(attempt.send.id(), attempt.number, attempt.send.endpoint(), outcome, seen.finished || outcome == Outcome.OK, wait,
-            20 * MS, -1, -1);
+        return new Ended(attempt.send.id(), attempt.number, attempt.send.endpoint(), outcome,
+            message.finished || outcome == Outcome.OK, wait, 20 * MS, -1, -1);
     }
 }
