--- a/src/test/java/wrenkeel/ControlTest.java
+++ b/src/test/java/wrenkeel/ControlTest.java
@@ -8,11 +8,16 @@
 import org.junit.jupiter.api.Test;
 import wrenkeel.Relay.*;
 
-/** Scripted events: the design's ordinary path, its exceptions, and one small test for each failure found. */
+/**
+ * Behaviour of {@link Control} on scripted events: the ordinary path, its exceptions, and a small test for
+ * each fault that was found on larger runs.
+ */
 class ControlTest {
+    /** A relay that knows destination 1 of a kind, with endpoint 11 in zone 0 and endpoint 12 in zone 1. */
     private static ScriptedRelay twoEndpointRelay(int kind, int slots, boolean copies) {
         ScriptedRelay relay = new ScriptedRelay(testSettings(slots, copies, 2));
-        relay.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, kind, 1, 50), endpoint(12, 1, kind, 1, 50))));
+        relay.turn(new Listed(ListKind.WHOLE,
+            List.of(endpoint(11, 0, kind, 1, 50), endpoint(12, 1, kind, 1, 50))));
         return relay;
     }
 
@@ -22,47 +27,61 @@
         relay.warmUp(20, 1);
         Send first = sends(relay.turn(relay.message(0, 1))).get(0);
         List<Send> copies = sends(relay.advance(90 * MS));
-        assertTrue(copies.isEmpty(), "no copy before nine in ten answers would have come");
+        assertTrue(copies.isEmpty(), "no copy before nine in ten answers have usually arrived");
         copies = sends(relay.advance(60 * MS));
         assertEquals(1, copies.size());
         assertEquals(first.id(), copies.get(0).id());
         assertNotEquals(first.endpoint(), copies.get(0).endpoint());
         List<Action> after = relay.turn(attemptEnded(copies.get(0), 1, Outcome.OK));
-        assertEquals(List.of(new Cancel(first.id(), 0)), after.stream().filter(Cancel.class::isInstance).toList());
+        assertEquals(List.of(new Cancel(first.id(), 0)),
+            after.stream().filter(Cancel.class::isInstance).toList());
     }
 
+    /** A message that is recovered after a restart, with the attempts made before. */
     private static Event recoveredMessage(ScriptedRelay relay, int messageClass, Earlier... earlier) {
-        return new Accepted("r", messageClass, 0, null, relay.message(messageClass, 1).deadline(), 1, true, List.of(earlier));
+        return new Accepted("r", messageClass, 0, null, relay.message(messageClass, 1).deadline(), 1,
+            true, List.of(earlier));
     }
 
+    /** An attempt made in a zone so many microseconds ago. */
     private static Earlier earlierAttempt(ScriptedRelay relay, long ago, int zone, boolean mayHaveRun) {
         return new Earlier(relay.now - ago, zone, mayHaveRun);
     }
 
+    /** The first actions of a new module for a recovered message. */
     private static List<Action> turnWithRecoveredMessage(int messageClass, Earlier... earlier) {
         ScriptedRelay relay = twoEndpointRelay(1, 8, false);
         return relay.control.turn(relay.now, List.of(recoveredMessage(relay, messageClass, earlier)));
     }
 
-    /** Guards against double effects after a restart: the module knows the attempts made before it. */
+    /** A module that did not know the attempts made before a restart could cause double effects. */
     @Test
     void recoveredMessagesKeepTheirEarlierAttempts() {
         ScriptedRelay relay = new ScriptedRelay(testSettings(8, false, 2));
-        Earlier mayHaveRun = earlierAttempt(relay, SECOND, 0, true), beforeWindow = earlierAttempt(relay, 10 * SECOND, 0, true);
+        Earlier mayHaveRun = earlierAttempt(relay, SECOND, 0, true);
+        Earlier beforeWindow = earlierAttempt(relay, 10 * SECOND, 0, true);
         Earlier neverRan = earlierAttempt(relay, SECOND, 0, false);
-        assertEquals(1, count(turnWithRecoveredMessage(2, mayHaveRun), Fail.class), "unsafe and may have run");
-        assertEquals(1, sends(turnWithRecoveredMessage(2, neverRan)).size(), "unsafe and never ran");
-        assertEquals(1, sends(turnWithRecoveredMessage(1, mayHaveRun)).size(), "keyed, inside the window");
-        assertTrue(sends(turnWithRecoveredMessage(1, mayHaveRun, beforeWindow)).isEmpty(), "the window counts from the earliest");
-        Earlier[] eightAttempts = {neverRan, neverRan, neverRan, neverRan, neverRan, neverRan, neverRan, neverRan};
-        assertEquals(1, count(turnWithRecoveredMessage(0, eightAttempts), Refuse.class), "all attempts made");
-    }
-
-    /** Guards what a restart finds untried: it goes before what comes in, and what is out of time first goes first. */
+        assertEquals(1, count(turnWithRecoveredMessage(2, mayHaveRun), Fail.class), "unsafe, may have run");
+        assertEquals(1, sends(turnWithRecoveredMessage(2, neverRan)).size(), "unsafe, never ran");
+        assertEquals(1, sends(turnWithRecoveredMessage(1, mayHaveRun)).size(),
+            "keyed, inside the deduplication window");
+        assertTrue(sends(turnWithRecoveredMessage(1, mayHaveRun, beforeWindow)).isEmpty(),
+            "the deduplication window begins with the earliest attempt");
+        Earlier[] eightAttempts =
+            {neverRan, neverRan, neverRan, neverRan, neverRan, neverRan, neverRan, neverRan};
+        assertEquals(1, count(turnWithRecoveredMessage(0, eightAttempts), Refuse.class),
+            "all attempts used up");
+    }
+
+    /**
+     * Messages recovered without an attempt could expire behind new ones. They are sent before new messages,
+     * the one with the earliest deadline first.
+     */
     @Test
     void recoveredUntriedMessagesAreSentBeforeNewOnes() {
         ScriptedRelay relay = twoEndpointRelay(1, 1, false);
-        long soon = relay.now + 2 * SECOND, later = relay.now + 3 * SECOND;
+        long soon = relay.now + 2 * SECOND;
+        long later = relay.now + 3 * SECOND;
         Event late = new Accepted("late", 1, 0, null, later, 1, true, List.of());
         Event first = new Accepted("first", 1, 0, null, soon, 1, true, List.of());
         List<String> order = new ArrayList<>();
@@ -76,7 +95,7 @@
         assertEquals(List.of("first", "late"), order.subList(0, 2));
     }
 
-    /** Guards the same against a full hold: what waits otherwise is given back, newcomers first. */
+    /** A relay that holds its limit of messages refuses others before those recovered without an attempt. */
     @Test
     void recoveredUntriedMessagesAreNotShedWhenTheRelayIsFull() {
         ScriptedRelay relay = new ScriptedRelay(testSettings(1, false, 2, 8, 4));
@@ -89,10 +108,10 @@
         events.add(fresh);
         List<Action> actions = relay.turn(events);
         assertEquals(List.of(fresh.id()), actions.stream().filter(Refuse.class::isInstance)
-            .map(a -> ((Refuse) a).id()).toList());
+            .map(action -> ((Refuse) action).id()).toList());
     }
 
-    /** Guards a tenant's share: what it handed in before a restart counted against it then. */
+    /** Messages from before a restart were charged to their tenant's share when they were first accepted. */
     @Test
     void recoveredMessagesAreNotChargedToTheirTenantAgain() {
         ScriptedRelay relay = twoEndpointRelay(1, 8, false);
@@ -101,31 +120,35 @@
             events.add(new Accepted("r" + i, 1, 0, null, relay.now + 3 * SECOND, 2, true, List.of()));
         }
         relay.turn(events);
-        // Inside its share the first is worth twice the other, past it less than half; the other has no share.
+        // "inside" is worth twice as much as "other" inside its tenant's share, and less than half as much
+        // over it. The tenant of "other" has no quota.
         Accepted inside = relay.message(0, 1);
         Accepted other = new Accepted("other", 1, 1, null, relay.now + 16 * SECOND, 1);
         assertEquals(inside.id(), sends(relay.turn(other, inside)).get(0).id());
     }
 
+    /** The same settings with these tenants, each with a quota of 50 messages a second. */
     private static Settings withTenants(Settings settings, String... names) {
         List<Tenant> tenants = java.util.Arrays.stream(names).map(name -> new Tenant(name, 50)).toList();
-        return new Settings(settings.rank(), settings.relays(), settings.zone(), settings.halvingLate(), settings.overShareWorth(), settings.weights(), settings.classes(),
-            tenants, settings.kinds(), settings.allowed(), settings.rules(), settings.prices());
+        return new Settings(settings.rank(), settings.relays(), settings.zone(), settings.halvingLate(),
+            settings.overShareWorth(), settings.weights(), settings.classes(), tenants, settings.kinds(),
+            settings.allowed(), settings.rules(), settings.prices());
     }
 
-    /** Guards a tenant's share at a reload: what it has used is its own, whatever its place in the file. */
+    /** A reload of the settings may reorder the tenants; used quota follows the name, not the index. */
     @Test
     void reorderingTenantsInTheSettingsKeepsTheUsageOfEach() {
-        Settings set = testSettings(8, false, 2);
-        ScriptedRelay relay = new ScriptedRelay(withTenants(set, "busy", "calm"));
+        Settings settings = testSettings(8, false, 2);
+        ScriptedRelay relay = new ScriptedRelay(withTenants(settings, "busy", "calm"));
         relay.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50), endpoint(12, 1, 1, 2, 50))));
         List<Event> events = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             events.add(relay.message(1, 2));
         }
         relay.turn(events);
-        relay.turn(new Retuned(withTenants(set, "calm", "busy")));
-        // The first is of "calm" now, inside its share and worth twice the other, which has no share.
+        relay.turn(new Retuned(withTenants(settings, "calm", "busy")));
+        // "inside" is of tenant "calm" now and inside its share, so it is worth twice as much as "other". The
+        // tenant of "other" has no quota.
         Accepted other = new Accepted("other", 1, 2, null, relay.now + 16 * SECOND, 1);
         Accepted inside = relay.message(0, 1);
         assertEquals(inside.id(), sends(relay.turn(other, inside)).get(0).id());
@@ -140,19 +163,20 @@
         }
     }
 
-    /** Guards the rule on drains at a start: nothing goes out by an old list while a newer one may still come. */
+    /** Endpoints of a list stored before the start may be draining by now; a newer one is awaited for 1 s. */
     @Test
     void storedListIsNotUsedUntilDiscoveryAnswersOrAShortTimeHasPassed() {
         ScriptedRelay relay = twoEndpointRelay(0, 8, false);
         relay.turn(new ListAsked());
         assertTrue(sends(relay.turn(relay.message(0, 1))).isEmpty());
         assertTrue(sends(relay.advance(900 * MS)).isEmpty());
-        Endpoint drains = new Endpoint(11, 0, 0, 1, Listing.DRAINING, 50);
-        assertEquals(12, sends(relay.turn(new Listed(ListKind.CHANGES, List.of(drains)))).get(0).endpoint());
-        ScriptedRelay silent = twoEndpointRelay(0, 8, false);
-        silent.turn(new ListAsked());
-        silent.turn(silent.message(0, 1));
-        assertEquals(1, sends(silent.advance(1_100 * MS)).size());
+        Endpoint draining = new Endpoint(11, 0, 0, 1, Listing.DRAINING, 50);
+        assertEquals(12,
+            sends(relay.turn(new Listed(ListKind.CHANGES, List.of(draining)))).get(0).endpoint());
+        ScriptedRelay withoutAnswer = twoEndpointRelay(0, 8, false);
+        withoutAnswer.turn(new ListAsked());
+        withoutAnswer.turn(withoutAnswer.message(0, 1));
+        assertEquals(1, sends(withoutAnswer.advance(1_100 * MS)).size());
         ScriptedRelay unchanged = twoEndpointRelay(0, 8, false);
         unchanged.turn(new ListAsked());
         unchanged.turn(unchanged.message(0, 1));
@@ -191,7 +215,8 @@
     @Test
     void windowStartsAtOneGrowsToThreeQuartersOfTheSlotsAndCountsCopies() {
         ScriptedRelay relay = twoEndpointRelay(0, 8, true);
-        assertEquals(1, sends(relay.turn(relay.message(1, 1), relay.message(1, 1), relay.message(1, 1))).size());
+        assertEquals(1,
+            sends(relay.turn(relay.message(1, 1), relay.message(1, 1), relay.message(1, 1))).size());
         ScriptedRelay warm = twoEndpointRelay(0, 8, true);
         warm.warmUp(20, 1);
         List<Event> many = new ArrayList<>();
@@ -199,7 +224,7 @@
             many.add(warm.message(1, 1));
         }
         assertEquals(6, sends(warm.turn(many)).size(), "three quarters of eight slots");
-        assertTrue(sends(warm.advance(150 * MS)).isEmpty(), "no copy beyond the window");
+        assertTrue(sends(warm.advance(150 * MS)).isEmpty(), "no copy over the window");
     }
 
     @Test
@@ -222,7 +247,7 @@
         relay.warmUp(20, 1);
         Send first = sends(relay.turn(relay.message(0, 1), relay.message(0, 1))).get(0);
         for (Send send : sends(relay.advance(300 * MS))) {
-            assertNotEquals(first.id(), send.id(), "a copy went out while a message waited");
+            assertNotEquals(first.id(), send.id(), "a copy was sent while a message was waiting");
         }
     }
 
@@ -282,7 +307,7 @@
         assertEquals(List.of(one.id()), sent.stream().map(Send::id).toList());
         List<Action> end = relay.turn(attemptEnded(sent.get(0), 0, Outcome.TIMEOUT));
         assertEquals(1, count(end, Fail.class));
-        assertTrue(sends(end).isEmpty(), "the key rests");
+        assertTrue(sends(end).isEmpty(), "the key is paused");
         assertEquals(List.of(two.id()), sends(relay.advance(3 * SECOND)).stream().map(Send::id).toList());
     }
 
@@ -294,17 +319,21 @@
         relay.turn(new Listed(ListKind.WHOLE, List.of()));
         assertTrue(sends(relay.turn(relay.message(1, 1))).isEmpty());
         List<Action> end = relay.advance(17 * SECOND);
-        assertEquals(2, count(end, Fail.class) + count(end, Refuse.class), "both end in time with nowhere to go");
+        assertEquals(2, count(end, Fail.class) + count(end, Refuse.class),
+            "both end by their deadlines without an endpoint");
     }
 
     @Test
     void messagesOfOneCallShareOneSlot() {
         ScriptedRelay relay = twoEndpointRelay(2, 1, false);
         ScriptedRelay singleMessageCalls = twoEndpointRelay(1, 1, false);
-        assertEquals(3, sends(relay.turn(relay.message(1, 1), relay.message(1, 1), relay.message(1, 1))).size());
-        assertEquals(1, sends(singleMessageCalls.turn(singleMessageCalls.message(1, 1), singleMessageCalls.message(1, 1))).size());
+        assertEquals(3,
+            sends(relay.turn(relay.message(1, 1), relay.message(1, 1), relay.message(1, 1))).size());
+        assertEquals(1, sends(singleMessageCalls.turn(singleMessageCalls.message(1, 1),
+            singleMessageCalls.message(1, 1))).size());
     }
 
+    /** Hands in so many messages, which go out in one call; the events of their attempts' end. */
     private static List<Event> sendAsOneCall(ScriptedRelay relay, int messages, Outcome outcome) {
         List<Event> all = new ArrayList<>();
         for (int i = 0; i < messages; i++) {
@@ -318,7 +347,7 @@
         return ended;
     }
 
-    /** Guards against one refused call that shuts the window as many would: its messages share one fate. */
+    /** All messages of a refused call end with the same outcome, which must count once only. */
     @Test
     void refusedCallWithSeveralMessagesHalvesTheWindowOnce() {
         ScriptedRelay relay = new ScriptedRelay(testSettings(8, false, 2));
@@ -329,7 +358,7 @@
         for (int i = 0; i < 300 && again.isEmpty(); i++) {
             again = sends(relay.advance(10 * MS));
         }
-        assertEquals(6, again.size(), "all six go out again, as one call");
+        assertEquals(6, again.size(), "all six are sent again in one call");
         int calls = 1;
         for (int i = 0; i < 5; i++) {
             calls += sends(relay.advance(15 * MS)).size() + sends(relay.turn(relay.message(1, 1))).size();
@@ -337,7 +366,7 @@
         assertEquals(3, calls, "half of a window of six");
     }
 
-    /** Changes of health beyond a suspicion. */
+    /** The number of times an endpoint went out or into slow start; a suspected failure does not count. */
     private static long countOutages(List<Action> actions) {
         return actions.stream().filter(action -> action instanceof HealthChanged changed
             && changed.health() != Health.GOOD && changed.reason() != HealthReason.SUSPECTED).count();
@@ -353,32 +382,44 @@
         assertEquals(0, countOutages(relay.turn(ended)), "no outage after a single failed call");
     }
 
+    /** See {@link #relayWithoutListedLimit(int, int, long)}; with seed 1. */
     private static ScriptedRelay relayWithoutListedLimit(int relays, int kind) {
         return relayWithoutListedLimit(relays, kind, 1);
     }
 
+    /** One of so many relays; it knows destination 1 of a kind, with endpoint 11 and no listed limit. */
     private static ScriptedRelay relayWithoutListedLimit(int relays, int kind, long seed) {
         Settings settings = testSettings(8, false, relays);
-        ScriptedRelay relay = new ScriptedRelay(new Settings(settings.rank(), settings.relays(), settings.zone(), settings.halvingLate(), settings.overShareWorth(),
-            Weights.NONE, settings.classes(), settings.tenants(), settings.kinds(), settings.allowed(), settings.rules(), settings.prices()), seed);
+        ScriptedRelay relay = new ScriptedRelay(new Settings(settings.rank(), settings.relays(),
+            settings.zone(), settings.halvingLate(), settings.overShareWorth(), Weights.NONE,
+            settings.classes(), settings.tenants(), settings.kinds(), settings.allowed(), settings.rules(),
+            settings.prices()), seed);
         relay.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, kind, 1, 1))));
         return relay;
     }
 
+    /** Calls made, refused calls among them, and messages delivered. */
     private record CallCounts(int calls, int refused, int delivered) { }
 
-    /** For 40 s eight messages come in a second; the destination takes two calls, and an answer takes 20 ms. */
+    /**
+     * Hands in eight messages a second for 40 s. The destination accepts two calls a second and answers after
+     * 20 ms.
+     */
     private static CallCounts runAgainstSharedLimit(ScriptedRelay relay) {
         List<Long> admitted = new ArrayList<>();
+        // The answers to the calls of each step of 5 ms; they arrive four steps later.
         List<List<Event>> answers = new ArrayList<>();
-        int calls = 0, refused = 0, delivered = 0;
+        int calls = 0;
+        int refused = 0;
+        int delivered = 0;
         for (int step = 0; step < 8_000; step++) {
             relay.now += 5 * MS;
             List<Event> events = new ArrayList<>(step < 4 ? List.of() : answers.get(step - 4));
             if (step % 25 == 0) {
                 events.add(relay.message(1, 1));
             }
-            List<Send> call = events.isEmpty() && relay.wakeAt > relay.now ? List.of() : sends(relay.turn(events));
+            List<Send> call = events.isEmpty() && relay.wakeAt > relay.now
+                ? List.of() : sends(relay.turn(events));
             List<Event> ended = new ArrayList<>();
             if (!call.isEmpty()) {
                 admitted.removeIf(at -> at <= relay.now - SECOND);
@@ -399,31 +440,35 @@
         return new CallCounts(calls, refused, delivered);
     }
 
-    /** Guards a limit shared with other relays: where no rate is listed, refusals teach one, and bundles fill up. */
+    /**
+     * A relay finds a limit that is not listed from refusals, and then sends fewer calls with more messages
+     * in each.
+     */
     @Test
     void refusalsSetTheSendRateWhereNoLimitIsListed() {
-        CallCounts carried = runAgainstSharedLimit(relayWithoutListedLimit(2, 2));
-        assertTrue(carried.refused * 3 < carried.calls, "refused: " + carried);
-        assertTrue(carried.delivered > 300, "nearly all of 320 delivered: " + carried);
+        CallCounts counts = runAgainstSharedLimit(relayWithoutListedLimit(2, 2));
+        assertTrue(counts.refused * 3 < counts.calls, "refused: " + counts);
+        assertTrue(counts.delivered > 300, "nearly all of 320 delivered: " + counts);
     }
 
-    /** Guards limits that refused calls use up too: a fleet whose relays each run into theirs gets little through. */
+    /** Where refused calls use up the limit too, a fleet whose relays keep exceeding it delivers little. */
     @Test
     void relayOfAFleetSeldomExceedsALimitBelowItsTraffic() {
-        CallCounts carried = runAgainstSharedLimit(relayWithoutListedLimit(14, 0));
-        assertTrue(carried.refused * 7 < carried.calls, "refused: " + carried);
-        assertTrue(carried.delivered > 64, "most of the 80 that the limit lets through: " + carried);
+        CallCounts counts = runAgainstSharedLimit(relayWithoutListedLimit(14, 0));
+        assertTrue(counts.refused * 7 < counts.calls, "refused: " + counts);
+        assertTrue(counts.delivered > 64, "most of the 80 that the limit lets through: " + counts);
     }
 
-    /** Guards a place that a whole fleet meets at the same moment, each relay with its first messages. */
+    /** All relays of a fleet may start to send to a new destination at the same time. */
     @Test
     void fleetSharesTheInitialSendRateToANewDestination() {
-        assertEquals(12, countCallsInOneSecond(relayWithoutListedLimit(1, 0)), "a relay alone sends as they come");
+        assertEquals(12, countCallsInOneSecond(relayWithoutListedLimit(1, 0)),
+            "a single relay sends each message at once");
         int shared = countCallsInOneSecond(relayWithoutListedLimit(14, 0));
-        assertTrue(shared <= 8, "one of many waits for what it learns: " + shared);
+        assertTrue(shared <= 8, "one of many relays starts slowly: " + shared);
     }
 
-    /** Guards a place that a hundred relays meet at once: the first call of each would use its limit up for seconds. */
+    /** If a hundred relays made their first calls at once, they would use up a limit for seconds. */
     @Test
     void firstCallsOfAFleetAreSpreadOverTime() {
         int calls = 0;
@@ -434,7 +479,7 @@
         assertTrue(calls <= 20, "calls of a hundred relays in a tenth of a second: " + calls);
     }
 
-    /** Guards partners of relays that come back together, each with what its clients hand in again at once. */
+    /** When relays restart, clients resubmit their messages at once; this burst is not the usual rate. */
     @Test
     void backlogAtTheStartDoesNotRaiseTheInitialSendRate() {
         ScriptedRelay relay = relayWithoutListedLimit(14, 0);
@@ -442,19 +487,19 @@
         for (int i = 0; i < 40; i++) {
             backlog.add(relay.message(1, 1));
         }
-        List<Send> out = sends(relay.turn(backlog));
+        List<Send> sent = sends(relay.turn(backlog));
         int calls = 0;
         for (long end = relay.now + SECOND; relay.now < end;) {
-            calls += out.size();
+            calls += sent.size();
             List<Event> answers = new ArrayList<>();
-            out.forEach(send -> answers.add(attemptEnded(send, 0, Outcome.OK)));
-            out = new ArrayList<>(answers.isEmpty() ? List.of() : sends(relay.turn(answers)));
-            out.addAll(sends(relay.advance(20 * MS)));
+            sent.forEach(send -> answers.add(attemptEnded(send, 0, Outcome.OK)));
+            sent = new ArrayList<>(answers.isEmpty() ? List.of() : sends(relay.turn(answers)));
+            sent.addAll(sends(relay.advance(20 * MS)));
         }
         assertTrue(calls > 1 && calls <= 9, "calls in the first second: " + calls);
     }
 
-    /** Guards a busy place: what no refusal has spoken against is not held to the starting pace. */
+    /** A busy destination must not be held to the initial send rate while it refuses nothing. */
     @Test
     void destinationThatRefusesNothingIsNotHeldToTheInitialSendRate() {
         ScriptedRelay relay = relayWithoutListedLimit(14, 0);
@@ -465,7 +510,7 @@
         assertTrue(calls >= 12, "calls in the sixth second of twelve messages each: " + calls);
     }
 
-    /** A relay alone, and its only partner that was out and has just answered a trial. */
+    /** A single relay whose only endpoint was out, has just answered a probe and is in slow start. */
     private static ScriptedRelay relayWithReturningDestination() {
         ScriptedRelay relay = relayWithoutListedLimit(1, 0);
         relay.warmUp(20, 1);
@@ -478,25 +523,25 @@
                 sent.addAll(sends(relay.advance(10 * MS)));
             }
         }
-        assertEquals(1, relay.control.unavailable(), "out");
+        assertEquals(1, relay.control.unavailable(), "the endpoint is out");
         relay.turn(attemptEnded(sent.get(0), 4, Outcome.OK));
-        assertEquals(0, relay.control.unavailable(), "returning");
+        assertEquals(0, relay.control.unavailable(), "the endpoint is returning");
         return relay;
     }
 
-    /** Guards a ramp too slow: a partner that answers again is not held to the few calls of a failing one. */
+    /** A destination that answers again must not be held to the few calls in flight of a failing one. */
     @Test
     void returningDestinationHasMoreCallsInFlightThanAFailingOne() {
         ScriptedRelay relay = relayWithReturningDestination();
-        List<Send> out = new ArrayList<>();
+        List<Send> inFlight = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            out.addAll(sends(relay.turn(relay.message(1, 1))));
+            inFlight.addAll(sends(relay.turn(relay.message(1, 1))));
         }
-        out.addAll(sends(relay.advance(SECOND)));
-        assertTrue(out.size() >= 4, "calls out while it returns: " + out.size());
+        inFlight.addAll(sends(relay.advance(SECOND)));
+        assertTrue(inFlight.size() >= 4, "calls in flight during its slow start: " + inFlight.size());
     }
 
-    /** Guards a partner that was cold: what it refused then is not learned as its limit for when it is warm. */
+    /** What a cold destination refuses must not be taken for its limit once it is warm. */
     @Test
     void refusalByAColdDestinationSetsNoLimit() {
         ScriptedRelay relay = relayWithReturningDestination();
@@ -509,7 +554,7 @@
         assertTrue(calls >= 20, "of 24 messages in two seconds once it is warm: " + calls);
     }
 
-    /** Calls that are all answered, of twelve messages in a second. */
+    /** Hands in twelve messages in a second, answers all calls, and returns their number. */
     private static int countCallsInOneSecond(ScriptedRelay relay) {
         int calls = 0;
         for (int i = 0; i < 12; i++) {
@@ -523,10 +568,11 @@
         return calls;
     }
 
-    /** Guards a partner that was shut for a while: few calls are made then, which says nothing of its limit. */
+    /** While a destination refuses all calls, few are made; their rate must not be taken for its limit. */
     @Test
     void limitMetWhileADestinationRefusesAllCallsDoesNotThrottleItLater() {
         ScriptedRelay relay = relayWithoutListedLimit(2, 0);
+        // The answers to the calls of each step of 5 ms; they arrive four steps later.
         List<List<Event>> answers = new ArrayList<>();
         int delivered = 0;
         for (int step = 0; step < 4_800; step++) {
@@ -537,7 +583,8 @@
             }
             boolean refusing = step >= 1_200 && step < 2_000;
             List<Event> ended = new ArrayList<>();
-            for (Send send : events.isEmpty() && relay.wakeAt > relay.now ? List.<Send>of() : sends(relay.turn(events))) {
+            for (Send send : events.isEmpty() && relay.wakeAt > relay.now
+                ? List.<Send>of() : sends(relay.turn(events))) {
                 delivered += refusing ? 0 : 1;
                 ended.add(attemptEnded(send, relay.checker.messages.get(send.id()).sends.size() - 1,
                     refusing ? Outcome.FULL : Outcome.OK));
@@ -558,7 +605,7 @@
         assertEquals(1, count(relay.turn(attemptEnded(again.get(0), 1, Outcome.FULL)), Refuse.class));
     }
 
-    /** Guards a destination that is well, and a message's attempts, against this machine's own trouble. */
+    /** A lack of sockets on the relay's machine must not use up attempts or count against the endpoint. */
     @Test
     void shortLackOfSocketsUsesUpNoAttempt() {
         ScriptedRelay relay = new ScriptedRelay(testSettings(8, false, 1, 3, 200));
@@ -568,15 +615,15 @@
         List<Send> sent = sends(relay.turn(message));
         for (int i = 0; i < 5; i++) {
             List<Action> after = relay.turn(attemptEnded(sent.get(0), i, Outcome.NO_SOCKET));
-            assertTrue(sends(after).isEmpty(), "not again at once");
+            assertTrue(sends(after).isEmpty(), "not retried at once");
             sent = sends(relay.advance(SECOND));
-            assertEquals(1, sent.size(), "again after a moment, try " + i);
+            assertEquals(1, sent.size(), "retried after a backoff, try " + i);
         }
         assertEquals(0, relay.control.unavailable(), "the endpoint is not to blame");
         relay.turn(attemptEnded(sent.get(0), 5, Outcome.OK));
     }
 
-    /** Guards the others: a route for which there is never a socket fails in the end. */
+    /** An endpoint for which there is never a socket must go out in the end, so that others are used. */
     @Test
     void endpointGoesOutAfterALongLackOfSockets() {
         ScriptedRelay relay = new ScriptedRelay(testSettings(8, false, 1, 3, 200));
@@ -589,7 +636,7 @@
         assertEquals(1, relay.control.unavailable());
     }
 
-    /** Guards what was taken on while nothing can be written down: it waits, and goes out as soon as that can be. */
+    /** While the journal cannot be written, accepted messages wait; they are sent as soon as it can be. */
     @Test
     void nothingIsSentWhileAttemptsCannotBeJournaled() {
         ScriptedRelay relay = new ScriptedRelay(testSettings(8, false, 1, 1, 200));
@@ -597,40 +644,46 @@
         Accepted message = relay.message(2, 1);
         List<Send> sent = sends(relay.turn(message));
         assertEquals(1, sent.size());
-        assertTrue(relay.turn(new Storage(false), attemptEnded(sent.get(0), 0, Outcome.NOT_JOURNALED)).stream()
-            .noneMatch(a -> a instanceof Send || a instanceof Refuse || a instanceof Fail));
+        assertTrue(relay.turn(
+            new Storage(false), attemptEnded(sent.get(0), 0, Outcome.NOT_JOURNALED)).stream()
+            .noneMatch(action ->
+                action instanceof Send || action instanceof Refuse || action instanceof Fail));
         assertTrue(sends(relay.advance(2 * SECOND)).isEmpty());
-        assertEquals(1, sends(relay.turn(new Storage(true))).size(), "its only attempt is still to be made");
+        assertEquals(1, sends(relay.turn(new Storage(true))).size(), "its only attempt was not used up");
     }
 
-    /** Guards against clients that come back to a closed door: a refusal tells when the told wait is over. */
+    /** Clients must not resubmit a refused message before the destination's wait is over. */
     @Test
     void refusalCarriesTheRemainingWaitAsRetryAfter() {
         ScriptedRelay relay = new ScriptedRelay(testSettings(8, true, 2, 1, 200));
         relay.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50))));
         Send send = sends(relay.turn(relay.message(1, 1))).get(0);
-        for (Action a : relay.turn(attemptEnded(send, 0, Outcome.FULL, 700 * MS))) {
-            if (a instanceof Refuse refusal) {
-                assertTrue(refusal.retryAfter() >= 700 * MS && refusal.retryAfter() <= 3 * SECOND, "" + refusal);
+        for (Action action : relay.turn(attemptEnded(send, 0, Outcome.FULL, 700 * MS))) {
+            if (action instanceof Refuse refusal) {
+                assertTrue(refusal.retryAfter() >= 700 * MS && refusal.retryAfter() <= 3 * SECOND,
+                    "" + refusal);
                 return;
             }
         }
-        fail("not refused");
+        fail("the message was not refused");
     }
 
     @Test
     void fullRelayRefusesTheMessageWithTheLeastRemainingWorth() {
         ScriptedRelay relay = new ScriptedRelay(testSettings(1, true, 2, 8, 5));
-        List<Event> five = new ArrayList<>();
+        List<Event> messages = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            five.add(relay.message(i == 2 ? 1 : 0, 9));
+            messages.add(relay.message(i == 2 ? 1 : 0, 9));
         }
-        List<Action> actions = relay.turn(five);
-        assertEquals(List.of(((Accepted) five.get(2)).id()),
-            actions.stream().filter(Refuse.class::isInstance).map(a -> ((Refuse) a).id()).toList());
+        List<Action> actions = relay.turn(messages);
+        assertEquals(List.of(((Accepted) messages.get(2)).id()),
+            actions.stream().filter(Refuse.class::isInstance).map(action -> ((Refuse) action).id()).toList());
     }
 
-    /** Guards against a refusal that the same turn makes needless, and a second end of a message that it ends. */
+    /**
+     * A later event of the same turn may make room, or may end the very message that would be refused; it
+     * must not get a second final answer.
+     */
     @Test
     void fullRelayRefusesNothingIfTheSameTurnMakesRoom() {
         ScriptedRelay relay = new ScriptedRelay(testSettings(1, true, 2, 8, 5));
@@ -640,50 +693,53 @@
         assertEquals(1, count(relay.turn(relay.message(0, 9)), Refuse.class));
     }
 
-    /** Found on merkez-atolye: one failing zone sent the whole of a shared destination to trials. */
+    /** A failing endpoint in one zone once reduced its whole destination to single probes. */
     @Test
     void failingEndpointDoesNotStopItsSibling() {
         ScriptedRelay relay = twoEndpointRelay(0, 8, true);
         relay.warmUp(20, 1);
         int served = 0;
-        List<Send> out = new ArrayList<>();
+        List<Send> inFlight = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            out.addAll(sends(relay.turn(relay.message(0, 1))));
-            while (!out.isEmpty()) {
-                Send send = out.remove(0);
+            inFlight.addAll(sends(relay.turn(relay.message(0, 1))));
+            while (!inFlight.isEmpty()) {
+                Send send = inFlight.remove(0);
                 relay.now += 20 * MS;
                 served += send.endpoint() == 12 ? 1 : 0;
-                out.addAll(sends(relay.turn(attemptEnded(send, relay.checker.messages.get(send.id()).sends.size() - 1,
+                inFlight.addAll(sends(relay.turn(attemptEnded(send,
+                    relay.checker.messages.get(send.id()).sends.size() - 1,
                     send.endpoint() == 12 ? Outcome.OK : Outcome.ERROR))));
             }
-            out.addAll(sends(relay.advance(100 * MS)));
+            inFlight.addAll(sends(relay.advance(100 * MS)));
         }
-        assertTrue(served > 40, "served by the sound sibling: " + served);
+        assertTrue(served > 40, "answered by the healthy sibling: " + served);
     }
 
-    /** Found in i62d03c: places that take calls and answer none held the slots until their time-outs. */
+    /** Destinations that accept calls and answer none once held all slots until the calls timed out. */
     @Test
     void unresponsiveDestinationsLeaveSlotsToOthers() {
         ScriptedRelay relay = new ScriptedRelay(testSettings(8, true, 1));
-        List<Endpoint> items = new ArrayList<>();
-        for (int d = 1; d <= 9; d++) {
-            items.add(endpoint(10 + d, 0, 1, d, 50));
+        List<Endpoint> endpoints = new ArrayList<>();
+        for (int destination = 1; destination <= 9; destination++) {
+            endpoints.add(endpoint(10 + destination, 0, 1, destination, 50));
         }
-        relay.turn(new Listed(ListKind.WHOLE, items));
-        for (int d = 1; d <= 9; d++) {
-            relay.warmUp(12, d);
+        relay.turn(new Listed(ListKind.WHOLE, endpoints));
+        for (int destination = 1; destination <= 9; destination++) {
+            relay.warmUp(12, destination);
         }
+        // Destinations 1 to 3 get messages and answer none of them.
         for (int i = 0; i < 6; i++) {
-            for (int d = 1; d <= 3; d++) {
-                relay.turn(relay.message(1, d));
+            for (int destination = 1; destination <= 3; destination++) {
+                relay.turn(relay.message(1, destination));
             }
             relay.advance(150 * MS);
         }
         relay.advance(SECOND);
-        assertEquals(1, sends(relay.turn(relay.message(1, 9))).size(), "a slot is left for the sound destination");
+        assertEquals(1, sends(relay.turn(relay.message(1, 9))).size(),
+            "a slot is left for the healthy destination");
     }
 
-    /** Found on thu-duc big-1: a limit shared with other relays was taken for an outage. */
+    /** Refusals by a limit that is shared with other relays were once taken for an outage. */
     @Test
     void refusalsAboveALimitAreNotAnOutage() {
         ScriptedRelay relay = twoEndpointRelay(1, 8, true);
@@ -691,14 +747,15 @@
         List<Action> all = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
             for (Send send : sends(relay.turn(relay.message(2, 1)))) {
-                all.addAll(relay.turn(attemptEnded(send, 0, i % 3 == 0 ? Outcome.OK : Outcome.FULL, i % 3 == 0 ? 0 : 300 * MS)));
+                all.addAll(relay.turn(attemptEnded(send, 0, i % 3 == 0 ? Outcome.OK : Outcome.FULL,
+                    i % 3 == 0 ? 0 : 300 * MS)));
             }
             all.addAll(relay.advance(400 * MS));
         }
-        assertEquals(0, countOutages(all), "no outage was judged");
+        assertEquals(0, countOutages(all), "no endpoint went out");
     }
 
-    /** Found in ic0f6d2: single resets among answers were taken for outages. */
+    /** Single connection resets among answered calls were once taken for outages. */
     @Test
     void scatteredFailuresAreNotAnOutage() {
         ScriptedRelay relay = twoEndpointRelay(1, 8, true);
@@ -715,21 +772,25 @@
         assertTrue(sent > 90, "sent " + sent);
     }
 
+    /**
+     * The endpoint fails for 10 s and then returns cold; the rule checker holds the relay to its part of the
+     * budget for the warm-up of 10 s.
+     */
     @Test
     void returningEndpointGetsNoMoreThanThisRelaysShareOfItsCapacity() {
         ScriptedRelay relay = new ScriptedRelay(testSettings(40, true, 2, 8, 400));
         relay.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 20))));
         relay.warmUp(30, 1);
-        List<Send> out = new ArrayList<>();
+        List<Send> inFlight = new ArrayList<>();
         long end = relay.now + 30 * SECOND;
         long returnAt = relay.now + 10 * SECOND;
         int answeredWhenWarm = 0;
         boolean outageDeclared = false;
         while (relay.now < end) {
-            out.addAll(sends(relay.turn(relay.message(1, 1))));
-            out.addAll(sends(relay.advance(100 * MS)));
-            List<Send> toAnswer = new ArrayList<>(out);
-            out.clear();
+            inFlight.addAll(sends(relay.turn(relay.message(1, 1))));
+            inFlight.addAll(sends(relay.advance(100 * MS)));
+            List<Send> toAnswer = new ArrayList<>(inFlight);
+            inFlight.clear();
             for (Send send : toAnswer) {
                 Outcome outcome = relay.now < returnAt ? Outcome.ERROR : Outcome.OK;
                 if (relay.now > returnAt + 10 * SECOND) {
@@ -739,13 +800,17 @@
                     outageDeclared = true;
                 }
                 int attempt = relay.checker.messages.get(send.id()).sends.size() - 1;
-                out.addAll(sends(relay.turn(attemptEnded(send, attempt, outcome))));
+                inFlight.addAll(sends(relay.turn(attemptEnded(send, attempt, outcome))));
             }
         }
-        assertTrue(answeredWhenWarm > 100, "full service once warm: " + answeredWhenWarm);
+        assertTrue(answeredWhenWarm > 100, "calls answered once it is warm: " + answeredWhenWarm);
     }
 
-    /** A quiet route sees one failure of an outage; an answer long after it is not taken for health. */
+    /**
+     * An endpoint with little traffic may show a whole outage by a single failure. An answer long after that
+     * failure may come from an endpoint that has just returned cold, so it starts the slow start; an answer
+     * soon after it only clears the suspicion.
+     */
     @Test
     void lateAnswerAfterASuspectedFailureStartsSlowStartAndAQuickOneClearsIt() {
         for (long gap : new long[] {500 * MS, 5 * SECOND}) {
@@ -757,13 +822,15 @@
             relay.turn(attemptEnded(failed, 0, Outcome.ERROR));
             relay.advance(gap);
             Send answered = sends(relay.turn(relay.message(2, 1))).get(0);
-            List<Action> actions = relay.turn(attemptEnded(answered, 0, Outcome.OK), relay.message(0, 1), relay.message(0, 1));
-            assertEquals(gap > SECOND ? 1 : 0, countOutages(actions), "the slow start is on");
+            List<Action> actions = relay.turn(attemptEnded(answered, 0, Outcome.OK),
+                relay.message(0, 1), relay.message(0, 1));
+            assertEquals(gap > SECOND ? 1 : 0, countOutages(actions),
+                "slow start only after the late answer");
             assertEquals(gap > SECOND ? 0 : 2, sends(actions).size());
         }
     }
 
-    /** i80fd1b: endpoints that take few connections were full of idle ones held by hundreds of relays. */
+    /** Endpoints that accept few connections were once filled up with the idle ones of hundreds of relays. */
     @Test
     void idleConnectionsAreClosedWhereConnectsFailAndReuseIsUnlikely() {
         ScriptedRelay relay = new ScriptedRelay(testSettings(8, true, 300));
@@ -772,21 +839,28 @@
         for (int i = 0; i < 6; i++) {
             relay.advance(10 * SECOND);
             Accepted message = relay.message(2, 1);
-            relay.turn(attemptEnded(firstSend(relay, message), 0, Outcome.CONNECT_FAILED), new Withdrawn(message.id()));
+            relay.turn(attemptEnded(firstSend(relay, message), 0, Outcome.CONNECT_FAILED),
+                new Withdrawn(message.id()));
         }
         Send send = firstSend(relay, relay.message(2, 1));
-        assertEquals(1, count(relay.turn(attemptEnded(send, 0, Outcome.OK)), Close.class), "not kept for another relay's harm");
+        assertEquals(1, count(relay.turn(attemptEnded(send, 0, Outcome.OK)), Close.class),
+            "an idle connection would keep other relays out");
     }
 
-    /** Guards handshakes: an outage, in which every connect fails, is no sign of partners that take few connections. */
+    /**
+     * In an outage every connect fails. This must not be taken for endpoints that accept few connections, or
+     * each call would need a handshake.
+     */
     @Test
     void outageDoesNotMakeBusyConnectionsShortLived() {
         ScriptedRelay relay = new ScriptedRelay(testSettings(8, true, 14));
-        relay.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 600), endpoint(12, 0, 1, 2, 600))));
+        relay.turn(new Listed(ListKind.WHOLE,
+            List.of(endpoint(11, 0, 1, 1, 600), endpoint(12, 0, 1, 2, 600))));
         relay.warmUp(20, 2);
         for (int i = 0; i < 20; i++) {
             Accepted message = relay.message(2, 1);
-            relay.turn(attemptEnded(firstSend(relay, message), 0, Outcome.CONNECT_FAILED), new Withdrawn(message.id()));
+            relay.turn(attemptEnded(firstSend(relay, message), 0, Outcome.CONNECT_FAILED),
+                new Withdrawn(message.id()));
         }
         relay.warmUp(20, 2);
         int closed = 0;
@@ -795,10 +869,10 @@
             closed += (int) count(relay.turn(attemptEnded(send, 0, Outcome.OK)), Close.class);
             relay.advance(400 * MS);
         }
-        assertEquals(0, closed, "each is used again in less than half a second");
+        assertEquals(0, closed, "each connection is reused within half a second");
     }
 
-    /** thu-duc-later: a call on a connection idle for long fails where these are dropped unseen. */
+    /** Where idle connections are dropped without notice, a call on one that was idle for long fails. */
     @Test
     void longIdleConnectionsAreClosedAfterAResetOnOneUntilCallsSucceedAgain() {
         ScriptedRelay relay = new ScriptedRelay(testSettings(8, true, 300));
@@ -807,14 +881,17 @@
         relay.advance(4 * SECOND);
         Send lost = sends(relay.turn(relay.message(2, 1))).get(0);
         relay.turn(new Ended(lost.id(), 0, 11, Outcome.RESET, true, 0, 100 * MS, -1, -1));
-        assertEquals(1, countConnectionsClosedAfterPause(relay, 4 * SECOND), "idle for longer than is trusted");
-        assertEquals(0, countConnectionsClosedAfterPause(relay, SECOND), "idle for less");
+        assertEquals(1, countConnectionsClosedAfterPause(relay, 4 * SECOND),
+            "idle for longer than connections are trusted");
+        assertEquals(0, countConnectionsClosedAfterPause(relay, SECOND), "idle for a shorter time");
         for (int i = 0; i < 60; i++) {
             countConnectionsClosedAfterPause(relay, SECOND);
         }
-        assertEquals(0, countConnectionsClosedAfterPause(relay, 3 * SECOND), "trusted again");
+        assertEquals(0, countConnectionsClosedAfterPause(relay, 3 * SECOND),
+            "trusted again after many successful calls");
     }
 
+    /** Hands in a message and returns its first send. */
     private static Send firstSend(ScriptedRelay relay, Accepted message) {
         List<Send> sent = sends(relay.turn(message));
         while (sent.isEmpty() && relay.now < message.deadline()) {
@@ -823,7 +900,7 @@
         return sent.get(0);
     }
 
-    /** Sends and answers one message after a pause; how many connections were closed before the send. */
+    /** Sends and answers a message after a pause; returns how often connections were closed for it. */
     private static long countConnectionsClosedAfterPause(ScriptedRelay relay, long pause) {
         relay.advance(pause);
         List<Action> all = relay.turn(relay.message(2, 1));
@@ -836,27 +913,31 @@
         return closed;
     }
 
-    /** thu-duc-later big-2: a shut destination with several routes was asked by turns, and pushed over. */
+    /**
+     * A destination that refused all calls was once overloaded by retries, as each of its endpoints was tried
+     * in turn without a common backoff.
+     */
     @Test
     void refusalsByEveryEndpointInARowBackOffTheWholeDestination() {
         ScriptedRelay relay = new ScriptedRelay(testSettings(8, false, 300));
         relay.turn(new Listed(ListKind.WHOLE, List.of(endpoint(11, 0, 1, 1, 50), endpoint(12, 0, 1, 1, 50))));
-        List<Send> asked = new ArrayList<>();
-        List<Send> sent = new ArrayList<>(sends(relay.turn(relay.message(2, 1), relay.message(2, 1), relay.message(2, 1))));
+        List<Send> made = new ArrayList<>();
+        List<Send> sent = new ArrayList<>(
+            sends(relay.turn(relay.message(2, 1), relay.message(2, 1), relay.message(2, 1))));
         for (int step = 0; step < 800; step++) {
             relay.now += 10 * MS;
             List<Event> refused = new ArrayList<>();
             for (Send send : sent) {
-                long attempt = asked.stream().filter(o -> o.id().equals(send.id())).count();
+                long attempt = made.stream().filter(earlier -> earlier.id().equals(send.id())).count();
                 refused.add(attemptEnded(send, (int) attempt, Outcome.FULL));
-                asked.add(send);
+                made.add(send);
             }
             sent = sends(relay.turn(refused));
         }
-        assertTrue(asked.size() >= 2 && asked.size() <= 9, "asked " + asked.size() + " times in 8 s");
+        assertTrue(made.size() >= 2 && made.size() <= 9, "made " + made.size() + " calls in 8 s");
     }
 
-    /** i038d82: messages held for a failing destination all went to its replacements, new and cold. */
+    /** All messages waiting for a failing destination were once sent to a new endpoint, which was cold. */
     @Test
     void newEndpointOfAFailingDestinationGetsSingleProbes() {
         ScriptedRelay relay = new ScriptedRelay(testSettings(8, false, 2));
@@ -874,12 +955,13 @@
         }
         long sentToNew = sends(relay.turn(events)).stream().filter(send -> send.endpoint() == 12).count()
             + sends(relay.advance(SECOND)).stream().filter(send -> send.endpoint() == 12).count();
-        assertTrue(sentToNew <= 1, "one trial at a time, sent " + sentToNew);
+        assertTrue(sentToNew <= 1, "one probe at a time, sent " + sentToNew);
     }
 
-    /** The fleet's rule: relays that all saw one refusal of a shut place do not come back in step. */
+    /** Relays that were all refused at the same time must not all retry at the same time. */
     @Test
     void relaysRetryARefusingDestinationSpreadOverTime() {
+        // In tenths of a second.
         List<Long> retryDelays = new ArrayList<>();
         for (int seed = 0; seed < 200; seed++) {
             ScriptedRelay relay = new ScriptedRelay(testSettings(2, false, 200), seed);
@@ -893,11 +975,11 @@
             while (again.isEmpty() && relay.now < start + 14 * SECOND) {
                 again = sends(relay.advance(5 * MS));
             }
-            assertFalse(again.isEmpty(), "it starves");
+            assertFalse(again.isEmpty(), "the message was never retried");
             retryDelays.add((relay.now - start) / (100 * MS));
         }
         for (long delay : retryDelays) {
-            long together = retryDelays.stream().filter(o -> o == delay).count();
+            long together = retryDelays.stream().filter(other -> other == delay).count();
             assertTrue(together <= 60, together + " of 200 in one tenth of a second");
         }
     }
@@ -905,15 +987,17 @@
     @Test
     void unexpectedButLegalEventsAreIgnored() {
         ScriptedRelay relay = twoEndpointRelay(0, 8, true);
-        assertTrue(sends(relay.control.turn(relay.now, List.of(new Ended("x", 0, 11, Outcome.OK, true, 0, 1, -1, -1),
-            new Withdrawn("x"), new Due()))).isEmpty());
+        assertTrue(sends(relay.control.turn(relay.now, List.of(
+            new Ended("x", 0, 11, Outcome.OK, true, 0, 1, -1, -1), new Withdrawn("x"), new Due())))
+            .isEmpty());
         Accepted message = relay.message(0, 1);
         Send send = sends(relay.turn(message)).get(0);
-        List<Action> gone = relay.turn(new Withdrawn(message.id()));
-        assertEquals(1, count(gone, Cancel.class));
+        List<Action> actions = relay.turn(new Withdrawn(message.id()));
+        assertEquals(1, count(actions, Cancel.class));
         relay.turn(new Withdrawn(message.id()));
         assertTrue(relay.turn(new Ended(send.id(), 0, 11, Outcome.CANCELLED, true, 0, 1, -1, -1)).stream()
-            .noneMatch(a -> a instanceof Fail || a instanceof Refuse || a instanceof Send));
+            .noneMatch(action -> action instanceof Fail || action instanceof Refuse
+                || action instanceof Send));
     }
 
     @Test
