--- a/src/test/java/wrenkeel/RandomEventStreamTest.java
+++ b/src/test/java/wrenkeel/RandomEventStreamTest.java
@@ -113,7 +113,7 @@
         relay.turn();
         for (Accepted message : accepted) {
             RuleChecker.TrackedMessage tracked = relay.checker.messages.get(message.id());
-            assertTrue(tracked == null || tracked.finished, "message " + message.id() + " has not ended");
+            assertTrue(tracked == null || tracked.finished, "no end of message " + message.id());
         }
         return actionsSoFar;
     }
--- a/src/test/java/wrenkeel/ReleaseTest.java
+++ b/src/test/java/wrenkeel/ReleaseTest.java
@@ -248,8 +248,8 @@
     void introductionDoesNotEndTheWaitForANewerList() {
         ScriptedRelay relay = new ScriptedRelay(testSettings(8, true, 2));
         relay.turn(new ListAsked());
-        Introduced introduced = new Introduced(List.of(endpoint(11, 0, 1, 1, 50)));
-        assertEquals(0, sends(relay.turn(introduced, relay.message(1, 1))).size());
+        assertEquals(0, sends(relay.turn(
+            new Introduced(List.of(endpoint(11, 0, 1, 1, 50))), relay.message(1, 1))).size());
         assertEquals(1, sends(relay.turn(new Listed(ListKind.CHANGES, List.of()))).size());
     }
 
