--- a/src/test/java/wrenkeel/ControlTest.java
+++ b/src/test/java/wrenkeel/ControlTest.java
@@ -127,7 +127,7 @@
         assertEquals(inside.id(), sends(relay.turn(other, inside)).get(0).id());
     }
 
-    /** The same settings with these tenants, each with a quota of 50 messages a second. */
+    /** These settings with other tenants, each with a quota of 50 messages a second. */
     private static Settings withTenants(Settings settings, String... names) {
         List<Tenant> tenants = java.util.Arrays.stream(names).map(name -> new Tenant(name, 50)).toList();
         return new Settings(settings.rank(), settings.relays(), settings.zone(), settings.halvingLate(),
--- a/src/test/java/wrenkeel/FleetSimulation.java
+++ b/src/test/java/wrenkeel/FleetSimulation.java
@@ -214,6 +214,7 @@
             }
         }
 
+        /** Sets a timer of the present process. */
         private void scheduleWake(long after) {
             wakeAt = Math.min(wakeAt, now + after);
             int scheduledBy = processNumber;
--- a/src/test/java/wrenkeel/KnownRed.java
+++ b/src/test/java/wrenkeel/KnownRed.java
@@ -24,6 +24,7 @@
     /** Highest number of tests in the list; a longer list would hide what is broken. */
     static final int MAX_TESTS = 3;
 
+    /** Names of the listed tests, see {@link #read}. */
     private static final Set<String> LISTED_TESTS = read(LIST_FILE);
 
     /**
--- a/src/test/java/wrenkeel/KnownRedTest.java
+++ b/src/test/java/wrenkeel/KnownRedTest.java
@@ -21,8 +21,8 @@
     @Test
     void testNamesAreReadUpToTheFirstColon() throws IOException {
         assertEquals(Set.of("ATest.one", "BTest.two"),
-            KnownRed.read(
-                writeList("# comment: no test\n\nATest.one: a cause, issue 1\nBTest.two: another: with a colon\n")));
+            KnownRed.read(writeList("# comment: no test\n\nATest.one: a cause, issue 1\n"
+                + "BTest.two: another: with a colon\n")));
     }
 
     @Test
--- a/src/test/java/wrenkeel/RuleChecker.java
+++ b/src/test/java/wrenkeel/RuleChecker.java
@@ -40,12 +40,13 @@
         /** The outcomes of the attempts that have ended, by the attempt's number. */
         final Map<Integer, Outcome> outcomes = new HashMap<>();
 
-        /** True unless the outcome of an attempt proves that it had no effect. */
+        /** True unless the outcome of the attempt of this number proves that it had no effect. */
         boolean mayHaveRun(int attempt) {
             Outcome outcome = outcomes.get(attempt);
             return outcome == null || !outcome.neverRan();
         }
 
+        /** True if any attempt may have had an effect. */
         boolean anyMayHaveRun() {
             for (int i = 0; i < sends.size(); i++) {
                 if (mayHaveRun(i)) {
@@ -79,9 +80,7 @@
     private final Map<Long, Long> notReadySince = new HashMap<>();
     /** By {@linkplain #limitScope scope}: when the wait is over that an endpoint asked for. */
     private final Map<Long, Long> waitUntil = new HashMap<>();
-    /**
-     * By endpoint: when its outage ended. Set by a test; the endpoint is then held to its budget (rule 4).
-     */
+    /** By endpoint: when its outage ended. Set by a test that checks the budget of rule 4. */
     final Map<Long, Long> coldSince = new HashMap<>();
     /** By endpoint that is held to its budget: the times of recent sends. */
     private final Map<Long, ArrayDeque<Long>> recentSends = new HashMap<>();
@@ -139,6 +138,7 @@
         }
     }
 
+    /** Records how discovery lists an endpoint, and since when it has been draining or off the list. */
     private void recordListing(long now, Endpoint endpoint) {
         endpoints.put(endpoint.id(), endpoint);
         if (endpoint.listing() == Listing.READY) {
--- a/src/test/java/wrenkeel/SimulatedDestination.java
+++ b/src/test/java/wrenkeel/SimulatedDestination.java
@@ -40,8 +40,8 @@
      *
      * @param maxRatio highest ratio of the calls in a window to the budget of that window
      * @param maxInformedRatio the same ratio for the calls of informed relays only
-     * @param informedShareAtOverload share of the informed relays' calls in the first window over its budget;
-     *     0 if there is no such window
+     * @param informedShareAtOverload part of the calls of the first window over its budget that informed
+     *     relays sent; 0 if there is no such window
      */
     record ColdLoad(double maxRatio, double maxInformedRatio, double informedShareAtOverload) {
         /** True if the budget was exceeded, and mostly by relays that could know that it applied. */
