--- a/src/test/java/wrenkeel/ReleaseTest.java
+++ b/src/test/java/wrenkeel/ReleaseTest.java
@@ -143,8 +143,8 @@
     }
 
     /**
-     * Beyond 4096 destinations, a quiet one is kept only as long as the settings require: here for the 13 s of
-     * a warm-up and a window of its budget, which are longer than the deduplication window of 10 s.
+     * Beyond 4096 destinations, a quiet one is kept only as long as the settings require: here for the 13 s
+     * of a warm-up and a window of its budget, which are longer than the deduplication window of 10 s.
      */
     @Test
     void surplusDestinationsAreKeptOnlyForTheSpansInTheSettings() {
