--- a/src/test/java/wrenkeel/ColdReturnTest.java
+++ b/src/test/java/wrenkeel/ColdReturnTest.java
@@ -13,192 +13,224 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.ExtendWith;
 import org.junit.jupiter.api.function.Executable;
-import wrenkeel.ColdDestination.Outage;
-import wrenkeel.ColdFleet.Inheritance;
-import wrenkeel.ColdFleet.Restart;
-import wrenkeel.ColdFleet.Result;
-import wrenkeel.ColdFleet.Scenario;
+import wrenkeel.FleetSimulation.Restart;
+import wrenkeel.FleetSimulation.RestartState;
+import wrenkeel.FleetSimulation.Result;
+import wrenkeel.FleetSimulation.Scenario;
 import wrenkeel.Relay.Weights;
-
-/** Guards a destination that comes back cold against the sum of the calls of a whole fleet. */
+import wrenkeel.SimulatedDestination.Outage;
+
+/**
+ * A destination that returns cold from an outage fails again if all relays of a fleet together send it more
+ * calls than it bears. These tests check that the slow starts of all relays keep to that budget.
+ *
+ * <p>Relays that have seen no call fail during the outage cannot know that the destination is cold. Where
+ * that may happen, only relays that have been told of the outage, by a failed call of any of their processes,
+ * are held to the budget; "stay told" in a test's name means that they keep to it after a restart too.
+ */
 @ExtendWith(KnownRed.class)
 class ColdReturnTest {
-    private static final int[] FLEETS = {20, 60, 120};
-    private static final int SEEDS = 8;
+    private static final int[] FLEET_SIZES = {20, 60, 120};
+    private static final int SEED_COUNT = 8;
+    /** Calls a second that the warm destination accepts. */
     private static final double CAPACITY = 20;
 
-    /** Plays every size of fleet and seed; prints the worst of each size. */
-    private static void play(Weights weights, Outage outage, BiConsumer<String, Result> check) {
+    /**
+     * Runs each size of fleet with each seed, and then checks all results. Prints, for each size, the highest
+     * loads and the mean shares of messages that were delivered in time and for which no call was made.
+     *
+     * @param check receives a description of the run and its result
+     */
+    private static void runFleets(Weights weights, Outage outage, BiConsumer<String, Result> check) {
         List<Executable> checks = new ArrayList<>();
-        for (int relays : FLEETS) {
-            double worst = 0;
-            double worstTold = 0;
-            double inAim = 0;
-            double untried = 0;
-            for (long seed = 1; seed <= SEEDS; seed++) {
+        for (int relays : FLEET_SIZES) {
+            double maxRatio = 0;
+            double maxInformedRatio = 0;
+            double inAimShare = 0;
+            double withoutCallShare = 0;
+            for (long seed = 1; seed <= SEED_COUNT; seed++) {
                 Scenario scenario = new Scenario(relays, outage, weights, CAPACITY, seed);
-                Result result = ColdFleet.play(scenario);
+                Result result = FleetSimulation.run(scenario);
                 checks.add(() -> check.accept(scenario + " " + result, result));
-                worst = Math.max(worst, result.cold().worst());
-                worstTold = Math.max(worstTold, result.cold().worstTold());
-                inAim += result.inAim() / SEEDS;
-                untried += result.untried() / SEEDS;
+                maxRatio = Math.max(maxRatio, result.coldLoad().maxRatio());
+                maxInformedRatio = Math.max(maxInformedRatio, result.coldLoad().maxInformedRatio());
+                inAimShare += result.inAimShare() / SEED_COUNT;
+                withoutCallShare += result.withoutCallShare() / SEED_COUNT;
             }
-            System.out.printf(Locale.ROOT, "cold return %s %s %d relays: worst %.2f, of relays told %.2f, "
-                + "in aim %.3f, untried %.3f%n", weights, outage, relays, worst, worstTold, inAim, untried);
+            System.out.printf(Locale.ROOT,
+                "cold return, limits %s, outage %s, %d relays: highest load %.2f of the budget, "
+                + "of informed relays %.2f, delivered in aim %.3f, without a call %.3f%n",
+                weights, outage, relays, maxRatio, maxInformedRatio, inAimShare, withoutCallShare);
         }
         assertAll(checks);
     }
 
-    private static void withinTheBound(String play, Result result) {
-        assertTrue(result.cold().worst() <= 1, play);
+    /** Checks that all relays together keep to the budget in every window. */
+    private static void assertWithinBudget(String run, Result result) {
+        assertTrue(result.coldLoad().maxRatio() <= 1, run);
     }
 
-    /** Relays whose first failed call ends after the outage cannot know of it; the others keep the bound. */
-    private static void toldRelaysWithinTheBound(String play, Result result) {
-        assertTrue(result.cold().worstTold() <= 1, play);
-        assertFalse(result.cold().ruleBroken(), play);
+    /** Checks informed relays only: one whose first failed call ends after the outage cannot know of it. */
+    private static void assertInformedRelaysWithinBudget(String run, Result result) {
+        assertTrue(result.coldLoad().maxInformedRatio() <= 1, run);
+        assertFalse(result.coldLoad().isOverloadedByInformedRelays(), run);
     }
 
     @Test
-    void unlistedAfterRefusedConnections() {
-        play(Weights.NONE, Outage.REFUSED, ColdReturnTest::withinTheBound);
+    void budgetHoldsWithoutListedLimitsAfterRefusedConnections() {
+        runFleets(Weights.NONE, Outage.CONNECTION_REFUSED, ColdReturnTest::assertWithinBudget);
     }
 
     @Test
-    void unlistedAfterBeingShut() {
-        play(Weights.NONE, Outage.SHUT, ColdReturnTest::withinTheBound);
+    void budgetHoldsWithoutListedLimitsAfterRejections() {
+        runFleets(Weights.NONE, Outage.REJECTED_WITH_WAIT, ColdReturnTest::assertWithinBudget);
     }
 
     @Test
-    void unlistedAfterSilence() {
-        play(Weights.NONE, Outage.SILENT, ColdReturnTest::toldRelaysWithinTheBound);
+    void informedRelaysKeepTheBudgetWithoutListedLimitsAfterSilence() {
+        runFleets(Weights.NONE, Outage.NO_RESPONSE, ColdReturnTest::assertInformedRelaysWithinBudget);
     }
 
     @Test
-    void listedAfterRefusedConnections() {
-        play(Weights.NOMINAL, Outage.REFUSED, ColdReturnTest::withinTheBound);
-        play(Weights.ROUGH, Outage.REFUSED, ColdReturnTest::withinTheBound);
+    void budgetHoldsWithListedLimitsAfterRefusedConnections() {
+        runFleets(Weights.NOMINAL, Outage.CONNECTION_REFUSED, ColdReturnTest::assertWithinBudget);
+        runFleets(Weights.ROUGH, Outage.CONNECTION_REFUSED, ColdReturnTest::assertWithinBudget);
     }
 
     @Test
-    void listedAfterSilence() {
-        play(Weights.NOMINAL, Outage.SILENT, ColdReturnTest::toldRelaysWithinTheBound);
-        play(Weights.ROUGH, Outage.SILENT, ColdReturnTest::toldRelaysWithinTheBound);
+    void informedRelaysKeepTheBudgetWithListedLimitsAfterSilence() {
+        runFleets(Weights.NOMINAL, Outage.NO_RESPONSE, ColdReturnTest::assertInformedRelaysWithinBudget);
+        runFleets(Weights.ROUGH, Outage.NO_RESPONSE, ColdReturnTest::assertInformedRelaysWithinBudget);
     }
 
     @Test
-    void listedAfterBeingShut() {
-        play(Weights.NOMINAL, Outage.SHUT, ColdReturnTest::withinTheBound);
-        play(Weights.ROUGH, Outage.SHUT, ColdReturnTest::withinTheBound);
+    void budgetHoldsWithListedLimitsAfterRejections() {
+        runFleets(Weights.NOMINAL, Outage.REJECTED_WITH_WAIT, ColdReturnTest::assertWithinBudget);
+        runFleets(Weights.ROUGH, Outage.REJECTED_WITH_WAIT, ColdReturnTest::assertWithinBudget);
     }
 
-    /** A relay that carried little before the outage still finds out in time that it is over. */
+    /** A relay that sent little before the outage still finds out in time that the destination is back. */
     @Test
-    void fewMessagesOfQuietRelaysEndWithoutACall() {
-        for (Outage outage : List.of(Outage.REFUSED, Outage.SILENT)) {
-            double untried = 0;
-            for (long seed = 1; seed <= SEEDS; seed++) {
+    void fewMessagesOfALargeFleetEndWithoutACall() {
+        for (Outage outage : List.of(Outage.CONNECTION_REFUSED, Outage.NO_RESPONSE)) {
+            double withoutCallShare = 0;
+            for (long seed = 1; seed <= SEED_COUNT; seed++) {
                 Scenario scenario = new Scenario(120, outage, Weights.NONE, CAPACITY, seed);
-                untried += ColdFleet.play(scenario).untried() / SEEDS;
+                withoutCallShare += FleetSimulation.run(scenario).withoutCallShare() / SEED_COUNT;
             }
-            assertTrue(untried < 0.025, outage + " " + untried);
+            assertTrue(withoutCallShare < 0.025, outage + " " + withoutCallShare);
         }
     }
 
-    private static final long[] RESTART_TIMES = {-3_000, -1_000, 300, 5_000};
+    /** Times of restarts, relative to the destination's return. */
+    private static final long[] RESTART_TIMES_MS = {-3_000, -1_000, 300, 5_000};
 
-    /** Names the scenarios in which relays that were told of the outage overrun the destination. */
-    private static void keptByRelaysTold(List<Scenario> scenarios) {
-        List<String> broken = scenarios.parallelStream().map(scenario -> {
-            ColdDestination.Load load = ColdFleet.play(scenario).cold();
-            return load.worstTold() > 1 || load.ruleBroken() ? scenario + " " + load : "";
-        }).filter(play -> !play.isEmpty()).toList();
-        assertTrue(broken.isEmpty(),
-            broken.size() + " of " + scenarios.size() + ", the first: " + broken.stream().findFirst().orElse(""));
+    /** Runs all scenarios; a failure says in how many of them informed relays exceed the budget. */
+    private static void assertInformedRelaysKeepTheBudget(List<Scenario> scenarios) {
+        List<String> failures = scenarios.parallelStream().map(scenario -> {
+            SimulatedDestination.ColdLoad load = FleetSimulation.run(scenario).coldLoad();
+            return load.maxInformedRatio() > 1 || load.isOverloadedByInformedRelays()
+                ? scenario + " " + load : "";
+        }).filter(run -> !run.isEmpty()).toList();
+        assertTrue(failures.isEmpty(),
+            failures.size() + " of " + scenarios.size() + " over budget, the first: "
+                + failures.stream().findFirst().orElse(""));
     }
 
-    private static final Set<Outage> REFUSALS = EnumSet.of(Outage.SHUT, Outage.TURNED_AWAY);
-    private static final Set<Outage> FAILURES = EnumSet.complementOf(EnumSet.copyOf(REFUSALS));
+    /** Outages in which calls are rejected as over a limit. */
+    private static final Set<Outage> REFUSING_OUTAGES =
+        EnumSet.of(Outage.REJECTED_WITH_WAIT, Outage.REJECTED);
+    /** Outages in which calls fail. */
+    private static final Set<Outage> FAILING_OUTAGES = EnumSet.complementOf(EnumSet.copyOf(REFUSING_OUTAGES));
 
-    private static List<Scenario> restarts(Set<Outage> outages, Inheritance inheritance, double... shares) {
-        List<Scenario> all = new ArrayList<>();
+    /** Scenarios of 44 relays; each of these shares of them is restarted around the destination's return. */
+    private static List<Scenario> restartScenarios(Set<Outage> outages, RestartState state,
+                                                   double... shares) {
+        List<Scenario> scenarios = new ArrayList<>();
         for (Outage outage : outages) {
             for (Weights weights : List.of(Weights.NONE, Weights.NOMINAL)) {
                 for (double capacity : new double[] {20, 60}) {
-                    for (long millis : RESTART_TIMES) {
+                    for (long millis : RESTART_TIMES_MS) {
                         for (double share : shares) {
-                            long at = ColdDestination.firstReturn() + millis * ColdFleet.MS;
+                            long at = SimulatedDestination.firstReturnAt() + millis * FleetSimulation.MS;
                             for (long seed = 1; seed <= 3; seed++) {
-                                all.add(new Scenario(44, outage, weights, capacity, seed)
-                                    .with(new Restart(at, share, inheritance)));
+                                scenarios.add(new Scenario(44, outage, weights, capacity, seed)
+                                    .withRestarts(new Restart(at, share, state)));
                             }
                         }
                     }
                 }
             }
         }
-        return all;
+        return scenarios;
     }
 
     @Test
-    void relaysKilledInAnOutageOfFailuresStayTold() {
-        keptByRelaysTold(restarts(FAILURES, Inheritance.FOLDER, 0.02, 0.7, 1));
+    void relaysKilledInAnOutageOfFailuresKeepTheBudget() {
+        assertInformedRelaysKeepTheBudget(
+            restartScenarios(FAILING_OUTAGES, RestartState.STATE_FOLDER, 0.02, 0.7, 1));
     }
 
     @Test
     void relaysKilledInAnOutageOfRefusalsStayTold() {
-        keptByRelaysTold(restarts(REFUSALS, Inheritance.FOLDER, 0.02, 0.7, 1));
+        assertInformedRelaysKeepTheBudget(
+            restartScenarios(REFUSING_OUTAGES, RestartState.STATE_FOLDER, 0.02, 0.7, 1));
     }
 
     @Test
-    void oneRelayThatLostItsFolderDoesNotOverrunTheDestination() {
-        keptByRelaysTold(restarts(EnumSet.allOf(Outage.class), Inheritance.NOTHING, 0.02));
+    void oneRelayThatLostItsStateFolderDoesNotOverloadTheDestination() {
+        assertInformedRelaysKeepTheBudget(
+            restartScenarios(EnumSet.allOf(Outage.class), RestartState.NO_STATE, 0.02));
     }
 
     @Test
     void manyRelaysThatLostTheirFoldersStayTold() {
-        keptByRelaysTold(restarts(EnumSet.allOf(Outage.class), Inheritance.NOTHING, 0.7, 1));
+        assertInformedRelaysKeepTheBudget(
+            restartScenarios(EnumSet.allOf(Outage.class), RestartState.NO_STATE, 0.7, 1));
     }
 
     @Test
-    void relaysReplacedAroundTheReturnStayTold() {
-        keptByRelaysTold(restarts(EnumSet.allOf(Outage.class), Inheritance.HANDOVER, 0.02, 0.7, 1));
+    void relaysReplacedAroundTheReturnKeepTheBudget() {
+        assertInformedRelaysKeepTheBudget(
+            restartScenarios(EnumSet.allOf(Outage.class), RestartState.HANDOVER, 0.02, 0.7, 1));
     }
 
     @Test
-    void relaysKilledOnceMoreInTheSlowStartStayTold() {
-        List<Scenario> all = new ArrayList<>();
-        for (Scenario once : restarts(EnumSet.allOf(Outage.class), Inheritance.FOLDER, 0.7)) {
+    void relaysKilledAgainInSlowStartKeepTheBudget() {
+        List<Scenario> scenarios = new ArrayList<>();
+        for (Scenario once : restartScenarios(EnumSet.allOf(Outage.class), RestartState.STATE_FOLDER, 0.7)) {
             Restart first = once.restarts().get(0);
-            Restart second = new Restart(first.at() + 2 * ColdFleet.SECOND, 0.7, Inheritance.FOLDER);
-            all.add(once.with(first, second));
+            Restart second = new Restart(first.at() + 2 * FleetSimulation.SECOND, 0.7,
+                RestartState.STATE_FOLDER);
+            scenarios.add(once.withRestarts(first, second));
         }
-        keptByRelaysTold(all);
+        assertInformedRelaysKeepTheBudget(scenarios);
     }
 
-    private static List<Scenario> sizes(Set<Outage> outages) {
-        List<Scenario> all = new ArrayList<>();
+    /** Scenarios of one to 120 relays and various capacities: uneven traffic, even traffic, two outages. */
+    private static List<Scenario> fleetSizeScenarios(Set<Outage> outages) {
+        List<Scenario> scenarios = new ArrayList<>();
         for (Outage outage : outages) {
             for (Weights weights : Weights.values()) {
                 for (int relays : new int[] {1, 4, 44, 120}) {
                     for (double capacity : new double[] {4, 20, 60, 250}) {
                         Scenario uneven = new Scenario(relays, outage, weights, capacity, 1);
-                        all.addAll(List.of(uneven, uneven.evenly(), uneven.withOutages(2)));
+                        scenarios.addAll(
+                            List.of(uneven, uneven.withEvenTraffic(), uneven.withOutageCount(2)));
                     }
                 }
             }
         }
-        return all;
+        return scenarios;
     }
 
     @Test
     void fleetsOfEverySizeKeepTheBudgetAfterFailures() {
-        keptByRelaysTold(sizes(FAILURES));
+        assertInformedRelaysKeepTheBudget(fleetSizeScenarios(FAILING_OUTAGES));
     }
 
     @Test
     void fleetsOfEverySizeKeepTheBudgetAfterRefusals() {
-        keptByRelaysTold(sizes(REFUSALS));
+        assertInformedRelaysKeepTheBudget(fleetSizeScenarios(REFUSING_OUTAGES));
     }
 }
--- a/src/test/java/wrenkeel/EmbeddingTest.java
+++ b/src/test/java/wrenkeel/EmbeddingTest.java
@@ -13,54 +13,60 @@
 import org.junit.jupiter.api.Test;
 import wrenkeel.Relay.*;
 
-/** How a real relay drives the module: its own clock and timers, events in, actions out. */
+/** Drives the module as a relay process does: with its own clock and timers, events in, actions out. */
 class EmbeddingTest {
-    /** A host with a clock of its own and a network that answers every send after 30 ms. */
-    private static final class Host {
-        private final Control control = new Control(7, Bench.settings(8, true, 1));
+    /** Drives one module with a clock in steps of 1 ms and a network that answers every send after 30 ms. */
+    private static final class Driver {
+        private final Control control = new Control(7, ScriptedRelay.testSettings(8, true, 1));
+        /** Times at which timers are due, in microseconds. */
         private final PriorityQueue<Long> timers = new PriorityQueue<>();
-        private final ArrayDeque<Map.Entry<Long, AttemptEnded>> network = new ArrayDeque<>();
-        private final Map<String, Integer> attempts = new HashMap<>();
+        /** Answers on their way, each with the time of its arrival in microseconds; earliest first. */
+        private final ArrayDeque<Map.Entry<Long, AttemptEnded>> pendingAnswers = new ArrayDeque<>();
+        /** Number of attempts so far, by message. */
+        private final Map<String, Integer> attemptCounts = new HashMap<>();
         private final Set<String> delivered = new TreeSet<>();
-        private long clock = 1_000_000;
+        private long now = 1_000_000;
 
-        void tell(Event... events) {
-            for (Action action : control.turn(clock, List.of(events))) {
-                if (action instanceof Send s) {
-                    int attempt = attempts.merge(s.id(), 1, Integer::sum) - 1;
-                    network.add(Map.entry(clock + 30_000,
-                        new AttemptEnded(s.id(), attempt, s.endpoint(), Outcome.OK, true, 0, 30_000, -1, -1)));
-                } else if (action instanceof SetTimer w) {
-                    timers.add(clock + w.delay());
+        /** Hands events to the module and carries out its actions. */
+        void turn(Event... events) {
+            for (Action action : control.turn(now, List.of(events))) {
+                if (action instanceof Send send) {
+                    int attempt = attemptCounts.merge(send.id(), 1, Integer::sum) - 1;
+                    pendingAnswers.add(Map.entry(now + 30_000,
+                        new AttemptEnded(send.id(), attempt, send.endpoint(), Outcome.OK, true, 0, 30_000, -1, -1)));
+                } else if (action instanceof SetTimer wake) {
+                    timers.add(now + wake.delay());
                 }
             }
         }
 
-        void run(long until) {
-            for (; clock <= until; clock += 1_000) {
-                while (!timers.isEmpty() && timers.peek() <= clock) {
+        /** Advances the clock to a time and serves timers and answers on the way. */
+        void runUntil(long until) {
+            for (; now <= until; now += 1_000) {
+                while (!timers.isEmpty() && timers.peek() <= now) {
                     timers.poll();
-                    tell(new TimerDue());
+                    turn(new TimerDue());
                 }
-                while (!network.isEmpty() && network.peek().getKey() <= clock) {
-                    AttemptEnded ended = network.poll().getValue();
+                while (!pendingAnswers.isEmpty() && pendingAnswers.peek().getKey() <= now) {
+                    AttemptEnded ended = pendingAnswers.poll().getValue();
                     delivered.add(ended.id());
-                    tell(ended);
+                    turn(ended);
                 }
             }
         }
     }
 
     @Test
-    void aRelayDeliversWhatItTakes() {
-        Host host = new Host();
-        host.tell(new ListUpdated(ListKind.WHOLE, List.of(Bench.endpoint(1, 0, 0, 9, 50), Bench.endpoint(2, 1, 0, 9, 50))));
-        List<String> taken = new ArrayList<>();
+    void acceptedMessagesAreDelivered() {
+        Driver driver = new Driver();
+        driver.turn(new ListUpdated(ListKind.WHOLE,
+            List.of(ScriptedRelay.endpoint(1, 0, 0, 9, 50), ScriptedRelay.endpoint(2, 1, 0, 9, 50))));
+        List<String> accepted = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            taken.add("bill-" + i);
-            host.tell(new MessageAccepted("bill-" + i, 1, 0, null, host.clock + 16_000_000, 9));
+            accepted.add("bill-" + i);
+            driver.turn(new MessageAccepted("bill-" + i, 1, 0, null, driver.now + 16_000_000, 9));
         }
-        host.run(3_000_000);
-        assertEquals(new TreeSet<>(taken), host.delivered);
+        driver.runUntil(3_000_000);
+        assertEquals(new TreeSet<>(accepted), driver.delivered);
     }
 }
--- a/src/test/java/wrenkeel/KnownRedTest.java
+++ b/src/test/java/wrenkeel/KnownRedTest.java
@@ -9,29 +9,30 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The list of known failures stays short, and names tests. */
+/** How {@link KnownRed} reads its list of tests that are known to fail. */
 class KnownRedTest {
     @TempDir
     Path folder;
 
-    private Path list(String text) throws IOException {
+    private Path writeList(String text) throws IOException {
         return Files.writeString(folder.resolve("list"), text);
     }
 
     @Test
-    void namesStandBeforeTheColon() throws IOException {
+    void testNamesAreReadUpToTheFirstColon() throws IOException {
         assertEquals(Set.of("ATest.one", "BTest.two"),
-            KnownRed.read(list("# comment: no test\n\nATest.one: a cause, issue 1\nBTest.two: another: with a colon\n")));
+            KnownRed.read(writeList("# comment: no test\n\nATest.one: a cause, issue 1\n"
+                + "BTest.two: another: with a colon\n")));
     }
 
     @Test
-    void moreThanThreeAreRefused() throws IOException {
-        Path list = list("A.a: x\nB.b: x\nC.c: x\nD.d: x\n");
+    void listOfMoreThanThreeTestsIsRejected() throws IOException {
+        Path list = writeList("A.a: x\nB.b: x\nC.c: x\nD.d: x\n");
         assertThrows(IllegalStateException.class, () -> KnownRed.read(list));
     }
 
     @Test
-    void noListMeansAFailedBuild() {
+    void missingListFailsTheBuild() {
         assertThrows(RuntimeException.class, () -> KnownRed.read(folder.resolve("none")));
     }
 }
--- a/src/test/java/wrenkeel/RuleChecker.java
+++ b/src/test/java/wrenkeel/RuleChecker.java
@@ -8,223 +8,299 @@
 import java.util.Map;
 import wrenkeel.Relay.*;
 
-/** Watches one relay's events and actions and throws on the first breach of a rule. */
+/**
+ * Receives all events and actions of one relay's {@link Control} and throws an {@link AssertionError} on the
+ * first violation of a rule. Times are microseconds of the relay's clock. One thread.
+ *
+ * <p>The text of the error begins with "rule" and one of these numbers, or the subject of a rule without a
+ * number:
+ * <ol>
+ * <li>Each message gets exactly one final answer, in time, and nothing is sent for it afterwards.
+ * <li>A message takes effect at most once, unless it is safe to repeat.
+ * <li>Nothing is sent to an endpoint that is draining or off the list, after a short grace period.
+ * <li>An endpoint that has just returned from an outage gets no more calls than this relay's share of its
+ *     budget.
+ * <li>Nothing is sent to a destination or endpoint before the wait that it asked for is over.
+ * <li>Messages that share a key are sent one at a time and in order, with a pause after an attempt of unknown
+ *     outcome.
+ * </ol>
+ */
 final class RuleChecker {
-    /** What is known of one message. */
-    static final class Seen {
-        MessageAccepted taken;
-        MessageClass cls;
-        boolean over;
-        long overAt;
+    /** One message and all its attempts. */
+    static final class TrackedMessage {
+        MessageAccepted accepted;
+        MessageClass messageClass;
+        /** True once the message has a final answer, was delivered or was withdrawn. */
+        boolean finished;
+        long finishedAt;
+        /** The send of each attempt, by the attempt's number. */
         final List<Send> sends = new ArrayList<>();
+        /** The time of each send. */
         final List<Long> sentAt = new ArrayList<>();
-        final Map<Integer, Outcome> ends = new HashMap<>();
+        /** The outcomes of the attempts that have ended, by the attempt's number. */
+        final Map<Integer, Outcome> outcomes = new HashMap<>();
 
-        boolean maybeRan(int attempt) {
-            Outcome o = ends.get(attempt);
-            return o == null || !o.provesNotExecuted();
+        /** True unless the outcome of the attempt of this number proves that it had no effect. */
+        boolean mayHaveRun(int attempt) {
+            Outcome outcome = outcomes.get(attempt);
+            return outcome == null || !outcome.provesNotExecuted();
         }
 
-        boolean anyMaybeRan() {
+        /** True if any attempt may have had an effect. */
+        boolean anyMayHaveRun() {
             for (int i = 0; i < sends.size(); i++) {
-                if (maybeRan(i)) {
+                if (mayHaveRun(i)) {
                     return true;
                 }
             }
             return false;
         }
 
-        /** Sends that the relay's own machine did not keep from being made. */
-        long made() {
-            return sends.size() - ends.values().stream().filter(Outcome::isLocalFailure).count();
+        /** The number of sends without those that the relay's own machine could not carry out. */
+        long countAttemptsMade() {
+            return sends.size() - outcomes.values().stream().filter(Outcome::isLocalFailure).count();
         }
 
-        boolean open() {
-            return ends.size() < sends.size();
+        /** True while an attempt is in flight. */
+        boolean hasOpenAttempts() {
+            return outcomes.size() < sends.size();
         }
     }
 
-    final Settings set;
-    final Map<String, Seen> messages = new LinkedHashMap<>();
-    private final Map<String, List<Seen>> keys = new HashMap<>();
-    private final Map<String, Long> keyRest = new HashMap<>();
+    final Settings settings;
+    /** Messages by id; finished ones are dropped a minute after their end. */
+    final Map<String, TrackedMessage> messages = new LinkedHashMap<>();
+    /** Messages that are sent in order, by key, in the order of acceptance. */
+    private final Map<String, List<TrackedMessage>> messagesByKey = new HashMap<>();
+    /** When the pause of a key is over that follows an attempt of unknown outcome. */
+    private final Map<String, Long> keyPausedUntil = new HashMap<>();
+    /** Endpoints by id, as listed last. */
     final Map<Long, Endpoint> endpoints = new HashMap<>();
-    private final Map<Long, Long> drained = new HashMap<>();
-    private final Map<Long, Long> waits = new HashMap<>();
-    /** Endpoints under the return budget: set by a test that declares an outage and its end. */
+    /** By endpoint: since when it has been draining or off the list. */
+    private final Map<Long, Long> notReadySince = new HashMap<>();
+    /** By {@linkplain #limitScope scope}: when the wait is over that an endpoint asked for. */
+    private final Map<Long, Long> waitUntil = new HashMap<>();
+    /** By endpoint: when its outage ended. Set by a test that checks the budget of rule 4. */
     final Map<Long, Long> coldSince = new HashMap<>();
-    private final Map<Long, ArrayDeque<Long>> sends = new HashMap<>();
-    int breaches;
+    /** By endpoint that is held to its budget: the times of recent sends. */
+    private final Map<Long, ArrayDeque<Long>> recentSends = new HashMap<>();
+    /** Number of violations so far. */
+    int violations;
 
-    RuleChecker(Settings set) {
-        this.set = set;
+    RuleChecker(Settings settings) {
+        this.settings = settings;
     }
 
-    /** The lane that a wait binds: the destination, or the route where routes are apart. */
-    private long lane(Endpoint e) {
-        return set.kinds().get(e.kind()).independentEndpoints() ? e.id() : -1 - e.destination();
+    /**
+     * The scope of an endpoint's limits and waits: its destination, or the endpoint alone where the kind says
+     * that endpoints are apart. Destinations are mapped to negative numbers to keep them distinct from
+     * endpoints.
+     */
+    private long limitScope(Endpoint endpoint) {
+        return settings.kinds().get(endpoint.kind()).independentEndpoints() ? endpoint.id() : -1 - endpoint.destination();
     }
 
-    void event(long now, Event event) {
+    /** Records an event; to be called before the module receives it. */
+    void recordEvent(long now, Event event) {
         if (event instanceof MessageAccepted e) {
-            Seen s = new Seen();
-            s.taken = e;
-            s.cls = set.classes().get(e.messageClass());
-            messages.put(e.id(), s);
-            if (s.cls.inOrder() && e.orderingKey() != null) {
-                keys.computeIfAbsent(e.orderingKey(), k -> new ArrayList<>()).add(s);
+            TrackedMessage message = new TrackedMessage();
+            message.accepted = e;
+            message.messageClass = settings.classes().get(e.messageClass());
+            messages.put(e.id(), message);
+            if (message.messageClass.inOrder() && e.orderingKey() != null) {
+                messagesByKey.computeIfAbsent(e.orderingKey(), k -> new ArrayList<>()).add(message);
             }
         } else if (event instanceof AttemptEnded e) {
-            Seen s = messages.get(e.id());
-            s.ends.put(e.attempt(), e.outcome());
+            TrackedMessage message = messages.get(e.id());
+            message.outcomes.put(e.attempt(), e.outcome());
             if (e.outcome() == Outcome.OK || e.messageOver()) {
-                end(s, now);
+                finish(message, now);
             }
             if (e.retryAfter() > 0) {
-                waits.merge(lane(endpoints.get(e.endpoint())), now + e.retryAfter(), Math::max);
+                waitUntil.merge(limitScope(endpoints.get(e.endpoint())), now + e.retryAfter(), Math::max);
             }
-            boolean rests = e.outcome() == Outcome.TIMEOUT || e.outcome() == Outcome.RESET
+            boolean unknownOutcome = e.outcome() == Outcome.TIMEOUT || e.outcome() == Outcome.RESET
                 || e.outcome() == Outcome.CANCELLED;
-            if (s.taken.orderingKey() != null && s.cls.inOrder() && rests) {
-                keyRest.put(s.taken.orderingKey(), now + set.rules().keyPause());
+            if (message.accepted.orderingKey() != null && message.messageClass.inOrder() && unknownOutcome) {
+                keyPausedUntil.put(message.accepted.orderingKey(), now + settings.rules().keyPause());
             }
         } else if (event instanceof MessageWithdrawn e) {
-            end(messages.get(e.id()), now);
+            finish(messages.get(e.id()), now);
         } else if (event instanceof ListUpdated e) {
-            e.endpoints().forEach(p -> listed(now, p));
+            e.endpoints().forEach(endpoint -> recordListing(now, endpoint));
             if (e.kind() == ListKind.WHOLE) {
                 List<Long> named = e.endpoints().stream().map(Endpoint::id).toList();
                 endpoints.keySet().stream().filter(id -> !named.contains(id))
-                    .forEach(id -> drained.putIfAbsent(id, now));
+                    .forEach(id -> notReadySince.putIfAbsent(id, now));
             }
         } else if (event instanceof DestinationIntroduced e) {
-            e.endpoints().forEach(p -> listed(now, p));
+            e.endpoints().forEach(endpoint -> recordListing(now, endpoint));
         }
     }
 
-    private void listed(long now, Endpoint p) {
-        endpoints.put(p.id(), p);
-        if (p.listing() == Listing.READY) {
-            drained.remove(p.id());
+    /** Records how discovery lists an endpoint, and since when it has been draining or off the list. */
+    private void recordListing(long now, Endpoint endpoint) {
+        endpoints.put(endpoint.id(), endpoint);
+        if (endpoint.listing() == Listing.READY) {
+            notReadySince.remove(endpoint.id());
         } else {
-            drained.putIfAbsent(p.id(), now);
+            notReadySince.putIfAbsent(endpoint.id(), now);
         }
     }
 
-    /** What rests on a destination may not be forgotten; from here on it must be introduced before a send. */
-    private void released(long now, long destination) {
-        require(messages.values().stream().allMatch(s -> s.taken.destination() != destination
-            || s.over && !s.open()), "released with a message that is not over");
-        for (Endpoint e : List.copyOf(endpoints.values())) {
-            if (e.destination() == destination) {
-                require(now >= waits.getOrDefault(lane(e), 0L), "released inside a wait");
-                Long cold = coldSince.get(e.id());
-                require(cold == null || now - cold >= set.rules().warmUpTime(), "released while it warms up");
-                endpoints.remove(e.id());
+    /**
+     * A destination may be released only without unfinished messages, waits and warm-ups. From then on its
+     * endpoints are unknown, and it has to be introduced again before a send.
+     */
+    private void checkRelease(long now, long destination) {
+        require(messages.values().stream().allMatch(message -> message.accepted.destination() != destination
+            || message.finished && !message.hasOpenAttempts()),
+            "on releases: destination released with an unfinished message");
+        for (Endpoint endpoint : List.copyOf(endpoints.values())) {
+            if (endpoint.destination() == destination) {
+                require(now >= waitUntil.getOrDefault(limitScope(endpoint), 0L),
+                    "on releases: destination released before the end of a wait");
+                Long since = coldSince.get(endpoint.id());
+                require(since == null || now - since >= settings.rules().warmUpTime(),
+                    "on releases: destination released during its warm-up");
+                endpoints.remove(endpoint.id());
             }
         }
     }
 
-    private static void end(Seen s, long now) {
-        if (!s.over) {
-            s.over = true;
-            s.overAt = now;
+    private static void finish(TrackedMessage message, long now) {
+        if (!message.finished) {
+            message.finished = true;
+            message.finishedAt = now;
         }
     }
 
-    void action(long now, Action action) {
+    /**
+     * Checks an action.
+     *
+     * @throws AssertionError if the action violates a rule
+     */
+    void checkAction(long now, Action action) {
         if (action instanceof Send a) {
-            send(now, a);
+            checkSend(now, a);
         } else if (action instanceof Refuse a) {
-            Seen s = messages.get(a.id());
-            require(!s.over, "1: a second final answer");
-            boolean zoneBound = s.cls.effect() == Effect.KEYED && s.cls.dedupPerZone();
-            require(s.cls.effect() == Effect.SAFE || s.cls.effect() == Effect.KEYED && !zoneBound || !s.anyMaybeRan(),
-                "2: refused though it may have run");
-            end(s, now);
+            TrackedMessage message = messages.get(a.id());
+            require(!message.finished, "1: second final answer (refused)");
+            boolean zoneBound = message.messageClass.effect() == Effect.KEYED
+                && message.messageClass.dedupPerZone();
+            require(message.messageClass.effect() == Effect.SAFE
+                || message.messageClass.effect() == Effect.KEYED && !zoneBound || !message.anyMayHaveRun(),
+                "2: refused, which invites a retry, though an attempt may have run");
+            finish(message, now);
         } else if (action instanceof Fail a) {
-            Seen s = messages.get(a.id());
-            require(!s.over, "1: a second final answer");
-            end(s, now);
+            TrackedMessage message = messages.get(a.id());
+            require(!message.finished, "1: second final answer (failed)");
+            finish(message, now);
         } else if (action instanceof CancelAttempt a) {
-            require(set.limits().cancelAllowed(), "cancel is not allowed");
-            require(a.attempt() < messages.get(a.id()).sends.size(), "cancel of an attempt never made");
+            require(settings.limits().cancelAllowed(), "on cancels: the settings do not allow cancels");
+            require(a.attempt() < messages.get(a.id()).sends.size(),
+                "on cancels: cancelled an attempt that was never sent");
         } else if (action instanceof DestinationReleased a) {
-            released(now, a.destination());
+            checkRelease(now, a.destination());
         }
     }
 
-    private void send(long now, Send a) {
-        Seen s = messages.get(a.id());
-        Endpoint to = endpoints.get(a.endpoint());
-        require(s != null && !s.over, "1: sent after its end");
-        require(to != null && to.destination() == s.taken.destination(), "sent to another destination");
-        require(s.made() < set.classes().get(s.taken.messageClass()).maxAttempts(), "too many attempts");
-        require(a.timeout() > 0 && now + a.timeout() <= s.taken.deadline(), "time-out beyond the deadline");
-        Long told = drained.get(a.endpoint());
-        require(told == null || now <= told + set.rules().drainGrace(), "3: sent to a drained endpoint");
-        require(now >= waits.getOrDefault(lane(to), 0L), "5: sent inside a wait");
-        require(set.limits().copiesAllowed() || !s.open(), "2: two attempts out together");
-        effects(now, s, to);
-        order(now, s);
-        budget(now, to);
-        s.sends.add(a);
-        s.sentAt.add(now);
+    private void checkSend(long now, Send send) {
+        TrackedMessage message = messages.get(send.id());
+        Endpoint to = endpoints.get(send.endpoint());
+        require(message != null && !message.finished, "1: sent an unknown or finished message");
+        require(to != null && to.destination() == message.accepted.destination(),
+            "on destinations: sent to an unknown endpoint or another destination");
+        require(message.countAttemptsMade() < settings.classes().get(message.accepted.messageClass()).maxAttempts(),
+            "on attempts: more attempts than the message class allows");
+        require(send.timeout() > 0 && now + send.timeout() <= message.accepted.deadline(),
+            "on timeouts: attempt timeout not positive or past the deadline");
+        Long since = notReadySince.get(send.endpoint());
+        require(since == null || now <= since + settings.rules().drainGrace(),
+            "3: sent to an endpoint that is draining or off the list");
+        require(now >= waitUntil.getOrDefault(limitScope(to), 0L), "5: sent before the end of a wait");
+        require(settings.limits().copiesAllowed() || !message.hasOpenAttempts(),
+            "2: two attempts in flight though the settings allow no copies");
+        checkEffects(now, message, to);
+        checkKeyOrder(now, message);
+        checkReturnBudget(now, to);
+        message.sends.add(send);
+        message.sentAt.add(now);
     }
 
-    private void effects(long now, Seen s, Endpoint to) {
-        for (int i = 0; i < s.sends.size(); i++) {
-            if (!s.maybeRan(i) || s.cls.effect() == Effect.SAFE) {
+    /** Checks that a send cannot repeat an effect, where an earlier attempt may have run (rule 2). */
+    private void checkEffects(long now, TrackedMessage message, Endpoint to) {
+        for (int i = 0; i < message.sends.size(); i++) {
+            if (!message.mayHaveRun(i) || message.messageClass.effect() == Effect.SAFE) {
                 continue;
             }
-            require(s.cls.effect() == Effect.KEYED, "2: an unsafe message sent again");
-            require(now < s.sentAt.get(i) + s.cls.dedupWindow(), "2: sent again outside the window");
-            Endpoint before = endpoints.get(s.sends.get(i).endpoint());
-            require(!s.cls.dedupPerZone() || before.zone() == to.zone(), "2: sent again outside the group");
+            require(message.messageClass.effect() == Effect.KEYED,
+                "2: resent an unsafe message that may have run");
+            require(now < message.sentAt.get(i) + message.messageClass.dedupWindow(),
+                "2: resent a keyed message after its deduplication window");
+            Endpoint before = endpoints.get(message.sends.get(i).endpoint());
+            require(!message.messageClass.dedupPerZone() || before.zone() == to.zone(),
+                "2: resent a keyed message to a zone that does not know its earlier attempt");
         }
     }
 
-    private void order(long now, Seen s) {
-        if (s.taken.orderingKey() == null || !s.cls.inOrder()) {
+    /** Checks the order of messages that share a key (rule 6). */
+    private void checkKeyOrder(long now, TrackedMessage message) {
+        if (message.accepted.orderingKey() == null || !message.messageClass.inOrder()) {
             return;
         }
-        for (Seen earlier : keys.get(s.taken.orderingKey())) {
-            if (earlier == s) {
+        for (TrackedMessage earlier : messagesByKey.get(message.accepted.orderingKey())) {
+            if (earlier == message) {
                 break;
             }
-            require(earlier.over && !earlier.open(), "6: sent before an earlier message of its key was over");
+            require(earlier.finished && !earlier.hasOpenAttempts(),
+                "6: sent before an earlier message of its key had ended");
         }
-        require(!s.sends.isEmpty() || now >= keyRest.getOrDefault(s.taken.orderingKey(), 0L), "6: sent while the key rests");
+        require(!message.sends.isEmpty() || now >= keyPausedUntil.getOrDefault(message.accepted.orderingKey(), 0L),
+            "6: sent during the pause of its key");
     }
 
-    private void budget(long now, Endpoint to) {
-        Long cold = coldSince.get(to.id());
-        if (cold == null || now - cold >= set.rules().warmUpTime()) {
+    /**
+     * Checks that a cold endpoint gets at most this relay's even share of the calls it bears in a window
+     * (rule 4).
+     */
+    private void checkReturnBudget(long now, Endpoint to) {
+        Long since = coldSince.get(to.id());
+        if (since == null || now - since >= settings.rules().warmUpTime()) {
             return;
         }
-        ArrayDeque<Long> recent = sends.computeIfAbsent(to.id(), k -> new ArrayDeque<>());
+        ArrayDeque<Long> recent = recentSends.computeIfAbsent(to.id(), k -> new ArrayDeque<>());
         recent.addLast(now);
-        recent.removeIf(t -> t <= now - set.rules().overloadWindow());
-        double warm = set.rules().coldCapacity()
-            + (1 - set.rules().coldCapacity()) * Math.min(1.0, (double) Math.max(0, now - cold) / set.rules().warmUpTime());
-        double limit = set.rules().overloadFactor() * to.weight() * warm * set.rules().overloadWindow() / 1e6
-            / set.relayCount();
-        require(recent.size() <= Math.max(1, limit), "4: pushed a returning endpoint, " + recent.size() + " > " + limit);
+        recent.removeIf(time -> time <= now - settings.rules().overloadWindow());
+        double warmth = settings.rules().coldCapacity()
+            + (1 - settings.rules().coldCapacity())
+            * Math.min(1.0, (double) Math.max(0, now - since) / settings.rules().warmUpTime());
+        double limit = settings.rules().overloadFactor() * to.weight() * warmth
+            * settings.rules().overloadWindow() / 1e6
+            / settings.relayCount();
+        require(recent.size() <= Math.max(1, limit),
+            "4: too many calls to a returning endpoint, " + recent.size() + " > " + limit);
     }
 
-    /** Every message whose time is up must be over; call at the end of each turn. */
-    void time(long now) {
-        for (Seen s : messages.values()) {
-            long due = s.taken.deadline() + set.rules().answerSlack();
-            require(s.over || now <= due, "1: no final answer in time for " + s.taken.id());
+    /**
+     * Checks that every message past its deadline has ended; to be called at the end of each turn.
+     *
+     * @throws AssertionError if one has not
+     */
+    void checkDeadlines(long now) {
+        for (TrackedMessage message : messages.values()) {
+            long due = message.accepted.deadline() + settings.rules().answerSlack();
+            require(message.finished || now <= due,
+                "1: no final answer by the deadline for " + message.accepted.id());
         }
-        messages.values().removeIf(s -> s.over && !s.open() && s.overAt + 60_000_000L < now);
+        messages.values().removeIf(message -> message.finished && !message.hasOpenAttempts()
+            && message.finishedAt + 60_000_000L < now);
     }
 
-    private void require(boolean kept, String breach) {
-        if (!kept) {
-            breaches++;
-            throw new AssertionError("rule " + breach);
+    private void require(boolean condition, String violation) {
+        if (!condition) {
+            violations++;
+            throw new AssertionError("rule " + violation);
         }
     }
 }
--- a/src/test/java/wrenkeel/RuleCheckerTest.java
+++ b/src/test/java/wrenkeel/RuleCheckerTest.java
@@ -1,88 +1,92 @@
 package wrenkeel;
 
 import static org.junit.jupiter.api.Assertions.*;
-import static wrenkeel.Bench.*;
+import static wrenkeel.ScriptedRelay.*;
 
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import wrenkeel.Relay.*;
 
-/** The checker is itself fed a breach of each rule. */
+/** Checks that {@link RuleChecker} reports a violation of each of its numbered rules. */
 class RuleCheckerTest {
-    private final RuleChecker c = new RuleChecker(settings(8, true, 1));
-    private static final long T = 10 * SECOND;
+    private final RuleChecker checker = new RuleChecker(testSettings(8, true, 1));
+    /** The time of all events and, unless said otherwise, actions. */
+    private static final long NOW = 10 * SECOND;
 
     @BeforeEach
-    void list() {
-        c.event(T, new ListUpdated(ListKind.WHOLE, List.of(endpoint(1, 0, 0, 1, 2), endpoint(2, 1, 0, 1, 2))));
+    void listEndpoints() {
+        checker.recordEvent(NOW,
+            new ListUpdated(ListKind.WHOLE, List.of(endpoint(1, 0, 0, 1, 2), endpoint(2, 1, 0, 1, 2))));
     }
 
-    private void take(String id, int cls, String key) {
-        c.event(T, new MessageAccepted(id, cls, 0, key, T + 5 * SECOND, 1));
+    private void accept(String id, int messageClass, String key) {
+        checker.recordEvent(NOW, new MessageAccepted(id, messageClass, 0, key, NOW + 5 * SECOND, 1));
     }
 
-    private void breach(String rule, Runnable act) {
-        AssertionError e = assertThrows(AssertionError.class, act::run);
-        assertTrue(e.getMessage().startsWith("rule " + rule), e.getMessage());
+    /** Expects a violation of the rule of this number. */
+    private void assertViolation(String rule, Runnable action) {
+        AssertionError error = assertThrows(AssertionError.class, action::run);
+        assertTrue(error.getMessage().startsWith("rule " + rule), error.getMessage());
     }
 
     @Test
-    void lostOrDoublyAnsweredMessage() {
-        take("a", 0, null);
-        c.time(T + 5 * SECOND);
-        breach("1", () -> c.time(T + 6 * SECOND));
-        c.action(T, new Fail("a"));
-        breach("1", () -> c.action(T, new Refuse("a", 0)));
-        breach("1", () -> c.action(T, new Send("a", 1, SECOND)));
+    void missingAndSecondFinalAnswersAreReported() {
+        accept("a", 0, null);
+        checker.checkDeadlines(NOW + 5 * SECOND);
+        assertViolation("1", () -> checker.checkDeadlines(NOW + 6 * SECOND));
+        checker.checkAction(NOW, new Fail("a"));
+        assertViolation("1", () -> checker.checkAction(NOW, new Refuse("a", 0)));
+        assertViolation("1", () -> checker.checkAction(NOW, new Send("a", 1, SECOND)));
     }
 
     @Test
-    void doubledEffect() {
-        take("u", 2, null);
-        c.action(T, new Send("u", 1, SECOND));
-        breach("2", () -> c.action(T, new Send("u", 2, SECOND)));
-        breach("2", () -> c.action(T, new Refuse("u", 0)));
-        take("k", 3, null);
-        c.action(T, new Send("k", 1, SECOND));
-        breach("2", () -> c.action(T, new Send("k", 2, SECOND)));
-        breach("2", () -> c.action(T, new Refuse("k", 0)));
+    void possibleDoubleEffectsAreReported() {
+        accept("u", 2, null);
+        checker.checkAction(NOW, new Send("u", 1, SECOND));
+        assertViolation("2", () -> checker.checkAction(NOW, new Send("u", 2, SECOND)));
+        assertViolation("2", () -> checker.checkAction(NOW, new Refuse("u", 0)));
+        accept("k", 3, null);
+        checker.checkAction(NOW, new Send("k", 1, SECOND));
+        assertViolation("2", () -> checker.checkAction(NOW, new Send("k", 2, SECOND)));
+        assertViolation("2", () -> checker.checkAction(NOW, new Refuse("k", 0)));
     }
 
     @Test
-    void sendAfterDrain() {
-        take("a", 0, null);
-        c.event(T, new ListUpdated(ListKind.CHANGES, List.of(new Endpoint(1, 0, 0, 1, Listing.DRAINING, 2))));
-        breach("3", () -> c.action(T + SECOND, new Send("a", 1, SECOND)));
+    void sendToADrainingEndpointIsReported() {
+        accept("a", 0, null);
+        checker.recordEvent(NOW,
+            new ListUpdated(ListKind.CHANGES, List.of(new Endpoint(1, 0, 0, 1, Listing.DRAINING, 2))));
+        assertViolation("3", () -> checker.checkAction(NOW + SECOND, new Send("a", 1, SECOND)));
     }
 
     @Test
-    void pushedReturn() {
-        c.coldSince.put(1L, T);
+    void overloadOfAReturningEndpointIsReported() {
+        checker.coldSince.put(1L, NOW);
         for (int i = 0; i < 2; i++) {
-            take("a" + i, 0, null);
-            c.action(T, new Send("a" + i, 1, SECOND));
+            accept("a" + i, 0, null);
+            checker.checkAction(NOW, new Send("a" + i, 1, SECOND));
         }
-        take("b", 0, null);
-        breach("4", () -> c.action(T, new Send("b", 1, SECOND)));
+        accept("b", 0, null);
+        assertViolation("4", () -> checker.checkAction(NOW, new Send("b", 1, SECOND)));
     }
 
     @Test
-    void sendInsideWait() {
-        take("a", 0, null);
-        c.action(T, new Send("a", 1, SECOND));
-        c.event(T, new AttemptEnded("a", 0, 1, Outcome.FULL, false, SECOND, 1, -1, -1));
-        breach("5", () -> c.action(T + SECOND / 2, new Send("a", 2, SECOND)));
+    void sendBeforeTheEndOfAWaitIsReported() {
+        accept("a", 0, null);
+        checker.checkAction(NOW, new Send("a", 1, SECOND));
+        checker.recordEvent(NOW, new AttemptEnded("a", 0, 1, Outcome.FULL, false, SECOND, 1, -1, -1));
+        assertViolation("5", () -> checker.checkAction(NOW + SECOND / 2, new Send("a", 2, SECOND)));
     }
 
     @Test
-    void orderOfKeys() {
-        take("a", 2, "k");
-        take("b", 2, "k");
-        breach("6", () -> c.action(T, new Send("b", 1, SECOND)));
-        c.action(T, new Send("a", 1, SECOND));
-        c.event(T, new AttemptEnded("a", 0, 1, Outcome.TIMEOUT, true, 0, 1, -1, -1));
-        breach("6", () -> c.action(T, new Send("b", 1, SECOND)));
-        c.action(T + SECOND, new Send("b", 1, SECOND));
+    void sendOutOfKeyOrderIsReported() {
+        accept("a", 2, "k");
+        accept("b", 2, "k");
+        assertViolation("6", () -> checker.checkAction(NOW, new Send("b", 1, SECOND)));
+        checker.checkAction(NOW, new Send("a", 1, SECOND));
+        checker.recordEvent(NOW, new AttemptEnded("a", 0, 1, Outcome.TIMEOUT, true, 0, 1, -1, -1));
+        assertViolation("6", () -> checker.checkAction(NOW, new Send("b", 1, SECOND)));
+        checker.checkAction(NOW + SECOND, new Send("b", 1, SECOND));
     }
 }
