--- a/src/main/java/wrenkeel/SimHost.java
+++ b/src/main/java/wrenkeel/SimHost.java
@@ -15,12 +15,12 @@
 
 /** Hosts one {@link Control} an instance on the simulator's wire. It decides nothing. */
 final class SimHost {
-    private final Map<Integer, Control> relays = new TreeMap<>();
+    private final Map<Integer, Control> controls = new TreeMap<>();
     private final Map<Long, List<Relay.Endpoint>> rosters = new TreeMap<>();
     /** Events of the current batch, by instance, in the order in which instances were first named. */
-    private final Map<Integer, List<Relay.Event>> turn = new java.util.LinkedHashMap<>();
+    private final Map<Integer, List<Relay.Event>> batchEvents = new java.util.LinkedHashMap<>();
     private final Wire.Writer writer;
-    private long now;
+    private long batchTimeMicros;
     private long frame;
     private boolean inBatch;
 
@@ -37,10 +37,10 @@
             for (String line = reader.readLine(); line != null; line = reader.readLine()) {
                 number++;
                 if (!line.isBlank()) {
-                    host.line(line);
+                    host.handleLine(line);
                 }
             }
-        } catch (Wire.Malformed e) {
+        } catch (Wire.MalformedException e) {
             err.println("line " + number + ": " + e.getMessage());
             return 1;
         }
@@ -51,31 +51,31 @@
         return 0;
     }
 
-    private void line(String line) throws IOException {
+    private void handleLine(String line) throws IOException {
         Wire.Fields fields = Wire.decode(line);
         String verb = fields.text("verb");
         if (!inBatch) {
             if (!verb.equals("Batch")) {
-                throw new Wire.Malformed("'" + verb + "' outside a batch");
+                throw new Wire.MalformedException("'" + verb + "' outside a batch");
             }
-            now = fields.time("sim-time");
-            frame = fields.whole("frame");
+            batchTimeMicros = fields.micros("sim-time");
+            frame = fields.longValue("frame");
             inBatch = true;
             return;
         }
         switch (verb) {
-            case "Batch" -> throw new Wire.Malformed("'Batch' inside a batch");
-            case "Eob" -> reply();
-            case "Table" -> rosters.put(fields.whole("roster-id"), Wire.endpoints(fields.objects("items")));
-            case "Start" -> start(instance(fields), fields);
+            case "Batch" -> throw new Wire.MalformedException("'Batch' inside a batch");
+            case "Eob" -> runBatch();
+            case "Table" -> rosters.put(fields.longValue("roster-id"), Wire.endpoints(fields.objects("items")));
+            case "Start" -> startInstance(instance(fields), fields);
             case "Down" -> {
-                relays.remove(instance(fields));
-                turn.remove(instance(fields));
+                controls.remove(instance(fields));
+                batchEvents.remove(instance(fields));
             }
-            case "Membership" -> members(fields);
+            case "Membership" -> handleMembership(fields);
             default -> {
                 Relay.Event event = Wire.event(verb, fields);
-                List<Relay.Event> events = events(instance(fields));
+                List<Relay.Event> events = eventsOf(instance(fields));
                 if (event != null) {
                     events.add(event);
                 }
@@ -83,50 +83,50 @@
         }
     }
 
-    private static int instance(Wire.Fields fields) throws Wire.Malformed {
-        return (int) fields.whole("i");
+    private static int instance(Wire.Fields fields) throws Wire.MalformedException {
+        return (int) fields.longValue("i");
     }
 
-    private List<Relay.Event> events(int instance) throws Wire.Malformed {
-        if (!relays.containsKey(instance)) {
-            throw new Wire.Malformed("instance " + instance + " never started");
+    private List<Relay.Event> eventsOf(int instance) throws Wire.MalformedException {
+        if (!controls.containsKey(instance)) {
+            throw new Wire.MalformedException("instance " + instance + " never started");
         }
-        return turn.computeIfAbsent(instance, key -> new ArrayList<>());
+        return batchEvents.computeIfAbsent(instance, key -> new ArrayList<>());
     }
 
-    private void start(int instance, Wire.Fields fields) throws Wire.Malformed {
-        long seed = fields.whole("nonce64");
-        relays.put(instance, new Control(seed, Wire.settings(fields.object("settings"))));
-        turn.remove(instance);
-        events(instance);
+    private void startInstance(int instance, Wire.Fields fields) throws Wire.MalformedException {
+        long seed = fields.longValue("nonce64");
+        controls.put(instance, new Control(seed, Wire.settings(fields.object("settings"))));
+        batchEvents.remove(instance);
+        eventsOf(instance);
     }
 
-    private void members(Wire.Fields fields) throws Wire.Malformed {
-        List<Relay.Event> events = events(instance(fields));
+    private void handleMembership(Wire.Fields fields) throws Wire.MalformedException {
+        List<Relay.Event> events = eventsOf(instance(fields));
         String mode = fields.text("mode");
         if (mode.equals("failed")) {
             return;
         }
-        List<Relay.Endpoint> items = rosters.get(fields.whole("roster-id"));
+        List<Relay.Endpoint> items = rosters.get(fields.longValue("roster-id"));
         if (items == null) {
-            throw new Wire.Malformed("unknown roster-id " + fields.whole("roster-id"));
+            throw new Wire.MalformedException("unknown roster-id " + fields.longValue("roster-id"));
         }
         Relay.ListKind kind = switch (mode) {
             case "delta" -> Relay.ListKind.CHANGES;
             case "full", "cached" -> Relay.ListKind.WHOLE;
-            default -> throw new Wire.Malformed("unknown mode '" + mode + "'");
+            default -> throw new Wire.MalformedException("unknown mode '" + mode + "'");
         };
         events.add(new Relay.Listed(kind, items));
     }
 
-    private void reply() throws IOException {
-        for (Map.Entry<Integer, List<Relay.Event>> entry : turn.entrySet()) {
-            for (Relay.Action action : relays.get(entry.getKey()).turn(now, entry.getValue())) {
-                writer.action(entry.getKey(), action);
+    private void runBatch() throws IOException {
+        for (Map.Entry<Integer, List<Relay.Event>> entry : batchEvents.entrySet()) {
+            for (Relay.Action action : controls.get(entry.getKey()).turn(batchTimeMicros, entry.getValue())) {
+                writer.writeAction(entry.getKey(), action);
             }
         }
-        turn.clear();
+        batchEvents.clear();
         inBatch = false;
-        writer.finished(frame);
+        writer.writeFinished(frame);
     }
 }
--- a/src/main/java/wrenkeel/Wire.java
+++ b/src/main/java/wrenkeel/Wire.java
@@ -24,79 +24,79 @@
     private Wire() { }
 
     /** A line that is not what the wire's description allows. */
-    public static final class Malformed extends IOException {
+    public static final class MalformedException extends IOException {
         private static final long serialVersionUID = 1L;
 
-        public Malformed(String fault) {
+        public MalformedException(String fault) {
             super(fault);
         }
     }
 
     /** One decoded object with typed access to its fields; times leave it in microseconds. */
     public record Fields(Map<String, Object> values) {
-        private Object need(String name) throws Malformed {
+        private Object require(String name) throws MalformedException {
             Object value = values.get(name);
             if (value == null) {
-                throw new Malformed("missing field '" + name + "'");
+                throw new MalformedException("missing field '" + name + "'");
             }
             return value;
         }
 
-        public String text(String name) throws Malformed {
-            if (need(name) instanceof String s) {
+        public String text(String name) throws MalformedException {
+            if (require(name) instanceof String s) {
                 return s;
             }
-            throw new Malformed("field '" + name + "' is not a string");
+            throw new MalformedException("field '" + name + "' is not a string");
         }
 
-        public String text(String name, String absent) throws Malformed {
+        public String text(String name, String absent) throws MalformedException {
             return values.get(name) == null ? absent : text(name);
         }
 
-        public double number(String name) throws Malformed {
-            if (need(name) instanceof Number n) {
+        public double doubleValue(String name) throws MalformedException {
+            if (require(name) instanceof Number n) {
                 return n.doubleValue();
             }
-            throw new Malformed("field '" + name + "' is not a number");
+            throw new MalformedException("field '" + name + "' is not a number");
         }
 
-        public double number(String name, double absent) throws Malformed {
-            return values.get(name) == null ? absent : number(name);
+        public double doubleValue(String name, double absent) throws MalformedException {
+            return values.get(name) == null ? absent : doubleValue(name);
         }
 
-        public long whole(String name) throws Malformed {
-            if (need(name) instanceof Number n && n.doubleValue() == Math.rint(n.doubleValue())) {
+        public long longValue(String name) throws MalformedException {
+            if (require(name) instanceof Number n && n.doubleValue() == Math.rint(n.doubleValue())) {
                 return n.longValue();
             }
-            throw new Malformed("field '" + name + "' is not a whole number");
+            throw new MalformedException("field '" + name + "' is not a whole number");
         }
 
-        public long whole(String name, long absent) throws Malformed {
-            return values.get(name) == null ? absent : whole(name);
+        public long longValue(String name, long absent) throws MalformedException {
+            return values.get(name) == null ? absent : longValue(name);
         }
 
-        public long time(String name) throws Malformed {
-            return Math.round(number(name) * 1000.0);
+        public long micros(String name) throws MalformedException {
+            return Math.round(doubleValue(name) * 1000.0);
         }
 
-        public long time(String name, double absentMillis) throws Malformed {
-            return Math.round(number(name, absentMillis) * 1000.0);
+        public long micros(String name, double absentMillis) throws MalformedException {
+            return Math.round(doubleValue(name, absentMillis) * 1000.0);
         }
 
-        public boolean flag(String name) throws Malformed {
+        public boolean booleanValue(String name) throws MalformedException {
             Object value = values.get(name);
             if (value == null || value instanceof Boolean) {
                 return value != null && (Boolean) value;
             }
-            throw new Malformed("field '" + name + "' is not true or false");
+            throw new MalformedException("field '" + name + "' is not true or false");
         }
 
-        public Fields object(String name) throws Malformed {
+        public Fields object(String name) throws MalformedException {
             Object value = values.get(name);
             return value == null ? new Fields(Map.of()) : asFields(value, name);
         }
 
-        public List<Fields> objects(String name) throws Malformed {
+        public List<Fields> objects(String name) throws MalformedException {
             List<Fields> all = new ArrayList<>();
             for (Object value : list(name)) {
                 all.add(asFields(value, name));
@@ -104,12 +104,12 @@
             return all;
         }
 
-        public List<?> list(String name) throws Malformed {
+        public List<?> list(String name) throws MalformedException {
             Object value = values.get(name);
             if (value == null || value instanceof List) {
                 return value == null ? List.of() : (List<?>) value;
             }
-            throw new Malformed("field '" + name + "' is not an array");
+            throw new MalformedException("field '" + name + "' is not an array");
         }
 
         /** The object that a decoded value is; null if it is none. */
@@ -118,55 +118,55 @@
             return value instanceof Map ? new Fields((Map<String, Object>) value) : null;
         }
 
-        private static Fields asFields(Object value, String name) throws Malformed {
+        private static Fields asFields(Object value, String name) throws MalformedException {
             Fields fields = of(value);
             if (fields != null) {
                 return fields;
             }
-            throw new Malformed("field '" + name + "' is not an object");
+            throw new MalformedException("field '" + name + "' is not an object");
         }
     }
 
     /** Decodes one line. */
-    public static Fields decode(String line) throws Malformed {
-        return Fields.asFields(only(line), "line");
+    public static Fields decode(String line) throws MalformedException {
+        return Fields.asFields(singleValue(line), "line");
     }
 
     /** Told where a value stands: offset of its first byte, and how many bytes it has. */
-    public interface Place {
-        void at(long from, long length);
+    public interface ByteRangeConsumer {
+        void accept(long from, long length);
     }
 
     /**
      * Decodes one object from a stream of UTF-8. The value of its field {@code apart}, if that is an object,
      * is decoded without the elements of its arrays, which may be many; where it stands is told.
      */
-    public static Fields decode(InputStream in, String apart, Place place) throws IOException {
+    public static Fields decode(InputStream in, String apart, ByteRangeConsumer place) throws IOException {
         try (JsonParser parser = JSON.createParser(in)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new Malformed("not an object");
+                throw new MalformedException("not an object");
             }
             Map<String, Object> map = new LinkedHashMap<>();
             while (parser.nextToken() != JsonToken.END_OBJECT) {
                 String name = parser.currentName();
                 if (parser.nextToken() == JsonToken.START_OBJECT && name.equals(apart)) {
                     long from = parser.currentTokenLocation().getByteOffset();
-                    map.put(name, withoutElements(parser));
-                    place.at(from, parser.currentLocation().getByteOffset() - from);
+                    map.put(name, objectWithEmptyArrays(parser));
+                    place.accept(from, parser.currentLocation().getByteOffset() - from);
                 } else {
                     map.put(name, value(parser));
                 }
             }
             if (parser.nextToken() != null) {
-                throw new Malformed("more than one value");
+                throw new MalformedException("more than one value");
             }
             return new Fields(map);
         } catch (JsonProcessingException e) {
-            throw new Malformed("bad JSON: " + e.getMessage().lines().findFirst().orElse(""));
+            throw new MalformedException("bad JSON: " + e.getMessage().lines().findFirst().orElse(""));
         }
     }
 
-    private static Map<String, Object> withoutElements(JsonParser parser) throws IOException {
+    private static Map<String, Object> objectWithEmptyArrays(JsonParser parser) throws IOException {
         Map<String, Object> map = new LinkedHashMap<>();
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String name = parser.currentName();
@@ -181,37 +181,37 @@
     }
 
     /** Decodes one array of objects, strictly: no object may give one name twice. */
-    public static List<Fields> decodeArray(String text) throws Malformed {
+    public static List<Fields> decodeArray(String text) throws MalformedException {
         try (JsonParser parser = JSON.createParser(text)) {
             parser.enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION);
-            return new Fields(Collections.singletonMap("array", only(parser))).objects("array");
+            return new Fields(Collections.singletonMap("array", singleValue(parser))).objects("array");
         } catch (IOException e) {
-            throw malformed(e);
+            throw toMalformed(e);
         }
     }
 
-    private static Object only(String text) throws Malformed {
+    private static Object singleValue(String text) throws MalformedException {
         try (JsonParser parser = JSON.createParser(text)) {
-            return only(parser);
+            return singleValue(parser);
         } catch (IOException e) {
-            throw malformed(e);
+            throw toMalformed(e);
         }
     }
 
-    private static Object only(JsonParser parser) throws IOException {
+    private static Object singleValue(JsonParser parser) throws IOException {
         if (parser.nextToken() == null) {
-            throw new Malformed("nothing to read");
+            throw new MalformedException("nothing to read");
         }
         Object value = value(parser);
         if (parser.nextToken() != null) {
-            throw new Malformed("more than one value on the line");
+            throw new MalformedException("more than one value on the line");
         }
         return value;
     }
 
-    private static Malformed malformed(IOException fault) {
-        return fault instanceof Malformed known ? known
-            : new Malformed("bad JSON: " + fault.getMessage().lines().findFirst().orElse(""));
+    private static MalformedException toMalformed(IOException fault) {
+        return fault instanceof MalformedException known ? known
+            : new MalformedException("bad JSON: " + fault.getMessage().lines().findFirst().orElse(""));
     }
 
     private static Object value(JsonParser parser) throws IOException {
@@ -238,26 +238,26 @@
             case VALUE_TRUE: return Boolean.TRUE;
             case VALUE_FALSE: return Boolean.FALSE;
             case VALUE_NULL: return null;
-            default: throw new Malformed("unexpected " + parser.currentToken());
+            default: throw new MalformedException("unexpected " + parser.currentToken());
         }
     }
 
-    public static Relay.Settings settings(Fields s) throws Malformed {
+    public static Relay.Settings settings(Fields s) throws MalformedException {
         Fields info = s.object("family-info");
         Fields allowed = s.object("allowed");
         Fields rules = s.object("rules");
         Fields prices = s.object("deductions");
-        int tries = (int) allowed.whole("most-tries", 1);
+        int tries = (int) allowed.longValue("most-tries", 1);
         List<Relay.MessageClass> classes = new ArrayList<>();
         for (Fields c : s.objects("profiles")) {
-            classes.add(new Relay.MessageClass(c.text("name", ""), c.time("aim"), c.time("hard-limit"),
-                c.number("worth", 1), c.number("late-worth", 0), effect(c.text("semantics")),
-                c.text("group", "all").equals("zone"), c.time("window", 0), c.flag("sequential"),
+            classes.add(new Relay.MessageClass(c.text("name", ""), c.micros("aim"), c.micros("hard-limit"),
+                c.doubleValue("worth", 1), c.doubleValue("late-worth", 0), effect(c.text("semantics")),
+                c.text("group", "all").equals("zone"), c.micros("window", 0), c.booleanValue("sequential"),
                 tries));
         }
         List<Relay.Tenant> tenants = new ArrayList<>();
         for (Fields t : s.objects("tenants")) {
-            tenants.add(new Relay.Tenant(t.text("name", ""), t.number("quota-per-s", 0)));
+            tenants.add(new Relay.Tenant(t.text("name", ""), t.doubleValue("quota-per-s", 0)));
         }
         List<Relay.Kind> kinds = new ArrayList<>();
         List<?> apart = info.list("kind-apart");
@@ -271,28 +271,28 @@
         for (Object fee : info.list("carriage")) {
             fees.add(fee instanceof Number n ? n.doubleValue() : 0.0);
         }
-        return new Relay.Settings((int) s.whole("rank", 0), (int) s.whole("balancers", 1),
-            (int) s.whole("zone", 0),
-            info.text("late", "linear").equals("halving"), s.number("over-share-worth", 1),
+        return new Relay.Settings((int) s.longValue("rank", 0), (int) s.longValue("balancers", 1),
+            (int) s.longValue("zone", 0),
+            info.text("late", "linear").equals("halving"), s.doubleValue("over-share-worth", 1),
             weights(s.text("weights", "none")), classes, tenants, kinds,
-            new Relay.Allowed((int) info.whole("call-slots", 1), (int) allowed.whole("open-cap", 1000),
-                allowed.flag("second-copies"), allowed.flag("cancel"),
-                (int) allowed.whole("max-streams", 1),
-                allowed.time("connect-timeout", 0), allowed.time("keepalive", 0),
-                allowed.flag("retry-after") ? allowed.time("max-retry-after", 0) : 0),
-            new Relay.Rules(rules.time("stop-sending-within", 0), rules.number("fall-multiple", 1),
-                rules.time("tip-after", 1), rules.number("cold-from", 1), rules.time("cold", 0),
-                rules.time("key-rest", 0), rules.time("answer-slack", 0)),
-            new Relay.Prices(info.number("refusal-cost", 0), prices.number("handshake", 0),
-                prices.number("cross-zone", 0), prices.number("waste", 0), fees));
+            new Relay.Allowed((int) info.longValue("call-slots", 1), (int) allowed.longValue("open-cap", 1000),
+                allowed.booleanValue("second-copies"), allowed.booleanValue("cancel"),
+                (int) allowed.longValue("max-streams", 1),
+                allowed.micros("connect-timeout", 0), allowed.micros("keepalive", 0),
+                allowed.booleanValue("retry-after") ? allowed.micros("max-retry-after", 0) : 0),
+            new Relay.Rules(rules.micros("stop-sending-within", 0), rules.doubleValue("fall-multiple", 1),
+                rules.micros("tip-after", 1), rules.doubleValue("cold-from", 1), rules.micros("cold", 0),
+                rules.micros("key-rest", 0), rules.micros("answer-slack", 0)),
+            new Relay.Prices(info.doubleValue("refusal-cost", 0), prices.doubleValue("handshake", 0),
+                prices.doubleValue("cross-zone", 0), prices.doubleValue("waste", 0), fees));
     }
 
-    private static Relay.Effect effect(String word) throws Malformed {
+    private static Relay.Effect effect(String word) throws MalformedException {
         return switch (word) {
             case "retryable" -> Relay.Effect.SAFE;
             case "dedup" -> Relay.Effect.KEYED;
             case "fragile" -> Relay.Effect.UNSAFE;
-            default -> throw new Malformed("unknown semantics '" + word + "'");
+            default -> throw new MalformedException("unknown semantics '" + word + "'");
         };
     }
 
@@ -304,7 +304,7 @@
         };
     }
 
-    static Relay.Outcome outcome(String word) throws Malformed {
+    static Relay.Outcome outcome(String word) throws MalformedException {
         return switch (word) {
             case "S" -> Relay.Outcome.OK;
             case "E" -> Relay.Outcome.ERROR;
@@ -314,57 +314,57 @@
             case "R" -> Relay.Outcome.RESET;
             case "X" -> Relay.Outcome.CANCELLED;
             case "N" -> Relay.Outcome.NOT_SENT;
-            default -> throw new Malformed("unknown outcome '" + word + "'");
+            default -> throw new MalformedException("unknown outcome '" + word + "'");
         };
     }
 
-    static List<Relay.Endpoint> endpoints(List<Fields> items) throws Malformed {
+    static List<Relay.Endpoint> endpoints(List<Fields> items) throws MalformedException {
         List<Relay.Endpoint> all = new ArrayList<>();
         for (Fields e : items) {
             Relay.Listing listing = switch (e.text("state")) {
                 case "SERVING" -> Relay.Listing.READY;
                 case "DRAINING" -> Relay.Listing.DRAINING;
                 case "DELETED" -> Relay.Listing.GONE;
-                default -> throw new Malformed("unknown state '" + e.text("state") + "'");
+                default -> throw new MalformedException("unknown state '" + e.text("state") + "'");
             };
-            all.add(new Relay.Endpoint(e.whole("host"), (int) e.whole("region-part", 0),
-                (int) e.whole("family-type", 0), e.whole("owner-no", 0), listing, e.number("size", 1)));
+            all.add(new Relay.Endpoint(e.longValue("host"), (int) e.longValue("region-part", 0),
+                (int) e.longValue("family-type", 0), e.longValue("owner-no", 0), listing, e.doubleValue("size", 1)));
         }
         return all;
     }
 
     /** Decodes an event of one instance; null where the event asks nothing of the module. */
-    static Relay.Event event(String verb, Fields f) throws Malformed {
+    static Relay.Event event(String verb, Fields f) throws MalformedException {
         switch (verb) {
             case "Accept":
-                return new Relay.Accepted(f.text("ref"), (int) f.whole("cls", 0), (int) f.whole("realm", 0),
-                    f.text("route-key", null), f.time("deadline"), f.whole("to-exchange", 0));
+                return new Relay.Accepted(f.text("ref"), (int) f.longValue("cls", 0), (int) f.longValue("realm", 0),
+                    f.text("route-key", null), f.micros("deadline"), f.longValue("to-exchange", 0));
             case "Verdict": {
                 Relay.Outcome outcome = outcome(f.text("rc"));
                 Fields report = f.object("report");
-                long wait = outcome == Relay.Outcome.FULL ? Math.max(0, f.time("detail", 0)) : 0;
-                return new Relay.Ended(f.text("ref"), (int) f.whole("attempt", 0), f.whole("host"), outcome,
-                    f.flag("finished"), wait, f.time("spent", 0), report.number("x0", -1),
-                    report.number("x1", -1));
+                long wait = outcome == Relay.Outcome.FULL ? Math.max(0, f.micros("detail", 0)) : 0;
+                return new Relay.Ended(f.text("ref"), (int) f.longValue("attempt", 0), f.longValue("host"), outcome,
+                    f.booleanValue("finished"), wait, f.micros("spent", 0), report.doubleValue("x0", -1),
+                    report.doubleValue("x1", -1));
             }
             case "TickDue": return new Relay.Due();
             case "Dropped": return new Relay.Withdrawn(f.text("ref"));
             case "Pong", "Heard", "Started": return null;
-            default: throw new Malformed("unknown verb '" + verb + "'");
+            default: throw new MalformedException("unknown verb '" + verb + "'");
         }
     }
 
     /** Writes replies to a stream. */
     static final class Writer {
         private final JsonGenerator out;
-        private int label;
+        private int lastLabel;
 
         Writer(OutputStream stream) throws IOException {
             out = JSON.createGenerator(stream);
             out.setRootValueSeparator(null);
         }
 
-        void finished(long frame) throws IOException {
+        void writeFinished(long frame) throws IOException {
             out.writeStartObject();
             out.writeStringField("verb", "Finished");
             out.writeNumberField("frame", frame);
@@ -373,39 +373,39 @@
         }
 
         /** Writes what the simulator is asked for; the other actions ask nothing of it. */
-        void action(int instance, Relay.Action action) throws IOException {
+        void writeAction(int instance, Relay.Action action) throws IOException {
             if (action instanceof Relay.Forgotten || action instanceof Relay.Released) {
                 return;
             }
             out.writeStartObject();
             if (action instanceof Relay.Send a) {
-                head("Issue", instance, a.id());
+                writeHeader("Issue", instance, a.id());
                 out.writeNumberField("host", a.endpoint());
-                time("patience", a.timeout());
+                writeMillis("patience", a.timeout());
             } else if (action instanceof Relay.Refuse a) {
-                head("Deny", instance, a.id());
-                time("come-back", a.retryAfter());
+                writeHeader("Deny", instance, a.id());
+                writeMillis("come-back", a.retryAfter());
             } else if (action instanceof Relay.Fail a) {
-                head("EndFailed", instance, a.id());
+                writeHeader("EndFailed", instance, a.id());
             } else if (action instanceof Relay.Cancel a) {
-                head("CallOff", instance, a.id());
+                writeHeader("CallOff", instance, a.id());
                 out.writeNumberField("attempt", a.attempt());
             } else if (action instanceof Relay.Close a) {
-                head("DropConns", instance, null);
+                writeHeader("DropConns", instance, null);
                 out.writeNumberField("host", a.endpoint());
             } else if (action instanceof Relay.Wake a) {
-                head("Remind", instance, null);
-                out.writeNumberField("label", label = (label + 1) & 0xffff);
-                time("sleep-for", a.after());
+                writeHeader("Remind", instance, null);
+                out.writeNumberField("label", lastLabel = (lastLabel + 1) & 0xffff);
+                writeMillis("sleep-for", a.after());
             } else if (action instanceof Relay.HealthChanged a) {
-                head("NoteDown", instance, null);
+                writeHeader("NoteDown", instance, null);
                 out.writeStringField("message", "endpoint " + a.endpoint() + ": " + a.health() + ", "
                     + a.reason());
             }
             endLine();
         }
 
-        private void head(String verb, int instance, String id) throws IOException {
+        private void writeHeader(String verb, int instance, String id) throws IOException {
             out.writeStringField("verb", verb);
             out.writeNumberField("i", instance);
             if (id != null) {
@@ -413,7 +413,7 @@
             }
         }
 
-        private void time(String name, long micros) throws IOException {
+        private void writeMillis(String name, long micros) throws IOException {
             out.writeNumberField(name, micros / 1000.0);
         }
 
--- a/src/main/java/wrenkeel/net/AgentConnection.java
+++ b/src/main/java/wrenkeel/net/AgentConnection.java
@@ -239,13 +239,13 @@
             received += bytes.readableBytes();
             try {
                 if (received > LIST_MOST) {
-                    throw new Wire.Malformed("it has more than " + LIST_MOST + " bytes");
+                    throw new Wire.MalformedException("it has more than " + LIST_MOST + " bytes");
                 }
                 if (reading != null) {
                     feed(bytes);
                     answer.list = last ? reading.end() : null;
                 }
-            } catch (Wire.Malformed e) {
+            } catch (Wire.MalformedException e) {
                 refuse(e.getMessage());
                 return;
             }
@@ -257,7 +257,7 @@
             }
         }
 
-        private void feed(ByteBuf bytes) throws Wire.Malformed {
+        private void feed(ByteBuf bytes) throws Wire.MalformedException {
             if (bytes.hasArray()) {
                 reading.feed(bytes.array(), bytes.arrayOffset() + bytes.readerIndex(),
                     bytes.readableBytes());
--- a/src/main/java/wrenkeel/net/Answers.java
+++ b/src/main/java/wrenkeel/net/Answers.java
@@ -69,7 +69,7 @@
                 states.merge(entry.text("id"), entry.text("state"),
                     (one, other) -> one.equals(other) ? one : CONTRADICTED);
             }
-        } catch (Wire.Malformed | CharacterCodingException e) {
+        } catch (Wire.MalformedException | CharacterCodingException e) {
             return Map.of();
         }
         return states;
--- a/src/main/java/wrenkeel/net/EndReserve.java
+++ b/src/main/java/wrenkeel/net/EndReserve.java
@@ -6,17 +6,17 @@
  */
 final class EndReserve {
     /** ms; a relay may be held up for 150 before it decides, and again before it writes. */
-    private static final long MOST = 300;
+    private static final long MAX_RESERVE_MS = 300;
     /** ms; how far before the end of its time the deadline of a new message lies already. */
-    private static final long DEADLINE_MARGIN = 300;
+    private static final long DEADLINE_MARGIN_MS = 300;
     /** Of a message's time this part at most is kept back in all. */
-    private static final long PART = 4;
+    private static final long MAX_SHARE_DIVISOR = 4;
 
     private EndReserve() { }
 
     /** {@code left}: ms until the message's deadline. */
     static long millis(long left) {
-        long share = (left + DEADLINE_MARGIN) / PART - DEADLINE_MARGIN;
-        return Math.max(0, Math.min(MOST, share));
+        long share = (left + DEADLINE_MARGIN_MS) / MAX_SHARE_DIVISOR - DEADLINE_MARGIN_MS;
+        return Math.max(0, Math.min(MAX_RESERVE_MS, share));
     }
 }
--- a/src/main/java/wrenkeel/net/Knowledge.java
+++ b/src/main/java/wrenkeel/net/HandoverSnapshot.java
@@ -14,11 +14,11 @@
 import wrenkeel.Wire;
 
 /** What a process that leaves knows of the hosts, as text for the next; points in time in Unix time, ms. */
-final class Knowledge {
-    private static final Logger LOG = LoggerFactory.getLogger(Knowledge.class);
+final class HandoverSnapshot {
+    private static final Logger LOG = LoggerFactory.getLogger(HandoverSnapshot.class);
     private static final JsonFactory JSON = new JsonFactory();
 
-    private Knowledge() { }
+    private HandoverSnapshot() { }
 
     /** Stops once the text has {@code most} characters: what comes later in the list is left out. */
     static String write(List<Relay.Known> all, HostList hosts, LongUnaryOperator toUnix, long most)
@@ -65,40 +65,40 @@
         List<Relay.Event> events = new ArrayList<>();
         try {
             Wire.Fields all = Wire.decode(text);
-            boolean newer = all.whole("seq") > hosts.version();
+            boolean newer = all.longValue("seq") > hosts.version();
             for (Wire.Fields f : all.objects("known")) {
                 HostList.Host host = named.apply(f.text("host"));
                 if (host == null) {
                     continue;
                 }
-                if (newer && host.ready && !f.flag("ready")) {
+                if (newer && host.ready && !f.booleanValue("ready")) {
                     events.add(hosts.drain(host));
                 }
-                events.add(new Relay.Known(host.number, toModule.applyAsLong(f.whole("wait")),
-                    toModule.applyAsLong(f.whole("closed")), health(f), toModule.applyAsLong(since(f)),
-                    f.number("carried", 0), f.number("pace"), f.number("window"), f.number("latency")));
+                events.add(new Relay.Known(host.number, toModule.applyAsLong(f.longValue("wait")),
+                    toModule.applyAsLong(f.longValue("closed")), health(f), toModule.applyAsLong(since(f)),
+                    f.doubleValue("carried", 0), f.doubleValue("pace"), f.doubleValue("window"), f.doubleValue("latency")));
             }
-        } catch (Wire.Malformed e) {
+        } catch (Wire.MalformedException e) {
             LOG.warn("what the process before knew cannot be read: {}", e.getMessage());
         }
         return events;
     }
 
     /** The release before wrote down whether it was out, and when it came back. */
-    private static Relay.Health health(Wire.Fields f) throws Wire.Malformed {
+    private static Relay.Health health(Wire.Fields f) throws Wire.MalformedException {
         String name = f.text("health", null);
         if (name == null) {
-            return f.flag("out") ? Relay.Health.OUT
-                : f.whole("returned") != 0 ? Relay.Health.RETURNING : Relay.Health.GOOD;
+            return f.booleanValue("out") ? Relay.Health.OUT
+                : f.longValue("returned") != 0 ? Relay.Health.RETURNING : Relay.Health.GOOD;
         }
         try {
             return Relay.Health.valueOf(name);
         } catch (IllegalArgumentException e) {
-            throw new Wire.Malformed("unknown health " + name);
+            throw new Wire.MalformedException("unknown health " + name);
         }
     }
 
-    private static long since(Wire.Fields f) throws Wire.Malformed {
-        return f.whole("since", f.whole("returned", 0));
+    private static long since(Wire.Fields f) throws Wire.MalformedException {
+        return f.longValue("since", f.longValue("returned", 0));
     }
 }
--- a/src/main/java/wrenkeel/net/HollowRelay.java
+++ b/src/main/java/wrenkeel/net/HollowRelay.java
@@ -43,7 +43,7 @@
         });
     }
 
-    private void begin() throws Config.Unusable, IOException, Wire.Malformed {
+    private void begin() throws Config.InvalidConfigException, IOException, Wire.MalformedException {
         config = Config.read(env);
         Figures figures = new Figures();
         ProcessClock clock = ProcessClock.system();
@@ -51,18 +51,18 @@
             .option(ChannelOption.ALLOCATOR, new UnpooledByteBufAllocator(false));
         HostList hosts = new HostList(config.zones(), config.kinds());
         HostPool pool = new HostPool(loop, calls, config.settings().allowed().connectTimeout(),
-            config.settings().allowed().keepAlive(), config.descriptors().hosts(), figures);
-        journal = new Journal(config.state(), config.diskBytes(), clock, FileOperations.SYSTEM);
+            config.settings().allowed().keepAlive(), config.descriptorBudget().hostConnections(), figures);
+        journal = new Journal(config.stateFolder(), config.diskLimitBytes(), clock, FileOperations.SYSTEM);
         driver = new Loop(loop, clock, config, hosts, pool, journal, figures, (whenListed, whenNoticed) ->
-            new Discovery(loop, calls, config.discovery(), hosts, change -> {
+            new Discovery(loop, calls, config.discoveryAddress(), hosts, change -> {
                 whenListed.listed(change);
                 // Behind the module's turn, which stands in the loop's queue by now.
                 loop.execute(() -> inForce(hosts.version()));
             }, whenNoticed));
-        driver.start(config.known());
+        driver.start(config.savedList());
         // Nobody else shares the folder: what is there was left by one that has ended.
         driver.adopt();
-        journal.takenOver();
+        journal.confirmTakeover();
     }
 
     private void inForce(long held) {
@@ -78,7 +78,7 @@
     /** Reads the configuration anew, as at SIGHUP; fails, and changes nothing, if it is of no use. */
     public Future<?> reload() {
         return loop.submit(() -> {
-            Config next = config.reread(env);
+            Config next = config.reload(env);
             driver.retune(next);
             config = next;
             return null;
--- a/src/main/java/wrenkeel/net/HostList.java
+++ b/src/main/java/wrenkeel/net/HostList.java
@@ -294,7 +294,7 @@
         private Reading() { }
 
         /** Reads a piece of the text, cut anywhere. After a fault nothing of the list stays. */
-        void feed(byte[] bytes, int from, int length) throws Wire.Malformed {
+        void feed(byte[] bytes, int from, int length) throws Wire.MalformedException {
             boolean good = false;
             try {
                 underWay();
@@ -308,7 +308,7 @@
         }
 
         /** The text is complete: from now on the list holds, or, after a fault, nothing of it. */
-        Change end() throws Wire.Malformed {
+        Change end() throws Wire.MalformedException {
             try {
                 underWay();
                 text.end();
@@ -346,13 +346,13 @@
             text.close();
         }
 
-        private void underWay() throws Wire.Malformed {
+        private void underWay() throws Wire.MalformedException {
             if (reading != this) {
-                throw new Wire.Malformed("the list has been abandoned");
+                throw new Wire.MalformedException("the list has been abandoned");
             }
         }
 
-        private void read(ListReader.Entry entry) throws Wire.Malformed {
+        private void read(ListReader.Entry entry) throws Wire.MalformedException {
             int row = table.named(entry.name, entry.nameLength);
             boolean known = row != HostTable.NONE;
             if (known && text.mayBeWhole()) {
--- a/src/main/java/wrenkeel/net/HostTable.java
+++ b/src/main/java/wrenkeel/net/HostTable.java
@@ -141,11 +141,11 @@
             : Float.floatToIntBits((float) share);
     }
 
-    private char site(int zone) throws Wire.Malformed {
+    private char site(int zone) throws Wire.MalformedException {
         Character held = sites.get(zone);
         if (held == null) {
             if (sites.size() == SITES_MOST) {
-                throw new Wire.Malformed("more than " + SITES_MOST + " sites");
+                throw new Wire.MalformedException("more than " + SITES_MOST + " sites");
             }
             held = (char) sites.size();
             zones = held == zones.length ? Arrays.copyOf(zones, 2 * held) : zones;
@@ -195,12 +195,12 @@
      * A row for an entry, not linked; {@code host}: the linked row of its host, whose number it then has
      * instead of a name, or {@link #NONE}.
      */
-    int add(ListReader.Entry entry, int host) throws Wire.Malformed {
+    int add(ListReader.Entry entry, int host) throws Wire.MalformedException {
         if (rows >= most) {
-            throw new Wire.Malformed("more than " + most + " hosts");
+            throw new Wire.MalformedException("more than " + most + " hosts");
         }
         if (arena.size() > Math.max(ARENA_LEAST, (long) most * NAME_MEAN)) {
-            throw new Wire.Malformed("names of more than " + arena.size() + " bytes in all");
+            throw new Wire.MalformedException("names of more than " + arena.size() + " bytes in all");
         }
         char site = site(entry.zone);
         int row = allocate();
--- a/src/main/java/wrenkeel/net/Journal.java
+++ b/src/main/java/wrenkeel/net/Journal.java
@@ -65,16 +65,16 @@
     /** Share of the room that the health of endpoints may take. */
     private static final double HEALTH_SHARE = 0.125;
 
-    /** One send of a message. {@code sent}: Unix time, ms; {@code zone}: its host's. */
+    /** One send of a message. {@code sentMillis}: Unix time, ms; {@code zone}: its host's. */
     static final class Attempt {
-        final long sent;
+        final long sentMillis;
         final int zone;
         boolean mayHaveRun = true;
         /** This machine failed: it counts only among the numbers of this process's attempts. */
         private boolean unmade;
 
         Attempt(long sent, int zone) {
-            this.sent = sent;
+            this.sentMillis = sent;
             this.zone = zone;
         }
 
@@ -86,23 +86,23 @@
     }
 
     /** The end that was decided for a message; its notice is owed until it is acknowledged. */
-    record End(boolean handedBack, long retryAfter) { }
+    record End(boolean refused, long retryAfterMicros) { }
 
     /**
      * Health of an endpoint, as this relay was told of it.
      *
      * @param host name of the endpoint
-     * @param since Unix time, ms, when its outage began or, if it is returning, ended
-     * @param carried calls a second that this relay carried to it before the outage
+     * @param sinceMillis Unix time, ms, when its outage began or, if it is returning, ended
+     * @param callsPerSecond calls a second that this relay carried to it before the outage
      */
-    record EndpointHealth(String host, Relay.Health health, long since, double carried) { }
+    record EndpointHealth(String host, Relay.Health health, long sinceMillis, double callsPerSecond) { }
 
     /** A message that something is owed for. */
     static final class Entry {
         final long number;
         final Message message;
         /** Under which it was taken; null where only its name was written down. */
-        final Relay.MessageClass rules;
+        final Relay.MessageClass messageClass;
         final List<Attempt> attempts = new ArrayList<>();
         End end;
         private long reserved;
@@ -112,14 +112,14 @@
         private Entry(long number, Message message, Relay.MessageClass rules) {
             this.number = number;
             this.message = message;
-            this.rules = rules;
+            this.messageClass = rules;
         }
 
         /** It may have been sent at any time since it was taken on, wherever. */
         private void doubt() {
             if (!doubted) {
                 doubted = true;
-                long life = rules == null ? 0 : rules.life() / 1_000;
+                long life = messageClass == null ? 0 : messageClass.life() / 1_000;
                 attempts.add(new Attempt(message.deadline() - life, UNKNOWN_ZONE));
             }
         }
@@ -127,7 +127,7 @@
 
     private final ProcessClock clock;
     private final FileOperations files;
-    private final Tenure tenure;
+    private final ProcessLease tenure;
     private final Path file;
     private final Path fresh;
     private final long room;
@@ -158,11 +158,11 @@
     Journal(Path folder, long limit, ProcessClock clock, FileOperations files) throws IOException {
         this.clock = clock;
         this.files = files;
-        this.tenure = Tenure.begin(folder, files);
+        this.tenure = ProcessLease.acquire(folder, files);
         this.file = tenure.file("journal");
         this.fresh = tenure.file("journal.new");
         this.room = limit - CLEAR;
-        for (Tenure.Earlier earlier : tenure.earlier()) {
+        for (ProcessLease.OtherProcess earlier : tenure.predecessors()) {
             legacies.add(new Legacy(earlier));
         }
         try {
@@ -170,14 +170,14 @@
         } catch (IOException e) {
             tenure.abandon();
             // What stands in a file's place does not go away by itself; all else may.
-            throw Files.isDirectory(fresh) || Files.isDirectory(file) ? new UnusableFolder(e) : e;
+            throw Files.isDirectory(fresh) || Files.isDirectory(file) ? new UnusableStateFolderException(e) : e;
         }
     }
 
     /** True while an earlier process serves: whatever stands in its file is its own. */
-    boolean earlierServes() throws IOException {
+    boolean isPredecessorServing() throws IOException {
         for (Legacy legacy : legacies) {
-            if (!legacy.earlier.over() && legacy.earlier.knowledge() == null) {
+            if (!legacy.earlier.hasEnded() && legacy.earlier.readSnapshot() == null) {
                 return true;
             }
         }
@@ -189,30 +189,30 @@
      *
      * @param shiftMillis to be added to its times in Unix time, ms, to have them on this process's clock
      */
-    record Left(String knowledge, long shiftMillis) { }
+    record InheritedSnapshot(String text, long shiftMillis) { }
 
     /** What the process that leaves knew; null if it left nothing. */
-    Left knowledge() throws IOException {
-        Left latest = null;
+    InheritedSnapshot predecessorSnapshot() throws IOException {
+        InheritedSnapshot latest = null;
         for (Legacy legacy : legacies) {
-            String knowledge = legacy.earlier.knowledge();
+            String knowledge = legacy.earlier.readSnapshot();
             if (knowledge != null) {
                 legacy.read();
-                latest = new Left(knowledge, legacy.times(clock).shiftMillis());
+                latest = new InheritedSnapshot(knowledge, legacy.times(clock).shiftMillis());
             }
         }
         return latest;
     }
 
     /** Tells the process that leaves that this one serves now. */
-    void takenOver() throws IOException {
+    void confirmTakeover() throws IOException {
         for (Legacy legacy : legacies) {
-            legacy.earlier.heard();
+            legacy.earlier.confirmTakeover();
         }
     }
 
     /** True while an earlier process still has a file that may hold something for this one. */
-    boolean hasLegacies() {
+    boolean hasPredecessors() {
         return !legacies.isEmpty();
     }
 
@@ -228,7 +228,7 @@
     }
 
     /** Messages that processes which leave still have out, by destination. */
-    Map<Long, Integer> outElsewhere() {
+    Map<Long, Integer> inFlightElsewhere() {
         Map<Long, Integer> out = new HashMap<>();
         for (Legacy legacy : legacies) {
             legacy.entries.values().stream().filter(e -> !legacy.passed.contains(e.number))
@@ -244,7 +244,7 @@
     void adopt(Consumer<Entry> whenOwed) throws IOException {
         for (Legacy legacy : legacies) {
             // In this order: after the end nothing more is written, so what is read then is all there is.
-            legacy.ended = legacy.earlier.over();
+            legacy.ended = legacy.earlier.hasEnded();
             legacy.read();
         }
         legacies.forEach(this::inherit);
@@ -276,8 +276,8 @@
     private void inherit(Legacy legacy) {
         RecordedTimes times = legacy.times(clock);
         for (EndpointHealth told : legacy.health.values()) {
-            EndpointHealth now = new EndpointHealth(told.host, told.health, times.outage(told.since),
-                told.carried);
+            EndpointHealth now = new EndpointHealth(told.host, told.health, times.outageTime(told.sinceMillis),
+                told.callsPerSecond);
             inherited.put(now.host, now);
             if (!health.containsKey(now.host)) {
                 keep(now);
@@ -287,7 +287,7 @@
     }
 
     /** Endpoints that earlier processes knew to be out or returning, as told since the last call. */
-    List<EndpointHealth> inheritedHealth() {
+    List<EndpointHealth> takeInheritedHealth() {
         List<EndpointHealth> told = List.copyOf(inherited.values());
         inherited.clear();
         return told;
@@ -297,7 +297,7 @@
      * Writes down the health of an endpoint, for the next process. One that is well is forgotten; beyond the
      * room for it no more endpoints are written down.
      */
-    void health(EndpointHealth told) throws IOException {
+    void endpointHealth(EndpointHealth told) throws IOException {
         boolean known = health.containsKey(told.host);
         if (keep(told) || known) {
             append(healthRecord(told));
@@ -305,7 +305,7 @@
     }
 
     /** How many endpoints' health is written down. */
-    int healthSize() {
+    int endpointHealthCount() {
         return health.size();
     }
 
@@ -339,46 +339,46 @@
 
     /** In one write: a message that is taken over without its attempts could run twice. */
     private Entry adopt(Entry from, Origin origin, RecordedTimes times) throws IOException {
-        long deadline = times.deadline(from.message.deadline(), from.rules);
-        Entry entry = new Entry(++last, from.message.withDeadline(deadline), from.rules);
+        long deadline = times.deadline(from.message.deadline(), from.messageClass);
+        Entry entry = new Entry(++last, from.message.withDeadline(deadline), from.messageClass);
         from.attempts.stream().filter(attempt -> !attempt.unmade)
-            .forEach(attempt -> entry.attempts.add(attempt.sentAt(times.sent(attempt.sent))));
+            .forEach(attempt -> entry.attempts.add(attempt.sentAt(times.sendTime(attempt.sentMillis))));
         entry.end = from.end;
         ByteArrayOutputStream records = new ByteArrayOutputStream();
         records.writeBytes(origin(origin));
         write(entry, records::writeBytes);
         put(records.toByteArray());
-        entry.reserved = reserve(taken(entry).length, from.rules);
+        entry.reserved = reserve(taken(entry).length, from.messageClass);
         reserved += entry.reserved;
         entries.put(entry.number, entry);
         return entry;
     }
 
     /** True while a later process stands by to take over. */
-    boolean laterWaits() throws IOException {
-        return tenure.laterWaits();
+    boolean hasStandby() throws IOException {
+        return tenure.hasStandby();
     }
 
     /**
      * From now on messages are passed on to the later process, which reads this file as it grows: it is
      * compacted now, for the last time.
      */
-    void beginPassing() throws IOException {
+    void beginHandover() throws IOException {
         rewrite();
         passing = true;
     }
 
-    /** Leaves what this process knows to the later one, which serves once {@link #laterServes}. */
-    void leave(String knowledge) throws IOException {
-        tenure.leave(knowledge);
+    /** Leaves what this process knows to the later one, which serves once {@link #isTakenOver}. */
+    void publishSnapshot(String knowledge) throws IOException {
+        tenure.publishSnapshot(knowledge);
     }
 
-    boolean laterServes() {
-        return tenure.laterServes();
+    boolean isTakenOver() {
+        return tenure.isTakenOver();
     }
 
     /** The message is the later process's from here on. */
-    void passed(Entry entry) throws IOException {
+    void passOn(Entry entry) throws IOException {
         append(record(PASSED, entry.number, o -> { }));
         forget(entry.number);
     }
@@ -392,17 +392,17 @@
     }
 
     /** The messages that something is owed for, in the order in which they were taken on. */
-    Collection<Entry> owed() {
+    Collection<Entry> openEntries() {
         return List.copyOf(entries.values());
     }
 
     /** How many messages something is owed for. */
-    int size() {
+    int openCount() {
         return entries.size();
     }
 
     /** Writes a message down; null if there is no room for it until its end. */
-    Entry take(Message message, Relay.MessageClass rules) throws IOException {
+    Entry accept(Message message, Relay.MessageClass rules) throws IOException {
         Entry entry = new Entry(last + 1, message, rules);
         byte[] record = taken(entry);
         entry.reserved = reserve(record.length, rules);
@@ -417,10 +417,10 @@
     }
 
     /** To be written before the first byte of a send goes out: from then on it may have run. */
-    void sent(Entry entry, long time, int zone) throws IOException {
+    void recordSent(Entry entry, long time, int zone) throws IOException {
         Attempt attempt = new Attempt(time, zone);
         try {
-            append(sent(entry, attempt));
+            append(recordSent(entry, attempt));
         } catch (IOException e) {
             // It is not sent then; it keeps its number, so that later attempts keep theirs.
             attempt.mayHaveRun = false;
@@ -431,14 +431,14 @@
     }
 
     /** An attempt that was written down was never made: this machine had no socket for it. */
-    void unmade(Entry entry, int attempt) throws IOException {
+    void recordNotMade(Entry entry, int attempt) throws IOException {
         entry.attempts.get(attempt).mayHaveRun = false;
         entry.attempts.get(attempt).unmade = true;
         append(record(UNMADE, entry.number, o -> o.writeShort(attempt)));
     }
 
     /** A send that was decided and is not made, for it cannot be written down; it keeps its number. */
-    void notMade(Entry entry, long time, int zone) {
+    void addUnrecordedAttempt(Entry entry, long time, int zone) {
         Attempt attempt = new Attempt(time, zone);
         attempt.mayHaveRun = false;
         attempt.unmade = true;
@@ -448,19 +448,19 @@
     }
 
     /** An outcome has proved that the attempt never ran. */
-    void notRun(Entry entry, int attempt) throws IOException {
+    void recordNotRun(Entry entry, int attempt) throws IOException {
         entry.attempts.get(attempt).mayHaveRun = false;
         append(record(NOT_RUN, entry.number, o -> o.writeShort(attempt)));
     }
 
     /** An end was decided: a notice is owed. */
-    void ended(Entry entry, End end) throws IOException {
+    void recordEnd(Entry entry, End end) throws IOException {
         entry.end = end;
-        append(ended(entry.number, end));
+        append(recordEnd(entry.number, end));
     }
 
     /** Nothing more is owed: delivered, withdrawn, or its notice acknowledged. */
-    void closed(Entry entry) throws IOException {
+    void recordClosed(Entry entry) throws IOException {
         forget(entry.number);
         append(record(CLOSED, entry.number, o -> { }));
     }
@@ -536,14 +536,14 @@
         to.write(taken(entry));
         for (int i = 0; i < entry.attempts.size(); i++) {
             int attempt = i;
-            to.write(sent(entry, entry.attempts.get(i)));
+            to.write(recordSent(entry, entry.attempts.get(i)));
             if (!entry.attempts.get(i).mayHaveRun) {
                 byte sort = entry.attempts.get(i).unmade ? UNMADE : NOT_RUN;
                 to.write(record(sort, entry.number, o -> o.writeShort(attempt)));
             }
         }
         if (entry.end != null) {
-            to.write(ended(entry.number, entry.end));
+            to.write(recordEnd(entry.number, entry.end));
         }
     }
 
@@ -554,7 +554,7 @@
             StandardOpenOption.TRUNCATE_EXISTING,
             StandardOpenOption.WRITE);
         try {
-            write(next, clock(clock.read()));
+            write(next, clock(clock.reading()));
             for (EndpointHealth told : health.values()) {
                 write(next, healthRecord(told));
             }
@@ -597,7 +597,7 @@
 
     /** The file of an earlier process, read as far as it has been written. */
     private static final class Legacy {
-        final Tenure.Earlier earlier;
+        final ProcessLease.OtherProcess earlier;
         final Map<Long, Entry> entries = new LinkedHashMap<>();
         final Set<Long> passed = new HashSet<>();
         final Set<Origin> adopted = new HashSet<>();
@@ -615,7 +615,7 @@
         long size;
         private long checkedInVain;
 
-        Legacy(Tenure.Earlier earlier) {
+        Legacy(ProcessLease.OtherProcess earlier) {
             this.earlier = earlier;
         }
 
@@ -645,7 +645,7 @@
          * over. An unfinished record at the end was never acted on; any other gap may have held anything.
          */
         void read() throws IOException {
-            ByteBuffer in = ByteBuffer.wrap(earlier.journalFrom(size));
+            ByteBuffer in = ByteBuffer.wrap(earlier.readJournalFrom(size));
             int unread = 0;
             boolean unfinished = false;
             while (in.hasRemaining()) {
@@ -746,8 +746,8 @@
                 }
                 case CLOSED -> entries.remove(number);
                 case HEALTH -> {
-                    EndpointHealth told = health(in);
-                    happened(told.since);
+                    EndpointHealth told = endpointHealth(in);
+                    happened(told.sinceMillis);
                     if (told.health == Relay.Health.GOOD) {
                         health.remove(told.host);
                     } else {
@@ -757,7 +757,7 @@
                 default -> {
                     if (entry != null) {
                         follow(entry, sort, in);
-                        entry.attempts.forEach(attempt -> happened(attempt.sent));
+                        entry.attempts.forEach(attempt -> happened(attempt.sentMillis));
                     }
                 }
             }
@@ -806,15 +806,15 @@
             return record(HEALTH, 0, o -> {
                 o.writeUTF(told.host);
                 o.writeByte(told.health.ordinal());
-                o.writeLong(told.since);
-                o.writeDouble(told.carried);
+                o.writeLong(told.sinceMillis);
+                o.writeDouble(told.callsPerSecond);
             });
         } catch (IOException e) {
             throw new IllegalStateException("an array of bytes cannot fail to be written", e);
         }
     }
 
-    private static EndpointHealth health(DataInputStream in) throws IOException {
+    private static EndpointHealth endpointHealth(DataInputStream in) throws IOException {
         String host = in.readUTF();
         return new EndpointHealth(host, Relay.Health.values()[in.readByte()], in.readLong(), in.readDouble());
     }
@@ -833,9 +833,9 @@
 
     private static byte[] taken(Entry entry) throws IOException {
         Message m = entry.message;
-        return record(entry.rules == null ? TAKEN_BARE : TAKEN, entry.number, o -> {
-            if (entry.rules != null) {
-                rules(o, entry.rules);
+        return record(entry.messageClass == null ? TAKEN_BARE : TAKEN, entry.number, o -> {
+            if (entry.messageClass != null) {
+                rules(o, entry.messageClass);
             }
             o.writeUTF(m.id());
             o.writeUTF(m.messageClass());
@@ -874,17 +874,17 @@
             in.readLong(), in.readNBytes(in.readInt()));
     }
 
-    private static byte[] sent(Entry entry, Attempt attempt) throws IOException {
+    private static byte[] recordSent(Entry entry, Attempt attempt) throws IOException {
         return record(SENT, entry.number, o -> {
-            o.writeLong(attempt.sent);
+            o.writeLong(attempt.sentMillis);
             o.writeInt(attempt.zone);
         });
     }
 
-    private static byte[] ended(long number, End end) throws IOException {
+    private static byte[] recordEnd(long number, End end) throws IOException {
         return record(ENDED, number, o -> {
-            o.writeBoolean(end.handedBack());
-            o.writeLong(end.retryAfter());
+            o.writeBoolean(end.refused());
+            o.writeLong(end.retryAfterMicros());
         });
     }
 
--- a/src/main/java/wrenkeel/net/JournalHealth.java
+++ b/src/main/java/wrenkeel/net/JournalHealth.java
@@ -13,22 +13,22 @@
  */
 final class JournalHealth {
     private static final Logger LOG = LoggerFactory.getLogger(JournalHealth.class);
-    private static final long FIRST_GAP_MS = 50;
-    private static final long MAX_GAP_MS = 250;
+    private static final long FIRST_RETRY_MS = 50;
+    private static final long MAX_RETRY_MS = 250;
 
     private final EventLoop loop;
     private final Journal journal;
-    private final Consumer<Boolean> whenChanged;
+    private final Consumer<Boolean> onChange;
     private boolean writable = true;
     private boolean stopped;
     private long failures;
-    private long failedSince;
+    private long failedSinceNanos;
 
-    /** {@code whenChanged}: told false at the first failure, and true once all is written down again. */
+    /** {@code onChange}: told false at the first failure, and true once all is written down again. */
     JournalHealth(EventLoop loop, Journal journal, Consumer<Boolean> whenChanged) {
         this.loop = loop;
         this.journal = journal;
-        this.whenChanged = whenChanged;
+        this.onChange = whenChanged;
     }
 
     boolean isWritable() {
@@ -41,14 +41,14 @@
     }
 
     /** A write has failed, and with it what was to be written down. */
-    void failed(String consequence, IOException cause) {
+    void writeFailed(String consequence, IOException cause) {
         failures++;
         if (writable) {
             writable = false;
-            failedSince = System.nanoTime();
+            failedSinceNanos = System.nanoTime();
             LOG.error("journal cannot be written: {}; tried again until it can", consequence, cause);
-            whenChanged.accept(false);
-            repairAfter(FIRST_GAP_MS);
+            onChange.accept(false);
+            repairAfter(FIRST_RETRY_MS);
         }
     }
 
@@ -69,12 +69,12 @@
             journal.repair();
         } catch (IOException | RuntimeException e) {
             failures++;
-            repairAfter(Math.min(MAX_GAP_MS, 2 * gap));
+            repairAfter(Math.min(MAX_RETRY_MS, 2 * gap));
             return;
         }
         writable = true;
-        long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - failedSince);
+        long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - failedSinceNanos);
         LOG.info("journal written again after {} ms, {} failures since the start", millis, failures);
-        whenChanged.accept(true);
+        onChange.accept(true);
     }
 }
--- a/src/main/java/wrenkeel/net/ListReader.java
+++ b/src/main/java/wrenkeel/net/ListReader.java
@@ -48,7 +48,7 @@
 
     /** Takes in the entries that count, in their order. */
     interface Entries {
-        void take(Entry entry) throws Wire.Malformed;
+        void take(Entry entry) throws Wire.MalformedException;
     }
 
     private enum Place { BEFORE, LIST, HOSTS, ENTRY, BEHIND }
@@ -96,7 +96,7 @@
         }
     }
 
-    void feed(byte[] bytes, int from, int length) throws Wire.Malformed {
+    void feed(byte[] bytes, int from, int length) throws Wire.MalformedException {
         try {
             ((ByteArrayFeeder) parser.getNonBlockingInputFeeder()).feedInput(bytes, from, from + length);
             tokens();
@@ -106,7 +106,7 @@
     }
 
     /** The text ends here; it must be one whole list. */
-    void end() throws Wire.Malformed {
+    void end() throws Wire.MalformedException {
         try {
             parser.getNonBlockingInputFeeder().endOfInput();
             tokens();
@@ -114,13 +114,13 @@
             throw malformed(e);
         }
         if (place != Place.BEHIND) {
-            throw new Wire.Malformed("the list is cut short");
+            throw new Wire.MalformedException("the list is cut short");
         }
         if (version == null) {
-            throw new Wire.Malformed("missing field 'seq'");
+            throw new Wire.MalformedException("missing field 'seq'");
         }
         if (!hosts) {
-            throw new Wire.Malformed("missing field 'hosts'");
+            throw new Wire.MalformedException("missing field 'hosts'");
         }
     }
 
@@ -150,9 +150,9 @@
         return version;
     }
 
-    private static Wire.Malformed malformed(IOException e) {
-        return e instanceof Wire.Malformed m ? m
-            : new Wire.Malformed("bad JSON: " + e.getMessage().lines().findFirst().orElse(""));
+    private static Wire.MalformedException malformed(IOException e) {
+        return e instanceof Wire.MalformedException m ? m
+            : new Wire.MalformedException("bad JSON: " + e.getMessage().lines().findFirst().orElse(""));
     }
 
     private void tokens() throws IOException {
@@ -170,7 +170,7 @@
         switch (place) {
             case BEFORE -> {
                 if (token != JsonToken.START_OBJECT) {
-                    throw new Wire.Malformed("the list is not an object");
+                    throw new Wire.MalformedException("the list is not an object");
                 }
                 place = Place.LIST;
             }
@@ -194,7 +194,7 @@
                 } else if (token == JsonToken.END_ARRAY) {
                     place = Place.LIST;
                 } else {
-                    throw new Wire.Malformed("field 'hosts' does not hold objects only");
+                    throw new Wire.MalformedException("field 'hosts' does not hold objects only");
                 }
             }
             case ENTRY -> {
@@ -216,7 +216,7 @@
                     ofEntry(token);
                 }
             }
-            default -> throw new Wire.Malformed("more than one value");
+            default -> throw new Wire.MalformedException("more than one value");
         }
     }
 
@@ -225,21 +225,21 @@
             case SEQ -> {
                 once(version);
                 if (!wholeNumber(token)) {
-                    throw new Wire.Malformed("field 'seq' is not a whole number");
+                    throw new Wire.MalformedException("field 'seq' is not a whole number");
                 }
                 version = number(token);
             }
             case WHOLE -> {
                 once(whole);
                 if (!token.isBoolean() && token != JsonToken.VALUE_NULL) {
-                    throw new Wire.Malformed("field 'whole' is not true or false");
+                    throw new Wire.MalformedException("field 'whole' is not true or false");
                 }
                 whole = token == JsonToken.VALUE_TRUE;
             }
             case HOSTS -> {
                 once(hosts ? Boolean.TRUE : null);
                 if (token != JsonToken.START_ARRAY) {
-                    throw new Wire.Malformed("field 'hosts' is not an array");
+                    throw new Wire.MalformedException("field 'hosts' is not an array");
                 }
                 hosts = true;
                 place = Place.HOSTS;
@@ -250,7 +250,7 @@
 
     private void once(Object before) throws IOException {
         if (before != null) {
-            throw new Wire.Malformed("more than one field '" + parser.currentName() + "'");
+            throw new Wire.MalformedException("more than one field '" + parser.currentName() + "'");
         }
     }
 
@@ -285,7 +285,7 @@
                 if (token == JsonToken.VALUE_STRING) {
                     word(parser.getTextCharacters(), parser.getTextOffset(), parser.getTextLength());
                 } else if (token != JsonToken.VALUE_NULL) {
-                    throw new Wire.Malformed("field '" + parser.currentName() + "' is not a string");
+                    throw new Wire.MalformedException("field '" + parser.currentName() + "' is not a string");
                 }
             }
             case DIAL -> {
@@ -313,7 +313,7 @@
         return token == JsonToken.VALUE_NULL ? Said.NOTHING : sense ? Said.VALUE : Said.NONSENSE;
     }
 
-    private void word(char[] text, int from, int length) throws Wire.Malformed {
+    private void word(char[] text, int from, int length) throws Wire.MalformedException {
         switch (field) {
             case HOST -> {
                 named = true;
@@ -330,16 +330,16 @@
         }
     }
 
-    private void name(char[] text, int from, int length) throws Wire.Malformed {
+    private void name(char[] text, int from, int length) throws Wire.MalformedException {
         if (length > ByteArena.LONGEST) {
-            throw new Wire.Malformed("a host's name of " + length + " characters");
+            throw new Wire.MalformedException("a host's name of " + length + " characters");
         }
         for (int i = 0; i < length; i++) {
             char c = text[from + i];
             if (c >= 0x80) {
                 byte[] bytes = new String(text, from, length).getBytes(StandardCharsets.UTF_8);
                 if (bytes.length > ByteArena.LONGEST) {
-                    throw new Wire.Malformed("a host's name of " + bytes.length + " bytes");
+                    throw new Wire.MalformedException("a host's name of " + bytes.length + " bytes");
                 }
                 System.arraycopy(bytes, 0, entry.name, 0, bytes.length);
                 entry.nameLength = bytes.length;
@@ -351,7 +351,7 @@
     }
 
     /** The entry is complete: passes it on, or leaves it out with a line in the log. */
-    private void finish() throws Wire.Malformed {
+    private void finish() throws Wire.MalformedException {
         need(named, "host");
         need(healthy, "health");
         boolean gone = entry.listing == Relay.Listing.GONE;
@@ -362,15 +362,15 @@
         if (!gone) {
             need(dial != Said.NOTHING, "dial");
             if (dial == Said.NONSENSE) {
-                throw new Wire.Malformed("field 'dial' is not a string");
+                throw new Wire.MalformedException("field 'dial' is not a string");
             }
             need(block != Said.NOTHING, "block");
         }
         if (block == Said.NONSENSE) {
-            throw new Wire.Malformed("field 'block' is not a whole number");
+            throw new Wire.MalformedException("field 'block' is not a whole number");
         }
         if (share == Said.NONSENSE) {
-            throw new Wire.Malformed("field 'share' is not a number");
+            throw new Wire.MalformedException("field 'share' is not a number");
         }
         if (!gone && dialText != null) {
             look();
@@ -378,9 +378,9 @@
         entries.take(entry);
     }
 
-    private static void need(boolean there, String name) throws Wire.Malformed {
+    private static void need(boolean there, String name) throws Wire.MalformedException {
         if (!there) {
-            throw new Wire.Malformed("missing field '" + name + "'");
+            throw new Wire.MalformedException("missing field '" + name + "'");
         }
     }
 
@@ -395,7 +395,7 @@
             } else {
                 entry.longAddress = bytes;
             }
-        } catch (Config.Unusable e) {
+        } catch (Config.InvalidConfigException e) {
             leaveOut(e.getMessage());
             entry.undialable = true;
             entry.listing = Relay.Listing.GONE;
--- a/src/main/java/wrenkeel/net/Loop.java
+++ b/src/main/java/wrenkeel/net/Loop.java
@@ -87,7 +87,7 @@
     private final Map<String, Answer> unanswered = new LinkedHashMap<>();
     /** What this turn sends and is not yet on its way, by host. */
     private final Map<HostList.Host, Bundle> bundles = new LinkedHashMap<>();
-    private final TakenUp takenUp = new TakenUp();
+    private final RecoverySummary takenUp = new RecoverySummary();
     private final EventLoopLag lag = new EventLoopLag(STAND, System::nanoTime);
     private final long began = System.nanoTime();
     /** Unix time, ms. */
@@ -114,7 +114,7 @@
         this.clock = clock;
         this.beganAt = clock.millis();
         this.settings = config.settings();
-        this.knowledgeMost = config.diskBytes() / KNOWLEDGE_PART;
+        this.knowledgeMost = config.diskLimitBytes() / KNOWLEDGE_PART;
         this.control = new Control(config.seed(), settings);
         this.hosts = hosts;
         this.pool = pool;
@@ -139,9 +139,9 @@
         settings.classes().stream().filter(c -> !classes.contains(c)).forEach(classes::add);
         tell(new Relay.Retuned(settings.with(List.copyOf(classes))));
         enforce();
-        discovery.moveTo(next.discovery());
+        discovery.moveTo(next.discoveryAddress());
         pool.retune(settings.allowed().connectTimeout(), settings.allowed().keepAlive(),
-            next.descriptors().hosts());
+            next.descriptorBudget().hostConnections());
     }
 
     /** The module's number for a class, which it is told of first if a message of before brings it. */
@@ -159,8 +159,8 @@
     }
 
     /** Takes in the list as last had, then begins to watch. One that cannot be read is told and left out. */
-    void start(KnownList known) {
-        if (!known.none()) {
+    void start(SavedHostList known) {
+        if (!known.isEmpty()) {
             try (InputStream text = known.open()) {
                 hosts.take(text);
             } catch (IOException e) {
@@ -188,7 +188,7 @@
         lag.tick();
         try {
             int unavailable = control.unavailable() + hosts.draining();
-            figures.stands(journal.size(), hosts.listed(), unavailable, hosts.version(), discovery.faults(),
+            figures.stands(journal.openCount(), hosts.listed(), unavailable, hosts.version(), discovery.faults(),
                 journalHealth.failures(), lag.worstMillis());
         } catch (RuntimeException e) {
             // Guards the ticks: a periodic task that throws is never run again.
@@ -229,8 +229,8 @@
                 tell(Relay.Known.waiting(told.number, moduleTime(until)));
             }
         });
-        journal.inheritedHealth().forEach(this::inherit);
-        Map<Long, Integer> out = journal.outElsewhere();
+        journal.takeInheritedHealth().forEach(this::inherit);
+        Map<Long, Integer> out = journal.inFlightElsewhere();
         Set<Long> changed = new HashSet<>(out.keySet());
         changed.addAll(outElsewhere.keySet());
         for (long destination : changed) {
@@ -248,14 +248,14 @@
         if (host == null) {
             unlistedHealth.put(told.host(), told);
         } else {
-            tell(Relay.Known.health(host.number, told.health(), moduleTime(told.since()), told.carried()));
+            tell(Relay.Known.health(host.number, told.health(), moduleTime(told.sinceMillis()), told.callsPerSecond()));
         }
     }
 
     private void owed(Journal.Entry entry) {
         if (entry.end != null) {
             discovery.notice(entry);
-        } else if (entry.rules == null && !inForce.containsKey(entry.message.messageClass())) {
+        } else if (entry.messageClass == null && !inForce.containsKey(entry.message.messageClass())) {
             LOG.warn("message {} given up: its class {} is gone", entry.message.id(),
                 entry.message.messageClass());
             end(entry, new Journal.End(false, 0));
@@ -266,35 +266,35 @@
 
     /** Passes on to the next process what is not out, and leaves what the module knows. */
     void leave() throws IOException {
-        journal.beginPassing();
+        journal.beginHandover();
         leaving = true;
         tell(new Relay.Leave());
         turn();
-        journal.leave(Knowledge.write(control.knowledge(), hosts, this::unixTime, knowledgeMost));
+        journal.publishSnapshot(HandoverSnapshot.write(control.knowledge(), hosts, this::unixTime, knowledgeMost));
         pool.closeAllIdle();
     }
 
     /** Takes in what the process before this one has left. */
-    void learn(Journal.Left left) {
-        Knowledge.read(left.knowledge(), hosts, this::named, unix -> moduleTime(unix + left.shiftMillis()))
+    void learn(Journal.InheritedSnapshot left) {
+        HandoverSnapshot.read(left.text(), hosts, this::named, unix -> moduleTime(unix + left.shiftMillis()))
             .forEach(this::tell);
     }
 
     /** The deadline passes into the module's clock; earlier attempts keep their distance from now. */
     private void recover(Journal.Entry entry) {
         String name = entry.message.messageClass();
-        Held h = new Held(entry.message, entry.rules == null ? inForce.get(name) : entry.rules, entry);
+        Held h = new Held(entry.message, entry.messageClass == null ? inForce.get(name) : entry.messageClass, entry);
         h.told = 1;
         held.put(h.message.id(), h);
         open++;
         List<Relay.Earlier> earlier = new ArrayList<>();
         for (Journal.Attempt a : entry.attempts) {
             h.calls.add(null);
-            earlier.add(new Relay.Earlier(moduleTime(a.sent), a.zone, a.mayHaveRun));
+            earlier.add(new Relay.Earlier(moduleTime(a.sentMillis), a.zone, a.mayHaveRun));
         }
         if (earlier.isEmpty()) {
             h.untried = true;
-            takenUp.untried();
+            takenUp.addUntried();
         }
         TRACE.debug("{} taken up, {} attempts, {} ms left", h.message.id(), earlier.size(),
             h.message.deadline() - clock.millis());
@@ -483,9 +483,9 @@
         for (String id : List.copyOf(unanswered.keySet())) {
             Held h = held.get(id);
             try {
-                h.entry = journalHealth.isWritable() ? journal.take(h.message, h.rules) : null;
+                h.entry = journalHealth.isWritable() ? journal.accept(h.message, h.rules) : null;
             } catch (IOException e) {
-                journalHealth.failed("message " + id + " refused", e);
+                journalHealth.writeFailed("message " + id + " refused", e);
             }
             if (h.entry == null) {
                 refuse(id, unanswered.get(id),
@@ -568,10 +568,10 @@
             return;
         }
         try {
-            journal.health(new Journal.EndpointHealth(host.name, a.health(), unixTime(a.since()),
+            journal.endpointHealth(new Journal.EndpointHealth(host.name, a.health(), unixTime(a.since()),
                 a.carried()));
         } catch (IOException e) {
-            journalHealth.failed("the health of " + host.name + " is not kept", e);
+            journalHealth.writeFailed("the health of " + host.name + " is not kept", e);
         }
     }
 
@@ -588,7 +588,7 @@
         h.out++;
         if (h.untried) {
             h.untried = false;
-            takenUp.tried();
+            takenUp.countTried();
         }
         if (h.over) {
             ended(h, attempt, host, unsent(Relay.Outcome.NOT_SENT, true));
@@ -633,7 +633,7 @@
             && guard.check(h.entry, h.rules, host, apart, clock.millis(), now()) == null;
         if (!permitted) {
             // It keeps its number.
-            journal.notMade(h.entry, clock.millis(), host.zone);
+            journal.addUnrecordedAttempt(h.entry, clock.millis(), host.zone);
         }
         return permitted;
     }
@@ -650,14 +650,14 @@
     /** Writes an attempt down before any byte of it goes out; false if it must not be made. */
     private boolean writtenDown(Held h, HostList.Host host) {
         if (!journalHealth.isWritable()) {
-            journal.notMade(h.entry, clock.millis(), host.zone);
+            journal.addUnrecordedAttempt(h.entry, clock.millis(), host.zone);
             return false;
         }
         try {
-            journal.sent(h.entry, clock.millis(), host.zone);
+            journal.recordSent(h.entry, clock.millis(), host.zone);
             return true;
         } catch (IOException e) {
-            journalHealth.failed("message " + h.message.id() + " not sent", e);
+            journalHealth.writeFailed("message " + h.message.id() + " not sent", e);
             return false;
         }
     }
@@ -705,7 +705,7 @@
             try {
                 journal.waits(host.name, clock.millis() + span / 1_000 + 1);
             } catch (IOException e) {
-                journalHealth.failed("a wait for " + host.name + " is not passed on", e);
+                journalHealth.writeFailed("a wait for " + host.name + " is not passed on", e);
             }
         }
     }
@@ -713,13 +713,13 @@
     private void notRun(Held h, int attempt, boolean unmade) {
         try {
             if (unmade) {
-                journal.unmade(h.entry, attempt);
+                journal.recordNotMade(h.entry, attempt);
             } else {
-                journal.notRun(h.entry, attempt);
+                journal.recordNotRun(h.entry, attempt);
             }
         } catch (IOException e) {
             // The attempt then counts as one that may have run, which is safe.
-            journalHealth.failed("outcome of message " + h.message.id() + " is not kept", e);
+            journalHealth.writeFailed("outcome of message " + h.message.id() + " is not kept", e);
         }
     }
 
@@ -728,7 +728,7 @@
         Held h = held.get(id);
         if (h != null && !h.over) {
             if (h.untried) {
-                takenUp.endedUntried(end.handedBack(), h.message.deadline() < beganAt);
+                takenUp.countEndedUntried(end.refused(), h.message.deadline() < beganAt);
             }
             over(h);
             end(h.entry, end);
@@ -739,13 +739,13 @@
         Held h = held.get(id);
         if (h != null && !h.over) {
             if (h.untried) {
-                takenUp.passedOn();
+                takenUp.countPassedOn();
             }
             over(h);
             try {
-                journal.passed(h.entry);
+                journal.passOn(h.entry);
             } catch (IOException e) {
-                journalHealth.failed("message " + id + " is passed on at the end", e);
+                journalHealth.writeFailed("message " + id + " is passed on at the end", e);
             }
         }
     }
@@ -757,9 +757,9 @@
             violated(Violation.ENDED_TWICE, entry.message.id());
         }
         try {
-            journal.ended(entry, end);
+            journal.recordEnd(entry, end);
         } catch (IOException e) {
-            journalHealth.failed("end of message " + entry.message.id() + " is told all the same", e);
+            journalHealth.writeFailed("end of message " + entry.message.id() + " is told all the same", e);
         }
         discovery.notice(entry);
     }
@@ -789,7 +789,7 @@
         if (late > END_DUE && clock.millis() - beganAt > AFTER_START) {
             violated(Violation.ENDED_LATE, entry.message.id());
         }
-        if (entry.end.handedBack()) {
+        if (entry.end.refused()) {
             figures.rejected(entry.message.messageClass());
         } else {
             figures.failed(entry.message.messageClass());
@@ -799,9 +799,9 @@
 
     private void close(Journal.Entry entry) {
         try {
-            journal.closed(entry);
+            journal.recordClosed(entry);
         } catch (IOException e) {
-            journalHealth.failed("message " + entry.message.id() + " would be taken up again", e);
+            journalHealth.writeFailed("message " + entry.message.id() + " would be taken up again", e);
         }
     }
 
--- a/src/main/java/wrenkeel/net/Node.java
+++ b/src/main/java/wrenkeel/net/Node.java
@@ -63,10 +63,10 @@
     Node(Config config, Machine machine) throws IOException, InterruptedException, ExecutionException {
         this.config = config;
         this.machine = machine;
-        clients = new Callers(config.descriptors().clients());
+        clients = new Callers(config.descriptorBudget().clientConnections());
         server = new Server(clients);
         clock = new ProcessClock(machine.clock());
-        console = config.console() == null ? null : new Console(config.console(), () -> ready, figures);
+        console = config.consoleAddress() == null ? null : new Console(config.consoleAddress(), () -> ready, figures);
         if (console != null) {
             LOG.info("operators at {}", consoleAddress());
         }
@@ -80,20 +80,20 @@
      * Begins this process's journal and serves, or stands by. While the folder cannot be written, or the
      * machine has no socket, it waits and tries again: what is owed is not given up for that.
      */
-    private void start(long gap) throws IOException, Wire.Malformed {
+    private void start(long gap) throws IOException, Wire.MalformedException {
         try {
             if (journal == null) {
-                journal = new Journal(config.state(), config.diskBytes(), clock, machine.files());
+                journal = new Journal(config.stateFolder(), config.diskLimitBytes(), clock, machine.files());
             }
             if (loop == null) {
                 begin();
             }
-            if (journal.earlierServes()) {
+            if (journal.isPredecessorServing()) {
                 standBy();
             } else {
                 serve();
             }
-        } catch (UnusableFolder | BindException | Wire.Malformed e) {
+        } catch (UnusableStateFolderException | BindException | Wire.MalformedException e) {
             throw e;
         } catch (IOException e) {
             LOG.warn("cannot serve yet, tried again in {} ms: {}", gap, e.toString());
@@ -121,20 +121,20 @@
         }
         try {
             server.turnAwayUntilServing();
-            door = Door.open(config.listen(), thread, server, nanos -> { }, machine.sockets());
+            door = Door.open(config.listenAddress(), thread, server, nanos -> { }, machine.sockets());
             LOG.info("not serving yet on {}", address());
         } catch (BindException e) {
             throw e;
         } catch (IOException e) {
-            LOG.warn("clients find nobody at {} yet: {}", config.listen(), e.toString());
+            LOG.warn("clients find nobody at {} yet: {}", config.listenAddress(), e.toString());
         }
     }
 
     /** True if no earlier process can be serving at the address. */
     private boolean alone() {
         try {
-            return journal == null ? !Tenure.anyLives(config.state(), machine.files())
-                : !journal.earlierServes();
+            return journal == null ? !ProcessLease.isAnyProcessAlive(config.stateFolder(), machine.files())
+                : !journal.isPredecessorServing();
         } catch (IOException e) {
             LOG.warn("the lasting folder cannot be read: {}", e.toString());
             return false;
@@ -143,9 +143,9 @@
 
     /** Reserves the clients' address, and looks again and again whether the earlier process has left. */
     private void standBy() throws IOException {
-        clients.allow(config.descriptors().clients() / 2);
-        door = Door.reserve(config.listen());
-        LOG.info("standing by for {}", config.listen());
+        clients.allow(config.descriptorBudget().clientConnections() / 2);
+        door = Door.reserve(config.listenAddress());
+        LOG.info("standing by for {}", config.listenAddress());
         ready = true;
         thread.schedule(this::await, TURN_OVER, TimeUnit.MILLISECONDS);
     }
@@ -155,7 +155,7 @@
             return;
         }
         try {
-            if (journal.earlierServes()) {
+            if (journal.isPredecessorServing()) {
                 thread.schedule(this::await, TURN_OVER, TimeUnit.MILLISECONDS);
             } else {
                 serve();
@@ -168,30 +168,30 @@
 
     /** Takes over what is left by earlier processes, and opens the door to clients. */
     private void serve() throws IOException {
-        Journal.Left left = journal.knowledge();
+        Journal.InheritedSnapshot left = journal.predecessorSnapshot();
         if (left != null) {
             loop.learn(left);
         }
         loop.adopt();
         if (door == null || !door.listens()) {
             Door reserved = door;
-            door = Door.open(config.listen(), thread, server, nanos -> loop.acceptedLate(nanos),
+            door = Door.open(config.listenAddress(), thread, server, nanos -> loop.acceptedLate(nanos),
                 machine.sockets());
             if (reserved != null) {
                 reserved.close();
             }
         }
         server.serve(loop, figures);
-        journal.takenOver();
+        journal.confirmTakeover();
         serving = true;
         ready = true;
-        LOG.info("serving on {}, {} messages taken up", address(), journal.size());
+        LOG.info("serving on {}, {} messages taken up", address(), journal.openCount());
         adoptOn();
     }
 
     /** What the process that leaves still passes on, until it has ended. */
     private void adoptOn() {
-        if (journal.hasLegacies()) {
+        if (journal.hasPredecessors()) {
             try {
                 loop.adopt();
             } catch (IOException | RuntimeException e) {
@@ -200,7 +200,7 @@
             }
             thread.schedule(this::adoptOn, TURN_OVER, TimeUnit.MILLISECONDS);
         } else {
-            clients.allow(config.descriptors().clients());
+            clients.allow(config.descriptorBudget().clientConnections());
         }
     }
 
@@ -220,7 +220,7 @@
             started.complete(node);
             node.left.await();
             return 0;
-        } catch (Config.Unusable e) {
+        } catch (Config.InvalidConfigException e) {
             System.err.println(e.getMessage());
         } catch (IOException e) {
             System.err.println("cannot start: " + e);
@@ -239,7 +239,7 @@
     /** Reads the configuration anew, whole; one that is of no use changes nothing. */
     synchronized void reload(Map<String, String> env) {
         try {
-            Config next = config.reread(env);
+            Config next = config.reload(env);
             thread.submit(() -> {
                 if (loop != null) {
                     loop.retune(next);
@@ -247,8 +247,8 @@
                 config = next;
             }).get();
             figures.reloaded();
-            LOG.info("configuration read anew, discovery is at {}", next.discovery());
-        } catch (Config.Unusable e) {
+            LOG.info("configuration read anew, discovery is at {}", next.discoveryAddress());
+        } catch (Config.InvalidConfigException e) {
             figures.reloadFailed();
             LOG.error("not reloaded: {}", e.getMessage());
         } catch (RejectedExecutionException e) {
@@ -262,16 +262,16 @@
         }
     }
 
-    private void begin() throws Wire.Malformed {
+    private void begin() throws Wire.MalformedException {
         Bootstrap calls = new Bootstrap().group(thread)
             .option(ChannelOption.ALLOCATOR, new UnpooledByteBufAllocator(false));
         HostList hosts = new HostList(config.zones(), config.kinds());
         HostPool pool = new HostPool(thread, calls, config.settings().allowed().connectTimeout(),
-            config.settings().allowed().keepAlive(), config.descriptors().hosts(), figures);
+            config.settings().allowed().keepAlive(), config.descriptorBudget().hostConnections(), figures);
         loop = new Loop(thread, clock, config, hosts, pool, journal, figures,
-            (whenListed, whenNoticed) -> new Discovery(thread, calls, config.discovery(), hosts, whenListed,
+            (whenListed, whenNoticed) -> new Discovery(thread, calls, config.discoveryAddress(), hosts, whenListed,
                 whenNoticed));
-        loop.start(config.known());
+        loop.start(config.savedList());
     }
 
     /** Waits until it serves; for a test. */
@@ -330,7 +330,7 @@
     private boolean laterWaits() throws InterruptedException, ExecutionException {
         return thread.submit(() -> {
             try {
-                return journal.laterWaits();
+                return journal.hasStandby();
             } catch (IOException e) {
                 LOG.warn("cannot tell whether another process stands by: {}", e.toString());
                 return false;
@@ -350,7 +350,7 @@
             }
             Thread.sleep(HAND_OVER_GAP);
         }
-        while (System.nanoTime() < until && !journal.laterServes() && laterWaits()) {
+        while (System.nanoTime() < until && !journal.isTakenOver() && laterWaits()) {
             Thread.sleep(LOOK);
         }
         return true;
@@ -359,7 +359,7 @@
     private boolean writeHandOver() {
         try {
             loop.leave();
-            clients.allow(config.descriptors().clients() / 2);
+            clients.allow(config.descriptorBudget().clientConnections() / 2);
             return true;
         } catch (IOException e) {
             LOG.warn("the hand-over cannot be written down, tried again: {}", e.toString());
--- a/src/main/java/wrenkeel/net/NoticeBody.java
+++ b/src/main/java/wrenkeel/net/NoticeBody.java
@@ -28,9 +28,9 @@
             for (Journal.Entry entry : batch) {
                 out.writeStartObject();
                 out.writeStringField("message", entry.message.id());
-                out.writeStringField("outcome", entry.end.handedBack() ? "handed_back" : "given_up");
-                if (entry.end.handedBack() && entry.end.retryAfter() > 0) {
-                    out.writeNumberField("retry_in_ms", (entry.end.retryAfter() + 999) / 1_000);
+                out.writeStringField("outcome", entry.end.refused() ? "handed_back" : "given_up");
+                if (entry.end.refused() && entry.end.retryAfterMicros() > 0) {
+                    out.writeNumberField("retry_in_ms", (entry.end.retryAfterMicros() + 999) / 1_000);
                 }
                 out.writeEndObject();
                 out.writeRaw('\n');
--- a/src/main/java/wrenkeel/net/ProcessClock.java
+++ b/src/main/java/wrenkeel/net/ProcessClock.java
@@ -44,19 +44,19 @@
     }
 
     /** What both clocks show now. */
-    Reading read() {
+    Reading reading() {
         long nanos = machine.monotonicNanos();
         return new Reading(bootId, millisAt(nanos), nanos);
     }
 
     /** True if the time since this reading of another process can be told by the monotonic clock. */
-    boolean compares(Reading earlier) {
+    boolean isComparable(Reading earlier) {
         boolean sameBoot = !bootId.isEmpty() && earlier.bootId.equals(bootId);
         return sameBoot && earlier.nanos <= machine.monotonicNanos();
     }
 
-    /** What a time that the process of a {@link #compares comparable} reading wrote down is on this clock. */
-    long shiftMillis(Reading earlier) {
+    /** What a time that the process of a {@link #isComparable comparable} reading wrote down is on this clock. */
+    long shiftMillisFrom(Reading earlier) {
         return millisAt(earlier.nanos) - earlier.millis;
     }
 }
--- a/src/main/java/wrenkeel/net/Tenure.java
+++ b/src/main/java/wrenkeel/net/ProcessLease.java
@@ -22,19 +22,19 @@
  * This process among those that share the lasting folder. Each has a number, higher than any before it, and a
  * file {@code relay.N} that it keeps locked: the lock is free once the process has ended, however it ended.
  */
-final class Tenure implements AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(Tenure.class);
-    private static final String LOCK = "relay", JOURNAL = "journal", KNOWLEDGE = "leaving";
+final class ProcessLease implements AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(ProcessLease.class);
+    private static final String LOCK = "relay", JOURNAL = "journal", SNAPSHOT = "leaving";
     /** The highest number, of 18 digits: files with longer ones are not looked for. */
-    private static final long NUMBER_MOST = 999_999_999_999_999_999L;
+    private static final long MAX_NUMBER = 999_999_999_999_999_999L;
 
     private final Path folder;
     private final FileOperations files;
     private final long number;
     private final FileChannel lock;
-    private final List<Earlier> earlier = new ArrayList<>();
+    private final List<OtherProcess> predecessors = new ArrayList<>();
 
-    private Tenure(Path folder, FileOperations files, long number, FileChannel lock) {
+    private ProcessLease(Path folder, FileOperations files, long number, FileChannel lock) {
         this.folder = folder;
         this.files = files;
         this.number = number;
@@ -42,25 +42,25 @@
     }
 
     /** Takes the next number. */
-    static Tenure begin(Path folder, FileOperations files) throws IOException {
+    static ProcessLease acquire(Path folder, FileOperations files) throws IOException {
         while (true) {
             List<Long> before = numbers(folder, LOCK);
             before.addAll(numbers(folder, JOURNAL));
             long latest = before.stream().mapToLong(n -> n).max().orElse(0);
-            if (latest == NUMBER_MOST) {
-                throw new UnusableFolder(folder + " holds a file with the number " + latest
+            if (latest == MAX_NUMBER) {
+                throw new UnusableStateFolderException(folder + " holds a file with the number " + latest
                     + ", none is left above it");
             }
             long next = latest + 1;
             try {
-                FileChannel lock = locked(folder.resolve(LOCK + "." + next), files);
-                Tenure tenure = new Tenure(folder, files, next, lock);
-                before.stream().distinct().sorted().map(n -> new Earlier(folder, files, n))
-                    .filter(Earlier::hasFiles).forEach(tenure.earlier::add);
-                Earlier unnumbered = new Earlier(folder, files, 0);
+                FileChannel lock = createLocked(folder.resolve(LOCK + "." + next), files);
+                ProcessLease tenure = new ProcessLease(folder, files, next, lock);
+                before.stream().distinct().sorted().map(n -> new OtherProcess(folder, files, n))
+                    .filter(OtherProcess::hasFiles).forEach(tenure.predecessors::add);
+                OtherProcess unnumbered = new OtherProcess(folder, files, 0);
                 if (Files.exists(folder.resolve(JOURNAL)) && unnumbered.hasFiles()) {
                     // Written by a release that had one file and no number.
-                    tenure.earlier.add(0, unnumbered);
+                    tenure.predecessors.add(0, unnumbered);
                 }
                 return tenure;
             } catch (FileAlreadyExistsException e) {
@@ -69,7 +69,7 @@
         }
     }
 
-    private static FileChannel locked(Path file, FileOperations files) throws IOException {
+    private static FileChannel createLocked(Path file, FileOperations files) throws IOException {
         FileChannel lock = files.open(file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
         try {
             lock.lock();
@@ -88,10 +88,10 @@
     }
 
     /** True while any process that shares the folder lives. */
-    static boolean anyLives(Path folder, FileOperations files) throws IOException {
+    static boolean isAnyProcessAlive(Path folder, FileOperations files) throws IOException {
         for (long other : numbers(folder, LOCK)) {
-            try (Earlier process = new Earlier(folder, files, other)) {
-                if (!process.over()) {
+            try (OtherProcess process = new OtherProcess(folder, files, other)) {
+                if (!process.hasEnded()) {
                     return true;
                 }
             }
@@ -114,16 +114,16 @@
         return folder.resolve(name + "." + number);
     }
 
-    List<Earlier> earlier() {
-        return earlier;
+    List<OtherProcess> predecessors() {
+        return predecessors;
     }
 
     /** True while a process with a higher number lives. */
-    boolean laterWaits() throws IOException {
+    boolean hasStandby() throws IOException {
         for (long other : numbers(folder, LOCK)) {
             if (other > number) {
-                try (Earlier later = new Earlier(folder, files, other)) {
-                    if (!later.over()) {
+                try (OtherProcess later = new OtherProcess(folder, files, other)) {
+                    if (!later.hasEnded()) {
                         return true;
                     }
                 }
@@ -133,8 +133,8 @@
     }
 
     /** Leaves what this process knows to the one that stands by. */
-    void leave(String knowledge) throws IOException {
-        Path draft = file(KNOWLEDGE + ".new");
+    void publishSnapshot(String knowledge) throws IOException {
+        Path draft = file(SNAPSHOT + ".new");
         try (FileChannel out = files.open(draft, StandardOpenOption.CREATE,
                 StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
             ByteBuffer text = StandardCharsets.UTF_8.encode(knowledge);
@@ -142,12 +142,12 @@
                 out.write(text);
             }
         }
-        files.replace(draft, file(KNOWLEDGE));
+        files.replace(draft, file(SNAPSHOT));
     }
 
     /** True once the later process has taken over. */
-    boolean laterServes() {
-        return !Files.exists(file(KNOWLEDGE));
+    boolean isTakenOver() {
+        return !Files.exists(file(SNAPSHOT));
     }
 
     @Override
@@ -156,14 +156,14 @@
     }
 
     /** Another process of the folder, and its files. */
-    static final class Earlier implements AutoCloseable {
+    static final class OtherProcess implements AutoCloseable {
         private final Path folder;
         private final FileOperations files;
         private final long number;
         private FileChannel lock;
-        private boolean over;
+        private boolean ended;
 
-        Earlier(Path folder, FileOperations files, long number) {
+        OtherProcess(Path folder, FileOperations files, long number) {
             this.folder = folder;
             this.files = files;
             this.number = number;
@@ -183,16 +183,16 @@
         }
 
         /** True once it has ended. */
-        boolean over() throws IOException {
-            if (over || number == 0) {
+        boolean hasEnded() throws IOException {
+            if (ended || number == 0) {
                 return true;
             }
             try {
                 if (lock == null) {
                     lock = files.open(file(LOCK), StandardOpenOption.WRITE);
                 }
-                over = lock.tryLock() != null;
-                return over;
+                ended = lock.tryLock() != null;
+                return ended;
             } catch (OverlappingFileLockException e) {
                 // Held by another relay inside this very process.
                 return false;
@@ -202,7 +202,7 @@
         }
 
         /** Its journal from this byte on. */
-        byte[] journalFrom(long position) throws IOException {
+        byte[] readJournalFrom(long position) throws IOException {
             try (FileChannel in = files.open(file(JOURNAL), StandardOpenOption.READ)) {
                 ByteBuffer bytes = ByteBuffer.allocate((int) Math.max(0, in.size() - position));
                 while (bytes.hasRemaining() && in.read(bytes, position + bytes.position()) >= 0) {
@@ -215,9 +215,9 @@
         }
 
         /** What it has left for the process that takes over, readable or not; null while it serves. */
-        String knowledge() throws IOException {
+        String readSnapshot() throws IOException {
             try {
-                return new String(Files.readAllBytes(file(KNOWLEDGE)), StandardCharsets.UTF_8);
+                return new String(Files.readAllBytes(file(SNAPSHOT)), StandardCharsets.UTF_8);
             } catch (NoSuchFileException e) {
                 return null;
             } catch (IOException e) {
@@ -227,8 +227,8 @@
         }
 
         /** Tells it that another process serves now. */
-        void heard() {
-            deleteOrTell(KNOWLEDGE);
+        void confirmTakeover() {
+            deleteOrWarn(SNAPSHOT);
         }
 
         /**
@@ -237,13 +237,13 @@
          */
         void delete() throws IOException {
             files.delete(file(JOURNAL));
-            for (String name : List.of(JOURNAL + ".new", KNOWLEDGE + ".new", KNOWLEDGE, LOCK)) {
-                deleteOrTell(name);
+            for (String name : List.of(JOURNAL + ".new", SNAPSHOT + ".new", SNAPSHOT, LOCK)) {
+                deleteOrWarn(name);
             }
             close();
         }
 
-        private void deleteOrTell(String name) {
+        private void deleteOrWarn(String name) {
             try {
                 files.delete(file(name));
             } catch (IOException e) {
--- a/src/main/java/wrenkeel/net/RecordedTimes.java
+++ b/src/main/java/wrenkeel/net/RecordedTimes.java
@@ -15,13 +15,13 @@
 
     private final ProcessClock clock;
     private final long shiftMillis;
-    private final boolean measured;
+    private final boolean monotonic;
     private final boolean ageKnown;
 
     private RecordedTimes(ProcessClock clock, long shiftMillis, boolean measured, boolean ageKnown) {
         this.clock = clock;
         this.shiftMillis = shiftMillis;
-        this.measured = measured;
+        this.monotonic = measured;
         this.ageKnown = ageKnown;
     }
 
@@ -30,8 +30,8 @@
      * latest time of which the file tells.
      */
     static RecordedTimes of(ProcessClock clock, ProcessClock.Reading reading, long latest) {
-        if (reading != null && clock.compares(reading)) {
-            return new RecordedTimes(clock, clock.shiftMillis(reading), true, true);
+        if (reading != null && clock.isComparable(reading)) {
+            return new RecordedTimes(clock, clock.shiftMillisFrom(reading), true, true);
         }
         long behind = clock.millis() - latest;
         return new RecordedTimes(clock, Math.min(0, behind), false, behind >= 0);
@@ -45,20 +45,20 @@
     /** A message's deadline; where the passed time was not measured, no later than its class lets it live. */
     long deadline(long recorded, Relay.MessageClass rules) {
         long shifted = recorded + shiftMillis;
-        if (measured || rules == null) {
+        if (monotonic || rules == null) {
             return shifted;
         }
         return Math.min(shifted, clock.millis() + TimeUnit.MICROSECONDS.toMillis(rules.life()));
     }
 
     /** When an attempt was made; long ago where the wall clock has run back: no repeat rests on it. */
-    long sent(long recorded) {
+    long sendTime(long recorded) {
         return ageKnown ? recorded + shiftMillis : clock.millis() - LONG_AGO_MS;
     }
 
     /** Since when a host is out or has been back; just now, where the passed time was not measured. */
-    long outage(long recorded) {
-        return measured ? recorded + shiftMillis : clock.millis();
+    long outageTime(long recorded) {
+        return monotonic ? recorded + shiftMillis : clock.millis();
     }
 
     /** Until when a host is to be left alone. */
--- a/src/main/java/wrenkeel/net/KnownList.java
+++ b/src/main/java/wrenkeel/net/SavedHostList.java
@@ -7,12 +7,12 @@
 import java.nio.file.Path;
 
 /**
- * Where a configuration file holds the list as last had: {@code length} bytes from {@code from} on; of
+ * Where a configuration file holds the list as last had: {@code length} bytes from {@code offset} on; of
  * length 0 where it holds none. A large fleet's list is read from there when it is needed, and never held as
  * text.
  */
-record KnownList(Path file, long from, long length) {
-    boolean none() {
+record SavedHostList(Path file, long offset, long length) {
+    boolean isEmpty() {
         return length == 0;
     }
 
@@ -20,8 +20,8 @@
     InputStream open() throws IOException {
         InputStream all = Files.newInputStream(file);
         try {
-            all.skipNBytes(from);
-            return new Part(all, length);
+            all.skipNBytes(offset);
+            return new RangeInputStream(all, length);
         } catch (IOException e) {
             all.close();
             throw e;
@@ -29,12 +29,12 @@
     }
 
     /** Ends after so many bytes. */
-    private static final class Part extends FilterInputStream {
-        private long left;
+    private static final class RangeInputStream extends FilterInputStream {
+        private long remaining;
 
-        Part(InputStream all, long length) {
+        RangeInputStream(InputStream all, long length) {
             super(all);
-            left = length;
+            remaining = length;
         }
 
         @Override
@@ -45,11 +45,11 @@
 
         @Override
         public int read(byte[] into, int at, int most) throws IOException {
-            if (left == 0) {
+            if (remaining == 0) {
                 return -1;
             }
-            int got = super.read(into, at, (int) Math.min(most, left));
-            left -= Math.max(0, got);
+            int got = super.read(into, at, (int) Math.min(most, remaining));
+            remaining -= Math.max(0, got);
             return got;
         }
     }
--- a/src/main/java/wrenkeel/net/SendGuard.java
+++ b/src/main/java/wrenkeel/net/SendGuard.java
@@ -64,7 +64,7 @@
                                      long nowMillis) {
         return switch (rules.effect()) {
             case SAFE -> true;
-            case KEYED -> nowMillis - before.sent <= rules.window() / 1_000 + ROUNDING
+            case KEYED -> nowMillis - before.sentMillis <= rules.window() / 1_000 + ROUNDING
                 && (!rules.zoneGroup() || before.zone == host.zone);
             case UNSAFE -> false;
         };
--- a/src/main/java/wrenkeel/scale/RelayProcess.java
+++ b/src/main/java/wrenkeel/scale/RelayProcess.java
@@ -211,7 +211,7 @@
 
     /** How many hosts the list that it holds names. */
     long members() throws IOException {
-        return telemetry().whole("members");
+        return telemetry().longValue("members");
     }
 
     /**
--- a/src/main/java/wrenkeel/scale/TrafficExperiment.java
+++ b/src/main/java/wrenkeel/scale/TrafficExperiment.java
@@ -224,7 +224,7 @@
         ends(tally, deliveries, values);
         values.put("given_up_percent", percent(after.givenUp() - before.givenUp(), tally.taken()));
         values.put("handed_back_percent", percent(after.handedBack() - before.handedBack(), tally.taken()));
-        values.put("pending_messages", (double) relay.process().telemetry().whole("pending"));
+        values.put("pending_messages", (double) relay.process().telemetry().longValue("pending"));
         values.put("rss_mb", relay.process().rssBytes() / 1e6);
         values.put("peak_rss_mb", relay.process().peakRssBytes() / 1e6);
         return values;
--- a/src/main/java/wrenkeel/soak/SoakRun.java
+++ b/src/main/java/wrenkeel/soak/SoakRun.java
@@ -433,7 +433,7 @@
         try {
             Wire.Fields notice = Wire.decode(line);
             history.noticed(notice.text("message"), notice.text("outcome").equals("handed_back"), now());
-        } catch (Wire.Malformed e) {
+        } catch (Wire.MalformedException e) {
             history.found(new Finding("unreadable notice", now(), line));
         }
     }
--- a/src/test/java/wrenkeel/net/ConfigTest.java
+++ b/src/test/java/wrenkeel/net/ConfigTest.java
@@ -50,7 +50,7 @@
     }
 
     private void assertTurnedDown() {
-        String fault = assertThrows(Config.Unusable.class, () -> Config.read(platform.env())).getMessage();
+        String fault = assertThrows(Config.InvalidConfigException.class, () -> Config.read(platform.env())).getMessage();
         assertEquals(1, fault.lines().count(), fault);
     }
 
@@ -64,9 +64,9 @@
 
     @Test
     void theSmallestLimitOfSocketsLeavesAConnectionToEitherSide() throws Exception {
-        replace("\"sockets\":1024", "\"sockets\":" + Descriptors.LIMIT_LEAST);
-        Descriptors shares = Config.read(platform.env()).descriptors();
-        assertTrue(shares.clients() > 0 && shares.hosts() > 0, shares.toString());
+        replace("\"sockets\":1024", "\"sockets\":" + DescriptorBudget.MIN_LIMIT);
+        DescriptorBudget shares = Config.read(platform.env()).descriptorBudget();
+        assertTrue(shares.clientConnections() > 0 && shares.hostConnections() > 0, shares.toString());
     }
 
     /** The configuration with one value replaced, or taken out where the other is {@code REMOVED}. */
@@ -126,11 +126,11 @@
     private String faultOfStart() {
         try {
             Config config = Config.read(platform.env());
-            config.descriptors();
+            config.descriptorBudget();
             new HostList(config.zones(), config.kinds());
             new Control(config.seed(), config.settings());
             return null;
-        } catch (Config.Unusable e) {
+        } catch (Config.InvalidConfigException e) {
             return e.getMessage().lines().count() == 1 ? null : e.getMessage();
         } catch (RuntimeException | StackOverflowError e) {
             return e.toString();
--- a/src/test/java/wrenkeel/net/ConsoleTest.java
+++ b/src/test/java/wrenkeel/net/ConsoleTest.java
@@ -67,7 +67,7 @@
     }
 
     private static void await(Node relay, String name, String messageClass, long count) throws Exception {
-        while (figures(relay).object(name).whole(messageClass) != count) {
+        while (figures(relay).object(name).longValue(messageClass) != count) {
             Thread.sleep(20);
         }
     }
@@ -102,31 +102,31 @@
             client.post("b", "pay", 7, 16_000);
             host.call().answer("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
             await(relay, "failed", "pay", 1);
-            while (figures(relay).whole("pending") != 0) {
+            while (figures(relay).longValue("pending") != 0) {
                 Thread.sleep(20);
             }
             Wire.Fields last = figures(relay);
-            assertEquals(2, last.whole("upstream_requests"));
-            assertEquals(1, last.whole("members"));
-            assertEquals(1, last.object("completed").whole("bill"));
-            assertEquals(0, last.object("rejected").whole("bill"));
-            assertEquals(0, last.whole("config_reloads"));
+            assertEquals(2, last.longValue("upstream_requests"));
+            assertEquals(1, last.longValue("members"));
+            assertEquals(1, last.object("completed").longValue("bill"));
+            assertEquals(0, last.object("rejected").longValue("bill"));
+            assertEquals(0, last.longValue("config_reloads"));
         }
     }
 
     @Test
     void anEndpointThatIsAvoidedIsCounted() throws Exception {
         try (Node relay = relay(); var client = new Platform.Client(relay)) {
-            while (figures(relay).whole("members") != 1) {
+            while (figures(relay).longValue("members") != 1) {
                 Thread.sleep(20);
             }
-            assertEquals(0, figures(relay).whole("members_unavailable"));
+            assertEquals(0, figures(relay).longValue("members_unavailable"));
             client.post("a", "bill", 7, 60_000);
             host.call().answer("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 50.5\r\nContent-Length: 0\r\n\r\n");
-            while (figures(relay).whole("members_unavailable") != 1) {
+            while (figures(relay).longValue("members_unavailable") != 1) {
                 Thread.sleep(20);
             }
-            assertEquals(1, figures(relay).whole("pending"));
+            assertEquals(1, figures(relay).longValue("pending"));
         }
     }
 
@@ -136,8 +136,8 @@
         try (Node relay = relay()) {
             relay.reload(Map.of("EDGE_CONFIG", bad.toString()));
             relay.reload(platform.env());
-            assertEquals(1, figures(relay).whole("config_reloads"));
-            assertEquals(1, figures(relay).whole("config_reload_errors"));
+            assertEquals(1, figures(relay).longValue("config_reloads"));
+            assertEquals(1, figures(relay).longValue("config_reload_errors"));
         }
     }
 
@@ -194,7 +194,7 @@
         platform.config(host("s-1", host.port(), 7, "ready"));
         Path file = folder.resolve("config.json");
         Files.writeString(file, Files.readString(file).replace("\"console\":\"127.0.0.1:0\",", ""));
-        assertNull(Config.read(platform.env()).console());
+        assertNull(Config.read(platform.env()).consoleAddress());
         try (Node relay = new Node(Config.read(platform.env())); var client = new Platform.Client(relay)) {
             assertEquals("HTTP/1.1 202 Accepted", client.post("a", "bill", 7, 16_000).get(0));
         }
--- a/src/test/java/wrenkeel/net/DescriptorsTest.java
+++ b/src/test/java/wrenkeel/net/DescriptorsTest.java
@@ -9,13 +9,13 @@
 class DescriptorsTest {
     /** Guards the watch, the notices, the journal and the operators against crowds and wide settings. */
     @ParameterizedTest
-    @ValueSource(ints = {Descriptors.LIMIT_LEAST, 128, 192, 256, 384, 1_024})
+    @ValueSource(ints = {DescriptorBudget.MIN_LIMIT, 128, 192, 256, 384, 1_024})
     void theSharesStayBelowTheLimitHoweverManySlotsThereAre(int limit) {
         for (int slots = 1; slots <= 4_096; slots++) {
-            Descriptors shares = Descriptors.of(limit, slots);
-            assertTrue(shares.clients() > 0 && shares.clients() <= limit / 3);
-            assertTrue(shares.hosts() > 0);
-            assertTrue(shares.clients() + shares.hosts() + Descriptors.RESERVED <= limit,
+            DescriptorBudget shares = DescriptorBudget.of(limit, slots);
+            assertTrue(shares.clientConnections() > 0 && shares.clientConnections() <= limit / 3);
+            assertTrue(shares.hostConnections() > 0);
+            assertTrue(shares.clientConnections() + shares.hostConnections() + DescriptorBudget.RESERVED <= limit,
                 limit + " descriptors, " + slots + " slots: " + shares);
         }
     }
@@ -23,6 +23,6 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 8, 64, 80})
     void slotsThatFitAllHaveAConnection(int slots) {
-        assertTrue(Descriptors.of(256, slots).hosts() >= slots + slots / 4);
+        assertTrue(DescriptorBudget.of(256, slots).hostConnections() >= slots + slots / 4);
     }
 }
--- a/src/test/java/wrenkeel/net/FleetSizeTest.java
+++ b/src/test/java/wrenkeel/net/FleetSizeTest.java
@@ -61,10 +61,10 @@
                     assertEquals(id, call.header("X-Request-ID"));
                     call.answer(Host.OK);
                 }
-                while (!relay.idle() || ConsoleTest.figures(relay).whole("members") < MANY) {
+                while (!relay.idle() || ConsoleTest.figures(relay).longValue("members") < MANY) {
                     Thread.sleep(5);
                 }
-                assertEquals(MANY, ConsoleTest.figures(relay).whole("members"));
+                assertEquals(MANY, ConsoleTest.figures(relay).longValue("members"));
             }
             assertTrue(platform.notices.isEmpty(), "all were delivered");
         }
--- a/src/test/java/wrenkeel/net/FullFolderTest.java
+++ b/src/test/java/wrenkeel/net/FullFolderTest.java
@@ -51,7 +51,7 @@
     private void owed(String id) throws Exception {
         platform.config();
         try (Journal journal = platform.leftBehind()) {
-            journal.take(new Message(id, "bill", 0, null, "key-" + id, 7, System.currentTimeMillis() + 60_000,
+            journal.accept(new Message(id, "bill", 0, null, "key-" + id, 7, System.currentTimeMillis() + 60_000,
                 new byte[3]), null);
         }
     }
--- a/src/test/java/wrenkeel/net/HostListComparisonTest.java
+++ b/src/test/java/wrenkeel/net/HostListComparisonTest.java
@@ -133,7 +133,7 @@
                 if (step.piece % 3 == 0) {
                     reading.abandon();
                 } else {
-                    assertThrows(Wire.Malformed.class, reading::end);
+                    assertThrows(Wire.MalformedException.class, reading::end);
                 }
                 return;
             }
--- a/src/test/java/wrenkeel/net/HostListTest.java
+++ b/src/test/java/wrenkeel/net/HostListTest.java
@@ -153,7 +153,7 @@
         for (int cut = 0; cut < text.length; cut++) {
             HostList.Reading reading = list.read();
             reading.feed(text, 0, cut);
-            assertThrows(Wire.Malformed.class, reading::end);
+            assertThrows(Wire.MalformedException.class, reading::end);
             assertEquals(List.of(0L, 1, 1), List.of(list.version(), list.listed(), list.rows()), "cut at " + cut);
         }
         for (int cut = 0; cut <= text.length; cut++) {
@@ -183,7 +183,7 @@
         HostList list = list(7, 8);
         change(list, NAMED);
         for (String fault : faults) {
-            assertThrows(Wire.Malformed.class, () -> take(list, fault), fault);
+            assertThrows(Wire.MalformedException.class, () -> take(list, fault), fault);
             assertEquals(List.of(0L, 1, 1), List.of(list.version(), list.listed(), list.rows()), fault);
             assertEquals(80, list.named("s-1").dial.getPort(), fault);
             assertFalse(list.knows(8), fault);
@@ -196,11 +196,11 @@
         HostList list = new HostList(List.of("a"), List.of("m2"), 3);
         String[] hosts = IntStream.range(0, 4).mapToObj(i -> Platform.host("s-" + i, 80, i, "ready"))
             .toArray(String[]::new);
-        assertThrows(Wire.Malformed.class, () -> take(list, Platform.list(1, true, hosts)));
+        assertThrows(Wire.MalformedException.class, () -> take(list, Platform.list(1, true, hosts)));
         assertEquals(0, list.rows());
         take(list, Platform.list(1, true, hosts[0], hosts[1], hosts[2]));
         take(list, Platform.list(2, true, hosts[0], hosts[1], hosts[2]));
-        assertThrows(Wire.Malformed.class, () -> change(list, hosts[3]));
+        assertThrows(Wire.MalformedException.class, () -> change(list, hosts[3]));
         assertEquals(List.of(2L, 3, 3), List.of(list.version(), list.listed(), list.rows()));
     }
 
@@ -322,12 +322,12 @@
         byte[] text = bytes(Platform.list(1, true, NAMED));
         old.feed(text, 0, text.length);
         HostList.Reading fresh = list.read();
-        assertThrows(Wire.Malformed.class, old::end);
+        assertThrows(Wire.MalformedException.class, old::end);
         fresh.feed(text, 0, text.length);
         assertEquals(1, list.rows());
         fresh.abandon();
         assertEquals(List.of(-1L, 0, 0), List.of(list.version(), list.listed(), list.rows()));
-        assertThrows(Wire.Malformed.class, fresh::end);
+        assertThrows(Wire.MalformedException.class, fresh::end);
     }
 
     /** Guards the memory: names too, of which there would be 5 MB. */
--- a/src/test/java/wrenkeel/net/JournalTest.java
+++ b/src/test/java/wrenkeel/net/JournalTest.java
@@ -50,8 +50,8 @@
     }
 
     private static Journal.Entry only(Journal journal) {
-        assertEquals(1, journal.owed().size());
-        return journal.owed().iterator().next();
+        assertEquals(1, journal.openEntries().size());
+        return journal.openEntries().iterator().next();
     }
 
     private long onDisk() throws IOException {
@@ -63,11 +63,11 @@
     @Test
     void allThatIsKnownOfAMessageIsReadBack() throws IOException {
         try (Journal journal = open()) {
-            Journal.Entry entry = journal.take(message("a", 300), RULES);
-            journal.sent(entry, 1_000, 2);
-            journal.sent(entry, 2_000, 1);
-            journal.notRun(entry, 0);
-            journal.ended(entry, new Journal.End(true, 500_000));
+            Journal.Entry entry = journal.accept(message("a", 300), RULES);
+            journal.recordSent(entry, 1_000, 2);
+            journal.recordSent(entry, 2_000, 1);
+            journal.recordNotRun(entry, 0);
+            journal.recordEnd(entry, new Journal.End(true, 500_000));
         }
         // Twice: what the first start wrote anew must read the same.
         for (int start = 0; start < 2; start++) {
@@ -75,13 +75,13 @@
                 Journal.Entry entry = only(journal);
                 assertEquals("a", entry.message.id());
                 assertEquals("bill-post", entry.message.messageClass());
-                assertEquals(RULES, entry.rules);
+                assertEquals(RULES, entry.messageClass);
                 assertEquals("house-3", entry.message.routeKey());
                 assertEquals("key-a", entry.message.idempotencyKey());
                 assertEquals(7, entry.message.destination());
                 assertEquals(1_900_000_000_000L, entry.message.deadline());
                 assertArrayEquals(new byte[300], entry.message.body());
-                assertEquals(List.of(1_000L, 2_000L), entry.attempts.stream().map(a -> a.sent).toList());
+                assertEquals(List.of(1_000L, 2_000L), entry.attempts.stream().map(a -> a.sentMillis).toList());
                 assertEquals(List.of(2, 1), entry.attempts.stream().map(a -> a.zone).toList());
                 assertEquals(List.of(false, true), entry.attempts.stream().map(a -> a.mayHaveRun).toList());
                 assertEquals(new Journal.End(true, 500_000), entry.end);
@@ -93,24 +93,24 @@
     @Test
     void anEndReadBackIsTheNoticeThatWasOwed() throws IOException {
         try (Journal journal = open()) {
-            journal.ended(journal.take(message("a", 1), RULES), new Journal.End(true, 499_001));
-            journal.ended(journal.take(message("b", 1), RULES), new Journal.End(true, 0));
-            journal.ended(journal.take(message("c", 1), RULES), new Journal.End(false, 0));
+            journal.recordEnd(journal.accept(message("a", 1), RULES), new Journal.End(true, 499_001));
+            journal.recordEnd(journal.accept(message("b", 1), RULES), new Journal.End(true, 0));
+            journal.recordEnd(journal.accept(message("c", 1), RULES), new Journal.End(false, 0));
         }
         try (Journal journal = open()) {
             assertEquals("""
                 {"message":"a","outcome":"handed_back","retry_in_ms":500}
                 {"message":"b","outcome":"handed_back"}
                 {"message":"c","outcome":"given_up"}
-                """, NoticeBody.of(List.copyOf(journal.owed())));
+                """, NoticeBody.of(List.copyOf(journal.openEntries())));
         }
     }
 
     @Test
     void whatIsClosedIsForgotten() throws IOException {
         try (Journal journal = open()) {
-            journal.closed(journal.take(message("a", 10), RULES));
-            journal.take(message("b", 10), RULES);
+            journal.recordClosed(journal.accept(message("a", 10), RULES));
+            journal.accept(message("b", 10), RULES);
         }
         try (Journal journal = open()) {
             assertEquals("b", only(journal).message.id());
@@ -121,22 +121,22 @@
     @Test
     void aTornTailIsCutOff() throws IOException {
         try (Journal journal = open()) {
-            journal.take(message("a", 100), RULES);
+            journal.accept(message("a", 100), RULES);
         }
         long whole;
         try (Journal journal = open()) {
             whole = Files.size(Platform.journal(folder));
-            journal.take(message("b", 100), RULES);
+            journal.accept(message("b", 100), RULES);
         }
         byte[] both = Files.readAllBytes(Platform.journal(folder));
         for (int length = (int) whole; length < both.length; length++) {
             Files.write(Platform.journal(folder), java.util.Arrays.copyOf(both, length));
             try (Journal journal = open()) {
                 assertEquals("a", only(journal).message.id());
-                journal.take(message("c", 100), RULES);
+                journal.accept(message("c", 100), RULES);
             }
             try (Journal journal = open()) {
-                assertEquals(2, journal.owed().size());
+                assertEquals(2, journal.openEntries().size());
                 assertTrue(onDisk() <= LIMIT);
             }
         }
@@ -146,10 +146,10 @@
     @Test
     void aFailedWriteIsMadeGoodByTheNext() throws IOException {
         Journal before = open();
-        Journal.Entry entry = before.take(message("a", 10), RULES);
+        Journal.Entry entry = before.accept(message("a", 10), RULES);
         before.close();
-        assertThrows(IOException.class, () -> before.sent(entry, 1_000, 0));
-        before.sent(entry, 2_000, 1);
+        assertThrows(IOException.class, () -> before.recordSent(entry, 1_000, 0));
+        before.recordSent(entry, 2_000, 1);
         before.close();
         try (Journal journal = open()) {
             assertEquals(List.of(false, true), only(journal).attempts.stream().map(a -> a.mayHaveRun).toList());
@@ -157,7 +157,7 @@
     }
 
     private Journal.Entry owed(Journal journal, String id) {
-        return journal.owed().stream().filter(entry -> entry.message.id().equals(id)).findFirst().orElse(null);
+        return journal.openEntries().stream().filter(entry -> entry.message.id().equals(id)).findFirst().orElse(null);
     }
 
     private static boolean mayHaveRun(Journal.Entry entry) {
@@ -173,11 +173,11 @@
         long middle;
         long end;
         try (Journal journal = open()) {
-            journal.take(message("a", 100), RULES);
+            journal.accept(message("a", 100), RULES);
             middle = Files.size(Platform.journal(folder));
-            journal.take(message("b", 100), RULES);
+            journal.accept(message("b", 100), RULES);
             end = Files.size(Platform.journal(folder));
-            journal.take(message("c", 100), RULES);
+            journal.accept(message("c", 100), RULES);
         }
         byte[] whole = Files.readAllBytes(Platform.journal(folder));
         for (long at = middle; at < end; at++) {
@@ -211,8 +211,8 @@
     @Test
     void aRecordThatIsNotUnderstoodIsTold() throws IOException {
         try (Journal journal = open()) {
-            journal.take(message("a", 100), RULES);
-            journal.take(message("b", 100), RULES);
+            journal.accept(message("a", 100), RULES);
+            journal.accept(message("b", 100), RULES);
         }
         Path file = Platform.journal(folder);
         // An unknown sort, the outcome of an attempt never made, and messages that end too soon.
@@ -221,7 +221,7 @@
             Files.write(file, strange, StandardOpenOption.APPEND);
         }
         try (Journal journal = open()) {
-            assertEquals(2, journal.owed().size());
+            assertEquals(2, journal.openEntries().size());
             assertTrue(mayHaveRun(owed(journal, "a")));
             assertFalse(mayHaveRun(owed(journal, "b")));
         }
@@ -234,8 +234,8 @@
         Files.write(folder.resolve("journal.3"), new byte[4_096]);
         Files.write(folder.resolve("leaving.3"), new byte[] {(byte) 0xc3, (byte) 0x28});
         try (Journal journal = open()) {
-            assertEquals(0, journal.owed().size());
-            assertNotNull(journal.take(message("a", 100), RULES));
+            assertEquals(0, journal.openEntries().size());
+            assertNotNull(journal.accept(message("a", 100), RULES));
         }
         try (Journal journal = open()) {
             assertEquals("a", only(journal).message.id());
@@ -247,21 +247,21 @@
     void roomIsReservedAndNeverOverrun() throws IOException {
         try (Journal journal = open()) {
             int taken = 0;
-            while (journal.take(message("m" + taken, 64 * 1024), RULES) != null) {
+            while (journal.accept(message("m" + taken, 64 * 1024), RULES) != null) {
                 taken++;
             }
             assertTrue(taken > 10, "only " + taken + " were taken");
             for (int round = 0; round < 200; round++) {
-                for (Journal.Entry entry : journal.owed()) {
+                for (Journal.Entry entry : journal.openEntries()) {
                     if (entry.attempts.size() < 12) {
-                        journal.sent(entry, round, 0);
-                        journal.notRun(entry, entry.attempts.size() - 1);
+                        journal.recordSent(entry, round, 0);
+                        journal.recordNotRun(entry, entry.attempts.size() - 1);
                     }
                 }
-                Journal.Entry oldest = journal.owed().iterator().next();
-                journal.ended(oldest, new Journal.End(false, 0));
-                journal.closed(oldest);
-                assertNotNull(journal.take(message("n" + round, 64 * 1024), RULES), "a closed message frees its room");
+                Journal.Entry oldest = journal.openEntries().iterator().next();
+                journal.recordEnd(oldest, new Journal.End(false, 0));
+                journal.recordClosed(oldest);
+                assertNotNull(journal.accept(message("n" + round, 64 * 1024), RULES), "a closed message frees its room");
                 assertTrue(onDisk() <= LIMIT, onDisk() + " bytes on disk");
             }
         }
@@ -271,7 +271,7 @@
     @Test
     void aJournalOfTheReleaseBeforeIsTakenOver() throws IOException {
         try (Journal journal = open()) {
-            journal.sent(journal.take(message("a", 100), null), 1_000, 0);
+            journal.recordSent(journal.accept(message("a", 100), null), 1_000, 0);
         }
         Files.move(Platform.journal(folder), folder.resolve("journal"));
         Files.writeString(folder.resolve("journal.new"), "cut off");
@@ -287,32 +287,32 @@
     void onlyWhatIsPassedOnIsTakenOverFromAProcessThatLives() throws IOException {
         Journal old = open();
         try (Journal next = new Journal(folder, LIMIT, new ProcessClock(STILL), FileOperations.SYSTEM)) {
-            Journal.Entry out = old.take(message("out", 10), RULES);
-            Journal.Entry waits = old.take(message("waits", 10), RULES);
-            assertTrue(next.earlierServes());
-            assertTrue(old.laterWaits());
-            old.beginPassing();
-            old.passed(waits);
-            old.leave("{}");
-            assertFalse(old.laterServes());
-            assertFalse(next.earlierServes());
-            assertEquals(new Journal.Left("{}", 0), next.knowledge());
+            Journal.Entry out = old.accept(message("out", 10), RULES);
+            Journal.Entry waits = old.accept(message("waits", 10), RULES);
+            assertTrue(next.isPredecessorServing());
+            assertTrue(old.hasStandby());
+            old.beginHandover();
+            old.passOn(waits);
+            old.publishSnapshot("{}");
+            assertFalse(old.isTakenOver());
+            assertFalse(next.isPredecessorServing());
+            assertEquals(new Journal.InheritedSnapshot("{}", 0), next.predecessorSnapshot());
             next.adopt(entry -> { });
-            next.takenOver();
-            assertTrue(old.laterServes());
+            next.confirmTakeover();
+            assertTrue(old.isTakenOver());
             assertEquals("waits", only(next).message.id());
-            assertEquals(java.util.Map.of(7L, 1), next.outElsewhere());
+            assertEquals(java.util.Map.of(7L, 1), next.inFlightElsewhere());
             old.waits("s-1", 5_000);
-            old.passed(out);
+            old.passOn(out);
             next.adopt(entry -> { });
-            assertEquals(2, next.owed().size());
+            assertEquals(2, next.openEntries().size());
             assertEquals(java.util.Map.of("s-1", 5_000L), next.waits());
-            assertEquals(java.util.Map.of(), next.outElsewhere());
-            assertTrue(next.hasLegacies());
+            assertEquals(java.util.Map.of(), next.inFlightElsewhere());
+            assertTrue(next.hasPredecessors());
             old.close();
             next.adopt(entry -> { });
-            assertFalse(next.hasLegacies());
-            assertEquals(2, next.owed().size());
+            assertFalse(next.hasPredecessors());
+            assertEquals(2, next.openEntries().size());
         }
     }
 
@@ -320,19 +320,19 @@
     @Test
     void whatWasTakenOverIsNotTakenOverAgainAfterTheTakerWasKilled() throws IOException {
         Journal old = open();
-        Journal.Entry first = old.take(message("first", 10), RULES);
-        old.take(message("second", 10), RULES);
+        Journal.Entry first = old.accept(message("first", 10), RULES);
+        old.accept(message("second", 10), RULES);
         Journal next = new Journal(folder, LIMIT, new ProcessClock(STILL), FileOperations.SYSTEM);
-        old.beginPassing();
-        old.passed(first);
-        old.leave("{}");
+        old.beginHandover();
+        old.passOn(first);
+        old.publishSnapshot("{}");
         next.adopt(entry -> { });
-        next.closed(only(next));
+        next.recordClosed(only(next));
         // The taker writes its file anew, and must still know what it had taken over.
-        next.beginPassing();
+        next.beginHandover();
         next.close();
         try (Journal third = open()) {
-            assertEquals(List.of(), List.copyOf(third.owed()), "the first is done, the second is still out");
+            assertEquals(List.of(), List.copyOf(third.openEntries()), "the first is done, the second is still out");
             old.close();
             third.adopt(entry -> { });
             assertEquals("second", only(third).message.id());
@@ -347,7 +347,7 @@
     void aLaterProcessThatHasEndedDoesNotWait() throws IOException {
         try (Journal old = open()) {
             new Journal(folder, LIMIT, new ProcessClock(STILL), FileOperations.SYSTEM).close();
-            assertFalse(old.laterWaits());
+            assertFalse(old.hasStandby());
         }
     }
 
@@ -359,8 +359,8 @@
     @Test
     void anAdoptionThatFailsHalfWayLeavesNoGap() throws IOException {
         try (Journal before = open()) {
-            before.take(message("a", 10), RULES);
-            before.take(message("b", 10), RULES);
+            before.accept(message("a", 10), RULES);
+            before.accept(message("b", 10), RULES);
         }
         FailingFiles files = new FailingFiles(null);
         try (Journal journal = open(files)) {
@@ -371,11 +371,11 @@
             assertThrows(IOException.class, () -> journal.adopt(entry -> { }));
             files.failure = null;
             journal.adopt(entry -> { });
-            assertEquals(2, journal.size());
+            assertEquals(2, journal.openCount());
         }
         try (Journal journal = open()) {
-            assertEquals(List.of("a", "b"), journal.owed().stream().map(e -> e.message.id()).toList());
-            assertTrue(journal.owed().stream().allMatch(e -> e.attempts.isEmpty()), "neither was ever sent");
+            assertEquals(List.of("a", "b"), journal.openEntries().stream().map(e -> e.message.id()).toList());
+            assertTrue(journal.openEntries().stream().allMatch(e -> e.attempts.isEmpty()), "neither was ever sent");
         }
     }
 
@@ -384,14 +384,14 @@
     void anOldFileThatCannotBeClosedIsLeftAllTheSame() throws IOException {
         FailingFiles files = new FailingFiles(null);
         try (Journal journal = open(files)) {
-            journal.take(message("a", 10), RULES);
+            journal.accept(message("a", 10), RULES);
             files.closeFails = true;
-            journal.beginPassing();
+            journal.beginHandover();
             files.closeFails = false;
-            journal.take(message("b", 10), RULES);
+            journal.accept(message("b", 10), RULES);
         }
         try (Journal journal = open()) {
-            assertEquals(List.of("a", "b"), journal.owed().stream().map(e -> e.message.id()).toList());
+            assertEquals(List.of("a", "b"), journal.openEntries().stream().map(e -> e.message.id()).toList());
         }
     }
 
@@ -399,13 +399,13 @@
     @Test
     void anAttemptThatWasNeverMadeIsNotTakenOver() throws IOException {
         try (Journal journal = open()) {
-            Journal.Entry entry = journal.take(message("a", 10), RULES);
-            journal.sent(entry, 1_000, 1);
-            journal.sent(entry, 2_000, 2);
-            journal.unmade(entry, 0);
-            journal.notMade(entry, 3_000, 3);
-            journal.sent(entry, 4_000, 4);
-            journal.notRun(entry, 3);
+            Journal.Entry entry = journal.accept(message("a", 10), RULES);
+            journal.recordSent(entry, 1_000, 1);
+            journal.recordSent(entry, 2_000, 2);
+            journal.recordNotMade(entry, 0);
+            journal.addUnrecordedAttempt(entry, 3_000, 3);
+            journal.recordSent(entry, 4_000, 4);
+            journal.recordNotRun(entry, 3);
         }
         // Twice: what the first start wrote anew must read the same.
         for (int start = 0; start < 2; start++) {
@@ -423,41 +423,41 @@
     @Test
     void whatIsKnownOfEndpointsOutlivesEveryKillUntilTheyAreWell() throws IOException {
         try (Journal journal = open()) {
-            journal.health(health("s-out", Relay.Health.OUT));
-            journal.health(health("s-back", Relay.Health.OUT));
-            journal.health(health("s-back", Relay.Health.RETURNING));
-            journal.health(health("s-well", Relay.Health.OUT));
-            journal.health(health("s-well", Relay.Health.GOOD));
+            journal.endpointHealth(health("s-out", Relay.Health.OUT));
+            journal.endpointHealth(health("s-back", Relay.Health.OUT));
+            journal.endpointHealth(health("s-back", Relay.Health.RETURNING));
+            journal.endpointHealth(health("s-well", Relay.Health.OUT));
+            journal.endpointHealth(health("s-well", Relay.Health.GOOD));
         }
         List<Journal.EndpointHealth> left = List.of(health("s-out", Relay.Health.OUT),
             health("s-back", Relay.Health.RETURNING));
         for (int start = 0; start < 3; start++) {
             try (Journal journal = open()) {
-                assertEquals(left, journal.inheritedHealth());
-                assertEquals(List.of(), journal.inheritedHealth(), "told once");
+                assertEquals(left, journal.takeInheritedHealth());
+                assertEquals(List.of(), journal.takeInheritedHealth(), "told once");
             }
         }
         try (Journal journal = open()) {
-            journal.health(health("s-out", Relay.Health.GOOD));
+            journal.endpointHealth(health("s-out", Relay.Health.GOOD));
             journal.repair();
         }
         try (Journal journal = open()) {
-            assertEquals(left.subList(1, 2), journal.inheritedHealth());
+            assertEquals(left.subList(1, 2), journal.takeInheritedHealth());
         }
     }
 
     @Test
     void aHealthRecordThatIsHalfWrittenLeavesTheOneBefore() throws IOException {
         try (Journal journal = open()) {
-            journal.health(health("s-1", Relay.Health.OUT));
-            journal.health(health("s-1", Relay.Health.RETURNING));
+            journal.endpointHealth(health("s-1", Relay.Health.OUT));
+            journal.endpointHealth(health("s-1", Relay.Health.RETURNING));
         }
         Path file = Platform.journal(folder);
         try (var channel = java.nio.channels.FileChannel.open(file, StandardOpenOption.WRITE)) {
             channel.truncate(channel.size() - 3);
         }
         try (Journal journal = open()) {
-            assertEquals(List.of(health("s-1", Relay.Health.OUT)), journal.inheritedHealth());
+            assertEquals(List.of(health("s-1", Relay.Health.OUT)), journal.takeInheritedHealth());
         }
     }
 
@@ -465,11 +465,11 @@
     void healthThatCannotBeWrittenIsMadeGoodByTheNextWrite() throws IOException {
         Journal before = open();
         before.close();
-        assertThrows(IOException.class, () -> before.health(health("s-1", Relay.Health.OUT)));
+        assertThrows(IOException.class, () -> before.endpointHealth(health("s-1", Relay.Health.OUT)));
         before.repair();
         before.close();
         try (Journal journal = open()) {
-            assertEquals(List.of(health("s-1", Relay.Health.OUT)), journal.inheritedHealth());
+            assertEquals(List.of(health("s-1", Relay.Health.OUT)), journal.takeInheritedHealth());
         }
     }
 
@@ -477,11 +477,11 @@
     void healthOfManyEndpointsLeavesRoomForMessages() throws IOException {
         try (Journal journal = open()) {
             for (int host = 0; host < 100_000; host++) {
-                journal.health(health("s-" + host, Relay.Health.OUT));
+                journal.endpointHealth(health("s-" + host, Relay.Health.OUT));
             }
-            assertTrue(journal.healthSize() > 3_200, "held: " + journal.healthSize());
+            assertTrue(journal.endpointHealthCount() > 3_200, "held: " + journal.endpointHealthCount());
             int taken = 0;
-            while (journal.take(message("m" + taken, 1_000), RULES) != null) {
+            while (journal.accept(message("m" + taken, 1_000), RULES) != null) {
                 taken++;
             }
             assertTrue(taken > 500, "taken: " + taken);
--- a/src/test/java/wrenkeel/net/LoopTest.java
+++ b/src/test/java/wrenkeel/net/LoopTest.java
@@ -39,14 +39,14 @@
         platform = new Platform(folder);
         host = new Host();
         Config config = platform.config(Platform.host("s-1", host.port(), 7, "ready"));
-        journal = new Journal(config.state(), config.diskBytes());
+        journal = new Journal(config.stateFolder(), config.diskLimitBytes());
         Bootstrap calls = new Bootstrap().group(thread);
         inOnePass(() -> {
             HostList hosts = new HostList(config.zones(), config.kinds());
             loop = new Loop(thread, ProcessClock.system(), config, hosts, new HostPool(thread, calls, 1_000_000, 15_000_000, 100, figures), journal, figures,
-                (whenListed, whenNoticed) -> new Discovery(thread, calls, config.discovery(), hosts, whenListed,
+                (whenListed, whenNoticed) -> new Discovery(thread, calls, config.discoveryAddress(), hosts, whenListed,
                     whenNoticed));
-            loop.start(config.known());
+            loop.start(config.savedList());
         });
     }
 
@@ -124,7 +124,7 @@
         });
         settle();
         assertEquals(List.of("first refused", "second refused"), answers);
-        assertEquals(0, journal.owed().size());
+        assertEquals(0, journal.openEntries().size());
     }
 
     @Test
@@ -135,7 +135,7 @@
         });
         settle();
         assertEquals(List.of("first taken", "second taken"), answers);
-        assertEquals(1, journal.owed().size());
+        assertEquals(1, journal.openEntries().size());
     }
 
     /** Guards against a lost message: whoever names its id again and leaves must not take it from its client. */
@@ -146,9 +146,9 @@
             loop.accept(message("a"), client("second", () -> loop.withdraw("a")));
         });
         settle();
-        assertEquals(1, journal.owed().size());
+        assertEquals(1, journal.openEntries().size());
         inOnePass(() -> loop.withdraw("a"));
-        assertEquals(0, journal.owed().size(), "in the end nobody heard");
+        assertEquals(0, journal.openEntries().size(), "in the end nobody heard");
     }
 
     /** Guards the slots: the module has sent a message in the very turn in which its client turns out to have left. */
@@ -170,7 +170,7 @@
             String id = "warm-" + i;
             inOnePass(() -> loop.accept(message(id), client(id)));
             host.call().answer(Host.OK);
-            while (journal.size() > 0) {
+            while (journal.openCount() > 0) {
                 settle();
             }
         }
@@ -178,7 +178,7 @@
 
     /** Whether a message's first byte may have left, by what was written down before it would. */
     private boolean sent(String id) throws Exception {
-        return thread.submit(() -> journal.owed().stream().filter(entry -> entry.message.id().equals(id))
+        return thread.submit(() -> journal.openEntries().stream().filter(entry -> entry.message.id().equals(id))
             .anyMatch(entry -> entry.attempts.stream().anyMatch(attempt -> attempt.mayHaveRun))).get();
     }
 
@@ -197,7 +197,7 @@
         Host.Call x = host.call(), y = host.call();
         x.answer(Host.OK);
         y.answer(Host.OK);
-        while (journal.size() > 0) {
+        while (journal.openCount() > 0) {
             settle();
         }
         inOnePass(() -> loop.accept(message("a"), client("a")));
--- a/src/test/java/wrenkeel/net/NoSocketAtStartTest.java
+++ b/src/test/java/wrenkeel/net/NoSocketAtStartTest.java
@@ -38,7 +38,7 @@
     void aStartTriesAgainToListen() throws Exception {
         Config config = platform.config(Platform.host("s-1", host.port(), 7, "ready"));
         try (Journal journal = platform.leftBehind()) {
-            journal.take(new Message("a", "bill", 0, null, "key-a", 7, System.currentTimeMillis() + 60_000,
+            journal.accept(new Message("a", "bill", 0, null, "key-a", 7, System.currentTimeMillis() + 60_000,
                 new byte[3]), null);
         }
         AtomicInteger failures = new AtomicInteger(3);
--- a/src/test/java/wrenkeel/net/NodeTest.java
+++ b/src/test/java/wrenkeel/net/NodeTest.java
@@ -174,7 +174,7 @@
             awaitClosedJournal(relay);
         }
         try (Journal journal = platform.leftBehind()) {
-            assertTrue(journal.owed().isEmpty());
+            assertTrue(journal.openEntries().isEmpty());
         }
     }
 
@@ -187,12 +187,12 @@
             assertEquals("{\"message\":\"bad\",\"outcome\":\"given_up\"}", platform.notice());
             assertEquals(TAKEN, client.post("good", "bill", 7, 300).get(0));
             long by = System.nanoTime() + TimeUnit.SECONDS.toNanos(Platform.PATIENCE_S);
-            while (ConsoleTest.figures(relay).object("failed").whole("bill") == 0 && System.nanoTime() < by) {
+            while (ConsoleTest.figures(relay).object("failed").longValue("bill") == 0 && System.nanoTime() < by) {
                 Thread.sleep(5);
             }
         }
         try (Journal journal = platform.leftBehind()) {
-            assertEquals(List.of("bad"), journal.owed().stream().map(entry -> entry.message.id()).toList());
+            assertEquals(List.of("bad"), journal.openEntries().stream().map(entry -> entry.message.id()).toList());
         }
     }
 
@@ -418,7 +418,7 @@
             end.join();
         }
         try (Journal journal = platform.leftBehind()) {
-            assertTrue(journal.owed().isEmpty(), "both were delivered before the end");
+            assertTrue(journal.openEntries().isEmpty(), "both were delivered before the end");
         }
     }
 
@@ -459,15 +459,15 @@
 
     @Test
     void anUnusableConfigurationIsOnePlainLine() throws IOException {
-        assertThrows(Config.Unusable.class, () -> Config.read(Map.of()));
+        assertThrows(Config.InvalidConfigException.class, () -> Config.read(Map.of()));
         Path file = Files.writeString(folder.resolve("bad.json"), "{\"listen\":");
-        var fault = assertThrows(Config.Unusable.class,
+        var fault = assertThrows(Config.InvalidConfigException.class,
             () -> Config.read(Map.of("EDGE_CONFIG", file.toString(), "EDGE_STATE", folder.toString())));
         assertEquals(1, fault.getMessage().lines().count());
-        assertThrows(Config.Unusable.class, () -> Config.address("localhost:80"));
+        assertThrows(Config.InvalidConfigException.class, () -> Config.address("localhost:80"));
         // A resolver would be asked for these, on the relay's thread.
-        assertThrows(Config.Unusable.class, () -> Config.address("10.1:80"));
-        assertThrows(Config.Unusable.class, () -> Config.address("10.0.0.300:80"));
+        assertThrows(Config.InvalidConfigException.class, () -> Config.address("10.1:80"));
+        assertThrows(Config.InvalidConfigException.class, () -> Config.address("10.0.0.300:80"));
         assertEquals(2, Node.serve(Map.of()));
     }
 
@@ -639,13 +639,13 @@
                 Files.writeString(file, text);
                 relay.reload(platform.env());
             }
-            assertEquals(broken.size(), ConsoleTest.figures(relay).whole("config_reload_errors"));
-            assertEquals(0, ConsoleTest.figures(relay).whole("config_reloads"));
+            assertEquals(broken.size(), ConsoleTest.figures(relay).longValue("config_reload_errors"));
+            assertEquals(0, ConsoleTest.figures(relay).longValue("config_reloads"));
             assertEquals(TAKEN, client.post("a", "pay", 7, 300).get(0));
             assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", platform.notice(), "told where it was");
             Files.writeString(file, good);
             relay.reload(platform.env());
-            assertEquals(1, ConsoleTest.figures(relay).whole("config_reloads"));
+            assertEquals(1, ConsoleTest.figures(relay).longValue("config_reloads"));
         }
     }
 
@@ -657,10 +657,10 @@
             String named = Files.readString(file);
             Files.writeString(file, named.replace("[\"a\",\"b\"]", "[\"a\",\"b\",\"c\"]"));
             relay.reload(platform.env());
-            assertEquals(1, ConsoleTest.figures(relay).whole("config_reloads"));
+            assertEquals(1, ConsoleTest.figures(relay).longValue("config_reloads"));
             Files.writeString(file, named.replace("[\"a\",\"b\"]", "[\"b\",\"a\"]"));
             relay.reload(platform.env());
-            assertEquals(1, ConsoleTest.figures(relay).whole("config_reload_errors"));
+            assertEquals(1, ConsoleTest.figures(relay).longValue("config_reload_errors"));
         }
     }
 }
--- a/src/test/java/wrenkeel/net/NoticeSenderTest.java
+++ b/src/test/java/wrenkeel/net/NoticeSenderTest.java
@@ -97,9 +97,9 @@
 
     /** Decides the end of a message with this deadline; the sender's turn comes later. */
     private void decide(String id, long deadline) throws Exception {
-        Journal.Entry entry = journal.take(
+        Journal.Entry entry = journal.accept(
             new Message(id, "bill", 0, null, "key-" + id, 7, deadline, new byte[3]), null);
-        journal.ended(entry, new Journal.End(false, 0));
+        journal.recordEnd(entry, new Journal.End(false, 0));
         sender.add(entry);
     }
 
--- a/src/test/java/wrenkeel/net/RecordedTimesTest.java
+++ b/src/test/java/wrenkeel/net/RecordedTimesTest.java
@@ -19,7 +19,7 @@
     }
 
     /** The earlier process wrote at NOW, 100 s after its boot. */
-    private static final ProcessClock.Reading WRITTEN = clock(NOW, 100, "one").read();
+    private static final ProcessClock.Reading WRITTEN = clock(NOW, 100, "one").reading();
 
     @Test
     void withinOneBootTheMonotonicClockTellsWhatHasPassed() {
@@ -27,7 +27,7 @@
             ProcessClock now = clock(NOW + 3 * SECOND + step, 103, "one");
             RecordedTimes times = RecordedTimes.of(now, WRITTEN, NOW);
             assertEquals(now.millis() + 5 * SECOND, times.deadline(NOW + 8 * SECOND, RULES));
-            assertEquals(now.millis() - 4 * SECOND, times.sent(NOW - SECOND));
+            assertEquals(now.millis() - 4 * SECOND, times.sendTime(NOW - SECOND));
             assertEquals(now.millis() + 2 * SECOND, times.waitUntil(NOW + 5 * SECOND));
         }
     }
@@ -36,7 +36,7 @@
     void afterAnotherBootTheWallClockCounts() {
         RecordedTimes times = RecordedTimes.of(clock(NOW + 3 * SECOND, 2, "two"), WRITTEN, NOW);
         assertEquals(NOW + 8 * SECOND, times.deadline(NOW + 8 * SECOND, RULES));
-        assertEquals(NOW - SECOND, times.sent(NOW - SECOND));
+        assertEquals(NOW - SECOND, times.sendTime(NOW - SECOND));
     }
 
     /** A monotonic clock that has run back is another boot's, whatever the name of the boot. */
@@ -52,7 +52,7 @@
         ProcessClock now = clock(NOW - HOUR, 2, "two");
         RecordedTimes times = RecordedTimes.of(now, WRITTEN, NOW);
         assertEquals(now.millis() + 8 * SECOND, times.deadline(NOW + 8 * SECOND, RULES));
-        assertTrue(times.sent(NOW - SECOND) < now.millis() - HOUR);
+        assertTrue(times.sendTime(NOW - SECOND) < now.millis() - HOUR);
     }
 
     /** A file of the release before tells nothing of clocks: its messages live no longer than their class. */
--- a/src/test/java/wrenkeel/net/ReferenceHostList.java
+++ b/src/test/java/wrenkeel/net/ReferenceHostList.java
@@ -77,11 +77,11 @@
     }
 
     /** Takes a list or its changes in, and returns what the module is to be told. */
-    Relay.Listed update(Wire.Fields list) throws Wire.Malformed {
+    Relay.Listed update(Wire.Fields list) throws Wire.MalformedException {
         List<Relay.Endpoint> endpoints = new ArrayList<>();
         List<Wire.Fields> entries = list.objects("hosts");
-        boolean whole = list.flag("whole");
-        long next = list.whole("seq");
+        boolean whole = list.booleanValue("whole");
+        long next = list.longValue("seq");
         Set<Host> named = new HashSet<>();
         for (Wire.Fields entry : entries) {
             Relay.Endpoint endpoint = endpoint(entry);
@@ -105,7 +105,7 @@
     }
 
     /** One entry; null for one that cannot be used. The others still count. */
-    private Relay.Endpoint endpoint(Wire.Fields entry) throws Wire.Malformed {
+    private Relay.Endpoint endpoint(Wire.Fields entry) throws Wire.MalformedException {
         String name = entry.text("host");
         Relay.Listing listing = switch (entry.text("health")) {
             case "ready" -> Relay.Listing.READY;
@@ -132,17 +132,17 @@
         if (listing != Relay.Listing.GONE) {
             try {
                 host.dial = Config.address(entry.text("dial"));
-            } catch (Config.Unusable e) {
+            } catch (Config.InvalidConfigException e) {
                 host.leave();
                 listing = Relay.Listing.GONE;
             }
             host.zone = zone;
             host.kind = kind;
-            host.destination = entry.whole("block");
+            host.destination = entry.longValue("block");
             destinations.add(host.destination);
         }
-        return new Relay.Endpoint(host.number, zone, Math.max(0, kind), entry.whole("block", 0), listing,
-            entry.number("share", 1));
+        return new Relay.Endpoint(host.number, zone, Math.max(0, kind), entry.longValue("block", 0), listing,
+            entry.doubleValue("share", 1));
     }
 
     /**
--- a/src/test/java/wrenkeel/net/SendGuardTest.java
+++ b/src/test/java/wrenkeel/net/SendGuardTest.java
@@ -42,7 +42,7 @@
     }
 
     private Journal.Entry entry(Relay.MessageClass rules) throws IOException {
-        return journal.take(new Message("a", "c", 0, null, "key", 7, NOW_MS + 10_000, new byte[3]), rules);
+        return journal.accept(new Message("a", "c", 0, null, "key", 7, NOW_MS + 10_000, new byte[3]), rules);
     }
 
     private Violation check(Journal.Entry entry, Relay.MessageClass rules, HostList.Host to, long laterMillis) {
@@ -61,9 +61,9 @@
     void anUnsafeMessageIsRepeatedOnlyIfItNeverRan() throws IOException {
         Relay.MessageClass unsafe = rules(Relay.Effect.UNSAFE, false);
         Journal.Entry entry = entry(unsafe);
-        journal.sent(entry, NOW_MS, 0);
+        journal.recordSent(entry, NOW_MS, 0);
         assertEquals(Violation.REPEATED_OUTSIDE_ALLOWANCE, check(entry, unsafe, host, 1));
-        journal.notRun(entry, 0);
+        journal.recordNotRun(entry, 0);
         assertNull(check(entry, unsafe, host, 1));
     }
 
@@ -71,7 +71,7 @@
     void aKeyedMessageIsRepeatedInItsWindowAndGroup() throws IOException {
         Relay.MessageClass keyed = rules(Relay.Effect.KEYED, true);
         Journal.Entry entry = entry(keyed);
-        journal.sent(entry, NOW_MS, 0);
+        journal.recordSent(entry, NOW_MS, 0);
         assertNull(check(entry, keyed, host, 2_900));
         assertEquals(Violation.REPEATED_OUTSIDE_ALLOWANCE, check(entry, keyed, sibling, 2_900));
         assertEquals(Violation.REPEATED_OUTSIDE_ALLOWANCE, check(entry, keyed, host, 3_100));
--- a/src/test/java/wrenkeel/net/ServerConnectionTest.java
+++ b/src/test/java/wrenkeel/net/ServerConnectionTest.java
@@ -46,16 +46,16 @@
         platform = new Platform(folder);
         host = new Host();
         Config config = platform.config(Platform.host("s-1", host.port(), 7, "ready"));
-        journal = new Journal(config.state(), config.diskBytes());
+        journal = new Journal(config.stateFolder(), config.diskLimitBytes());
         Bootstrap calls = new Bootstrap().group(thread);
         Figures figures = new Figures();
         onThread(() -> {
             HostList hosts = new HostList(config.zones(), config.kinds());
             HostPool pool = new HostPool(thread, calls, 1_000_000, 15_000_000, 100, figures);
             loop = new Loop(thread, ProcessClock.system(), config, hosts, pool, journal, figures,
-                (whenListed, whenNoticed) -> new Discovery(thread, calls, config.discovery(), hosts, whenListed,
+                (whenListed, whenNoticed) -> new Discovery(thread, calls, config.discoveryAddress(), hosts, whenListed,
                     whenNoticed));
-            loop.start(config.known());
+            loop.start(config.savedList());
             server = new Server(new Callers(10));
             server.serve(loop, figures);
         });
@@ -216,6 +216,6 @@
         for (int pass = 0; pass < 10; pass++) {
             onThread(() -> { });
         }
-        return thread.submit(() -> journal.owed().size()).get();
+        return thread.submit(() -> journal.openEntries().size()).get();
     }
 }
--- a/src/test/java/wrenkeel/net/StateFolderTest.java
+++ b/src/test/java/wrenkeel/net/StateFolderTest.java
@@ -53,7 +53,7 @@
 
     private List<String> owed() throws IOException {
         try (Journal journal = platform.leftBehind()) {
-            return journal.owed().stream().map(entry -> entry.message.id()).toList();
+            return journal.openEntries().stream().map(entry -> entry.message.id()).toList();
         }
     }
 
@@ -94,7 +94,7 @@
     @Test
     void knowledgeThatCannotBeReadIsDoneWithout() throws Exception {
         try (Journal journal = new Journal(state, LIMIT)) {
-            journal.take(message("a"), RULES);
+            journal.accept(message("a"), RULES);
         }
         obstruct("leaving.1");
         try (Node relay = platform.relay()) {
@@ -110,14 +110,14 @@
     @Test
     void whatStandsInAFileThatCannotBeDeletedIsTakenOverOnce() throws Exception {
         try (Journal journal = new Journal(state, LIMIT)) {
-            journal.take(message("a"), RULES);
+            journal.accept(message("a"), RULES);
         }
         obstruct("journal.new.1");
         try (Journal journal = platform.leftBehind()) {
-            assertEquals(1, journal.size());
-            journal.closed(journal.owed().iterator().next());
+            assertEquals(1, journal.openCount());
+            journal.recordClosed(journal.openEntries().iterator().next());
             // The file is written anew.
-            journal.beginPassing();
+            journal.beginHandover();
         }
         assertEquals(List.of(), owed());
     }
--- a/src/test/java/wrenkeel/scale/ChangeLogTest.java
+++ b/src/test/java/wrenkeel/scale/ChangeLogTest.java
@@ -13,11 +13,11 @@
     private final ChangeLog log = new ChangeLog(catalog, 3);
     private final long first = log.latest();
 
-    private static Wire.Fields read(byte[] list) throws Wire.Malformed {
+    private static Wire.Fields read(byte[] list) throws Wire.MalformedException {
         return Wire.decode(new String(list, StandardCharsets.UTF_8));
     }
 
-    private static List<String> hosts(byte[] changes) throws Wire.Malformed {
+    private static List<String> hosts(byte[] changes) throws Wire.MalformedException {
         List<String> hosts = new ArrayList<>();
         for (Wire.Fields entry : read(changes).objects("hosts")) {
             hosts.add(entry.text("host") + " " + entry.text("health"));
@@ -31,10 +31,10 @@
         log.publish(4, HostCatalog.Health.GONE);
         long last = log.publish(5, HostCatalog.Health.DRAINING);
         assertEquals(List.of(catalog.name(4) + " draining"), hosts(log.changes(first, second)));
-        assertEquals(second, read(log.changes(first, second)).whole("seq"));
+        assertEquals(second, read(log.changes(first, second)).longValue("seq"));
         assertEquals(List.of(catalog.name(4) + " gone", catalog.name(5) + " draining"),
             hosts(log.changes(second, last)));
-        assertFalse(read(log.changes(second, last)).flag("whole"));
+        assertFalse(read(log.changes(second, last)).booleanValue("whole"));
         assertEquals(List.of(), hosts(log.changes(last, last)));
     }
 
@@ -52,8 +52,8 @@
     @Test
     void aWholeListIsNeverNewerThanItsAnswererHolds() throws Exception {
         long second = log.publish(0, HostCatalog.Health.GONE);
-        assertEquals(first, read(log.whole(first)).whole("seq"));
-        assertEquals(second, read(log.whole(second)).whole("seq"));
+        assertEquals(first, read(log.whole(first)).longValue("seq"));
+        assertEquals(second, read(log.whole(second)).longValue("seq"));
         assertEquals(19, read(log.whole(second)).objects("hosts").size());
         for (int i = 1; i < 6; i++) {
             log.whole(log.publish(i, HostCatalog.Health.DRAINING));
--- a/src/test/java/wrenkeel/scale/HostCatalogTest.java
+++ b/src/test/java/wrenkeel/scale/HostCatalogTest.java
@@ -16,16 +16,16 @@
 import wrenkeel.Wire;
 
 final class HostCatalogTest {
-    private static Wire.Fields read(byte[] list) throws Wire.Malformed {
+    private static Wire.Fields read(byte[] list) throws Wire.MalformedException {
         return Wire.decode(new String(list, StandardCharsets.UTF_8));
     }
 
     @Test
-    void theWholeListIsThatOfTheProtocol() throws Wire.Malformed {
+    void theWholeListIsThatOfTheProtocol() throws Wire.MalformedException {
         HostCatalog catalog = new HostCatalog(1_700, 1);
         Wire.Fields list = read(catalog.whole());
-        assertEquals(catalog.version(), list.whole("seq"));
-        assertTrue(list.flag("whole"));
+        assertEquals(catalog.version(), list.longValue("seq"));
+        assertTrue(list.booleanValue("whole"));
         List<Wire.Fields> hosts = list.objects("hosts");
         assertEquals(1_700, hosts.size());
         assertEquals(1_000, catalog.destinations());
@@ -35,9 +35,9 @@
         for (Wire.Fields host : hosts) {
             names.add(host.text("host"));
             dials.add(host.text("dial"));
-            hostsOf[(int) host.whole("block")]++;
+            hostsOf[(int) host.longValue("block")]++;
             assertEquals("ready", host.text("health"));
-            assertEquals(0, host.whole("born_ms"));
+            assertEquals(0, host.longValue("born_ms"));
             assertTrue(HostCatalog.ZONES.contains(host.text("site")));
             assertTrue(HostCatalog.KINDS.contains(host.text("class")));
         }
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void whatChangedAfterAVersionIsTold() throws Wire.Malformed {
+    void whatChangedAfterAVersionIsTold() throws Wire.MalformedException {
         HostCatalog catalog = new HostCatalog(10, 1, host -> "127.0.0.1:" + (5_000 + host));
         long first = catalog.version();
         catalog.change(3, HostCatalog.Health.DRAINING);
@@ -65,8 +65,8 @@
         catalog.move(4, "127.0.0.1:9");
         catalog.change(3, HostCatalog.Health.GONE);
         Wire.Fields all = read(catalog.since(first));
-        assertEquals(first + 3, all.whole("seq"));
-        assertFalse(all.flag("whole"));
+        assertEquals(first + 3, all.longValue("seq"));
+        assertFalse(all.booleanValue("whole"));
         assertEquals(2, all.objects("hosts").size());
         assertEquals(catalog.name(3), all.objects("hosts").get(0).text("host"));
         assertEquals("gone", all.objects("hosts").get(0).text("health"));
@@ -77,22 +77,22 @@
         assertEquals(9, read(catalog.whole()).objects("hosts").size());
         catalog.change(3, HostCatalog.Health.READY);
         assertEquals(10, catalog.listed());
-        assertTrue(read(catalog.since(first + 3)).objects("hosts").get(0).whole("born_ms") > 0);
+        assertTrue(read(catalog.since(first + 3)).objects("hosts").get(0).longValue("born_ms") > 0);
         assertThrows(IndexOutOfBoundsException.class, () -> catalog.change(10, HostCatalog.Health.GONE));
     }
 
     @Test
-    void whoAsksForWhatIsForgottenGetsTheWholeList() throws Wire.Malformed {
+    void whoAsksForWhatIsForgottenGetsTheWholeList() throws Wire.MalformedException {
         HostCatalog catalog = new HostCatalog(10, 1);
         long first = catalog.version();
-        assertTrue(read(catalog.since(first - 1)).flag("whole"));
-        assertTrue(read(catalog.since(first + 1)).flag("whole"));
+        assertTrue(read(catalog.since(first - 1)).booleanValue("whole"));
+        assertTrue(read(catalog.since(first + 1)).booleanValue("whole"));
         for (int i = 0; i < HostCatalog.CHANGES_MOST; i++) {
             catalog.change(i % 10, HostCatalog.Health.DRAINING);
         }
-        assertFalse(read(catalog.since(first)).flag("whole"));
+        assertFalse(read(catalog.since(first)).booleanValue("whole"));
         catalog.change(0, HostCatalog.Health.READY);
-        assertTrue(read(catalog.since(first)).flag("whole"));
-        assertFalse(read(catalog.since(first + 1)).flag("whole"));
+        assertTrue(read(catalog.since(first)).booleanValue("whole"));
+        assertFalse(read(catalog.since(first + 1)).booleanValue("whole"));
     }
 }
--- a/src/test/java/wrenkeel/scale/ListNodeTest.java
+++ b/src/test/java/wrenkeel/scale/ListNodeTest.java
@@ -50,7 +50,7 @@
                 try {
                     assertEquals(200, answer.statusCode());
                     return Wire.decode(answer.body());
-                } catch (Wire.Malformed e) {
+                } catch (Wire.MalformedException e) {
                     throw new AssertionError(e);
                 }
             });
@@ -81,7 +81,7 @@
         awaitCalls(sourceHop, 1);
         assertEquals(-1, agent.version());
         source.advance(first);
-        assertTrue(whole.get().flag("whole"));
+        assertTrue(whole.get().booleanValue("whole"));
         assertEquals(20, whole.get().objects("hosts").size());
         assertEquals(1, sourceHop.read().wholeLists());
         assertEquals(1, agentHop.read().wholeLists());
@@ -100,7 +100,7 @@
         assertEquals(0, ask("?after=" + first + "&wait_ms=1").get().objects("hosts").size());
         assertFalse(watch.isDone());
         source.advance(second);
-        assertEquals(second, watch.get().whole("seq"));
+        assertEquals(second, watch.get().longValue("seq"));
         assertEquals("draining", watch.get().objects("hosts").get(0).text("health"));
         assertEquals(1, agentHop.read().wholeLists());
     }
@@ -113,7 +113,7 @@
             publish(host);
         }
         await(() -> agent.version() == log.latest());
-        assertTrue(ask("?after=" + first + "&wait_ms=1").get().flag("whole"));
+        assertTrue(ask("?after=" + first + "&wait_ms=1").get().booleanValue("whole"));
     }
 
     @Test
@@ -122,7 +122,7 @@
         agent.follow(source.address(), WAIT);
         ask("").get();
         agent.restart(source.address(), WAIT).get();
-        assertEquals(first, ask("").get().whole("seq"));
+        assertEquals(first, ask("").get().longValue("seq"));
         assertEquals(2, sourceHop.read().wholeLists());
         assertEquals(2, sourceHop.read().connections());
     }
--- a/src/test/java/wrenkeel/scale/RelayConfigTest.java
+++ b/src/test/java/wrenkeel/scale/RelayConfigTest.java
@@ -24,7 +24,7 @@
         Wire.Fields config = Wire.decode(Files.readString(file));
         assertEquals("n7", config.text("name"));
         assertEquals("127.0.0.1:8500", config.text("discovery"));
-        assertEquals(1_024, config.object("limits").whole("sockets"));
+        assertEquals(1_024, config.object("limits").longValue("sockets"));
         assertEquals(30, config.object("known").objects("hosts").size());
         Relay.Settings settings = Wire.settings(config.object("settings"));
         assertEquals(100, settings.relays());
--- a/src/test/java/wrenkeel/scale/ReportTest.java
+++ b/src/test/java/wrenkeel/scale/ReportTest.java
@@ -32,9 +32,9 @@
         try (Report report = report()) {
             assertEquals("header", written().get(0).text("kind"));
             assertEquals("list --seed 5", written().get(0).text("command"));
-            assertEquals(5, written().get(0).whole("seed"));
-            assertEquals(2, written().get(0).whole("plays"));
-            assertTrue(written().get(0).whole("processors") > 0);
+            assertEquals(5, written().get(0).longValue("seed"));
+            assertEquals(2, written().get(0).longValue("plays"));
+            assertTrue(written().get(0).longValue("processors") > 0);
             assertTrue(written().get(0).values().keySet().containsAll(List.of("load_average", "java")));
             Map<String, Double> values = new LinkedHashMap<>();
             values.put("rss_mb", 53.123456789);
@@ -42,10 +42,10 @@
             report.add(new Measurement("list", 20, 1, 6, values));
             Wire.Fields play = written().get(1);
             assertEquals("play", play.text("kind"));
-            assertEquals(20, play.whole("size"));
-            assertEquals(1, play.whole("play"));
-            assertEquals(6, play.whole("seed"));
-            assertEquals(53.1235, play.object("values").number("rss_mb"));
+            assertEquals(20, play.longValue("size"));
+            assertEquals(1, play.longValue("play"));
+            assertEquals(6, play.longValue("seed"));
+            assertEquals(53.1235, play.object("values").doubleValue("rss_mb"));
             assertTrue(play.object("values").values().containsKey("cpu_ms"));
         }
     }
@@ -63,10 +63,10 @@
         for (Wire.Fields line : ends.subList(0, 2)) {
             assertEquals("line", line.text("kind"));
             if (line.text("value").equals("rss_mb")) {
-                assertEquals(50, line.number("at0"));
-                assertEquals(1, line.number("per_unit"));
-                assertEquals(1_000, line.whole("target"));
-                assertEquals(1_050, line.number("at_target"));
+                assertEquals(50, line.doubleValue("at0"));
+                assertEquals(1, line.doubleValue("per_unit"));
+                assertEquals(1_000, line.longValue("target"));
+                assertEquals(1_050, line.doubleValue("at_target"));
             } else {
                 assertTrue(line.text("refused").contains("3 sizes"));
             }
--- a/src/test/java/wrenkeel/scale/StandInAgentTest.java
+++ b/src/test/java/wrenkeel/scale/StandInAgentTest.java
@@ -51,7 +51,7 @@
             .thenApply(answer -> {
                 try {
                     return Wire.decode(answer.body());
-                } catch (Wire.Malformed e) {
+                } catch (Wire.MalformedException e) {
                     throw new IllegalStateException(answer.body(), e);
                 }
             });
@@ -60,7 +60,7 @@
     @Test
     void theWholeListIsGivenAtOnceAndCounted() throws Exception {
         Wire.Fields list = list("").join();
-        assertTrue(list.flag("whole"));
+        assertTrue(list.booleanValue("whole"));
         assertEquals(50, list.objects("hosts").size());
         assertEquals(1, agent.calls());
         assertEquals(1, agent.wholeLists());
@@ -77,8 +77,8 @@
         CompletableFuture<Wire.Fields> other = list("?after=" + version + "&wait_ms=60000");
         long changed = agent.change(7, HostCatalog.Health.DRAINING);
         for (Wire.Fields told : List.of(watch.join(), other.join())) {
-            assertEquals(changed, told.whole("seq"));
-            assertFalse(told.flag("whole"));
+            assertEquals(changed, told.longValue("seq"));
+            assertFalse(told.booleanValue("whole"));
             assertEquals(catalog.name(7), told.objects("hosts").get(0).text("host"));
             assertEquals("draining", told.objects("hosts").get(0).text("health"));
         }
@@ -94,8 +94,8 @@
     @Test
     void aWatchWhoseTimeIsUpIsToldThatNothingChanged() throws Exception {
         Wire.Fields told = list("?after=" + catalog.version() + "&wait_ms=1").join();
-        assertEquals(catalog.version(), told.whole("seq"));
-        assertFalse(told.flag("whole"));
+        assertEquals(catalog.version(), told.longValue("seq"));
+        assertFalse(told.booleanValue("whole"));
         assertEquals(0, told.objects("hosts").size());
     }
 
@@ -105,7 +105,7 @@
         agent.move(3, "127.0.0.1:9");
         Wire.Fields told = list("?after=" + version + "&wait_ms=60000").join();
         assertEquals("127.0.0.1:9", told.objects("hosts").get(0).text("dial"));
-        assertTrue(list("?after=" + (version - 1) + "&wait_ms=60000").join().flag("whole"));
+        assertTrue(list("?after=" + (version - 1) + "&wait_ms=60000").join().booleanValue("whole"));
         assertEquals(1, agent.wholeLists());
     }
 
@@ -119,7 +119,7 @@
         }
         CompletableFuture<Wire.Fields> watch = list("?after=" + version + "&wait_ms=60000");
         long changed = agent.change(1, HostCatalog.Health.GONE);
-        assertEquals(changed, watch.join().whole("seq"));
+        assertEquals(changed, watch.join().longValue("seq"));
         assertEquals(49, list("").join().objects("hosts").size());
     }
 
