--- a/src/main/java/wrenkeel/net/Config.java
+++ b/src/main/java/wrenkeel/net/Config.java
@@ -55,10 +55,10 @@
             return new Config(
                 address(env.getOrDefault("EDGE_LISTEN", all.text("listen", ""))),
                 address(env.getOrDefault("EDGE_DISCOVERY", all.text("discovery", ""))),
-                console(env.getOrDefault("EDGE_CONSOLE", all.text("console", null))), folder(state),
-                seed(all.text("seed", "0")), sockets(limits.longValue("sockets", DEFAULT_SOCKET_LIMIT)),
-                (long) (limits.doubleValue("disk_mb", 3) * 1_000_000), usable(Wire.settings(settings)),
-                names(settings, "localities"), names(settings, "kinds"), listed(all, known[0]), all);
+                optionalAddress(env.getOrDefault("EDGE_CONSOLE", all.text("console", null))), writableFolder(state),
+                seed(all.text("seed", "0")), validSocketLimit(limits.longValue("sockets", DEFAULT_SOCKET_LIMIT)),
+                (long) (limits.doubleValue("disk_mb", 3) * 1_000_000), validated(Wire.settings(settings)),
+                names(settings, "localities"), names(settings, "kinds"), savedListOrEmpty(all, known[0]), all);
         } catch (Wire.MalformedException e) {
             throw new InvalidConfigException("configuration " + file + ": " + e.getMessage());
         } catch (IOException e) {
@@ -76,7 +76,7 @@
         Map<String, String> folders = new HashMap<>(env);
         folders.keySet().retainAll(Set.of("EDGE_CONFIG", "EDGE_STATE"));
         Config next = read(folders);
-        complete("", fields, next.fields);
+        requireSameKeys("", fields, next.fields);
         int named = Math.min(zones.size(), next.zones.size());
         if (!next.zones.subList(0, named).equals(zones.subList(0, named)) || !next.kinds.equals(kinds)) {
             throw new InvalidConfigException("kinds and the order of localities cannot change while the relay runs");
@@ -86,7 +86,7 @@
     }
 
     /** One that names nothing counts as none; one that is no object is a fault. */
-    private static SavedHostList listed(Wire.Fields all, SavedHostList known) throws Wire.MalformedException {
+    private static SavedHostList savedListOrEmpty(Wire.Fields all, SavedHostList known) throws Wire.MalformedException {
         return all.object("known").values().isEmpty() ? new SavedHostList(known.file(), 0, 0) : known;
     }
 
@@ -95,7 +95,7 @@
     }
 
     /** Entries of lists may differ in number and form; they are checked as they are read. */
-    private static void complete(String path, Wire.Fields before, Wire.Fields now) throws InvalidConfigException {
+    private static void requireSameKeys(String path, Wire.Fields before, Wire.Fields now) throws InvalidConfigException {
         for (Map.Entry<String, Object> entry : before.values().entrySet()) {
             Object value = now.values().get(entry.getKey());
             if (value == null && entry.getValue() != null) {
@@ -105,17 +105,17 @@
                 if (Wire.Fields.of(value) == null) {
                     throw new InvalidConfigException("configuration: '" + path + entry.getKey() + "' is not an object");
                 }
-                complete(path + entry.getKey() + ".", Wire.Fields.of(entry.getValue()),
+                requireSameKeys(path + entry.getKey() + ".", Wire.Fields.of(entry.getValue()),
                     Wire.Fields.of(value));
             }
         }
     }
 
-    private static InetSocketAddress console(String text) throws InvalidConfigException {
+    private static InetSocketAddress optionalAddress(String text) throws InvalidConfigException {
         return text == null ? null : address(text);
     }
 
-    private static Path folder(String name) throws InvalidConfigException {
+    private static Path writableFolder(String name) throws InvalidConfigException {
         Path folder = Path.of(name);
         if (!Files.isDirectory(folder) || !Files.isWritable(folder)) {
             throw new InvalidConfigException("EDGE_STATE is no writable folder: " + name);
@@ -124,7 +124,7 @@
     }
 
     /** Fewer would leave no connection for clients or for hosts. */
-    private static int sockets(long limit) throws InvalidConfigException {
+    private static int validSocketLimit(long limit) throws InvalidConfigException {
         if (limit < DescriptorBudget.MIN_LIMIT || limit > Integer.MAX_VALUE) {
             throw new InvalidConfigException("limits.sockets is " + limit + ", at least " + DescriptorBudget.MIN_LIMIT
                 + " are needed");
@@ -144,7 +144,7 @@
      * One figure differs on sockets. A call goes out as late as its connection comes up, so the module is
      * told that keys are remembered for so much less: a repeat then still comes inside the true window.
      */
-    private static Relay.Settings usable(Relay.Settings s) throws InvalidConfigException {
+    private static Relay.Settings validated(Relay.Settings s) throws InvalidConfigException {
         if (s.classes().isEmpty() || s.kinds().isEmpty() || s.relays() < 1 || s.allowed().slots() < 1
             || s.allowed().connectTimeout() <= 0 || s.allowed().keepAlive() <= 0) {
             throw new InvalidConfigException("settings lack classes, kinds, relays, slots or connection times");
--- a/src/main/java/wrenkeel/net/Journal.java
+++ b/src/main/java/wrenkeel/net/Journal.java
@@ -36,32 +36,32 @@
  */
 final class Journal implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Journal.class);
-    private static final int HEAD = 8;
+    private static final int HEADER_BYTES = 8;
     /** Bytes of a content at most: a body of 64 KiB, and ids, keys and rules far shorter than that. */
-    private static final int RECORD_MOST = 128 * 1024;
+    private static final int MAX_CONTENT_BYTES = 128 * 1024;
     /**
      * Bytes that are checked in vain at most for one file. Any place in a damaged stretch may look like the
      * head of a long record; the start must not stand still over that.
      */
-    private static final long CHECKED_IN_VAIN_MOST = 64 << 20;
+    private static final long MAX_MISMATCHED_BYTES = 64 << 20;
     /** Bytes of a content's sort and number. */
-    private static final int LEAST = 9;
+    private static final int MIN_CONTENT_BYTES = 9;
     /** Bytes kept clear of the limit, for what the file system rounds up. */
-    private static final long CLEAR = 32_768;
+    private static final long LIMIT_MARGIN_BYTES = 32_768;
     /**
      * Share of the room that live messages may reserve; the rest is for the old file and for growth between
      * rewrites.
      */
-    private static final double LIVE_SHARE = 0.4;
+    private static final double OPEN_MESSAGES_SHARE = 0.4;
     /** The zone of an attempt of which nothing is known: that of no host. */
     private static final int UNKNOWN_ZONE = -1;
     /** Attempts for which a message without its class written down reserves room. */
-    private static final int BARE_TRIES = 16;
+    private static final int DEFAULT_MAX_ATTEMPTS = 16;
     /** Bytes of a send with its outcome, and of an end with its notice. */
-    private static final int ATTEMPT_BYTES = (HEAD + 23) + (HEAD + 11), END_BYTES = (HEAD + 18) + (HEAD + 9);
+    private static final int ATTEMPT_BYTES = (HEADER_BYTES + 23) + (HEADER_BYTES + 11), END_BYTES = (HEADER_BYTES + 18) + (HEADER_BYTES + 9);
     /** Sort 1: a message by a release that did not write down its class. */
-    private static final byte TAKEN_BARE = 1, SENT = 2, NOT_RUN = 3, ENDED = 4, CLOSED = 5,
-        ORIGIN = 6, ABSORBED = 7, PASSED = 8, WAIT = 9, TAKEN = 10, CLOCK = 11, UNMADE = 12, HEALTH = 13;
+    private static final byte ACCEPTED_WITHOUT_CLASS = 1, SENT = 2, NOT_RUN = 3, ENDED = 4, CLOSED = 5,
+        ADOPTED = 6, PREDECESSOR_EMPTIED = 7, PASSED_ON = 8, WAIT = 9, ACCEPTED = 10, CLOCK = 11, NOT_MADE = 12, HEALTH = 13;
     /** Share of the room that the health of endpoints may take. */
     private static final double HEALTH_SHARE = 0.125;
 
@@ -71,14 +71,14 @@
         final int zone;
         boolean mayHaveRun = true;
         /** This machine failed: it counts only among the numbers of this process's attempts. */
-        private boolean unmade;
+        private boolean notMade;
 
         Attempt(long sent, int zone) {
             this.sentMillis = sent;
             this.zone = zone;
         }
 
-        private Attempt sentAt(long other) {
+        private Attempt withSendTime(long other) {
             Attempt attempt = new Attempt(other, zone);
             attempt.mayHaveRun = mayHaveRun;
             return attempt;
@@ -105,9 +105,9 @@
         final Relay.MessageClass messageClass;
         final List<Attempt> attempts = new ArrayList<>();
         End end;
-        private long reserved;
+        private long reservedBytes;
         /** Some of its records are missing: the numbers of its attempts are not known. */
-        private boolean doubted;
+        private boolean incomplete;
 
         private Entry(long number, Message message, Relay.MessageClass rules) {
             this.number = number;
@@ -116,9 +116,9 @@
         }
 
         /** It may have been sent at any time since it was taken on, wherever. */
-        private void doubt() {
-            if (!doubted) {
-                doubted = true;
+        private void markIncomplete() {
+            if (!incomplete) {
+                incomplete = true;
                 long life = messageClass == null ? 0 : messageClass.life() / 1_000;
                 attempts.add(new Attempt(message.deadline() - life, UNKNOWN_ZONE));
             }
@@ -127,27 +127,27 @@
 
     private final ProcessClock clock;
     private final FileOperations files;
-    private final ProcessLease tenure;
+    private final ProcessLease lease;
     private final Path file;
-    private final Path fresh;
-    private final long room;
+    private final Path newFile;
+    private final long capacityBytes;
     /** Files of earlier processes, the oldest first, until nothing in them is open. */
-    private final List<Legacy> legacies = new ArrayList<>();
+    private final List<PredecessorJournal> predecessors = new ArrayList<>();
     /** What was taken over from files that still exist. */
     private final Set<Origin> adopted = new LinkedHashSet<>();
     private final Map<Long, Entry> entries = new LinkedHashMap<>();
     /** Of endpoints that are out or returning, by their names. */
-    private final Map<String, EndpointHealth> health = new LinkedHashMap<>();
+    private final Map<String, EndpointHealth> endpointHealth = new LinkedHashMap<>();
     /** What files of earlier processes tell of endpoints, and nobody has asked for yet. */
-    private final Map<String, EndpointHealth> inherited = new LinkedHashMap<>();
+    private final Map<String, EndpointHealth> inheritedHealth = new LinkedHashMap<>();
     private long healthBytes;
-    private FileChannel out;
+    private FileChannel channel;
     /** A write has failed: the file is written anew before the next. */
-    private boolean behind;
-    private long size;
-    private long reserved;
-    private long last;
-    private boolean passing;
+    private boolean rewriteNeeded;
+    private long fileBytes;
+    private long reservedBytes;
+    private long lastNumber;
+    private boolean handingOver;
 
     /** Begins this process's file; nothing is owed before {@link #adopt}. */
     Journal(Path folder, long limit) throws IOException {
@@ -158,26 +158,26 @@
     Journal(Path folder, long limit, ProcessClock clock, FileOperations files) throws IOException {
         this.clock = clock;
         this.files = files;
-        this.tenure = ProcessLease.acquire(folder, files);
-        this.file = tenure.file("journal");
-        this.fresh = tenure.file("journal.new");
-        this.room = limit - CLEAR;
-        for (ProcessLease.OtherProcess earlier : tenure.predecessors()) {
-            legacies.add(new Legacy(earlier));
+        this.lease = ProcessLease.acquire(folder, files);
+        this.file = lease.file("journal");
+        this.newFile = lease.file("journal.new");
+        this.capacityBytes = limit - LIMIT_MARGIN_BYTES;
+        for (ProcessLease.OtherProcess earlier : lease.predecessors()) {
+            predecessors.add(new PredecessorJournal(earlier));
         }
         try {
             rewrite();
         } catch (IOException e) {
-            tenure.abandon();
+            lease.abandon();
             // What stands in a file's place does not go away by itself; all else may.
-            throw Files.isDirectory(fresh) || Files.isDirectory(file) ? new UnusableStateFolderException(e) : e;
+            throw Files.isDirectory(newFile) || Files.isDirectory(file) ? new UnusableStateFolderException(e) : e;
         }
     }
 
     /** True while an earlier process serves: whatever stands in its file is its own. */
     boolean isPredecessorServing() throws IOException {
-        for (Legacy legacy : legacies) {
-            if (!legacy.earlier.hasEnded() && legacy.earlier.readSnapshot() == null) {
+        for (PredecessorJournal legacy : predecessors) {
+            if (!legacy.process.hasEnded() && legacy.process.readSnapshot() == null) {
                 return true;
             }
         }
@@ -194,8 +194,8 @@
     /** What the process that leaves knew; null if it left nothing. */
     InheritedSnapshot predecessorSnapshot() throws IOException {
         InheritedSnapshot latest = null;
-        for (Legacy legacy : legacies) {
-            String knowledge = legacy.earlier.readSnapshot();
+        for (PredecessorJournal legacy : predecessors) {
+            String knowledge = legacy.process.readSnapshot();
             if (knowledge != null) {
                 legacy.read();
                 latest = new InheritedSnapshot(knowledge, legacy.times(clock).shiftMillis());
@@ -206,20 +206,20 @@
 
     /** Tells the process that leaves that this one serves now. */
     void confirmTakeover() throws IOException {
-        for (Legacy legacy : legacies) {
-            legacy.earlier.confirmTakeover();
+        for (PredecessorJournal legacy : predecessors) {
+            legacy.process.confirmTakeover();
         }
     }
 
     /** True while an earlier process still has a file that may hold something for this one. */
     boolean hasPredecessors() {
-        return !legacies.isEmpty();
+        return !predecessors.isEmpty();
     }
 
     /** Waits that leaving processes have heard since the last call: until when (Unix time, ms), by host. */
     Map<String, Long> waits() {
         Map<String, Long> waits = new HashMap<>();
-        for (Legacy legacy : legacies) {
+        for (PredecessorJournal legacy : predecessors) {
             RecordedTimes times = legacy.times(clock);
             legacy.waits.forEach((host, until) -> waits.put(host, times.waitUntil(until)));
             legacy.waits.clear();
@@ -230,8 +230,8 @@
     /** Messages that processes which leave still have out, by destination. */
     Map<Long, Integer> inFlightElsewhere() {
         Map<Long, Integer> out = new HashMap<>();
-        for (Legacy legacy : legacies) {
-            legacy.entries.values().stream().filter(e -> !legacy.passed.contains(e.number))
+        for (PredecessorJournal legacy : predecessors) {
+            legacy.entries.values().stream().filter(e -> !legacy.passedOn.contains(e.number))
                 .forEach(e -> out.merge(e.message.destination(), 1, Integer::sum));
         }
         return out;
@@ -242,20 +242,20 @@
      * file is then deleted. Each message that is newly owed is told once.
      */
     void adopt(Consumer<Entry> whenOwed) throws IOException {
-        for (Legacy legacy : legacies) {
+        for (PredecessorJournal legacy : predecessors) {
             // In this order: after the end nothing more is written, so what is read then is all there is.
-            legacy.ended = legacy.earlier.hasEnded();
+            legacy.ended = legacy.process.hasEnded();
             legacy.read();
         }
-        legacies.forEach(this::inherit);
+        predecessors.forEach(this::inheritHealth);
         Set<Long> absorbed = new HashSet<>();
-        for (Legacy legacy : legacies) {
+        for (PredecessorJournal legacy : predecessors) {
             adopted.addAll(legacy.adopted);
-            absorbed.addAll(legacy.absorbed);
+            absorbed.addAll(legacy.emptied);
         }
-        for (Legacy legacy : List.copyOf(legacies)) {
+        for (PredecessorJournal legacy : List.copyOf(predecessors)) {
             for (Entry entry : List.copyOf(legacy.entries.values())) {
-                if (legacy.ended || legacy.passed.contains(entry.number)) {
+                if (legacy.ended || legacy.passedOn.contains(entry.number)) {
                     Origin origin = new Origin(legacy.number(), entry.number);
                     if (!absorbed.contains(legacy.number()) && !adopted.contains(origin)) {
                         Entry owed = adopt(entry, origin, legacy.times(clock));
@@ -266,30 +266,30 @@
                 }
             }
             if (legacy.ended) {
-                absorb(legacy);
+                removePredecessor(legacy);
             }
         }
-        adopted.removeIf(origin -> legacies.stream().noneMatch(legacy -> legacy.number() == origin.file));
+        adopted.removeIf(origin -> predecessors.stream().noneMatch(legacy -> legacy.number() == origin.process));
     }
 
     /** What it tells of endpoints is kept here too, before its file goes. */
-    private void inherit(Legacy legacy) {
+    private void inheritHealth(PredecessorJournal legacy) {
         RecordedTimes times = legacy.times(clock);
-        for (EndpointHealth told : legacy.health.values()) {
+        for (EndpointHealth told : legacy.endpointHealth.values()) {
             EndpointHealth now = new EndpointHealth(told.host, told.health, times.outageTime(told.sinceMillis),
                 told.callsPerSecond);
-            inherited.put(now.host, now);
-            if (!health.containsKey(now.host)) {
-                keep(now);
+            inheritedHealth.put(now.host, now);
+            if (!endpointHealth.containsKey(now.host)) {
+                keepHealth(now);
             }
         }
-        legacy.health.clear();
+        legacy.endpointHealth.clear();
     }
 
     /** Endpoints that earlier processes knew to be out or returning, as told since the last call. */
     List<EndpointHealth> takeInheritedHealth() {
-        List<EndpointHealth> told = List.copyOf(inherited.values());
-        inherited.clear();
+        List<EndpointHealth> told = List.copyOf(inheritedHealth.values());
+        inheritedHealth.clear();
         return told;
     }
 
@@ -298,65 +298,65 @@
      * room for it no more endpoints are written down.
      */
     void endpointHealth(EndpointHealth told) throws IOException {
-        boolean known = health.containsKey(told.host);
-        if (keep(told) || known) {
+        boolean known = endpointHealth.containsKey(told.host);
+        if (keepHealth(told) || known) {
             append(healthRecord(told));
         }
     }
 
     /** How many endpoints' health is written down. */
     int endpointHealthCount() {
-        return health.size();
+        return endpointHealth.size();
     }
 
     /** False where it needs no record, or there is no room for it. */
-    private boolean keep(EndpointHealth told) {
-        EndpointHealth before = health.remove(told.host);
+    private boolean keepHealth(EndpointHealth told) {
+        EndpointHealth before = endpointHealth.remove(told.host);
         healthBytes -= before == null ? 0 : healthRecord(before).length;
         int length = healthRecord(told).length;
-        if (told.health == Relay.Health.GOOD || healthBytes + length > room * HEALTH_SHARE) {
+        if (told.health == Relay.Health.GOOD || healthBytes + length > capacityBytes * HEALTH_SHARE) {
             return false;
         }
-        health.put(told.host, told);
+        endpointHealth.put(told.host, told);
         healthBytes += length;
         return true;
     }
 
     /** Nothing in it is open any more; what it had taken over from files that still exist is kept. */
-    private void absorb(Legacy legacy) throws IOException {
+    private void removePredecessor(PredecessorJournal legacy) throws IOException {
         ByteArrayOutputStream records = new ByteArrayOutputStream();
-        for (EndpointHealth told : health.values()) {
+        for (EndpointHealth told : endpointHealth.values()) {
             records.writeBytes(healthRecord(told));
         }
         for (Origin origin : legacy.adopted) {
-            records.writeBytes(origin(origin));
+            records.writeBytes(adoptedRecord(origin));
         }
-        records.writeBytes(record(ABSORBED, legacy.number(), o -> { }));
-        put(records.toByteArray());
-        legacy.earlier.delete();
-        legacies.remove(legacy);
+        records.writeBytes(record(PREDECESSOR_EMPTIED, legacy.number(), o -> { }));
+        writeAtEnd(records.toByteArray());
+        legacy.process.delete();
+        predecessors.remove(legacy);
     }
 
     /** In one write: a message that is taken over without its attempts could run twice. */
     private Entry adopt(Entry from, Origin origin, RecordedTimes times) throws IOException {
         long deadline = times.deadline(from.message.deadline(), from.messageClass);
-        Entry entry = new Entry(++last, from.message.withDeadline(deadline), from.messageClass);
-        from.attempts.stream().filter(attempt -> !attempt.unmade)
-            .forEach(attempt -> entry.attempts.add(attempt.sentAt(times.sendTime(attempt.sentMillis))));
+        Entry entry = new Entry(++lastNumber, from.message.withDeadline(deadline), from.messageClass);
+        from.attempts.stream().filter(attempt -> !attempt.notMade)
+            .forEach(attempt -> entry.attempts.add(attempt.withSendTime(times.sendTime(attempt.sentMillis))));
         entry.end = from.end;
         ByteArrayOutputStream records = new ByteArrayOutputStream();
-        records.writeBytes(origin(origin));
+        records.writeBytes(adoptedRecord(origin));
         write(entry, records::writeBytes);
-        put(records.toByteArray());
-        entry.reserved = reserve(taken(entry).length, from.messageClass);
-        reserved += entry.reserved;
+        writeAtEnd(records.toByteArray());
+        entry.reservedBytes = bytesToReserve(acceptedRecord(entry).length, from.messageClass);
+        reservedBytes += entry.reservedBytes;
         entries.put(entry.number, entry);
         return entry;
     }
 
     /** True while a later process stands by to take over. */
     boolean hasStandby() throws IOException {
-        return tenure.hasStandby();
+        return lease.hasStandby();
     }
 
     /**
@@ -365,22 +365,22 @@
      */
     void beginHandover() throws IOException {
         rewrite();
-        passing = true;
+        handingOver = true;
     }
 
     /** Leaves what this process knows to the later one, which serves once {@link #isTakenOver}. */
     void publishSnapshot(String knowledge) throws IOException {
-        tenure.publishSnapshot(knowledge);
+        lease.publishSnapshot(knowledge);
     }
 
     boolean isTakenOver() {
-        return tenure.isTakenOver();
+        return lease.isTakenOver();
     }
 
     /** The message is the later process's from here on. */
     void passOn(Entry entry) throws IOException {
-        append(record(PASSED, entry.number, o -> { }));
-        forget(entry.number);
+        append(record(PASSED_ON, entry.number, o -> { }));
+        removeEntry(entry.number);
     }
 
     /** A host told to wait; the later process must heed it. */
@@ -403,15 +403,15 @@
 
     /** Writes a message down; null if there is no room for it until its end. */
     Entry accept(Message message, Relay.MessageClass rules) throws IOException {
-        Entry entry = new Entry(last + 1, message, rules);
-        byte[] record = taken(entry);
-        entry.reserved = reserve(record.length, rules);
-        if (reserved + entry.reserved > room() * LIVE_SHARE) {
+        Entry entry = new Entry(lastNumber + 1, message, rules);
+        byte[] record = acceptedRecord(entry);
+        entry.reservedBytes = bytesToReserve(record.length, rules);
+        if (reservedBytes + entry.reservedBytes > availableBytes() * OPEN_MESSAGES_SHARE) {
             return null;
         }
         append(record);
-        last++;
-        reserved += entry.reserved;
+        lastNumber++;
+        reservedBytes += entry.reservedBytes;
         entries.put(entry.number, entry);
         return entry;
     }
@@ -433,18 +433,18 @@
     /** An attempt that was written down was never made: this machine had no socket for it. */
     void recordNotMade(Entry entry, int attempt) throws IOException {
         entry.attempts.get(attempt).mayHaveRun = false;
-        entry.attempts.get(attempt).unmade = true;
-        append(record(UNMADE, entry.number, o -> o.writeShort(attempt)));
+        entry.attempts.get(attempt).notMade = true;
+        append(record(NOT_MADE, entry.number, o -> o.writeShort(attempt)));
     }
 
     /** A send that was decided and is not made, for it cannot be written down; it keeps its number. */
     void addUnrecordedAttempt(Entry entry, long time, int zone) {
         Attempt attempt = new Attempt(time, zone);
         attempt.mayHaveRun = false;
-        attempt.unmade = true;
+        attempt.notMade = true;
         entry.attempts.add(attempt);
         // The file lacks it, and its later records would have other numbers.
-        behind = true;
+        rewriteNeeded = true;
     }
 
     /** An outcome has proved that the attempt never ran. */
@@ -461,48 +461,48 @@
 
     /** Nothing more is owed: delivered, withdrawn, or its notice acknowledged. */
     void recordClosed(Entry entry) throws IOException {
-        forget(entry.number);
+        removeEntry(entry.number);
         append(record(CLOSED, entry.number, o -> { }));
     }
 
     @Override
     public void close() throws IOException {
-        out.close();
-        tenure.close();
+        channel.close();
+        lease.close();
     }
 
-    private static long reserve(int taken, Relay.MessageClass rules) {
-        int tries = rules == null ? BARE_TRIES : rules.tries();
+    private static long bytesToReserve(int taken, Relay.MessageClass rules) {
+        int tries = rules == null ? DEFAULT_MAX_ATTEMPTS : rules.tries();
         return taken + (long) tries * ATTEMPT_BYTES + END_BYTES;
     }
 
     /** Bytes for this file, beside those of earlier processes that still exist. */
-    private long room() {
-        return room - legacies.stream().mapToLong(legacy -> legacy.size).sum();
+    private long availableBytes() {
+        return capacityBytes - predecessors.stream().mapToLong(legacy -> legacy.readBytes).sum();
     }
 
-    private void forget(long number) {
+    private void removeEntry(long number) {
         Entry gone = entries.remove(number);
-        reserved -= gone == null ? 0 : gone.reserved;
+        reservedBytes -= gone == null ? 0 : gone.reservedBytes;
     }
 
     // ---- The file -------------------------------------------------------------------------------
     private void append(byte[] record) throws IOException {
-        if (!passing && size + record.length + reserved + healthBytes > room()) {
+        if (!handingOver && fileBytes + record.length + reservedBytes + healthBytes > availableBytes()) {
             rewrite();
         }
-        put(record);
+        writeAtEnd(record);
     }
 
     /** Writes at the end; what a failed write may have left there is first made good by writing all anew. */
-    private void put(byte[] records) throws IOException {
-        if (behind) {
+    private void writeAtEnd(byte[] records) throws IOException {
+        if (rewriteNeeded) {
             rewrite();
         }
-        behind = true;
-        write(out, records);
-        behind = false;
-        size += records.length;
+        rewriteNeeded = true;
+        write(channel, records);
+        rewriteNeeded = false;
+        fileBytes += records.length;
     }
 
     /** A record cut short by a fault is taken back, lest what follows it be lost with it. */
@@ -527,52 +527,52 @@
         rewrite();
     }
 
-    private interface Sink {
-        void write(byte[] record) throws IOException;
+    private interface RecordConsumer {
+        void accept(byte[] record) throws IOException;
     }
 
     /** All that is known of one message. */
-    private static void write(Entry entry, Sink to) throws IOException {
-        to.write(taken(entry));
+    private static void write(Entry entry, RecordConsumer to) throws IOException {
+        to.accept(acceptedRecord(entry));
         for (int i = 0; i < entry.attempts.size(); i++) {
             int attempt = i;
-            to.write(recordSent(entry, entry.attempts.get(i)));
+            to.accept(recordSent(entry, entry.attempts.get(i)));
             if (!entry.attempts.get(i).mayHaveRun) {
-                byte sort = entry.attempts.get(i).unmade ? UNMADE : NOT_RUN;
-                to.write(record(sort, entry.number, o -> o.writeShort(attempt)));
+                byte sort = entry.attempts.get(i).notMade ? NOT_MADE : NOT_RUN;
+                to.accept(record(sort, entry.number, o -> o.writeShort(attempt)));
             }
         }
         if (entry.end != null) {
-            to.write(recordEnd(entry.number, entry.end));
+            to.accept(recordEnd(entry.number, entry.end));
         }
     }
 
     /** Writes what is owed to a new file and puts it in the old one's place. */
     private void rewrite() throws IOException {
-        behind = true;
-        FileChannel next = files.open(fresh, StandardOpenOption.CREATE,
+        rewriteNeeded = true;
+        FileChannel next = files.open(newFile, StandardOpenOption.CREATE,
             StandardOpenOption.TRUNCATE_EXISTING,
             StandardOpenOption.WRITE);
         try {
-            write(next, clock(clock.reading()));
-            for (EndpointHealth told : health.values()) {
+            write(next, clockRecord(clock.reading()));
+            for (EndpointHealth told : endpointHealth.values()) {
                 write(next, healthRecord(told));
             }
             for (Origin origin : adopted) {
-                write(next, origin(origin));
+                write(next, adoptedRecord(origin));
             }
             for (Entry entry : entries.values()) {
                 write(entry, record -> write(next, record));
             }
-            files.replace(fresh, file);
-            size = next.position();
+            files.replace(newFile, file);
+            fileBytes = next.position();
         } catch (IOException e) {
             discard(next, e);
             throw e;
         }
-        FileChannel old = out;
-        out = next;
-        behind = false;
+        FileChannel old = channel;
+        channel = next;
+        rewriteNeeded = false;
         try {
             if (old != null) {
                 old.close();
@@ -585,7 +585,7 @@
     private void discard(FileChannel next, IOException cause) {
         try {
             next.close();
-            files.delete(fresh);
+            files.delete(newFile);
         } catch (IOException e) {
             // It is truncated before it is written again.
             cause.addSuppressed(e);
@@ -593,34 +593,34 @@
     }
 
     /** A message by the file that it was first written to. */
-    private record Origin(long file, long number) { }
+    private record Origin(long process, long number) { }
 
     /** The file of an earlier process, read as far as it has been written. */
-    private static final class Legacy {
-        final ProcessLease.OtherProcess earlier;
+    private static final class PredecessorJournal {
+        final ProcessLease.OtherProcess process;
         final Map<Long, Entry> entries = new LinkedHashMap<>();
-        final Set<Long> passed = new HashSet<>();
+        final Set<Long> passedOn = new HashSet<>();
         final Set<Origin> adopted = new HashSet<>();
         /** Numbers of processes in whose files nothing is open any more. */
-        final Set<Long> absorbed = new HashSet<>();
+        final Set<Long> emptied = new HashSet<>();
         final Map<String, Long> waits = new HashMap<>();
         /** Of endpoints, as far as it has not been taken over. */
-        final Map<String, EndpointHealth> health = new LinkedHashMap<>();
+        final Map<String, EndpointHealth> endpointHealth = new LinkedHashMap<>();
         /** Null in a file of a release that did not write its clocks down. */
-        private ProcessClock.Reading clock;
+        private ProcessClock.Reading clockReading;
         /** Unix time, ms, by its own clock: the latest of which the file tells. */
-        private long latest;
+        private long latestMillis;
         private RecordedTimes times;
         boolean ended;
-        long size;
-        private long checkedInVain;
+        long readBytes;
+        private long mismatchedBytes;
 
-        Legacy(ProcessLease.OtherProcess earlier) {
-            this.earlier = earlier;
+        PredecessorJournal(ProcessLease.OtherProcess earlier) {
+            this.process = earlier;
         }
 
         long number() {
-            return earlier.number();
+            return process.number();
         }
 
         /**
@@ -631,13 +631,13 @@
             if (times != null) {
                 return times;
             }
-            RecordedTimes known = RecordedTimes.of(now, clock, latest);
-            times = clock == null ? null : known;
+            RecordedTimes known = RecordedTimes.of(now, clockReading, latestMillis);
+            times = clockReading == null ? null : known;
             return known;
         }
 
-        private void happened(long millis) {
-            latest = Math.max(latest, millis);
+        private void noteTime(long millis) {
+            latestMillis = Math.max(latestMillis, millis);
         }
 
         /**
@@ -645,68 +645,68 @@
          * over. An unfinished record at the end was never acted on; any other gap may have held anything.
          */
         void read() throws IOException {
-            ByteBuffer in = ByteBuffer.wrap(earlier.readJournalFrom(size));
+            ByteBuffer in = ByteBuffer.wrap(process.readJournalFrom(readBytes));
             int unread = 0;
             boolean unfinished = false;
             while (in.hasRemaining()) {
-                byte[] content = content(in);
+                byte[] content = nextContent(in);
                 if (content == null && !ended) {
                     return;
                 }
                 if (content == null) {
-                    boolean givenUp = checkedInVain > CHECKED_IN_VAIN_MOST;
-                    unfinished = !givenUp && (unread == 0 ? unfinished(in) : unfinished);
+                    boolean givenUp = mismatchedBytes > MAX_MISMATCHED_BYTES;
+                    unfinished = !givenUp && (unread == 0 ? isUnfinished(in) : unfinished);
                     int passed = givenUp ? in.remaining() : 1;
                     in.position(in.position() + passed);
                     unread += passed;
-                    size += passed;
+                    readBytes += passed;
                     continue;
                 }
                 if (unread > 0) {
-                    gap(unread);
+                    markGap(unread);
                     unread = 0;
                 }
-                size += content.length + HEAD;
+                readBytes += content.length + HEADER_BYTES;
                 replay(content);
             }
             if (unread > 0 && !unfinished) {
-                gap(unread);
+                markGap(unread);
             } else if (unread > 0) {
                 LOG.warn("journal cut at an unfinished record, {} bytes dropped", unread);
             }
         }
 
         /** The next record's content; null, and nothing taken, if no whole one that checks stands here. */
-        private byte[] content(ByteBuffer in) {
-            if (in.remaining() < HEAD) {
+        private byte[] nextContent(ByteBuffer in) {
+            if (in.remaining() < HEADER_BYTES) {
                 return null;
             }
             int begin = in.position();
             int length = in.getInt(begin);
-            if (length < LEAST || length > RECORD_MOST || length > in.remaining() - HEAD) {
+            if (length < MIN_CONTENT_BYTES || length > MAX_CONTENT_BYTES || length > in.remaining() - HEADER_BYTES) {
                 return null;
             }
-            if (crc(in.slice(begin + HEAD, length)) != in.getInt(begin + Integer.BYTES)) {
-                checkedInVain += length;
+            if (crc(in.slice(begin + HEADER_BYTES, length)) != in.getInt(begin + Integer.BYTES)) {
+                mismatchedBytes += length;
                 return null;
             }
             byte[] content = new byte[length];
-            in.position(begin + HEAD).get(content);
+            in.position(begin + HEADER_BYTES).get(content);
             return content;
         }
 
-        private static boolean unfinished(ByteBuffer in) {
-            if (in.remaining() < HEAD) {
+        private static boolean isUnfinished(ByteBuffer in) {
+            if (in.remaining() < HEADER_BYTES) {
                 return true;
             }
             int length = in.getInt(in.position());
-            return length >= LEAST && length <= RECORD_MOST && length > in.remaining() - HEAD;
+            return length >= MIN_CONTENT_BYTES && length <= MAX_CONTENT_BYTES && length > in.remaining() - HEADER_BYTES;
         }
 
-        private void gap(int bytes) {
+        private void markGap(int bytes) {
             LOG.warn("journal {}: {} bytes cannot be read, {} messages before them may have run", number(),
                 bytes, entries.size());
-            entries.values().forEach(Entry::doubt);
+            entries.values().forEach(Entry::markIncomplete);
         }
 
         /** A record that checks and cannot be understood is told; its message may have run. */
@@ -718,7 +718,7 @@
                 LOG.warn("journal {}: a record of message {} is not understood: {}", number(), message,
                     e.toString());
                 if (entries.containsKey(message)) {
-                    entries.get(message).doubt();
+                    entries.get(message).markIncomplete();
                 }
             }
         }
@@ -729,17 +729,17 @@
             Entry entry = entries.get(number);
             switch (sort) {
                 case CLOCK -> {
-                    clock = new ProcessClock.Reading(in.readUTF(), in.readLong(), in.readLong());
-                    happened(clock.millis());
+                    clockReading = new ProcessClock.Reading(in.readUTF(), in.readLong(), in.readLong());
+                    noteTime(clockReading.millis());
                 }
-                case TAKEN_BARE -> entries.put(number, new Entry(number, message(in), null));
-                case TAKEN -> {
-                    Relay.MessageClass rules = rules(in);
+                case ACCEPTED_WITHOUT_CLASS -> entries.put(number, new Entry(number, message(in), null));
+                case ACCEPTED -> {
+                    Relay.MessageClass rules = messageClass(in);
                     entries.put(number, new Entry(number, message(in), rules));
                 }
-                case ORIGIN -> adopted.add(new Origin(in.readLong(), number));
-                case ABSORBED -> absorbed.add(number);
-                case PASSED -> passed.add(number);
+                case ADOPTED -> adopted.add(new Origin(in.readLong(), number));
+                case PREDECESSOR_EMPTIED -> emptied.add(number);
+                case PASSED_ON -> passedOn.add(number);
                 case WAIT -> {
                     long until = in.readLong();
                     waits.put(in.readUTF(), until);
@@ -747,35 +747,35 @@
                 case CLOSED -> entries.remove(number);
                 case HEALTH -> {
                     EndpointHealth told = endpointHealth(in);
-                    happened(told.sinceMillis);
+                    noteTime(told.sinceMillis);
                     if (told.health == Relay.Health.GOOD) {
-                        health.remove(told.host);
+                        endpointHealth.remove(told.host);
                     } else {
-                        health.put(told.host, told);
+                        endpointHealth.put(told.host, told);
                     }
                 }
                 default -> {
                     if (entry != null) {
-                        follow(entry, sort, in);
-                        entry.attempts.forEach(attempt -> happened(attempt.sentMillis));
+                        replayForEntry(entry, sort, in);
+                        entry.attempts.forEach(attempt -> noteTime(attempt.sentMillis));
                     }
                 }
             }
         }
 
-        private static void follow(Entry entry, byte sort, DataInputStream in) throws IOException {
+        private static void replayForEntry(Entry entry, byte sort, DataInputStream in) throws IOException {
             switch (sort) {
                 case SENT -> entry.attempts.add(new Attempt(in.readLong(), in.readInt()));
                 case NOT_RUN -> {
-                    if (!entry.doubted) {
+                    if (!entry.incomplete) {
                         entry.attempts.get(in.readShort()).mayHaveRun = false;
                     }
                 }
-                case UNMADE -> {
-                    if (!entry.doubted) {
+                case NOT_MADE -> {
+                    if (!entry.incomplete) {
                         Attempt attempt = entry.attempts.get(in.readShort());
                         attempt.mayHaveRun = false;
-                        attempt.unmade = true;
+                        attempt.notMade = true;
                     }
                 }
                 case ENDED -> entry.end = new End(in.readBoolean(), in.readLong());
@@ -785,11 +785,11 @@
     }
 
     // ---- Records --------------------------------------------------------------------------------
-    private interface Body {
+    private interface ContentWriter {
         void write(DataOutputStream out) throws IOException;
     }
 
-    private static byte[] record(byte sort, long number, Body body) throws IOException {
+    private static byte[] record(byte sort, long number, ContentWriter body) throws IOException {
         ByteArrayOutputStream content = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(content);
         out.writeByte(sort);
@@ -797,7 +797,7 @@
         body.write(out);
         byte[] bytes = content.toByteArray();
         int check = crc(ByteBuffer.wrap(bytes));
-        return ByteBuffer.allocate(HEAD + bytes.length).putInt(bytes.length).putInt(check).put(bytes)
+        return ByteBuffer.allocate(HEADER_BYTES + bytes.length).putInt(bytes.length).putInt(check).put(bytes)
             .array();
     }
 
@@ -819,7 +819,7 @@
         return new EndpointHealth(host, Relay.Health.values()[in.readByte()], in.readLong(), in.readDouble());
     }
 
-    private static byte[] clock(ProcessClock.Reading clock) throws IOException {
+    private static byte[] clockRecord(ProcessClock.Reading clock) throws IOException {
         return record(CLOCK, 0, o -> {
             o.writeUTF(clock.bootId());
             o.writeLong(clock.millis());
@@ -827,21 +827,21 @@
         });
     }
 
-    private static byte[] origin(Origin origin) throws IOException {
-        return record(ORIGIN, origin.number, o -> o.writeLong(origin.file));
+    private static byte[] adoptedRecord(Origin origin) throws IOException {
+        return record(ADOPTED, origin.number, o -> o.writeLong(origin.process));
     }
 
-    private static byte[] taken(Entry entry) throws IOException {
+    private static byte[] acceptedRecord(Entry entry) throws IOException {
         Message m = entry.message;
-        return record(entry.messageClass == null ? TAKEN_BARE : TAKEN, entry.number, o -> {
+        return record(entry.messageClass == null ? ACCEPTED_WITHOUT_CLASS : ACCEPTED, entry.number, o -> {
             if (entry.messageClass != null) {
-                rules(o, entry.messageClass);
+                messageClass(o, entry.messageClass);
             }
             o.writeUTF(m.id());
             o.writeUTF(m.messageClass());
             o.writeInt(m.tenant());
-            optional(o, m.routeKey());
-            optional(o, m.idempotencyKey());
+            optionalText(o, m.routeKey());
+            optionalText(o, m.idempotencyKey());
             o.writeLong(m.destination());
             o.writeLong(m.deadline());
             o.writeInt(m.body().length);
@@ -849,7 +849,7 @@
         });
     }
 
-    private static void rules(DataOutputStream out, Relay.MessageClass c) throws IOException {
+    private static void messageClass(DataOutputStream out, Relay.MessageClass c) throws IOException {
         out.writeUTF(c.name());
         out.writeLong(c.aim());
         out.writeLong(c.life());
@@ -862,14 +862,14 @@
         out.writeShort(c.tries());
     }
 
-    private static Relay.MessageClass rules(DataInputStream in) throws IOException {
+    private static Relay.MessageClass messageClass(DataInputStream in) throws IOException {
         return new Relay.MessageClass(in.readUTF(), in.readLong(), in.readLong(), in.readDouble(),
             in.readDouble(), Relay.Effect.values()[in.readByte()], in.readBoolean(), in.readLong(),
             in.readBoolean(), in.readShort());
     }
 
     private static Message message(DataInputStream in) throws IOException {
-        return new Message(in.readUTF(), in.readUTF(), in.readInt(), optional(in), optional(in),
+        return new Message(in.readUTF(), in.readUTF(), in.readInt(), optionalText(in), optionalText(in),
             in.readLong(),
             in.readLong(), in.readNBytes(in.readInt()));
     }
@@ -888,14 +888,14 @@
         });
     }
 
-    private static void optional(DataOutputStream out, String text) throws IOException {
+    private static void optionalText(DataOutputStream out, String text) throws IOException {
         out.writeBoolean(text != null);
         if (text != null) {
             out.writeUTF(text);
         }
     }
 
-    private static String optional(DataInputStream in) throws IOException {
+    private static String optionalText(DataInputStream in) throws IOException {
         return in.readBoolean() ? in.readUTF() : null;
     }
 
--- a/src/main/java/wrenkeel/net/ProcessLease.java
+++ b/src/main/java/wrenkeel/net/ProcessLease.java
@@ -24,7 +24,7 @@
  */
 final class ProcessLease implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ProcessLease.class);
-    private static final String LOCK = "relay", JOURNAL = "journal", SNAPSHOT = "leaving";
+    private static final String LOCK_FILE = "relay", JOURNAL_FILE = "journal", SNAPSHOT_FILE = "leaving";
     /** The highest number, of 18 digits: files with longer ones are not looked for. */
     private static final long MAX_NUMBER = 999_999_999_999_999_999L;
 
@@ -44,8 +44,8 @@
     /** Takes the next number. */
     static ProcessLease acquire(Path folder, FileOperations files) throws IOException {
         while (true) {
-            List<Long> before = numbers(folder, LOCK);
-            before.addAll(numbers(folder, JOURNAL));
+            List<Long> before = numbersOf(folder, LOCK_FILE);
+            before.addAll(numbersOf(folder, JOURNAL_FILE));
             long latest = before.stream().mapToLong(n -> n).max().orElse(0);
             if (latest == MAX_NUMBER) {
                 throw new UnusableStateFolderException(folder + " holds a file with the number " + latest
@@ -53,12 +53,12 @@
             }
             long next = latest + 1;
             try {
-                FileChannel lock = createLocked(folder.resolve(LOCK + "." + next), files);
+                FileChannel lock = createLocked(folder.resolve(LOCK_FILE + "." + next), files);
                 ProcessLease tenure = new ProcessLease(folder, files, next, lock);
                 before.stream().distinct().sorted().map(n -> new OtherProcess(folder, files, n))
-                    .filter(OtherProcess::hasFiles).forEach(tenure.predecessors::add);
+                    .filter(OtherProcess::isRelay).forEach(tenure.predecessors::add);
                 OtherProcess unnumbered = new OtherProcess(folder, files, 0);
-                if (Files.exists(folder.resolve(JOURNAL)) && unnumbered.hasFiles()) {
+                if (Files.exists(folder.resolve(JOURNAL_FILE)) && unnumbered.isRelay()) {
                     // Written by a release that had one file and no number.
                     tenure.predecessors.add(0, unnumbered);
                 }
@@ -83,13 +83,13 @@
 
     /** Gives the number back: nothing was written under it. */
     void abandon() throws IOException {
-        files.delete(file(LOCK));
+        files.delete(file(LOCK_FILE));
         close();
     }
 
     /** True while any process that shares the folder lives. */
     static boolean isAnyProcessAlive(Path folder, FileOperations files) throws IOException {
-        for (long other : numbers(folder, LOCK)) {
+        for (long other : numbersOf(folder, LOCK_FILE)) {
             try (OtherProcess process = new OtherProcess(folder, files, other)) {
                 if (!process.hasEnded()) {
                     return true;
@@ -99,7 +99,7 @@
         return false;
     }
 
-    private static List<Long> numbers(Path folder, String name) throws IOException {
+    private static List<Long> numbersOf(Path folder, String name) throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return new ArrayList<>(files.map(file -> file.getFileName().toString())
                 .filter(file -> file.matches(name + "\\.[0-9]{1,18}"))
@@ -120,7 +120,7 @@
 
     /** True while a process with a higher number lives. */
     boolean hasStandby() throws IOException {
-        for (long other : numbers(folder, LOCK)) {
+        for (long other : numbersOf(folder, LOCK_FILE)) {
             if (other > number) {
                 try (OtherProcess later = new OtherProcess(folder, files, other)) {
                     if (!later.hasEnded()) {
@@ -134,7 +134,7 @@
 
     /** Leaves what this process knows to the one that stands by. */
     void publishSnapshot(String knowledge) throws IOException {
-        Path draft = file(SNAPSHOT + ".new");
+        Path draft = file(SNAPSHOT_FILE + ".new");
         try (FileChannel out = files.open(draft, StandardOpenOption.CREATE,
                 StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
             ByteBuffer text = StandardCharsets.UTF_8.encode(knowledge);
@@ -142,12 +142,12 @@
                 out.write(text);
             }
         }
-        files.replace(draft, file(SNAPSHOT));
+        files.replace(draft, file(SNAPSHOT_FILE));
     }
 
     /** True once the later process has taken over. */
     boolean isTakenOver() {
-        return !Files.exists(file(SNAPSHOT));
+        return !Files.exists(file(SNAPSHOT_FILE));
     }
 
     @Override
@@ -174,8 +174,8 @@
         }
 
         /** False where something else than a relay's files has their names. */
-        private boolean hasFiles() {
-            return !Files.isDirectory(file(LOCK)) && !Files.isDirectory(file(JOURNAL));
+        private boolean isRelay() {
+            return !Files.isDirectory(file(LOCK_FILE)) && !Files.isDirectory(file(JOURNAL_FILE));
         }
 
         private Path file(String name) {
@@ -189,7 +189,7 @@
             }
             try {
                 if (lock == null) {
-                    lock = files.open(file(LOCK), StandardOpenOption.WRITE);
+                    lock = files.open(file(LOCK_FILE), StandardOpenOption.WRITE);
                 }
                 ended = lock.tryLock() != null;
                 return ended;
@@ -203,7 +203,7 @@
 
         /** Its journal from this byte on. */
         byte[] readJournalFrom(long position) throws IOException {
-            try (FileChannel in = files.open(file(JOURNAL), StandardOpenOption.READ)) {
+            try (FileChannel in = files.open(file(JOURNAL_FILE), StandardOpenOption.READ)) {
                 ByteBuffer bytes = ByteBuffer.allocate((int) Math.max(0, in.size() - position));
                 while (bytes.hasRemaining() && in.read(bytes, position + bytes.position()) >= 0) {
                     continue;
@@ -217,7 +217,7 @@
         /** What it has left for the process that takes over, readable or not; null while it serves. */
         String readSnapshot() throws IOException {
             try {
-                return new String(Files.readAllBytes(file(SNAPSHOT)), StandardCharsets.UTF_8);
+                return new String(Files.readAllBytes(file(SNAPSHOT_FILE)), StandardCharsets.UTF_8);
             } catch (NoSuchFileException e) {
                 return null;
             } catch (IOException e) {
@@ -228,7 +228,7 @@
 
         /** Tells it that another process serves now. */
         void confirmTakeover() {
-            deleteOrWarn(SNAPSHOT);
+            deleteOrWarn(SNAPSHOT_FILE);
         }
 
         /**
@@ -236,8 +236,8 @@
          * again; the lock goes last.
          */
         void delete() throws IOException {
-            files.delete(file(JOURNAL));
-            for (String name : List.of(JOURNAL + ".new", SNAPSHOT + ".new", SNAPSHOT, LOCK)) {
+            files.delete(file(JOURNAL_FILE));
+            for (String name : List.of(JOURNAL_FILE + ".new", SNAPSHOT_FILE + ".new", SNAPSHOT_FILE, LOCK_FILE)) {
                 deleteOrWarn(name);
             }
             close();
