--- a/src/test/java/wrenkeel/SimHostTest.java
+++ b/src/test/java/wrenkeel/SimHostTest.java
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void sendsAMessageAndTakesItsOutcome() throws IOException {
+    void sendsAMessageAndAcceptsItsOutcome() throws IOException {
         Result r = serve(START + MESSAGE + """
             {"verb":"Batch","sim-time":1205.25,"frame":3}
             {"verb":"Verdict","i":3,"ref":"r1","finished":true,"host":51530247,"spent":200.0,"rc":"S","report":{"zz":1}}
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void aRestartForgetsAndADeadInstanceIsUnknown() throws IOException {
+    void eventForAStoppedInstanceIsRejected() throws IOException {
         Result r = serve(START + "{\"verb\":\"Batch\",\"sim-time\":1001.0,\"frame\":2}\n{\"verb\":\"Down\",\"i\":3}\n"
             + "{\"verb\":\"TickDue\",\"i\":3,\"label\":1}\n");
         assertEquals(1, r.code);
@@ -68,7 +68,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"nonsense", "[1]", "{\"verb\":\"Batch\"}", "{\"no\":1}", "{\"verb\":\"Eob\"}",
         "{\"verb\":\"Batch\",\"sim-time\":\"x\",\"frame\":1}", "{\"verb\":\"Batch\",\"sim-time\":1,\"frame\":1} {}"})
-    void malformedLinesAreNamedOnStandardError(String line) throws IOException {
+    void malformedLinesAreReportedOnStandardErrorByNumber(String line) throws IOException {
         Result r = serve(line + "\n");
         assertEquals(1, r.code);
         assertTrue(r.err.startsWith("line 1: "), r.err);
@@ -79,14 +79,14 @@
     @ValueSource(strings = {"{\"verb\":\"Wobble\",\"i\":3}", "{\"verb\":\"Accept\",\"i\":3,\"ref\":\"a\"}",
         "{\"verb\":\"TickDue\",\"i\":9}", "{\"verb\":\"Verdict\",\"i\":3,\"ref\":\"a\",\"host\":1,\"rc\":\"Q\"}",
         "{\"verb\":\"Membership\",\"i\":3,\"epoch\":1,\"roster-id\":7,\"mode\":\"full\"}"})
-    void badEventsAreNamedToo(String line) throws IOException {
+    void malformedEventsAreReportedOnStandardErrorByNumber(String line) throws IOException {
         Result r = serve(START + "{\"verb\":\"Batch\",\"sim-time\":1001.0,\"frame\":2}\n" + line + "\n");
         assertEquals(1, r.code);
         assertTrue(r.err.startsWith("line 7: "), r.err);
     }
 
     @Test
-    void endOfInputEndsWellAndArgumentsAreChecked() throws IOException {
+    void endOfInputOutsideABatchIsCleanAndUnknownArgumentsAreRejected() throws IOException {
         assertEquals(0, serve("").code);
         assertEquals(1, serve("{\"verb\":\"Batch\",\"sim-time\":1,\"frame\":1}\n").code);
         assertEquals(2, Main.run(new String[] {"other"}));
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void theModuleKeepsItsLimits() throws IOException {
+    void sourcesKeepTheirLimitsOnLengthAndLineWidth() throws IOException {
         Path sources = Path.of("src/main/java/wrenkeel");
         // The operators lifted the bound of 1,200 lines; what grows past this one belongs into a module of its own.
         List<String> lines = Files.readAllLines(sources.resolve("Control.java"));
--- a/src/test/java/wrenkeel/net/ClockStepTest.java
+++ b/src/test/java/wrenkeel/net/ClockStepTest.java
@@ -13,7 +13,7 @@
 /** The wall clock is stepped while the relay is down; what it owes keeps its spans of real time. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class ClockStepTest {
-    private static final String TAKEN = "HTTP/1.1 202 Accepted";
+    private static final String ACCEPTED = "HTTP/1.1 202 Accepted";
     private static final long HOUR = TimeUnit.HOURS.toMillis(1);
 
     @TempDir
@@ -38,16 +38,16 @@
     }
 
     /** Takes a message on and ends without a word of it, as at SIGKILL; its first call stays unanswered. */
-    private void takenBefore(String id, String messageClass, long time) throws Exception {
+    private void acceptBeforeTheStep(String id, String messageClass, long time) throws Exception {
         try (Node relay = relay(0); var client = new Platform.Client(relay)) {
-            assertEquals(TAKEN, client.post(id, messageClass, 7, time).get(0));
+            assertEquals(ACCEPTED, client.post(id, messageClass, 7, time).get(0));
             assertEquals(id, host.call().header("X-Request-ID"));
         }
     }
 
     @Test
-    void aClockStepForwardDoesNotUseUpAMessagesTime() throws Exception {
-        takenBefore("a", "bill", 16_000);
+    void aForwardClockStepDoesNotExpireAMessage() throws Exception {
+        acceptBeforeTheStep("a", "bill", 16_000);
         try (Node relay = relay(HOUR)) {
             Host.Call repeat = host.call();
             assertNotNull(repeat, "notices: " + platform.notices);
@@ -59,8 +59,8 @@
     }
 
     @Test
-    void aClockStepBackDoesNotProlongAMessagesTime() throws Exception {
-        takenBefore("a", "bill", 4_000);
+    void aBackwardClockStepDoesNotExtendAMessagesDeadline() throws Exception {
+        acceptBeforeTheStep("a", "bill", 4_000);
         try (Node relay = relay(-HOUR)) {
             String notice = platform.notice();
             assertNotNull(notice, "no end was told");
--- a/src/test/java/wrenkeel/net/ConfigTest.java
+++ b/src/test/java/wrenkeel/net/ConfigTest.java
@@ -49,7 +49,7 @@
         Files.writeString(file, text.replace(from, to));
     }
 
-    private void assertTurnedDown() {
+    private void assertRejectedInOneLine() {
         String fault = assertThrows(Config.InvalidConfigException.class, () -> Config.read(platform.env())).getMessage();
         assertEquals(1, fault.lines().count(), fault);
     }
@@ -57,28 +57,28 @@
     /** Guards against a relay that starts and can never make a call, or hold a client. */
     @ParameterizedTest
     @ValueSource(strings = {"0", "-1", "69", "5000000000", "\"many\""})
-    void aLimitOfSocketsThatLeavesNoConnectionsIsTurnedDown(String sockets) throws IOException {
+    void aSocketLimitThatLeavesNoConnectionsIsRejected(String sockets) throws IOException {
         replace("\"sockets\":1024", "\"sockets\":" + sockets);
-        assertTurnedDown();
+        assertRejectedInOneLine();
     }
 
     @Test
-    void theSmallestLimitOfSocketsLeavesAConnectionToEitherSide() throws Exception {
+    void theSmallestSocketLimitLeavesConnectionsForClientsAndHosts() throws Exception {
         replace("\"sockets\":1024", "\"sockets\":" + DescriptorBudget.MIN_LIMIT);
         DescriptorBudget shares = Config.read(platform.env()).descriptorBudget();
         assertTrue(shares.clientConnections() > 0 && shares.hostConnections() > 0, shares.toString());
     }
 
     /** The configuration with one value replaced, or taken out where the other is {@code REMOVED}. */
-    private record Change(String path, Object other) { }
+    private record Change(String path, Object replacement) { }
 
     private static final Object REMOVED = new Object();
 
     private static String json(Object value, String path, Change change) {
-        Object written = path.equals(change.path) ? change.other : value;
+        Object written = path.equals(change.path) ? change.replacement : value;
         if (written instanceof Map<?, ?> map) {
             return map.entrySet().stream()
-                .filter(entry -> !(path + "/" + entry.getKey()).equals(change.path) || change.other != REMOVED)
+                .filter(entry -> !(path + "/" + entry.getKey()).equals(change.path) || change.replacement != REMOVED)
                 .map(entry -> "\"" + entry.getKey() + "\":"
                     + json(entry.getValue(), path + "/" + entry.getKey(), change))
                 .collect(Collectors.joining(",", "{", "}"));
@@ -90,21 +90,21 @@
         return written instanceof String ? "\"" + written + "\"" : String.valueOf(written);
     }
 
-    private static void paths(Object value, String path, List<String> all) {
+    private static void collectPaths(Object value, String path, List<String> all) {
         all.add(path);
         if (value instanceof Map<?, ?> map) {
-            map.forEach((name, inner) -> paths(inner, path + "/" + name, all));
+            map.forEach((name, inner) -> collectPaths(inner, path + "/" + name, all));
         } else if (value instanceof List<?> list) {
-            IntStream.range(0, list.size()).forEach(i -> paths(list.get(i), path + "/" + i, all));
+            IntStream.range(0, list.size()).forEach(i -> collectPaths(list.get(i), path + "/" + i, all));
         }
     }
 
     /** Guards the start: whatever one value is replaced by, it is read, or turned down in one line. */
     @Test
-    void anyOneValueThatIsWrongIsReadOrTurnedDownInOneLine() throws Exception {
+    void anySingleReplacedValueIsAcceptedOrRejectedInOneLine() throws Exception {
         Object whole = Wire.decode(Files.readString(file)).values();
         List<String> paths = new ArrayList<>();
-        paths(whole, "", paths);
+        collectPaths(whole, "", paths);
         List<String> faults = new ArrayList<>();
         for (String path : paths) {
             for (Object other : Arrays.asList(REMOVED, null, "x", "", -1, 0, 1.5, 1e300, 99_999_999_999L, true,
@@ -113,7 +113,7 @@
                     continue;
                 }
                 Files.writeString(file, json(whole, "", new Change(path, other)));
-                String fault = faultOfStart();
+                String fault = unexpectedStartFailure();
                 if (fault != null) {
                     faults.add(path + " = " + (other == REMOVED ? "removed" : other) + ": " + fault);
                 }
@@ -123,7 +123,7 @@
     }
 
     /** What a start would end with that is no plain line; null if it would not. */
-    private String faultOfStart() {
+    private String unexpectedStartFailure() {
         try {
             Config config = Config.read(platform.env());
             config.descriptorBudget();
@@ -139,22 +139,22 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "\0\1\2", "nonsense", "[]", "{\"settings\":", "{\"known\":[]}", "{} {}"})
-    void aFileThatHoldsSomethingElseIsTurnedDown(String text) throws IOException {
+    void aFileWithOtherContentIsRejected(String text) throws IOException {
         Files.writeString(file, text);
-        assertTurnedDown();
+        assertRejectedInOneLine();
     }
 
     @Test
-    void aFileThatNestsWithoutEndIsTurnedDown() throws IOException {
+    void aDeeplyNestedFileIsRejected() throws IOException {
         for (String open : List.of("[", "{\"a\":")) {
             Files.writeString(file, "{\"settings\":" + open.repeat(200_000));
-            assertTurnedDown();
+            assertRejectedInOneLine();
         }
     }
 
     /** A file of another form is no end of the start: each way is one plain line and a status of its own. */
     @Test
-    void aStartThatCannotReadOrWriteIsOnePlainLineAndNotAStatusOfZero() throws IOException {
+    void aStartThatCannotReadOrWritePrintsOneLineAndReturnsTwo() throws IOException {
         Map<String, String> env = new HashMap<>(platform.env());
         Path file = Files.createFile(folder.resolve("a-file"));
         for (Map<String, String> other : List.of(Map.of("EDGE_STATE", file.toString()),
--- a/src/test/java/wrenkeel/net/DescriptorsTest.java
+++ b/src/test/java/wrenkeel/net/DescriptorBudgetTest.java
@@ -6,11 +6,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The shares of all sides together stay within what the process may hold. */
-class DescriptorsTest {
+class DescriptorBudgetTest {
     /** Guards the watch, the notices, the journal and the operators against crowds and wide settings. */
     @ParameterizedTest
     @ValueSource(ints = {DescriptorBudget.MIN_LIMIT, 128, 192, 256, 384, 1_024})
-    void theSharesStayBelowTheLimitHoweverManySlotsThereAre(int limit) {
+    void sharesStayWithinTheLimitForAnyNumberOfSlots(int limit) {
         for (int slots = 1; slots <= 4_096; slots++) {
             DescriptorBudget shares = DescriptorBudget.of(limit, slots);
             assertTrue(shares.clientConnections() > 0 && shares.clientConnections() <= limit / 3);
@@ -22,7 +22,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 8, 64, 80})
-    void slotsThatFitAllHaveAConnection(int slots) {
+    void everySlotHasAConnectionWhereTheLimitAllowsIt(int slots) {
         assertTrue(DescriptorBudget.of(256, slots).hostConnections() >= slots + slots / 4);
     }
 }
--- a/src/test/java/wrenkeel/net/FailingFiles.java
+++ b/src/test/java/wrenkeel/net/FailingFiles.java
@@ -18,7 +18,7 @@
     /** What the system says; null while all goes well. */
     volatile String failure;
     /** Writes that still go well before {@link #failure} holds. */
-    final AtomicInteger goodWrites = new AtomicInteger();
+    final AtomicInteger successfulWrites = new AtomicInteger();
     /** Writes that have failed. */
     final Semaphore failedWrites = new Semaphore(0);
     /** A write that fails leaves so many bytes of what it was to write. */
@@ -30,7 +30,7 @@
     }
 
     private void check() throws IOException {
-        if (failure != null && goodWrites.getAndDecrement() <= 0) {
+        if (failure != null && successfulWrites.getAndDecrement() <= 0) {
             failedWrites.release();
             throw new IOException(failure);
         }
@@ -63,7 +63,7 @@
 
         @Override
         public int write(ByteBuffer bytes) throws IOException {
-            if (failure != null && goodWrites.get() <= 0 && bytesBeforeFailure > 0) {
+            if (failure != null && successfulWrites.get() <= 0 && bytesBeforeFailure > 0) {
                 ByteBuffer part = bytes.slice().limit(Math.min(bytesBeforeFailure, bytes.remaining()));
                 file.write(part);
             }
--- a/src/test/java/wrenkeel/net/KnowledgeTest.java
+++ b/src/test/java/wrenkeel/net/HandoverSnapshotTest.java
@@ -12,13 +12,13 @@
 import wrenkeel.Relay;
 
 /** What one process leaves for the next. */
-class KnowledgeTest {
+class HandoverSnapshotTest {
     private static final int HOSTS = 2_000;
     private static final long SECOND = 1_000_000;
 
     /** Guards the folder's limit, beyond which the relay has crashed, and the rule on waits inside it. */
     @Test
-    void ofVeryManyPlacesTheWaitsAreLeftFirstAndTheTextStaysSmall(@TempDir Path folder) throws Exception {
+    void waitsComeFirstAndTheTextStaysSmallForManyDestinations(@TempDir Path folder) throws Exception {
         String[] names = IntStream.range(0, HOSTS).mapToObj(i -> Platform.host("s-" + i, 80, i, "ready"))
             .toArray(String[]::new);
         try (Platform platform = new Platform(folder)) {
--- a/src/test/java/wrenkeel/net/JournalTest.java
+++ b/src/test/java/wrenkeel/net/JournalTest.java
@@ -19,7 +19,7 @@
     Path folder;
 
     /** So that times that pass from process to process can be compared to the millisecond. */
-    private static final MachineClock STILL = new MachineClock() {
+    private static final MachineClock STOPPED_CLOCK = new MachineClock() {
         @Override
         public long monotonicNanos() {
             return 5_000_000_000L;
@@ -36,11 +36,11 @@
         }
     };
 
-    private static final Relay.MessageClass RULES = new Relay.MessageClass("bill-post", 2_000_000, 16_000_000, 1.5,
+    private static final Relay.MessageClass MESSAGE_CLASS = new Relay.MessageClass("bill-post", 2_000_000, 16_000_000, 1.5,
         0.25, Relay.Effect.KEYED, true, 3_000_000, true, 12);
 
     private Journal open() throws IOException {
-        Journal journal = new Journal(folder, LIMIT, new ProcessClock(STILL), FileOperations.SYSTEM);
+        Journal journal = new Journal(folder, LIMIT, new ProcessClock(STOPPED_CLOCK), FileOperations.SYSTEM);
         journal.adopt(entry -> { });
         return journal;
     }
@@ -49,21 +49,21 @@
         return new Message(id, "bill-post", 0, "house-3", "key-" + id, 7, 1_900_000_000_000L, new byte[bytes]);
     }
 
-    private static Journal.Entry only(Journal journal) {
+    private static Journal.Entry onlyOpenEntry(Journal journal) {
         assertEquals(1, journal.openEntries().size());
         return journal.openEntries().iterator().next();
     }
 
-    private long onDisk() throws IOException {
+    private long bytesOnDisk() throws IOException {
         try (var files = Files.list(folder)) {
             return files.mapToLong(f -> (f.toFile().length() + 511) / 512 * 512).sum();
         }
     }
 
     @Test
-    void allThatIsKnownOfAMessageIsReadBack() throws IOException {
+    void allRecordedStateOfAMessageIsReadBack() throws IOException {
         try (Journal journal = open()) {
-            Journal.Entry entry = journal.accept(message("a", 300), RULES);
+            Journal.Entry entry = journal.accept(message("a", 300), MESSAGE_CLASS);
             journal.recordSent(entry, 1_000, 2);
             journal.recordSent(entry, 2_000, 1);
             journal.recordNotRun(entry, 0);
@@ -72,10 +72,10 @@
         // Twice: what the first start wrote anew must read the same.
         for (int start = 0; start < 2; start++) {
             try (Journal journal = open()) {
-                Journal.Entry entry = only(journal);
+                Journal.Entry entry = onlyOpenEntry(journal);
                 assertEquals("a", entry.message.id());
                 assertEquals("bill-post", entry.message.messageClass());
-                assertEquals(RULES, entry.messageClass);
+                assertEquals(MESSAGE_CLASS, entry.messageClass);
                 assertEquals("house-3", entry.message.routeKey());
                 assertEquals("key-a", entry.message.idempotencyKey());
                 assertEquals(7, entry.message.destination());
@@ -91,11 +91,11 @@
 
     /** Guards the form of notices: a time to come back only with what is handed back, in whole milliseconds. */
     @Test
-    void anEndReadBackIsTheNoticeThatWasOwed() throws IOException {
+    void recoveredEndsProduceTheNoticesThatWerePending() throws IOException {
         try (Journal journal = open()) {
-            journal.recordEnd(journal.accept(message("a", 1), RULES), new Journal.End(true, 499_001));
-            journal.recordEnd(journal.accept(message("b", 1), RULES), new Journal.End(true, 0));
-            journal.recordEnd(journal.accept(message("c", 1), RULES), new Journal.End(false, 0));
+            journal.recordEnd(journal.accept(message("a", 1), MESSAGE_CLASS), new Journal.End(true, 499_001));
+            journal.recordEnd(journal.accept(message("b", 1), MESSAGE_CLASS), new Journal.End(true, 0));
+            journal.recordEnd(journal.accept(message("c", 1), MESSAGE_CLASS), new Journal.End(false, 0));
         }
         try (Journal journal = open()) {
             assertEquals("""
@@ -107,56 +107,56 @@
     }
 
     @Test
-    void whatIsClosedIsForgotten() throws IOException {
+    void closedMessagesAreNotRecovered() throws IOException {
         try (Journal journal = open()) {
-            journal.recordClosed(journal.accept(message("a", 10), RULES));
-            journal.accept(message("b", 10), RULES);
+            journal.recordClosed(journal.accept(message("a", 10), MESSAGE_CLASS));
+            journal.accept(message("b", 10), MESSAGE_CLASS);
         }
         try (Journal journal = open()) {
-            assertEquals("b", only(journal).message.id());
+            assertEquals("b", onlyOpenEntry(journal).message.id());
         }
     }
 
     /** Guards against a kill in the middle of a write: the records before it count, new ones follow them. */
     @Test
-    void aTornTailIsCutOff() throws IOException {
+    void anUnfinishedRecordAtTheEndIsDropped() throws IOException {
         try (Journal journal = open()) {
-            journal.accept(message("a", 100), RULES);
+            journal.accept(message("a", 100), MESSAGE_CLASS);
         }
         long whole;
         try (Journal journal = open()) {
             whole = Files.size(Platform.journal(folder));
-            journal.accept(message("b", 100), RULES);
+            journal.accept(message("b", 100), MESSAGE_CLASS);
         }
         byte[] both = Files.readAllBytes(Platform.journal(folder));
         for (int length = (int) whole; length < both.length; length++) {
             Files.write(Platform.journal(folder), java.util.Arrays.copyOf(both, length));
             try (Journal journal = open()) {
-                assertEquals("a", only(journal).message.id());
-                journal.accept(message("c", 100), RULES);
+                assertEquals("a", onlyOpenEntry(journal).message.id());
+                journal.accept(message("c", 100), MESSAGE_CLASS);
             }
             try (Journal journal = open()) {
                 assertEquals(2, journal.openEntries().size());
-                assertTrue(onDisk() <= LIMIT);
+                assertTrue(bytesOnDisk() <= LIMIT);
             }
         }
     }
 
     /** Guards the numbers of attempts: one whose record failed never ran, and what follows is not taken for it. */
     @Test
-    void aFailedWriteIsMadeGoodByTheNext() throws IOException {
+    void attemptNumbersSurviveAFailedWrite() throws IOException {
         Journal before = open();
-        Journal.Entry entry = before.accept(message("a", 10), RULES);
+        Journal.Entry entry = before.accept(message("a", 10), MESSAGE_CLASS);
         before.close();
         assertThrows(IOException.class, () -> before.recordSent(entry, 1_000, 0));
         before.recordSent(entry, 2_000, 1);
         before.close();
         try (Journal journal = open()) {
-            assertEquals(List.of(false, true), only(journal).attempts.stream().map(a -> a.mayHaveRun).toList());
+            assertEquals(List.of(false, true), onlyOpenEntry(journal).attempts.stream().map(a -> a.mayHaveRun).toList());
         }
     }
 
-    private Journal.Entry owed(Journal journal, String id) {
+    private Journal.Entry openEntry(Journal journal, String id) {
         return journal.openEntries().stream().filter(entry -> entry.message.id().equals(id)).findFirst().orElse(null);
     }
 
@@ -169,15 +169,15 @@
      * any message before it.
      */
     @Test
-    void aRecordThatDoesNotCheckIsPassedOverAndWhatStandsBeforeItMayHaveRun() throws IOException {
+    void aDamagedRecordIsSkippedAndEarlierMessagesMayHaveRun() throws IOException {
         long middle;
         long end;
         try (Journal journal = open()) {
-            journal.accept(message("a", 100), RULES);
+            journal.accept(message("a", 100), MESSAGE_CLASS);
             middle = Files.size(Platform.journal(folder));
-            journal.accept(message("b", 100), RULES);
+            journal.accept(message("b", 100), MESSAGE_CLASS);
             end = Files.size(Platform.journal(folder));
-            journal.accept(message("c", 100), RULES);
+            journal.accept(message("c", 100), MESSAGE_CLASS);
         }
         byte[] whole = Files.readAllBytes(Platform.journal(folder));
         for (long at = middle; at < end; at++) {
@@ -185,9 +185,9 @@
             damaged[(int) at] ^= 0x55;
             Files.write(Platform.journal(folder), damaged, StandardOpenOption.TRUNCATE_EXISTING);
             try (Journal journal = open()) {
-                assertTrue(mayHaveRun(owed(journal, "a")), "damaged at " + at);
-                assertNull(owed(journal, "b"));
-                assertFalse(mayHaveRun(owed(journal, "c")));
+                assertTrue(mayHaveRun(openEntry(journal, "a")), "damaged at " + at);
+                assertNull(openEntry(journal, "b"));
+                assertFalse(mayHaveRun(openEntry(journal, "c")));
             }
             // The start has written a file of its own; the next one is to find the damaged one again.
             try (var files = Files.list(folder)) {
@@ -209,10 +209,10 @@
 
     /** Guards the start against what a later release or a fault has written: the rest is taken up. */
     @Test
-    void aRecordThatIsNotUnderstoodIsTold() throws IOException {
+    void recordsThatCannotBeDecodedAreSkippedAndTheirMessageMayHaveRun() throws IOException {
         try (Journal journal = open()) {
-            journal.accept(message("a", 100), RULES);
-            journal.accept(message("b", 100), RULES);
+            journal.accept(message("a", 100), MESSAGE_CLASS);
+            journal.accept(message("b", 100), MESSAGE_CLASS);
         }
         Path file = Platform.journal(folder);
         // An unknown sort, the outcome of an attempt never made, and messages that end too soon.
@@ -222,32 +222,32 @@
         }
         try (Journal journal = open()) {
             assertEquals(2, journal.openEntries().size());
-            assertTrue(mayHaveRun(owed(journal, "a")));
-            assertFalse(mayHaveRun(owed(journal, "b")));
+            assertTrue(mayHaveRun(openEntry(journal, "a")));
+            assertFalse(mayHaveRun(openEntry(journal, "b")));
         }
     }
 
     @Test
-    void aFolderThatHoldsSomethingElseDoesNotStopTheStart() throws IOException {
+    void foreignFilesInTheStateFolderDoNotPreventTheStart() throws IOException {
         Files.createDirectories(folder.resolve("journal.7"));
         Files.createDirectories(folder.resolve("relay.9"));
         Files.write(folder.resolve("journal.3"), new byte[4_096]);
         Files.write(folder.resolve("leaving.3"), new byte[] {(byte) 0xc3, (byte) 0x28});
         try (Journal journal = open()) {
             assertEquals(0, journal.openEntries().size());
-            assertNotNull(journal.accept(message("a", 100), RULES));
+            assertNotNull(journal.accept(message("a", 100), MESSAGE_CLASS));
         }
         try (Journal journal = open()) {
-            assertEquals("a", only(journal).message.id());
+            assertEquals("a", onlyOpenEntry(journal).message.id());
         }
     }
 
     /** Guards the limit on disk: bodies of 64 KiB times the open cap would exceed it, so room is reserved. */
     @Test
-    void roomIsReservedAndNeverOverrun() throws IOException {
+    void acceptedMessagesReserveSpaceAndTheLimitIsNeverExceeded() throws IOException {
         try (Journal journal = open()) {
             int taken = 0;
-            while (journal.accept(message("m" + taken, 64 * 1024), RULES) != null) {
+            while (journal.accept(message("m" + taken, 64 * 1024), MESSAGE_CLASS) != null) {
                 taken++;
             }
             assertTrue(taken > 10, "only " + taken + " were taken");
@@ -261,22 +261,22 @@
                 Journal.Entry oldest = journal.openEntries().iterator().next();
                 journal.recordEnd(oldest, new Journal.End(false, 0));
                 journal.recordClosed(oldest);
-                assertNotNull(journal.accept(message("n" + round, 64 * 1024), RULES), "a closed message frees its room");
-                assertTrue(onDisk() <= LIMIT, onDisk() + " bytes on disk");
+                assertNotNull(journal.accept(message("n" + round, 64 * 1024), MESSAGE_CLASS), "a closed message frees its room");
+                assertTrue(bytesOnDisk() <= LIMIT, bytesOnDisk() + " bytes on disk");
             }
         }
     }
 
     /** Guards what is owed at an upgrade: the release before wrote one file without a number. */
     @Test
-    void aJournalOfTheReleaseBeforeIsTakenOver() throws IOException {
+    void anUnnumberedJournalOfThePreviousReleaseIsAdopted() throws IOException {
         try (Journal journal = open()) {
             journal.recordSent(journal.accept(message("a", 100), null), 1_000, 0);
         }
         Files.move(Platform.journal(folder), folder.resolve("journal"));
         Files.writeString(folder.resolve("journal.new"), "cut off");
         try (Journal journal = open()) {
-            assertEquals(1, only(journal).attempts.size());
+            assertEquals(1, onlyOpenEntry(journal).attempts.size());
             assertFalse(Files.exists(folder.resolve("journal")));
             assertFalse(Files.exists(folder.resolve("journal.new")));
         }
@@ -284,11 +284,11 @@
 
     /** Guards the one owner: what a living process has not passed on is not touched, nor is its file. */
     @Test
-    void onlyWhatIsPassedOnIsTakenOverFromAProcessThatLives() throws IOException {
+    void onlyPassedOnMessagesAreAdoptedFromALiveProcess() throws IOException {
         Journal old = open();
-        try (Journal next = new Journal(folder, LIMIT, new ProcessClock(STILL), FileOperations.SYSTEM)) {
-            Journal.Entry out = old.accept(message("out", 10), RULES);
-            Journal.Entry waits = old.accept(message("waits", 10), RULES);
+        try (Journal next = new Journal(folder, LIMIT, new ProcessClock(STOPPED_CLOCK), FileOperations.SYSTEM)) {
+            Journal.Entry out = old.accept(message("out", 10), MESSAGE_CLASS);
+            Journal.Entry waits = old.accept(message("waits", 10), MESSAGE_CLASS);
             assertTrue(next.isPredecessorServing());
             assertTrue(old.hasStandby());
             old.beginHandover();
@@ -300,7 +300,7 @@
             next.adopt(entry -> { });
             next.confirmTakeover();
             assertTrue(old.isTakenOver());
-            assertEquals("waits", only(next).message.id());
+            assertEquals("waits", onlyOpenEntry(next).message.id());
             assertEquals(java.util.Map.of(7L, 1), next.inFlightElsewhere());
             old.waits("s-1", 5_000);
             old.passOn(out);
@@ -318,16 +318,16 @@
 
     /** Guards against a second run: whoever starts after both were killed finds each message once. */
     @Test
-    void whatWasTakenOverIsNotTakenOverAgainAfterTheTakerWasKilled() throws IOException {
+    void adoptedMessagesAreNotAdoptedAgainAfterTheAdoptingProcessWasKilled() throws IOException {
         Journal old = open();
-        Journal.Entry first = old.accept(message("first", 10), RULES);
-        old.accept(message("second", 10), RULES);
-        Journal next = new Journal(folder, LIMIT, new ProcessClock(STILL), FileOperations.SYSTEM);
+        Journal.Entry first = old.accept(message("first", 10), MESSAGE_CLASS);
+        old.accept(message("second", 10), MESSAGE_CLASS);
+        Journal next = new Journal(folder, LIMIT, new ProcessClock(STOPPED_CLOCK), FileOperations.SYSTEM);
         old.beginHandover();
         old.passOn(first);
         old.publishSnapshot("{}");
         next.adopt(entry -> { });
-        next.recordClosed(only(next));
+        next.recordClosed(onlyOpenEntry(next));
         // The taker writes its file anew, and must still know what it had taken over.
         next.beginHandover();
         next.close();
@@ -335,36 +335,36 @@
             assertEquals(List.of(), List.copyOf(third.openEntries()), "the first is done, the second is still out");
             old.close();
             third.adopt(entry -> { });
-            assertEquals("second", only(third).message.id());
+            assertEquals("second", onlyOpenEntry(third).message.id());
         }
         try (Journal fourth = open()) {
-            assertEquals("second", only(fourth).message.id());
+            assertEquals("second", onlyOpenEntry(fourth).message.id());
         }
     }
 
     /** Guards the old process: one that was to follow it and is dead has nothing to be passed. */
     @Test
-    void aLaterProcessThatHasEndedDoesNotWait() throws IOException {
+    void aLaterProcessThatHasEndedIsNoStandby() throws IOException {
         try (Journal old = open()) {
-            new Journal(folder, LIMIT, new ProcessClock(STILL), FileOperations.SYSTEM).close();
+            new Journal(folder, LIMIT, new ProcessClock(STOPPED_CLOCK), FileOperations.SYSTEM).close();
             assertFalse(old.hasStandby());
         }
     }
 
     private Journal open(FileOperations files) throws IOException {
-        return new Journal(folder, LIMIT, new ProcessClock(STILL), files);
+        return new Journal(folder, LIMIT, new ProcessClock(STOPPED_CLOCK), files);
     }
 
     /** Guards against a needless end: a record half written between two others puts neither in doubt. */
     @Test
-    void anAdoptionThatFailsHalfWayLeavesNoGap() throws IOException {
+    void anAdoptionThatFailsHalfwayLeavesNoGapInTheFile() throws IOException {
         try (Journal before = open()) {
-            before.accept(message("a", 10), RULES);
-            before.accept(message("b", 10), RULES);
+            before.accept(message("a", 10), MESSAGE_CLASS);
+            before.accept(message("b", 10), MESSAGE_CLASS);
         }
         FailingFiles files = new FailingFiles(null);
         try (Journal journal = open(files)) {
-            files.goodWrites.set(1);
+            files.successfulWrites.set(1);
             files.bytesBeforeFailure = 5;
             files.truncateFails = true;
             files.failure = "Input/output error";
@@ -381,14 +381,14 @@
 
     /** Guards what comes after a compaction: it belongs into the new file, whatever became of the old one. */
     @Test
-    void anOldFileThatCannotBeClosedIsLeftAllTheSame() throws IOException {
+    void recordsGoToTheNewFileEvenIfTheOldOneCannotBeClosed() throws IOException {
         FailingFiles files = new FailingFiles(null);
         try (Journal journal = open(files)) {
-            journal.accept(message("a", 10), RULES);
+            journal.accept(message("a", 10), MESSAGE_CLASS);
             files.closeFails = true;
             journal.beginHandover();
             files.closeFails = false;
-            journal.accept(message("b", 10), RULES);
+            journal.accept(message("b", 10), MESSAGE_CLASS);
         }
         try (Journal journal = open()) {
             assertEquals(List.of("a", "b"), journal.openEntries().stream().map(e -> e.message.id()).toList());
@@ -397,9 +397,9 @@
 
     /** Guards a message's attempts across a restart: what was never made is none of them. */
     @Test
-    void anAttemptThatWasNeverMadeIsNotTakenOver() throws IOException {
+    void attemptsThatWereNeverMadeAreNotAdopted() throws IOException {
         try (Journal journal = open()) {
-            Journal.Entry entry = journal.accept(message("a", 10), RULES);
+            Journal.Entry entry = journal.accept(message("a", 10), MESSAGE_CLASS);
             journal.recordSent(entry, 1_000, 1);
             journal.recordSent(entry, 2_000, 2);
             journal.recordNotMade(entry, 0);
@@ -410,18 +410,18 @@
         // Twice: what the first start wrote anew must read the same.
         for (int start = 0; start < 2; start++) {
             try (Journal journal = open()) {
-                assertEquals(List.of(2, 4), only(journal).attempts.stream().map(a -> a.zone).toList());
-                assertEquals(List.of(true, false), only(journal).attempts.stream().map(a -> a.mayHaveRun).toList());
+                assertEquals(List.of(2, 4), onlyOpenEntry(journal).attempts.stream().map(a -> a.zone).toList());
+                assertEquals(List.of(true, false), onlyOpenEntry(journal).attempts.stream().map(a -> a.mayHaveRun).toList());
             }
         }
     }
 
     private static Journal.EndpointHealth health(String host, Relay.Health health) {
-        return new Journal.EndpointHealth(host, health, STILL.wallMillis() - 1_000, 0.5);
+        return new Journal.EndpointHealth(host, health, STOPPED_CLOCK.wallMillis() - 1_000, 0.5);
     }
 
     @Test
-    void whatIsKnownOfEndpointsOutlivesEveryKillUntilTheyAreWell() throws IOException {
+    void endpointHealthSurvivesRestartsUntilItIsGood() throws IOException {
         try (Journal journal = open()) {
             journal.endpointHealth(health("s-out", Relay.Health.OUT));
             journal.endpointHealth(health("s-back", Relay.Health.OUT));
@@ -447,7 +447,7 @@
     }
 
     @Test
-    void aHealthRecordThatIsHalfWrittenLeavesTheOneBefore() throws IOException {
+    void anUnfinishedHealthRecordLeavesThePreviousOneInForce() throws IOException {
         try (Journal journal = open()) {
             journal.endpointHealth(health("s-1", Relay.Health.OUT));
             journal.endpointHealth(health("s-1", Relay.Health.RETURNING));
@@ -462,7 +462,7 @@
     }
 
     @Test
-    void healthThatCannotBeWrittenIsMadeGoodByTheNextWrite() throws IOException {
+    void healthWhoseWriteFailedIsWrittenByTheRepair() throws IOException {
         Journal before = open();
         before.close();
         assertThrows(IOException.class, () -> before.endpointHealth(health("s-1", Relay.Health.OUT)));
@@ -474,18 +474,18 @@
     }
 
     @Test
-    void healthOfManyEndpointsLeavesRoomForMessages() throws IOException {
+    void healthOfManyEndpointsLeavesSpaceForMessages() throws IOException {
         try (Journal journal = open()) {
             for (int host = 0; host < 100_000; host++) {
                 journal.endpointHealth(health("s-" + host, Relay.Health.OUT));
             }
             assertTrue(journal.endpointHealthCount() > 3_200, "held: " + journal.endpointHealthCount());
             int taken = 0;
-            while (journal.accept(message("m" + taken, 1_000), RULES) != null) {
+            while (journal.accept(message("m" + taken, 1_000), MESSAGE_CLASS) != null) {
                 taken++;
             }
             assertTrue(taken > 500, "taken: " + taken);
-            assertTrue(onDisk() <= LIMIT);
+            assertTrue(bytesOnDisk() <= LIMIT);
         }
     }
 }
--- a/src/test/java/wrenkeel/net/RecordedTimesTest.java
+++ b/src/test/java/wrenkeel/net/RecordedTimesTest.java
@@ -8,59 +8,59 @@
 /** What the times in an earlier process's file mean to this one, whatever the wall clock does meanwhile. */
 class RecordedTimesTest {
     private static final long SECOND = 1_000, HOUR = 3_600 * SECOND, NOW = 1_800_000_000_000L;
-    private static final Relay.MessageClass RULES = new Relay.MessageClass("bill", 2_000_000, 16_000_000, 1, 0,
+    private static final Relay.MessageClass MESSAGE_CLASS = new Relay.MessageClass("bill", 2_000_000, 16_000_000, 1, 0,
         Relay.Effect.KEYED, false, 3_000_000, false, 12);
 
     /** A machine whose clocks stand still. */
-    private record Still(long wallMillis, long monotonicNanos, String bootId) implements MachineClock { }
+    private record StoppedClock(long wallMillis, long monotonicNanos, String bootId) implements MachineClock { }
 
     private static ProcessClock clock(long wallMillis, long upSeconds, String boot) {
-        return new ProcessClock(new Still(wallMillis, upSeconds * 1_000_000_000, boot));
+        return new ProcessClock(new StoppedClock(wallMillis, upSeconds * 1_000_000_000, boot));
     }
 
     /** The earlier process wrote at NOW, 100 s after its boot. */
     private static final ProcessClock.Reading WRITTEN = clock(NOW, 100, "one").reading();
 
     @Test
-    void withinOneBootTheMonotonicClockTellsWhatHasPassed() {
+    void withinOneBootTheMonotonicClockMeasuresTheElapsedTime() {
         for (long step : new long[] {-HOUR, 0, HOUR}) {
             ProcessClock now = clock(NOW + 3 * SECOND + step, 103, "one");
             RecordedTimes times = RecordedTimes.of(now, WRITTEN, NOW);
-            assertEquals(now.millis() + 5 * SECOND, times.deadline(NOW + 8 * SECOND, RULES));
+            assertEquals(now.millis() + 5 * SECOND, times.deadline(NOW + 8 * SECOND, MESSAGE_CLASS));
             assertEquals(now.millis() - 4 * SECOND, times.sendTime(NOW - SECOND));
             assertEquals(now.millis() + 2 * SECOND, times.waitUntil(NOW + 5 * SECOND));
         }
     }
 
     @Test
-    void afterAnotherBootTheWallClockCounts() {
+    void afterAnotherBootTheWallClockIsUsed() {
         RecordedTimes times = RecordedTimes.of(clock(NOW + 3 * SECOND, 2, "two"), WRITTEN, NOW);
-        assertEquals(NOW + 8 * SECOND, times.deadline(NOW + 8 * SECOND, RULES));
+        assertEquals(NOW + 8 * SECOND, times.deadline(NOW + 8 * SECOND, MESSAGE_CLASS));
         assertEquals(NOW - SECOND, times.sendTime(NOW - SECOND));
     }
 
     /** A monotonic clock that has run back is another boot's, whatever the name of the boot. */
     @Test
-    void aMonotonicClockThatRanBackIsNotBelieved() {
+    void aMonotonicClockThatWentBackIsNotUsed() {
         RecordedTimes times = RecordedTimes.of(clock(NOW + 3 * SECOND, 2, "one"), WRITTEN, NOW);
-        assertEquals(NOW + 8 * SECOND, times.deadline(NOW + 8 * SECOND, RULES));
+        assertEquals(NOW + 8 * SECOND, times.deadline(NOW + 8 * SECOND, MESSAGE_CLASS));
     }
 
     /** Guards against a message that is owed for an hour, and against a repeat past its window. */
     @Test
-    void aWallClockThatRanBackProlongsNothingAndAllowsNoRepeat() {
+    void aWallClockThatWentBackExtendsNoDeadlineAndAllowsNoRepeat() {
         ProcessClock now = clock(NOW - HOUR, 2, "two");
         RecordedTimes times = RecordedTimes.of(now, WRITTEN, NOW);
-        assertEquals(now.millis() + 8 * SECOND, times.deadline(NOW + 8 * SECOND, RULES));
+        assertEquals(now.millis() + 8 * SECOND, times.deadline(NOW + 8 * SECOND, MESSAGE_CLASS));
         assertTrue(times.sendTime(NOW - SECOND) < now.millis() - HOUR);
     }
 
     /** A file of the release before tells nothing of clocks: its messages live no longer than their class. */
     @Test
-    void withoutAReadingNoMessageOutlivesItsClass() {
+    void withoutAClockReadingNoMessageOutlivesItsClass() {
         ProcessClock now = clock(NOW - HOUR, 2, "two");
-        assertEquals(now.millis() + 16 * SECOND, RecordedTimes.of(now, null, 0).deadline(NOW, RULES));
+        assertEquals(now.millis() + 16 * SECOND, RecordedTimes.of(now, null, 0).deadline(NOW, MESSAGE_CLASS));
         RecordedTimes ahead = RecordedTimes.of(clock(NOW, 2, "two"), null, NOW - SECOND);
-        assertEquals(NOW + SECOND, ahead.deadline(NOW + SECOND, RULES));
+        assertEquals(NOW + SECOND, ahead.deadline(NOW + SECOND, MESSAGE_CLASS));
     }
 }
--- a/src/test/java/wrenkeel/net/StateFolderTest.java
+++ b/src/test/java/wrenkeel/net/StateFolderTest.java
@@ -22,7 +22,7 @@
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class StateFolderTest {
     private static final long LIMIT = 3_000_000;
-    private static final Relay.MessageClass RULES = new Relay.MessageClass("bill", 2_000_000, 16_000_000, 1, 0,
+    private static final Relay.MessageClass MESSAGE_CLASS = new Relay.MessageClass("bill", 2_000_000, 16_000_000, 1, 0,
         Relay.Effect.UNSAFE, false, 0, false, 12);
 
     @TempDir
@@ -51,7 +51,7 @@
         Files.createDirectories(state.resolve(name).resolve("inside"));
     }
 
-    private List<String> owed() throws IOException {
+    private List<String> openMessageIds() throws IOException {
         try (Journal journal = platform.leftBehind()) {
             return journal.openEntries().stream().map(entry -> entry.message.id()).toList();
         }
@@ -76,7 +76,7 @@
 
     /** The name that a release before used has no number. */
     @Test
-    void aFolderNamedLikeTheJournalOfAReleaseBeforeIsLeftAlone() throws Exception {
+    void aFolderNamedLikeTheUnnumberedJournalIsLeftAlone() throws Exception {
         obstruct("journal");
         try (Node relay = platform.relay()) {
             assertNotNull(relay.address());
@@ -85,22 +85,22 @@
     }
 
     @Test
-    void aJournalThatCannotBeWrittenEndsTheStartInOnePlainLine() throws Exception {
+    void aJournalThatCannotBeCreatedFailsTheStartInOneLine() throws Exception {
         obstruct("journal.new.1");
         assertStartFailsNaming("journal.new.1");
     }
 
     /** What an earlier process left for this one to read is no reason to lose its journal. */
     @Test
-    void knowledgeThatCannotBeReadIsDoneWithout() throws Exception {
+    void anUnreadableHandoverSnapshotIsIgnored() throws Exception {
         try (Journal journal = new Journal(state, LIMIT)) {
-            journal.accept(message("a"), RULES);
+            journal.accept(message("a"), MESSAGE_CLASS);
         }
         obstruct("leaving.1");
         try (Node relay = platform.relay()) {
             assertNotNull(relay.address());
         }
-        assertEquals(List.of("a"), owed());
+        assertEquals(List.of("a"), openMessageIds());
     }
 
     /**
@@ -108,9 +108,9 @@
      * took over what it holds must still know that, also once its own file was written anew.
      */
     @Test
-    void whatStandsInAFileThatCannotBeDeletedIsTakenOverOnce() throws Exception {
+    void messagesOfAFileThatCannotBeDeletedAreAdoptedOnce() throws Exception {
         try (Journal journal = new Journal(state, LIMIT)) {
-            journal.accept(message("a"), RULES);
+            journal.accept(message("a"), MESSAGE_CLASS);
         }
         obstruct("journal.new.1");
         try (Journal journal = platform.leftBehind()) {
@@ -119,12 +119,12 @@
             // The file is written anew.
             journal.beginHandover();
         }
-        assertEquals(List.of(), owed());
+        assertEquals(List.of(), openMessageIds());
     }
 
     /** Guards the start against standing still: no number above such a one would be seen by the next start. */
     @Test
-    void aNumberThatLeavesNoneAboveItEndsTheStartInOnePlainLine() throws Exception {
+    void aFileWithTheHighestNumberFailsTheStartInOneLine() throws Exception {
         Files.createFile(state.resolve("journal.999999999999999999"));
         assertStartFailsNaming("999999999999999999");
         assertStartFailsNaming("999999999999999999");
@@ -132,12 +132,12 @@
 
     /** Guards the start: garbage in which each place could begin a long record is passed over in time. */
     @Test
-    void garbageThatLooksLikeLongRecordsIsPassedOver() throws Exception {
+    void garbageThatLooksLikeLongRecordsIsSkippedInTime() throws Exception {
         byte[] garbage = new byte[(int) LIMIT];
         for (int i = 1; i < garbage.length; i += 2) {
             garbage[i] = 0x0f;
         }
         Files.write(state.resolve("journal.1"), garbage);
-        assertTimeoutPreemptively(java.time.Duration.ofSeconds(60), () -> assertEquals(List.of(), owed()));
+        assertTimeoutPreemptively(java.time.Duration.ofSeconds(60), () -> assertEquals(List.of(), openMessageIds()));
     }
 }
--- a/src/test/java/wrenkeel/net/FullFolderTest.java
+++ b/src/test/java/wrenkeel/net/UnwritableStateFolderTest.java
@@ -15,9 +15,9 @@
 
 /** The lasting folder cannot be written for a while; what was taken on is still owed. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
-class FullFolderTest {
-    private static final String TAKEN = "HTTP/1.1 202 Accepted", REFUSED = "HTTP/1.1 503 Service Unavailable";
-    private static final String FULL = "No space left on device";
+class UnwritableStateFolderTest {
+    private static final String ACCEPTED = "HTTP/1.1 202 Accepted", REFUSED = "HTTP/1.1 503 Service Unavailable";
+    private static final String NO_SPACE = "No space left on device";
 
     @TempDir
     Path folder;
@@ -48,7 +48,7 @@
     }
 
     /** A message that the folder holds, with no attempt made. */
-    private void owed(String id) throws Exception {
+    private void leaveOpenMessage(String id) throws Exception {
         platform.config();
         try (Journal journal = platform.leftBehind()) {
             journal.accept(new Message(id, "bill", 0, null, "key-" + id, 7, System.currentTimeMillis() + 60_000,
@@ -58,9 +58,9 @@
 
     /** Guards against a refused start: until it can write, it says that it does not serve, and takes nothing on. */
     @Test
-    void aStartWaitsUntilTheFolderCanBeWritten() throws Exception {
-        owed("a");
-        FailingFiles files = new FailingFiles(FULL);
+    void aStartWaitsUntilTheStateFolderIsWritable() throws Exception {
+        leaveOpenMessage("a");
+        FailingFiles files = new FailingFiles(NO_SPACE);
         try (Node relay = relay(files)) {
             assertEquals(REFUSED, health(relay));
             try (var client = new Platform.Client(relay)) {
@@ -78,12 +78,12 @@
 
     /** Guards a message's attempts: what cannot be written down is not sent, and is none of them. */
     @Test
-    void aFullFolderUsesUpNoAttempts() throws Exception {
+    void aFullStateFolderUsesUpNoAttempts() throws Exception {
         FailingFiles files = new FailingFiles(null);
         try (Node relay = relay(files); var client = new Platform.Client(relay)) {
-            assertEquals(TAKEN, client.post("a", "bill", 7, 60_000).get(0));
+            assertEquals(ACCEPTED, client.post("a", "bill", 7, 60_000).get(0));
             Host.Call first = host.call();
-            files.failure = FULL;
+            files.failure = NO_SPACE;
             first.answer("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
             // Its eleven further attempts with their outcomes, and its end.
             files.failedWrites.acquire(2 * 11 + 1);
@@ -98,8 +98,8 @@
 
     /** Guards the end: told to stop while it waits, it goes at once. */
     @Test
-    void aStartThatWaitsCanBeEnded() throws Exception {
-        Node relay = relay(new FailingFiles(FULL));
+    void aWaitingStartCanBeStopped() throws Exception {
+        Node relay = relay(new FailingFiles(NO_SPACE));
         InetSocketAddress address = relay.address();
         relay.leave();
         assertThrows(IOException.class, () -> new Platform.Client(address).close());
@@ -107,7 +107,7 @@
 
     /** Guards who is served as the process is to be replaced: a folder that fails then cuts nobody off. */
     @Test
-    void aHandOverThatCannotBeWrittenDownCutsNoClientOff() throws Exception {
+    void aHandoverThatCannotBeRecordedDisconnectsNoClient() throws Exception {
         Config config = platform.config("127.0.0.1:" + platform.freePort(),
             new String[] {Platform.host("s-1", host.port(), 7, "ready")});
         FailingFiles files = new FailingFiles(null);
@@ -118,7 +118,7 @@
                     + String.join("\r\n", Platform.Client.headers("a", "bill", 7, 16_000))
                     + "\r\nContent-Length: 4\r\n\r\n";
                 half.write(head + "ha");
-                files.failure = FULL;
+                files.failure = NO_SPACE;
                 Thread end = new Thread(old::leave);
                 end.start();
                 while (!REFUSED.equals(health(old))) {
