--- a/src/main/java/wrenkeel/net/Config.java
+++ b/src/main/java/wrenkeel/net/Config.java
@@ -17,48 +17,68 @@
 import wrenkeel.Wire;
 
 /**
- * What the platform tells one relay at its start. {@code zones} and {@code kinds} hold the names that
- * discovery's list uses, in the order of the numbers that the module knows them by; {@code savedList} tells where
- * the list as last had stands; {@code consoleAddress} is null where operators have no address; {@code fields} is
- * all that was read but for the list's hosts.
+ * The configuration of one relay: a JSON file, in which environment variables override some addresses.
+ *
+ * @param listenAddress where clients connect
+ * @param discoveryAddress address of the discovery agent
+ * @param consoleAddress where operators connect; null if there is none
+ * @param stateFolder folder for data that outlasts the process
+ * @param seed seed of the decision module's random numbers
+ * @param socketLimit file descriptors that the process may hold open
+ * @param diskLimitBytes bytes that the process may use in the state folder
+ * @param settings the decision module's settings
+ * @param zones names of zones in discovery's list; the module knows a zone by its position here
+ * @param kinds names of kinds in discovery's list; the module knows a kind by its position here
+ * @param savedList position of the host list that the configuration file holds
+ * @param fields all that was read from the file, without the hosts of that list
  */
-record Config(InetSocketAddress listenAddress, InetSocketAddress discoveryAddress, InetSocketAddress consoleAddress, Path stateFolder,
-              long seed, int socketLimit, long diskLimitBytes, Relay.Settings settings, List<String> zones,
-              List<String> kinds, SavedHostList savedList, Wire.Fields fields) {
+record Config(InetSocketAddress listenAddress, InetSocketAddress discoveryAddress,
+              InetSocketAddress consoleAddress, Path stateFolder, long seed, int socketLimit,
+              long diskLimitBytes, Relay.Settings settings, List<String> zones, List<String> kinds,
+              SavedHostList savedList, Wire.Fields fields) {
 
-    /** us; taken off a key's window besides: for the way to the host. */
+    /** Subtracted from a key's window, in addition to the connect timeout, for the network delay. */
     private static final long WINDOW_MARGIN_MICROS = 100_000;
     private static final long DEFAULT_SOCKET_LIMIT = 1_024;
 
-    /** A configuration that no relay can run with; the message is one plain line. */
+    /** The configuration cannot be read or used; the message is a single line. */
     static final class InvalidConfigException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        InvalidConfigException(String fault) {
-            super(fault);
+        InvalidConfigException(String message) {
+            super(message);
         }
     }
 
-    /** Reads the configuration named by the environment. */
+    /**
+     * Reads the file that {@code EDGE_CONFIG} names. {@code EDGE_LISTEN}, {@code EDGE_DISCOVERY} and
+     * {@code EDGE_CONSOLE} override the addresses in it; {@code EDGE_STATE} names the state folder.
+     */
     static Config read(Map<String, String> env) throws InvalidConfigException {
         String file = env.get("EDGE_CONFIG");
         String state = env.get("EDGE_STATE");
         if (file == null || file.isEmpty() || state == null || state.isEmpty()) {
             throw new InvalidConfigException("EDGE_CONFIG and EDGE_STATE must be set");
         }
-        SavedHostList[] known = {new SavedHostList(Path.of(file), 0, 0)};
+        SavedHostList[] savedList = {new SavedHostList(Path.of(file), 0, 0)};
         try (InputStream text = Files.newInputStream(Path.of(file))) {
             Wire.Fields all = Wire.decode(text, "known",
-                (from, length) -> known[0] = new SavedHostList(Path.of(file), from, length));
+                (offset, length) -> savedList[0] = new SavedHostList(Path.of(file), offset, length));
             Wire.Fields limits = all.object("limits");
             Wire.Fields settings = all.object("settings");
             return new Config(
                 address(env.getOrDefault("EDGE_LISTEN", all.text("listen", ""))),
                 address(env.getOrDefault("EDGE_DISCOVERY", all.text("discovery", ""))),
-                optionalAddress(env.getOrDefault("EDGE_CONSOLE", all.text("console", null))), writableFolder(state),
-                seed(all.text("seed", "0")), validSocketLimit(limits.longValue("sockets", DEFAULT_SOCKET_LIMIT)),
-                (long) (limits.doubleValue("disk_mb", 3) * 1_000_000), validated(Wire.settings(settings)),
-                names(settings, "localities"), names(settings, "kinds"), savedListOrEmpty(all, known[0]), all);
+                optionalAddress(env.getOrDefault("EDGE_CONSOLE", all.text("console", null))),
+                writableFolder(state),
+                seed(all.text("seed", "0")),
+                validSocketLimit(limits.longValue("sockets", DEFAULT_SOCKET_LIMIT)),
+                (long) (limits.doubleValue("disk_mb", 3) * 1_000_000),
+                validated(Wire.settings(settings)),
+                names(settings, "localities"),
+                names(settings, "kinds"),
+                savedListOrEmpty(all, savedList[0]),
+                all);
         } catch (Wire.MalformedException e) {
             throw new InvalidConfigException("configuration " + file + ": " + e.getMessage());
         } catch (IOException e) {
@@ -67,10 +87,13 @@
     }
 
     /**
-     * Reads the file anew for a process that runs, whole or not at all. Discovery is where the file says, for
-     * the environment is that of the start. The file must have every key that the one in force has, and must
-     * not change the kinds and the order of the sites: the list's endpoints are known by them. It may name
-     * further sites; hosts there keep the numbers that sites without a name have.
+     * Reads the file again while the relay runs; either the whole file takes effect or nothing of it.
+     *
+     * <p>The discovery address is taken from the file, because the environment still has the values of the
+     * start. The listen and console addresses, the state folder and the seed stay as they are. The file must
+     * have every key that the one in force has. It must not change the kinds or the order of the zones, because
+     * the module knows endpoints by their numbers. It may name further zones; hosts in those keep the numbers
+     * that zones without a name get.
      */
     Config reload(Map<String, String> env) throws InvalidConfigException {
         Map<String, String> folders = new HashMap<>(env);
@@ -79,23 +102,30 @@
         requireSameKeys("", fields, next.fields);
         int named = Math.min(zones.size(), next.zones.size());
         if (!next.zones.subList(0, named).equals(zones.subList(0, named)) || !next.kinds.equals(kinds)) {
-            throw new InvalidConfigException("kinds and the order of localities cannot change while the relay runs");
+            throw new InvalidConfigException(
+                "kinds and the order of localities cannot change while the relay runs");
         }
-        return new Config(listenAddress, next.discoveryAddress, consoleAddress, stateFolder, seed, next.socketLimit, next.diskLimitBytes,
-            next.settings, zones, kinds, next.savedList, next.fields);
+        return new Config(listenAddress, next.discoveryAddress, consoleAddress, stateFolder, seed,
+            next.socketLimit, next.diskLimitBytes, next.settings, zones, kinds, next.savedList, next.fields);
     }
 
-    /** One that names nothing counts as none; one that is no object is a fault. */
-    private static SavedHostList savedListOrEmpty(Wire.Fields all, SavedHostList known) throws Wire.MalformedException {
-        return all.object("known").values().isEmpty() ? new SavedHostList(known.file(), 0, 0) : known;
+    /** Returns an empty list if the saved list's object has no fields; fails if it is not an object. */
+    private static SavedHostList savedListOrEmpty(Wire.Fields all, SavedHostList savedList)
+        throws Wire.MalformedException {
+        return all.object("known").values().isEmpty() ? new SavedHostList(savedList.file(), 0, 0) : savedList;
     }
 
+    /** Returns how many connections clients and hosts may use. */
     DescriptorBudget descriptorBudget() {
         return DescriptorBudget.of(socketLimit, settings.allowed().slots());
     }
 
-    /** Entries of lists may differ in number and form; they are checked as they are read. */
-    private static void requireSameKeys(String path, Wire.Fields before, Wire.Fields now) throws InvalidConfigException {
+    /**
+     * Fails if a key of {@code before}, at any depth, is missing in {@code now}. Elements of arrays are not
+     * compared: they may differ in number and form, and are checked when they are read.
+     */
+    private static void requireSameKeys(String path, Wire.Fields before, Wire.Fields now)
+        throws InvalidConfigException {
         for (Map.Entry<String, Object> entry : before.values().entrySet()) {
             Object value = now.values().get(entry.getKey());
             if (value == null && entry.getValue() != null) {
@@ -103,7 +133,8 @@
             }
             if (Wire.Fields.of(entry.getValue()) != null) {
                 if (Wire.Fields.of(value) == null) {
-                    throw new InvalidConfigException("configuration: '" + path + entry.getKey() + "' is not an object");
+                    throw new InvalidConfigException(
+                        "configuration: '" + path + entry.getKey() + "' is not an object");
                 }
                 requireSameKeys(path + entry.getKey() + ".", Wire.Fields.of(entry.getValue()),
                     Wire.Fields.of(value));
@@ -118,16 +149,16 @@
     private static Path writableFolder(String name) throws InvalidConfigException {
         Path folder = Path.of(name);
         if (!Files.isDirectory(folder) || !Files.isWritable(folder)) {
-            throw new InvalidConfigException("EDGE_STATE is no writable folder: " + name);
+            throw new InvalidConfigException("EDGE_STATE is not a writable folder: " + name);
         }
         return folder;
     }
 
-    /** Fewer would leave no connection for clients or for hosts. */
+    /** Rejects a limit that would leave no connection for clients or for hosts. */
     private static int validSocketLimit(long limit) throws InvalidConfigException {
         if (limit < DescriptorBudget.MIN_LIMIT || limit > Integer.MAX_VALUE) {
-            throw new InvalidConfigException("limits.sockets is " + limit + ", at least " + DescriptorBudget.MIN_LIMIT
-                + " are needed");
+            throw new InvalidConfigException("limits.sockets is " + limit + ", at least "
+                + DescriptorBudget.MIN_LIMIT + " are needed");
         }
         return (int) limit;
     }
@@ -141,23 +172,26 @@
     }
 
     /**
-     * One figure differs on sockets. A call goes out as late as its connection comes up, so the module is
-     * told that keys are remembered for so much less: a repeat then still comes inside the true window.
+     * Checks the settings and shortens each class's window, the time in which a host drops a repeated message.
+     * A call may be sent as late as its connection is established, so the module gets a window that is shorter
+     * by the connect timeout and a margin. A repeat that it allows then still arrives inside the real window.
      */
     private static Relay.Settings validated(Relay.Settings s) throws InvalidConfigException {
         if (s.classes().isEmpty() || s.kinds().isEmpty() || s.relays() < 1 || s.allowed().slots() < 1
             || s.allowed().connectTimeout() <= 0 || s.allowed().keepAlive() <= 0) {
-            throw new InvalidConfigException("settings lack classes, kinds, relays, slots or connection times");
+            throw new InvalidConfigException(
+                "settings must have classes, kinds and positive numbers of relays, slots and connection times");
         }
         Set<String> names = new HashSet<>();
         for (Relay.MessageClass c : s.classes()) {
             if (c.name().isEmpty() || !names.add(c.name()) || c.aim() <= 0 || c.life() <= 0
                 || c.tries() < 1) {
-                throw new InvalidConfigException("class '" + c.name() + "' has no name of its own, or no positive aim,"
-                    + " deadline or number of attempts");
+                throw new InvalidConfigException("class '" + c.name() + "' must have a unique name, and a positive"
+                    + " target time, deadline and number of attempts");
             }
             if (c.effect() == Relay.Effect.KEYED && c.window() <= 0) {
-                throw new InvalidConfigException("class '" + c.name() + "' has no window in which a repeat is dropped");
+                throw new InvalidConfigException(
+                    "class '" + c.name() + "' must have a window in which a repeat is dropped");
             }
         }
         List<Relay.MessageClass> classes = s.classes().stream().map(c -> new Relay.MessageClass(c.name(),
@@ -175,7 +209,7 @@
         return names;
     }
 
-    /** An address in digits and a port; names are not looked up, for there is no DNS. */
+    /** Parses an IP address and a port. Host names are not resolved, because there is no DNS. */
     static InetSocketAddress address(String text) throws InvalidConfigException {
         int colon = text.lastIndexOf(':');
         try {
@@ -185,7 +219,7 @@
                     Integer.parseInt(text.substring(colon + 1)));
             }
         } catch (IOException | IllegalArgumentException e) {
-            // Falls through to the one message that fits every fault of an address.
+            // Every malformed address is reported by the one exception below.
         }
         throw new InvalidConfigException("not an address and port: '" + text + "'");
     }
--- a/src/main/java/wrenkeel/net/FileOperations.java
+++ b/src/main/java/wrenkeel/net/FileOperations.java
@@ -7,9 +7,9 @@
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 
-/** What the relay does to files of the lasting folder; each call may fail for a while. */
+/** Operations on files in the state folder. Each of them may fail for a while, as on a full disk. */
 interface FileOperations {
-    /** The real file system. */
+    /** The operations of the real file system. */
     FileOperations SYSTEM = new FileOperations() {
         @Override
         public FileChannel open(Path file, OpenOption... options) throws IOException {
@@ -17,8 +17,8 @@
         }
 
         @Override
-        public void replace(Path by, Path file) throws IOException {
-            Files.move(by, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        public void replace(Path source, Path target) throws IOException {
+            Files.move(source, target, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         }
 
         @Override
@@ -27,12 +27,12 @@
         }
     };
 
-    /** Opens a file for the options given. */
+    /** Opens a file with the given options. */
     FileChannel open(Path file, OpenOption... options) throws IOException;
 
-    /** Renames {@code by} to {@code file} in one step; what stood there is gone. */
-    void replace(Path by, Path file) throws IOException;
+    /** Renames {@code source} to {@code target} atomically, replacing a file of that name. */
+    void replace(Path source, Path target) throws IOException;
 
-    /** Deletes a file; one that is not there is no failure. */
+    /** Deletes a file if it exists. */
     void delete(Path file) throws IOException;
 }
--- a/src/main/java/wrenkeel/net/HandoverSnapshot.java
+++ b/src/main/java/wrenkeel/net/HandoverSnapshot.java
@@ -13,15 +13,22 @@
 import wrenkeel.Relay;
 import wrenkeel.Wire;
 
-/** What a process that leaves knows of the hosts, as text for the next; points in time in Unix time, ms. */
+/**
+ * What a relay that hands over to another process knows of its hosts, as JSON text. Points in time are Unix
+ * time in milliseconds.
+ */
 final class HandoverSnapshot {
     private static final Logger LOG = LoggerFactory.getLogger(HandoverSnapshot.class);
     private static final JsonFactory JSON = new JsonFactory();
 
     private HandoverSnapshot() { }
 
-    /** Stops once the text has {@code most} characters: what comes later in the list is left out. */
-    static String write(List<Relay.Known> all, HostList hosts, LongUnaryOperator toUnix, long most)
+    /**
+     * Writes what is known of endpoints. Once the text has {@code maxChars} characters, the rest is left out.
+     *
+     * @param toUnix converts the module's times to Unix time in ms
+     */
+    static String write(List<Relay.Known> all, HostList hosts, LongUnaryOperator toUnix, long maxChars)
         throws IOException {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = JSON.createGenerator(text)) {
@@ -31,7 +38,7 @@
             for (Relay.Known known : all) {
                 HostList.Host host = hosts.host(known.endpoint());
                 out.flush();
-                if (text.getBuffer().length() >= most) {
+                if (text.getBuffer().length() >= maxChars) {
                     break;
                 }
                 if (host == null) {
@@ -57,17 +64,21 @@
     }
 
     /**
-     * Text that cannot be read tells nothing: this process then learns as one does after a restart.
-     * {@code named}: the host of a name, made known to the module before these events; null if none.
+     * Reads a snapshot as events for the module. Text that is not valid JSON yields no events, and a malformed
+     * entry ends the reading; this process then learns the state of the other hosts as after a restart.
+     *
+     * @param hostByName returns the host of a name, which the module must know before it gets these events;
+     *     null if there is none
+     * @param toModule converts Unix time in ms to the module's time
      */
-    static List<Relay.Event> read(String text, HostList hosts, Function<String, HostList.Host> named,
+    static List<Relay.Event> read(String text, HostList hosts, Function<String, HostList.Host> hostByName,
                                   LongUnaryOperator toModule) {
         List<Relay.Event> events = new ArrayList<>();
         try {
             Wire.Fields all = Wire.decode(text);
             boolean newer = all.longValue("seq") > hosts.version();
             for (Wire.Fields f : all.objects("known")) {
-                HostList.Host host = named.apply(f.text("host"));
+                HostList.Host host = hostByName.apply(f.text("host"));
                 if (host == null) {
                     continue;
                 }
@@ -76,15 +87,19 @@
                 }
                 events.add(new Relay.Known(host.number, toModule.applyAsLong(f.longValue("wait")),
                     toModule.applyAsLong(f.longValue("closed")), health(f), toModule.applyAsLong(since(f)),
-                    f.doubleValue("carried", 0), f.doubleValue("pace"), f.doubleValue("window"), f.doubleValue("latency")));
+                    f.doubleValue("carried", 0), f.doubleValue("pace"), f.doubleValue("window"),
+                    f.doubleValue("latency")));
             }
         } catch (Wire.MalformedException e) {
-            LOG.warn("what the process before knew cannot be read: {}", e.getMessage());
+            LOG.warn("the previous process's handover snapshot is malformed: {}", e.getMessage());
         }
         return events;
     }
 
-    /** The release before wrote down whether it was out, and when it came back. */
+    /**
+     * Reads the health of an endpoint. The previous release has no field for it: it wrote whether the endpoint
+     * was out, and when it returned.
+     */
     private static Relay.Health health(Wire.Fields f) throws Wire.MalformedException {
         String name = f.text("health", null);
         if (name == null) {
@@ -94,7 +109,7 @@
         try {
             return Relay.Health.valueOf(name);
         } catch (IllegalArgumentException e) {
-            throw new Wire.MalformedException("unknown health " + name);
+            throw new Wire.MalformedException("unknown health '" + name + "'");
         }
     }
 
--- a/src/main/java/wrenkeel/net/JournalHealth.java
+++ b/src/main/java/wrenkeel/net/JournalHealth.java
@@ -8,8 +8,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Whether the journal can be written. After a failure it is written anew, by growing gaps until that goes
- * well; in between nobody need try. Logged once for each outage. One event loop.
+ * Tracks whether the journal can be written. After a failed write the whole journal is rewritten, retried with
+ * growing delays until that succeeds; callers need not try meanwhile. Each outage is logged once. Used on one
+ * event loop.
  */
 final class JournalHealth {
     private static final Logger LOG = LoggerFactory.getLogger(JournalHealth.class);
@@ -24,44 +25,48 @@
     private long failures;
     private long failedSinceNanos;
 
-    /** {@code onChange}: told false at the first failure, and true once all is written down again. */
-    JournalHealth(EventLoop loop, Journal journal, Consumer<Boolean> whenChanged) {
+    /** {@code onChange} receives false at the first failure, and true once the journal is complete again. */
+    JournalHealth(EventLoop loop, Journal journal, Consumer<Boolean> onChange) {
         this.loop = loop;
         this.journal = journal;
-        this.onChange = whenChanged;
+        this.onChange = onChange;
     }
 
     boolean isWritable() {
         return writable;
     }
 
-    /** Writes that failed, since the start. */
+    /** Failed writes since the start of the process. */
     long failures() {
         return failures;
     }
 
-    /** A write has failed, and with it what was to be written down. */
+    /**
+     * Reports a failed write.
+     *
+     * @param consequence for the log: what the failure means for the record that was to be written
+     */
     void writeFailed(String consequence, IOException cause) {
         failures++;
         if (writable) {
             writable = false;
             failedSinceNanos = System.nanoTime();
-            LOG.error("journal cannot be written: {}; tried again until it can", consequence, cause);
+            LOG.error("cannot write the journal: {}; retrying until it succeeds", consequence, cause);
             onChange.accept(false);
             repairAfter(FIRST_RETRY_MS);
         }
     }
 
-    /** Nothing is written from now on. */
+    /** Ends the retries. */
     void stop() {
         stopped = true;
     }
 
-    private void repairAfter(long gap) {
-        loop.schedule(() -> repair(gap), gap, TimeUnit.MILLISECONDS);
+    private void repairAfter(long delayMillis) {
+        loop.schedule(() -> repair(delayMillis), delayMillis, TimeUnit.MILLISECONDS);
     }
 
-    private void repair(long gap) {
+    private void repair(long delayMillis) {
         if (stopped) {
             return;
         }
@@ -69,12 +74,12 @@
             journal.repair();
         } catch (IOException | RuntimeException e) {
             failures++;
-            repairAfter(Math.min(MAX_RETRY_MS, 2 * gap));
+            repairAfter(Math.min(MAX_RETRY_MS, 2 * delayMillis));
             return;
         }
         writable = true;
         long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - failedSinceNanos);
-        LOG.info("journal written again after {} ms, {} failures since the start", millis, failures);
+        LOG.info("journal is writable again after {} ms, {} failed writes since the start", millis, failures);
         onChange.accept(true);
     }
 }
--- a/src/main/java/wrenkeel/net/Machine.java
+++ b/src/main/java/wrenkeel/net/Machine.java
@@ -1,7 +1,8 @@
 package wrenkeel.net;
 
-/** What a relay uses of the machine beneath it, so that a test can let it fail. */
+/** The machine's clocks, files and listening sockets, which a test can replace by failing ones. */
 record Machine(MachineClock clock, FileOperations files, ListeningSockets sockets) {
+    /** The real machine. */
     static final Machine SYSTEM = new Machine(MachineClock.SYSTEM, FileOperations.SYSTEM,
         ListeningSockets.SYSTEM);
 }
--- a/src/main/java/wrenkeel/net/MachineClock.java
+++ b/src/main/java/wrenkeel/net/MachineClock.java
@@ -4,7 +4,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** The clocks of the machine, as this process reads them. */
+/** The machine's clocks. */
 interface MachineClock {
     /** The real clocks. */
     MachineClock SYSTEM = new MachineClock() {
@@ -28,12 +28,12 @@
         }
     };
 
-    /** Nanoseconds since some moment of this boot; never goes back, is the same for all processes. */
+    /** Nanoseconds since a fixed moment of this boot; never goes back and is the same for all processes. */
     long monotonicNanos();
 
-    /** Unix time in milliseconds; may be stepped at any moment, forward or back. */
+    /** Unix time in milliseconds; may be stepped forward or back at any moment. */
     long wallMillis();
 
-    /** Names the machine's present boot, within which monotonic readings compare; empty where unknown. */
+    /** Identifies the machine's current boot; monotonic times are comparable within it. Empty if unknown. */
     String bootId();
 }
--- a/src/main/java/wrenkeel/net/ProcessClock.java
+++ b/src/main/java/wrenkeel/net/ProcessClock.java
@@ -3,17 +3,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Unix time as this process reckons it: what the wall clock said at its start, carried on by the monotonic
- * clock. A step of the wall clock therefore changes no deadline and no wait. Another process may reckon
- * otherwise: a {@link Reading} in a file tells how to compare. Any thread may use it.
+ * Unix time of this process: the wall clock's time at the start of the process, advanced by the monotonic clock.
+ * A later step of the wall clock therefore changes no deadline and no wait. Clocks of two processes may differ;
+ * a {@link Reading} that one of them wrote to a file lets the other compare them. Thread-safe.
  */
 final class ProcessClock {
     /**
-     * What both clocks of a process showed at one moment.
+     * The times of a process's clock and of the monotonic clock at one moment.
      *
-     * @param bootId the machine's boot, within which {@code nanos} of two processes compare; empty if unknown
-     * @param millis Unix time as the process reckons it
-     * @param nanos the machine's monotonic clock
+     * @param bootId the machine's boot, within which {@code nanos} of two processes are comparable; empty if
+     *     unknown
+     * @param millis Unix time by the process's clock
+     * @param nanos time of the machine's monotonic clock
      */
     record Reading(String bootId, long millis, long nanos) { }
 
@@ -29,7 +30,7 @@
         startNanos = machine.monotonicNanos();
     }
 
-    /** The clock of a process on this machine. */
+    /** Returns a clock that starts now, on the real machine. */
     static ProcessClock system() {
         return new ProcessClock(MachineClock.SYSTEM);
     }
@@ -43,19 +44,23 @@
         return startMillis + TimeUnit.NANOSECONDS.toMillis(nanos - startNanos);
     }
 
-    /** What both clocks show now. */
+    /** Reads both clocks. */
     Reading reading() {
         long nanos = machine.monotonicNanos();
         return new Reading(bootId, millisAt(nanos), nanos);
     }
 
-    /** True if the time since this reading of another process can be told by the monotonic clock. */
+    /** Whether the monotonic clock can measure the time since another process's reading. */
     boolean isComparable(Reading earlier) {
         boolean sameBoot = !bootId.isEmpty() && earlier.bootId.equals(bootId);
         return sameBoot && earlier.nanos <= machine.monotonicNanos();
     }
 
-    /** What a time that the process of a {@link #isComparable comparable} reading wrote down is on this clock. */
+    /**
+     * Returns the milliseconds to add to a Unix time of another process to get the same moment on this clock.
+     *
+     * @param earlier a {@link #isComparable comparable} reading of the other process
+     */
     long shiftMillisFrom(Reading earlier) {
         return millisAt(earlier.nanos) - earlier.millis;
     }
--- a/src/main/java/wrenkeel/net/ProcessLease.java
+++ b/src/main/java/wrenkeel/net/ProcessLease.java
@@ -19,13 +19,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This process among those that share the lasting folder. Each has a number, higher than any before it, and a
- * file {@code relay.N} that it keeps locked: the lock is free once the process has ended, however it ended.
+ * This process's registration in the state folder, which several relay processes may share. Each process has a
+ * number, higher than all before it, and keeps a file {@code relay.N} locked. The operating system releases the
+ * lock when the process ends, however it ends. The other files of a process carry the same number.
  */
 final class ProcessLease implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ProcessLease.class);
-    private static final String LOCK_FILE = "relay", JOURNAL_FILE = "journal", SNAPSHOT_FILE = "leaving";
-    /** The highest number, of 18 digits: files with longer ones are not looked for. */
+    private static final String LOCK_FILE = "relay";
+    private static final String JOURNAL_FILE = "journal";
+    /** The handover snapshot; it exists from when its process hands over until the successor serves. */
+    private static final String SNAPSHOT_FILE = "leaving";
+    /** The highest number that is recognized in a file's name: 18 digits. */
     private static final long MAX_NUMBER = 999_999_999_999_999_999L;
 
     private final Path folder;
@@ -41,30 +45,34 @@
         this.lock = lock;
     }
 
-    /** Takes the next number. */
+    /**
+     * Registers this process under the next number and lists the processes before it.
+     *
+     * @throws UnusableStateFolderException if a file has the highest number, so that none is left
+     */
     static ProcessLease acquire(Path folder, FileOperations files) throws IOException {
         while (true) {
             List<Long> before = numbersOf(folder, LOCK_FILE);
             before.addAll(numbersOf(folder, JOURNAL_FILE));
             long latest = before.stream().mapToLong(n -> n).max().orElse(0);
             if (latest == MAX_NUMBER) {
-                throw new UnusableStateFolderException(folder + " holds a file with the number " + latest
-                    + ", none is left above it");
+                throw new UnusableStateFolderException(folder + " contains a file with the number " + latest
+                    + ", which leaves no higher number for this process");
             }
             long next = latest + 1;
             try {
                 FileChannel lock = createLocked(folder.resolve(LOCK_FILE + "." + next), files);
-                ProcessLease tenure = new ProcessLease(folder, files, next, lock);
+                ProcessLease lease = new ProcessLease(folder, files, next, lock);
                 before.stream().distinct().sorted().map(n -> new OtherProcess(folder, files, n))
-                    .filter(OtherProcess::isRelay).forEach(tenure.predecessors::add);
+                    .filter(OtherProcess::isRelay).forEach(lease.predecessors::add);
                 OtherProcess unnumbered = new OtherProcess(folder, files, 0);
                 if (Files.exists(folder.resolve(JOURNAL_FILE)) && unnumbered.isRelay()) {
-                    // Written by a release that had one file and no number.
-                    tenure.predecessors.add(0, unnumbered);
+                    // Earlier releases had a single journal without a number.
+                    lease.predecessors.add(0, unnumbered);
                 }
-                return tenure;
+                return lease;
             } catch (FileAlreadyExistsException e) {
-                // Another process that starts now was faster.
+                // Another process that starts at the same time has taken this number.
             }
         }
     }
@@ -81,13 +89,13 @@
         }
     }
 
-    /** Gives the number back: nothing was written under it. */
+    /** Releases the number; to be called only if no other file was written under it. */
     void abandon() throws IOException {
         files.delete(file(LOCK_FILE));
         close();
     }
 
-    /** True while any process that shares the folder lives. */
+    /** Whether any process that uses the folder is alive. */
     static boolean isAnyProcessAlive(Path folder, FileOperations files) throws IOException {
         for (long other : numbersOf(folder, LOCK_FILE)) {
             try (OtherProcess process = new OtherProcess(folder, files, other)) {
@@ -99,26 +107,29 @@
         return false;
     }
 
+    /** Returns the numbers of the files {@code name.N}. */
     private static List<Long> numbersOf(Path folder, String name) throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return new ArrayList<>(files.map(file -> file.getFileName().toString())
                 .filter(file -> file.matches(name + "\\.[0-9]{1,18}"))
                 .map(file -> Long.parseLong(file.substring(name.length() + 1))).toList());
         } catch (UncheckedIOException e) {
-            // The folder could not be read to its end.
+            // Thrown by the stream when reading the folder fails.
             throw e.getCause();
         }
     }
 
+    /** Returns this process's file of the given name. */
     Path file(String name) {
         return folder.resolve(name + "." + number);
     }
 
+    /** Returns the processes that had files in the folder when this one started, the oldest first. */
     List<OtherProcess> predecessors() {
         return predecessors;
     }
 
-    /** True while a process with a higher number lives. */
+    /** Whether a process with a higher number is alive. */
     boolean hasStandby() throws IOException {
         for (long other : numbersOf(folder, LOCK_FILE)) {
             if (other > number) {
@@ -132,12 +143,12 @@
         return false;
     }
 
-    /** Leaves what this process knows to the one that stands by. */
-    void publishSnapshot(String knowledge) throws IOException {
+    /** Writes the handover snapshot for the standby process, atomically. */
+    void publishSnapshot(String snapshot) throws IOException {
         Path draft = file(SNAPSHOT_FILE + ".new");
         try (FileChannel out = files.open(draft, StandardOpenOption.CREATE,
                 StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
-            ByteBuffer text = StandardCharsets.UTF_8.encode(knowledge);
+            ByteBuffer text = StandardCharsets.UTF_8.encode(snapshot);
             while (text.hasRemaining()) {
                 out.write(text);
             }
@@ -145,7 +156,7 @@
         files.replace(draft, file(SNAPSHOT_FILE));
     }
 
-    /** True once the later process has taken over. */
+    /** Whether the successor has taken over, after {@link #publishSnapshot}. */
     boolean isTakenOver() {
         return !Files.exists(file(SNAPSHOT_FILE));
     }
@@ -155,7 +166,7 @@
         lock.close();
     }
 
-    /** Another process of the folder, and its files. */
+    /** Another process that uses or used the folder, and its files. */
     static final class OtherProcess implements AutoCloseable {
         private final Path folder;
         private final FileOperations files;
@@ -173,16 +184,17 @@
             return number;
         }
 
-        /** False where something else than a relay's files has their names. */
+        /** Whether no folder stands in the place of one of the process's files. */
         private boolean isRelay() {
             return !Files.isDirectory(file(LOCK_FILE)) && !Files.isDirectory(file(JOURNAL_FILE));
         }
 
+        /** Returns the process's file of the given name; number 0 stands for the files without a number. */
         private Path file(String name) {
             return folder.resolve(number == 0 ? name : name + "." + number);
         }
 
-        /** True once it has ended. */
+        /** Whether the process has ended: its lock is free or does not exist. */
         boolean hasEnded() throws IOException {
             if (ended || number == 0) {
                 return true;
@@ -194,14 +206,14 @@
                 ended = lock.tryLock() != null;
                 return ended;
             } catch (OverlappingFileLockException e) {
-                // Held by another relay inside this very process.
+                // The lock is held by another relay in this same Java process.
                 return false;
             } catch (NoSuchFileException e) {
                 return true;
             }
         }
 
-        /** Its journal from this byte on. */
+        /** Returns the journal's bytes from a position on; empty if there is no journal. */
         byte[] readJournalFrom(long position) throws IOException {
             try (FileChannel in = files.open(file(JOURNAL_FILE), StandardOpenOption.READ)) {
                 ByteBuffer bytes = ByteBuffer.allocate((int) Math.max(0, in.size() - position));
@@ -214,30 +226,32 @@
             }
         }
 
-        /** What it has left for the process that takes over, readable or not; null while it serves. */
+        /** Returns the handover snapshot; empty if it cannot be read, null if there is none. */
         String readSnapshot() throws IOException {
             try {
                 return new String(Files.readAllBytes(file(SNAPSHOT_FILE)), StandardCharsets.UTF_8);
             } catch (NoSuchFileException e) {
                 return null;
             } catch (IOException e) {
-                LOG.warn("what process {} left cannot be read, done without: {}", number, e.toString());
+                LOG.warn("cannot read the handover snapshot of process {}, continuing without it: {}", number,
+                    e.toString());
                 return "";
             }
         }
 
-        /** Tells it that another process serves now. */
+        /** Signals to the process that its successor serves now, by deleting its snapshot. */
         void confirmTakeover() {
             deleteOrWarn(SNAPSHOT_FILE);
         }
 
         /**
-         * It has ended, and nothing in its files is needed any more. The journal must go, lest it be read
-         * again; the lock goes last.
+         * Deletes the files of a process that has ended. Fails only if the journal cannot be deleted, because
+         * it would be read again. The lock file is deleted last.
          */
         void delete() throws IOException {
             files.delete(file(JOURNAL_FILE));
-            for (String name : List.of(JOURNAL_FILE + ".new", SNAPSHOT_FILE + ".new", SNAPSHOT_FILE, LOCK_FILE)) {
+            for (String name : List.of(JOURNAL_FILE + ".new", SNAPSHOT_FILE + ".new", SNAPSHOT_FILE,
+                    LOCK_FILE)) {
                 deleteOrWarn(name);
             }
             close();
@@ -247,7 +261,7 @@
             try {
                 files.delete(file(name));
             } catch (IOException e) {
-                LOG.warn("a file of process {} stays: {}", number, e.toString());
+                LOG.warn("cannot delete a file of process {}: {}", number, e.toString());
             }
         }
 
--- a/src/main/java/wrenkeel/net/RecordedTimes.java
+++ b/src/main/java/wrenkeel/net/RecordedTimes.java
@@ -4,64 +4,77 @@
 import wrenkeel.Relay;
 
 /**
- * Brings the times in an earlier process's file, in Unix time as that process reckoned it, to this process's
- * clock. The time that has passed since is what the monotonic clock says, where it runs on. After another
- * boot, or for a file that does not tell, only the wall clock is left, which may have been stepped: it is
- * believed no further than what the file itself shows to have happened.
+ * Converts the times that an earlier process wrote to its journal, which are Unix time by that process's clock,
+ * to this process's clock. All times are milliseconds.
+ *
+ * <p>Within one boot of the machine, the monotonic clock shows how much time has passed. After a reboot, or if
+ * the journal has no reading of the clocks, only the wall clock is left, which may have been stepped. If it
+ * stands before the latest time in the journal, it has gone back, and the times are shifted so that the latest
+ * of them becomes the present.
  */
 final class RecordedTimes {
-    /** Longer ago than any window in which a repeat is dropped. */
+    /** Longer than any window in which receivers drop a repeated message. */
     private static final long LONG_AGO_MS = TimeUnit.DAYS.toMillis(1);
 
     private final ProcessClock clock;
     private final long shiftMillis;
+    /** The elapsed time was measured by the monotonic clock. */
     private final boolean monotonic;
+    /** False if the wall clock has gone back, so that the age of recorded times is unknown. */
     private final boolean ageKnown;
 
-    private RecordedTimes(ProcessClock clock, long shiftMillis, boolean measured, boolean ageKnown) {
+    private RecordedTimes(ProcessClock clock, long shiftMillis, boolean monotonic, boolean ageKnown) {
         this.clock = clock;
         this.shiftMillis = shiftMillis;
-        this.monotonic = measured;
+        this.monotonic = monotonic;
         this.ageKnown = ageKnown;
     }
 
     /**
-     * {@code reading}: of the process that wrote the file, null where it left none; {@code latest}: the
-     * latest time of which the file tells.
+     * Compares the clocks of two processes.
+     *
+     * @param reading the writing process's clocks as it recorded them; null if it recorded none
+     * @param latestMillis the latest time in its journal
      */
-    static RecordedTimes of(ProcessClock clock, ProcessClock.Reading reading, long latest) {
+    static RecordedTimes of(ProcessClock clock, ProcessClock.Reading reading, long latestMillis) {
         if (reading != null && clock.isComparable(reading)) {
             return new RecordedTimes(clock, clock.shiftMillisFrom(reading), true, true);
         }
-        long behind = clock.millis() - latest;
-        return new RecordedTimes(clock, Math.min(0, behind), false, behind >= 0);
+        long elapsed = clock.millis() - latestMillis;
+        return new RecordedTimes(clock, Math.min(0, elapsed), false, elapsed >= 0);
     }
 
-    /** To be added to a time of the file, ms. */
+    /** Returns what must be added to a recorded time. */
     long shiftMillis() {
         return shiftMillis;
     }
 
-    /** A message's deadline; where the passed time was not measured, no later than its class lets it live. */
-    long deadline(long recorded, Relay.MessageClass rules) {
+    /**
+     * Returns a message's deadline. If the elapsed time was not measured, the deadline is at most the lifetime
+     * of the message's class from now. {@code messageClass} is null if it was not recorded.
+     */
+    long deadline(long recorded, Relay.MessageClass messageClass) {
         long shifted = recorded + shiftMillis;
-        if (monotonic || rules == null) {
+        if (monotonic || messageClass == null) {
             return shifted;
         }
-        return Math.min(shifted, clock.millis() + TimeUnit.MICROSECONDS.toMillis(rules.life()));
+        return Math.min(shifted, clock.millis() + TimeUnit.MICROSECONDS.toMillis(messageClass.life()));
     }
 
-    /** When an attempt was made; long ago where the wall clock has run back: no repeat rests on it. */
+    /**
+     * Returns when an attempt was made. If its age is unknown, that is one day ago, so that no repeat relies on
+     * a window that may be over.
+     */
     long sendTime(long recorded) {
         return ageKnown ? recorded + shiftMillis : clock.millis() - LONG_AGO_MS;
     }
 
-    /** Since when a host is out or has been back; just now, where the passed time was not measured. */
+    /** Returns when a host's outage began or ended: now, if the elapsed time was not measured. */
     long outageTime(long recorded) {
         return monotonic ? recorded + shiftMillis : clock.millis();
     }
 
-    /** Until when a host is to be left alone. */
+    /** Returns until when nothing may be sent to a host that asked the relay to wait. */
     long waitUntil(long recorded) {
         return recorded + shiftMillis;
     }
--- a/src/main/java/wrenkeel/net/RecoverySummary.java
+++ b/src/main/java/wrenkeel/net/RecoverySummary.java
@@ -3,31 +3,44 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What becomes of the messages that a start found untried; told in the log once all is known. */
+/**
+ * Counts what becomes of the messages that this process recovered without an attempt made so far. Logs the
+ * counts once all of these messages are accounted for. One thread.
+ */
 final class RecoverySummary {
     private static final Logger LOG = LoggerFactory.getLogger(RecoverySummary.class);
 
+    /** Messages recovered without an attempt. */
     private int untried;
     private int tried;
+    /** Failed because their deadline had passed before the process began. */
     private int expiredBeforeStart;
+    /** Failed for want of time since the process began. */
     private int expiredSinceStart;
     private int refused;
     private int passedOn;
 
+    /** Counts a message that was recovered without an attempt. */
     void addUntried() {
         untried++;
     }
 
+    /** Counts a message whose first attempt is made now. */
     void countTried() {
         tried++;
         logIfComplete();
     }
 
-    /** {@code before}: its time was up before the process began. */
-    void countEndedUntried(boolean back, boolean before) {
-        if (back) {
+    /**
+     * Counts a message that ends without an attempt.
+     *
+     * @param isRefused whether it was refused; otherwise it failed
+     * @param isExpiredBeforeStart whether its deadline had passed before the process began
+     */
+    void countEndedUntried(boolean isRefused, boolean isExpiredBeforeStart) {
+        if (isRefused) {
             refused++;
-        } else if (before) {
+        } else if (isExpiredBeforeStart) {
             expiredBeforeStart++;
         } else {
             expiredSinceStart++;
@@ -35,6 +48,7 @@
         logIfComplete();
     }
 
+    /** Counts a message that is passed on to the next process without an attempt. */
     void countPassedOn() {
         passedOn++;
         logIfComplete();
@@ -48,8 +62,8 @@
 
     @Override
     public String toString() {
-        return "of " + untried + " messages taken up untried, " + tried + " were tried, " + expiredBeforeStart
-            + " were out of time before the start, " + expiredSinceStart + " ran out of time, " + refused
-            + " were handed back and " + passedOn + " passed on without a call";
+        return "recovered " + untried + " messages without an attempt: " + tried + " attempted since, "
+            + expiredBeforeStart + " expired before the start, " + expiredSinceStart + " expired since, "
+            + refused + " refused, " + passedOn + " passed on without an attempt";
     }
 }
--- a/src/main/java/wrenkeel/net/SavedHostList.java
+++ b/src/main/java/wrenkeel/net/SavedHostList.java
@@ -7,16 +7,18 @@
 import java.nio.file.Path;
 
 /**
- * Where a configuration file holds the list as last had: {@code length} bytes from {@code offset} on; of
- * length 0 where it holds none. A large fleet's list is read from there when it is needed, and never held as
- * text.
+ * The position in the configuration file of the host list that was last received from discovery. A large
+ * fleet's list is read from there when it is needed and is never held in memory as text.
+ *
+ * @param offset of the list's first byte in the file
+ * @param length of the list in bytes; 0 if the file holds no list
  */
 record SavedHostList(Path file, long offset, long length) {
     boolean isEmpty() {
         return length == 0;
     }
 
-    /** The list's text. */
+    /** Opens a stream of the list's bytes; the caller closes it. */
     InputStream open() throws IOException {
         InputStream all = Files.newInputStream(file);
         try {
@@ -28,12 +30,12 @@
         }
     }
 
-    /** Ends after so many bytes. */
+    /** A stream that ends after a given number of bytes. */
     private static final class RangeInputStream extends FilterInputStream {
         private long remaining;
 
-        RangeInputStream(InputStream all, long length) {
-            super(all);
+        RangeInputStream(InputStream in, long length) {
+            super(in);
             remaining = length;
         }
 
@@ -44,13 +46,13 @@
         }
 
         @Override
-        public int read(byte[] into, int at, int most) throws IOException {
+        public int read(byte[] buffer, int offset, int maxLength) throws IOException {
             if (remaining == 0) {
                 return -1;
             }
-            int got = super.read(into, at, (int) Math.min(most, remaining));
-            remaining -= Math.max(0, got);
-            return got;
+            int count = super.read(buffer, offset, (int) Math.min(maxLength, remaining));
+            remaining -= Math.max(0, count);
+            return count;
         }
     }
 }
--- a/src/main/java/wrenkeel/net/UnusableStateFolderException.java
+++ b/src/main/java/wrenkeel/net/UnusableStateFolderException.java
@@ -2,12 +2,12 @@
 
 import java.io.IOException;
 
-/** The lasting folder is in a state that no waiting mends; the message is one plain line. */
+/** The state folder cannot be used, and retrying will not help. The message is a single line. */
 final class UnusableStateFolderException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    UnusableStateFolderException(String fault) {
-        super(fault);
+    UnusableStateFolderException(String message) {
+        super(message);
     }
 
     UnusableStateFolderException(IOException cause) {
