--- a/src/main/java/wrenkeel/net/Journal.java
+++ b/src/main/java/wrenkeel/net/Journal.java
@@ -61,7 +61,7 @@
     private static final int ATTEMPT_BYTES = (HEADER_BYTES + 23) + (HEADER_BYTES + 11), END_BYTES = (HEADER_BYTES + 18) + (HEADER_BYTES + 9);
     /** Sort 1: a message by a release that did not write down its class. */
     private static final byte ACCEPTED_WITHOUT_CLASS = 1, SENT = 2, NOT_RUN = 3, ENDED = 4, CLOSED = 5,
-        ADOPTED = 6, PREDECESSOR_EMPTIED = 7, PASSED_ON = 8, WAIT = 9, ACCEPTED = 10, CLOCK = 11, NOT_MADE = 12, HEALTH = 13;
+        ADOPTED = 6, PREDECESSOR_EMPTIED = 7, PASSED_ON = 8, WAIT = 9, ACCEPTED = 10, CLOCK = 11, NOT_MADE = 12, ENDPOINT_HEALTH = 13;
     /** Share of the room that the health of endpoints may take. */
     private static final double HEALTH_SHARE = 0.125;
 
@@ -73,13 +73,13 @@
         /** This machine failed: it counts only among the numbers of this process's attempts. */
         private boolean notMade;
 
-        Attempt(long sent, int zone) {
-            this.sentMillis = sent;
+        Attempt(long sentMillis, int zone) {
+            this.sentMillis = sentMillis;
             this.zone = zone;
         }
 
-        private Attempt withSendTime(long other) {
-            Attempt attempt = new Attempt(other, zone);
+        private Attempt withSendTime(long sentMillis) {
+            Attempt attempt = new Attempt(sentMillis, zone);
             attempt.mayHaveRun = mayHaveRun;
             return attempt;
         }
@@ -109,10 +109,10 @@
         /** Some of its records are missing: the numbers of its attempts are not known. */
         private boolean incomplete;
 
-        private Entry(long number, Message message, Relay.MessageClass rules) {
+        private Entry(long number, Message message, Relay.MessageClass messageClass) {
             this.number = number;
             this.message = message;
-            this.messageClass = rules;
+            this.messageClass = messageClass;
         }
 
         /** It may have been sent at any time since it was taken on, wherever. */
@@ -162,8 +162,8 @@
         this.file = lease.file("journal");
         this.newFile = lease.file("journal.new");
         this.capacityBytes = limit - LIMIT_MARGIN_BYTES;
-        for (ProcessLease.OtherProcess earlier : lease.predecessors()) {
-            predecessors.add(new PredecessorJournal(earlier));
+        for (ProcessLease.OtherProcess process : lease.predecessors()) {
+            predecessors.add(new PredecessorJournal(process));
         }
         try {
             rewrite();
@@ -176,8 +176,8 @@
 
     /** True while an earlier process serves: whatever stands in its file is its own. */
     boolean isPredecessorServing() throws IOException {
-        for (PredecessorJournal legacy : predecessors) {
-            if (!legacy.process.hasEnded() && legacy.process.readSnapshot() == null) {
+        for (PredecessorJournal predecessor : predecessors) {
+            if (!predecessor.process.hasEnded() && predecessor.process.readSnapshot() == null) {
                 return true;
             }
         }
@@ -194,11 +194,11 @@
     /** What the process that leaves knew; null if it left nothing. */
     InheritedSnapshot predecessorSnapshot() throws IOException {
         InheritedSnapshot latest = null;
-        for (PredecessorJournal legacy : predecessors) {
-            String knowledge = legacy.process.readSnapshot();
-            if (knowledge != null) {
-                legacy.read();
-                latest = new InheritedSnapshot(knowledge, legacy.times(clock).shiftMillis());
+        for (PredecessorJournal predecessor : predecessors) {
+            String snapshot = predecessor.process.readSnapshot();
+            if (snapshot != null) {
+                predecessor.readNewRecords();
+                latest = new InheritedSnapshot(snapshot, predecessor.times(clock).shiftMillis());
             }
         }
         return latest;
@@ -206,8 +206,8 @@
 
     /** Tells the process that leaves that this one serves now. */
     void confirmTakeover() throws IOException {
-        for (PredecessorJournal legacy : predecessors) {
-            legacy.process.confirmTakeover();
+        for (PredecessorJournal predecessor : predecessors) {
+            predecessor.process.confirmTakeover();
         }
     }
 
@@ -219,10 +219,10 @@
     /** Waits that leaving processes have heard since the last call: until when (Unix time, ms), by host. */
     Map<String, Long> waits() {
         Map<String, Long> waits = new HashMap<>();
-        for (PredecessorJournal legacy : predecessors) {
-            RecordedTimes times = legacy.times(clock);
-            legacy.waits.forEach((host, until) -> waits.put(host, times.waitUntil(until)));
-            legacy.waits.clear();
+        for (PredecessorJournal predecessor : predecessors) {
+            RecordedTimes times = predecessor.times(clock);
+            predecessor.waits.forEach((host, until) -> waits.put(host, times.waitUntil(until)));
+            predecessor.waits.clear();
         }
         return waits;
     }
@@ -230,8 +230,8 @@
     /** Messages that processes which leave still have out, by destination. */
     Map<Long, Integer> inFlightElsewhere() {
         Map<Long, Integer> out = new HashMap<>();
-        for (PredecessorJournal legacy : predecessors) {
-            legacy.entries.values().stream().filter(e -> !legacy.passedOn.contains(e.number))
+        for (PredecessorJournal predecessor : predecessors) {
+            predecessor.entries.values().stream().filter(e -> !predecessor.passedOn.contains(e.number))
                 .forEach(e -> out.merge(e.message.destination(), 1, Integer::sum));
         }
         return out;
@@ -241,66 +241,66 @@
      * Takes over what has been passed on, and all that is open in the file of a process that has ended; that
      * file is then deleted. Each message that is newly owed is told once.
      */
-    void adopt(Consumer<Entry> whenOwed) throws IOException {
-        for (PredecessorJournal legacy : predecessors) {
+    void adopt(Consumer<Entry> onAdopted) throws IOException {
+        for (PredecessorJournal predecessor : predecessors) {
             // In this order: after the end nothing more is written, so what is read then is all there is.
-            legacy.ended = legacy.process.hasEnded();
-            legacy.read();
+            predecessor.processEnded = predecessor.process.hasEnded();
+            predecessor.readNewRecords();
         }
         predecessors.forEach(this::inheritHealth);
-        Set<Long> absorbed = new HashSet<>();
-        for (PredecessorJournal legacy : predecessors) {
-            adopted.addAll(legacy.adopted);
-            absorbed.addAll(legacy.emptied);
-        }
-        for (PredecessorJournal legacy : List.copyOf(predecessors)) {
-            for (Entry entry : List.copyOf(legacy.entries.values())) {
-                if (legacy.ended || legacy.passedOn.contains(entry.number)) {
-                    Origin origin = new Origin(legacy.number(), entry.number);
-                    if (!absorbed.contains(legacy.number()) && !adopted.contains(origin)) {
-                        Entry owed = adopt(entry, origin, legacy.times(clock));
+        Set<Long> emptied = new HashSet<>();
+        for (PredecessorJournal predecessor : predecessors) {
+            adopted.addAll(predecessor.adopted);
+            emptied.addAll(predecessor.emptied);
+        }
+        for (PredecessorJournal predecessor : List.copyOf(predecessors)) {
+            for (Entry entry : List.copyOf(predecessor.entries.values())) {
+                if (predecessor.processEnded || predecessor.passedOn.contains(entry.number)) {
+                    Origin origin = new Origin(predecessor.number(), entry.number);
+                    if (!emptied.contains(predecessor.number()) && !adopted.contains(origin)) {
+                        Entry owed = adopt(entry, origin, predecessor.times(clock));
                         adopted.add(origin);
-                        whenOwed.accept(owed);
+                        onAdopted.accept(owed);
                     }
-                    legacy.entries.remove(entry.number);
+                    predecessor.entries.remove(entry.number);
                 }
             }
-            if (legacy.ended) {
-                removePredecessor(legacy);
+            if (predecessor.processEnded) {
+                removePredecessor(predecessor);
             }
         }
-        adopted.removeIf(origin -> predecessors.stream().noneMatch(legacy -> legacy.number() == origin.process));
+        adopted.removeIf(origin -> predecessors.stream().noneMatch(predecessor -> predecessor.number() == origin.process));
     }
 
     /** What it tells of endpoints is kept here too, before its file goes. */
-    private void inheritHealth(PredecessorJournal legacy) {
-        RecordedTimes times = legacy.times(clock);
-        for (EndpointHealth told : legacy.endpointHealth.values()) {
-            EndpointHealth now = new EndpointHealth(told.host, told.health, times.outageTime(told.sinceMillis),
-                told.callsPerSecond);
-            inheritedHealth.put(now.host, now);
-            if (!endpointHealth.containsKey(now.host)) {
-                keepHealth(now);
+    private void inheritHealth(PredecessorJournal predecessor) {
+        RecordedTimes times = predecessor.times(clock);
+        for (EndpointHealth health : predecessor.endpointHealth.values()) {
+            EndpointHealth inherited = new EndpointHealth(health.host, health.health, times.outageTime(health.sinceMillis),
+                health.callsPerSecond);
+            inheritedHealth.put(inherited.host, inherited);
+            if (!endpointHealth.containsKey(inherited.host)) {
+                keepHealth(inherited);
             }
         }
-        legacy.endpointHealth.clear();
+        predecessor.endpointHealth.clear();
     }
 
     /** Endpoints that earlier processes knew to be out or returning, as told since the last call. */
     List<EndpointHealth> takeInheritedHealth() {
-        List<EndpointHealth> told = List.copyOf(inheritedHealth.values());
+        List<EndpointHealth> health = List.copyOf(inheritedHealth.values());
         inheritedHealth.clear();
-        return told;
+        return health;
     }
 
     /**
      * Writes down the health of an endpoint, for the next process. One that is well is forgotten; beyond the
      * room for it no more endpoints are written down.
      */
-    void endpointHealth(EndpointHealth told) throws IOException {
-        boolean known = endpointHealth.containsKey(told.host);
-        if (keepHealth(told) || known) {
-            append(healthRecord(told));
+    void endpointHealth(EndpointHealth health) throws IOException {
+        boolean known = endpointHealth.containsKey(health.host);
+        if (keepHealth(health) || known) {
+            append(healthRecord(health));
         }
     }
 
@@ -310,31 +310,31 @@
     }
 
     /** False where it needs no record, or there is no room for it. */
-    private boolean keepHealth(EndpointHealth told) {
-        EndpointHealth before = endpointHealth.remove(told.host);
+    private boolean keepHealth(EndpointHealth health) {
+        EndpointHealth before = endpointHealth.remove(health.host);
         healthBytes -= before == null ? 0 : healthRecord(before).length;
-        int length = healthRecord(told).length;
-        if (told.health == Relay.Health.GOOD || healthBytes + length > capacityBytes * HEALTH_SHARE) {
+        int length = healthRecord(health).length;
+        if (health.health == Relay.Health.GOOD || healthBytes + length > capacityBytes * HEALTH_SHARE) {
             return false;
         }
-        endpointHealth.put(told.host, told);
+        endpointHealth.put(health.host, health);
         healthBytes += length;
         return true;
     }
 
     /** Nothing in it is open any more; what it had taken over from files that still exist is kept. */
-    private void removePredecessor(PredecessorJournal legacy) throws IOException {
+    private void removePredecessor(PredecessorJournal predecessor) throws IOException {
         ByteArrayOutputStream records = new ByteArrayOutputStream();
-        for (EndpointHealth told : endpointHealth.values()) {
-            records.writeBytes(healthRecord(told));
+        for (EndpointHealth health : endpointHealth.values()) {
+            records.writeBytes(healthRecord(health));
         }
-        for (Origin origin : legacy.adopted) {
+        for (Origin origin : predecessor.adopted) {
             records.writeBytes(adoptedRecord(origin));
         }
-        records.writeBytes(record(PREDECESSOR_EMPTIED, legacy.number(), o -> { }));
+        records.writeBytes(record(PREDECESSOR_EMPTIED, predecessor.number(), o -> { }));
         writeAtEnd(records.toByteArray());
-        legacy.process.delete();
-        predecessors.remove(legacy);
+        predecessor.process.delete();
+        predecessors.remove(predecessor);
     }
 
     /** In one write: a message that is taken over without its attempts could run twice. */
@@ -369,8 +369,8 @@
     }
 
     /** Leaves what this process knows to the later one, which serves once {@link #isTakenOver}. */
-    void publishSnapshot(String knowledge) throws IOException {
-        lease.publishSnapshot(knowledge);
+    void publishSnapshot(String snapshot) throws IOException {
+        lease.publishSnapshot(snapshot);
     }
 
     boolean isTakenOver() {
@@ -402,10 +402,10 @@
     }
 
     /** Writes a message down; null if there is no room for it until its end. */
-    Entry accept(Message message, Relay.MessageClass rules) throws IOException {
-        Entry entry = new Entry(lastNumber + 1, message, rules);
+    Entry accept(Message message, Relay.MessageClass messageClass) throws IOException {
+        Entry entry = new Entry(lastNumber + 1, message, messageClass);
         byte[] record = acceptedRecord(entry);
-        entry.reservedBytes = bytesToReserve(record.length, rules);
+        entry.reservedBytes = bytesToReserve(record.length, messageClass);
         if (reservedBytes + entry.reservedBytes > availableBytes() * OPEN_MESSAGES_SHARE) {
             return null;
         }
@@ -471,14 +471,14 @@
         lease.close();
     }
 
-    private static long bytesToReserve(int taken, Relay.MessageClass rules) {
-        int tries = rules == null ? DEFAULT_MAX_ATTEMPTS : rules.tries();
+    private static long bytesToReserve(int taken, Relay.MessageClass messageClass) {
+        int tries = messageClass == null ? DEFAULT_MAX_ATTEMPTS : messageClass.tries();
         return taken + (long) tries * ATTEMPT_BYTES + END_BYTES;
     }
 
     /** Bytes for this file, beside those of earlier processes that still exist. */
     private long availableBytes() {
-        return capacityBytes - predecessors.stream().mapToLong(legacy -> legacy.readBytes).sum();
+        return capacityBytes - predecessors.stream().mapToLong(predecessor -> predecessor.readBytes).sum();
     }
 
     private void removeEntry(long number) {
@@ -515,8 +515,8 @@
         } catch (IOException e) {
             try {
                 channel.truncate(before);
-            } catch (IOException second) {
-                e.addSuppressed(second);
+            } catch (IOException truncateFailure) {
+                e.addSuppressed(truncateFailure);
             }
             throw e;
         }
@@ -538,8 +538,8 @@
             int attempt = i;
             to.accept(recordSent(entry, entry.attempts.get(i)));
             if (!entry.attempts.get(i).mayHaveRun) {
-                byte sort = entry.attempts.get(i).notMade ? NOT_MADE : NOT_RUN;
-                to.accept(record(sort, entry.number, o -> o.writeShort(attempt)));
+                byte type = entry.attempts.get(i).notMade ? NOT_MADE : NOT_RUN;
+                to.accept(record(type, entry.number, o -> o.writeShort(attempt)));
             }
         }
         if (entry.end != null) {
@@ -555,8 +555,8 @@
             StandardOpenOption.WRITE);
         try {
             write(next, clockRecord(clock.reading()));
-            for (EndpointHealth told : endpointHealth.values()) {
-                write(next, healthRecord(told));
+            for (EndpointHealth health : endpointHealth.values()) {
+                write(next, healthRecord(health));
             }
             for (Origin origin : adopted) {
                 write(next, adoptedRecord(origin));
@@ -611,12 +611,12 @@
         /** Unix time, ms, by its own clock: the latest of which the file tells. */
         private long latestMillis;
         private RecordedTimes times;
-        boolean ended;
+        boolean processEnded;
         long readBytes;
         private long mismatchedBytes;
 
-        PredecessorJournal(ProcessLease.OtherProcess earlier) {
-            this.process = earlier;
+        PredecessorJournal(ProcessLease.OtherProcess process) {
+            this.process = process;
         }
 
         long number() {
@@ -627,11 +627,11 @@
          * How its times compare with this process's clock, by what has been read so far; settled once its
          * clocks are known, for they are the first record of a file.
          */
-        RecordedTimes times(ProcessClock now) {
+        RecordedTimes times(ProcessClock inherited) {
             if (times != null) {
                 return times;
             }
-            RecordedTimes known = RecordedTimes.of(now, clockReading, latestMillis);
+            RecordedTimes known = RecordedTimes.of(inherited, clockReading, latestMillis);
             times = clockReading == null ? null : known;
             return known;
         }
@@ -644,35 +644,35 @@
          * Reads on. What does not check is still being written, or, once the process has ended, is passed
          * over. An unfinished record at the end was never acted on; any other gap may have held anything.
          */
-        void read() throws IOException {
+        void readNewRecords() throws IOException {
             ByteBuffer in = ByteBuffer.wrap(process.readJournalFrom(readBytes));
-            int unread = 0;
+            int skippedBytes = 0;
             boolean unfinished = false;
             while (in.hasRemaining()) {
                 byte[] content = nextContent(in);
-                if (content == null && !ended) {
+                if (content == null && !processEnded) {
                     return;
                 }
                 if (content == null) {
-                    boolean givenUp = mismatchedBytes > MAX_MISMATCHED_BYTES;
-                    unfinished = !givenUp && (unread == 0 ? isUnfinished(in) : unfinished);
-                    int passed = givenUp ? in.remaining() : 1;
-                    in.position(in.position() + passed);
-                    unread += passed;
-                    readBytes += passed;
+                    boolean limitExceeded = mismatchedBytes > MAX_MISMATCHED_BYTES;
+                    unfinished = !limitExceeded && (skippedBytes == 0 ? isUnfinished(in) : unfinished);
+                    int skip = limitExceeded ? in.remaining() : 1;
+                    in.position(in.position() + skip);
+                    skippedBytes += skip;
+                    readBytes += skip;
                     continue;
                 }
-                if (unread > 0) {
-                    markGap(unread);
-                    unread = 0;
+                if (skippedBytes > 0) {
+                    markGap(skippedBytes);
+                    skippedBytes = 0;
                 }
                 readBytes += content.length + HEADER_BYTES;
                 replay(content);
             }
-            if (unread > 0 && !unfinished) {
-                markGap(unread);
-            } else if (unread > 0) {
-                LOG.warn("journal cut at an unfinished record, {} bytes dropped", unread);
+            if (skippedBytes > 0 && !unfinished) {
+                markGap(skippedBytes);
+            } else if (skippedBytes > 0) {
+                LOG.warn("journal cut at an unfinished record, {} bytes dropped", skippedBytes);
             }
         }
 
@@ -724,18 +724,18 @@
         }
 
         private void replay(DataInputStream in) throws IOException {
-            byte sort = in.readByte();
+            byte type = in.readByte();
             long number = in.readLong();
             Entry entry = entries.get(number);
-            switch (sort) {
+            switch (type) {
                 case CLOCK -> {
                     clockReading = new ProcessClock.Reading(in.readUTF(), in.readLong(), in.readLong());
                     noteTime(clockReading.millis());
                 }
-                case ACCEPTED_WITHOUT_CLASS -> entries.put(number, new Entry(number, message(in), null));
+                case ACCEPTED_WITHOUT_CLASS -> entries.put(number, new Entry(number, readMessage(in), null));
                 case ACCEPTED -> {
-                    Relay.MessageClass rules = messageClass(in);
-                    entries.put(number, new Entry(number, message(in), rules));
+                    Relay.MessageClass messageClass = messageClass(in);
+                    entries.put(number, new Entry(number, readMessage(in), messageClass));
                 }
                 case ADOPTED -> adopted.add(new Origin(in.readLong(), number));
                 case PREDECESSOR_EMPTIED -> emptied.add(number);
@@ -745,26 +745,26 @@
                     waits.put(in.readUTF(), until);
                 }
                 case CLOSED -> entries.remove(number);
-                case HEALTH -> {
-                    EndpointHealth told = endpointHealth(in);
-                    noteTime(told.sinceMillis);
-                    if (told.health == Relay.Health.GOOD) {
-                        endpointHealth.remove(told.host);
+                case ENDPOINT_HEALTH -> {
+                    EndpointHealth health = endpointHealth(in);
+                    noteTime(health.sinceMillis);
+                    if (health.health == Relay.Health.GOOD) {
+                        endpointHealth.remove(health.host);
                     } else {
-                        endpointHealth.put(told.host, told);
+                        endpointHealth.put(health.host, health);
                     }
                 }
                 default -> {
                     if (entry != null) {
-                        replayForEntry(entry, sort, in);
+                        replayForEntry(entry, type, in);
                         entry.attempts.forEach(attempt -> noteTime(attempt.sentMillis));
                     }
                 }
             }
         }
 
-        private static void replayForEntry(Entry entry, byte sort, DataInputStream in) throws IOException {
-            switch (sort) {
+        private static void replayForEntry(Entry entry, byte type, DataInputStream in) throws IOException {
+            switch (type) {
                 case SENT -> entry.attempts.add(new Attempt(in.readLong(), in.readInt()));
                 case NOT_RUN -> {
                     if (!entry.incomplete) {
@@ -779,7 +779,7 @@
                     }
                 }
                 case ENDED -> entry.end = new End(in.readBoolean(), in.readLong());
-                default -> throw new IOException("journal holds a record of unknown sort " + sort);
+                default -> throw new IOException("journal holds a record of unknown sort " + type);
             }
         }
     }
@@ -789,10 +789,10 @@
         void write(DataOutputStream out) throws IOException;
     }
 
-    private static byte[] record(byte sort, long number, ContentWriter body) throws IOException {
+    private static byte[] record(byte type, long number, ContentWriter body) throws IOException {
         ByteArrayOutputStream content = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(content);
-        out.writeByte(sort);
+        out.writeByte(type);
         out.writeLong(number);
         body.write(out);
         byte[] bytes = content.toByteArray();
@@ -801,13 +801,13 @@
             .array();
     }
 
-    private static byte[] healthRecord(EndpointHealth told) {
+    private static byte[] healthRecord(EndpointHealth health) {
         try {
-            return record(HEALTH, 0, o -> {
-                o.writeUTF(told.host);
-                o.writeByte(told.health.ordinal());
-                o.writeLong(told.sinceMillis);
-                o.writeDouble(told.callsPerSecond);
+            return record(ENDPOINT_HEALTH, 0, o -> {
+                o.writeUTF(health.host);
+                o.writeByte(health.health.ordinal());
+                o.writeLong(health.sinceMillis);
+                o.writeDouble(health.callsPerSecond);
             });
         } catch (IOException e) {
             throw new IllegalStateException("an array of bytes cannot fail to be written", e);
@@ -832,34 +832,34 @@
     }
 
     private static byte[] acceptedRecord(Entry entry) throws IOException {
-        Message m = entry.message;
+        Message message = entry.message;
         return record(entry.messageClass == null ? ACCEPTED_WITHOUT_CLASS : ACCEPTED, entry.number, o -> {
             if (entry.messageClass != null) {
                 messageClass(o, entry.messageClass);
             }
-            o.writeUTF(m.id());
-            o.writeUTF(m.messageClass());
-            o.writeInt(m.tenant());
-            optionalText(o, m.routeKey());
-            optionalText(o, m.idempotencyKey());
-            o.writeLong(m.destination());
-            o.writeLong(m.deadline());
-            o.writeInt(m.body().length);
-            o.write(m.body());
+            o.writeUTF(message.id());
+            o.writeUTF(message.messageClass());
+            o.writeInt(message.tenant());
+            optionalText(o, message.routeKey());
+            optionalText(o, message.idempotencyKey());
+            o.writeLong(message.destination());
+            o.writeLong(message.deadline());
+            o.writeInt(message.body().length);
+            o.write(message.body());
         });
     }
 
-    private static void messageClass(DataOutputStream out, Relay.MessageClass c) throws IOException {
-        out.writeUTF(c.name());
-        out.writeLong(c.aim());
-        out.writeLong(c.life());
-        out.writeDouble(c.worth());
-        out.writeDouble(c.lateWorth());
-        out.writeByte(c.effect().ordinal());
-        out.writeBoolean(c.zoneGroup());
-        out.writeLong(c.window());
-        out.writeBoolean(c.inOrder());
-        out.writeShort(c.tries());
+    private static void messageClass(DataOutputStream out, Relay.MessageClass messageClass) throws IOException {
+        out.writeUTF(messageClass.name());
+        out.writeLong(messageClass.aim());
+        out.writeLong(messageClass.life());
+        out.writeDouble(messageClass.worth());
+        out.writeDouble(messageClass.lateWorth());
+        out.writeByte(messageClass.effect().ordinal());
+        out.writeBoolean(messageClass.zoneGroup());
+        out.writeLong(messageClass.window());
+        out.writeBoolean(messageClass.inOrder());
+        out.writeShort(messageClass.tries());
     }
 
     private static Relay.MessageClass messageClass(DataInputStream in) throws IOException {
@@ -868,7 +868,7 @@
             in.readBoolean(), in.readShort());
     }
 
-    private static Message message(DataInputStream in) throws IOException {
+    private static Message readMessage(DataInputStream in) throws IOException {
         return new Message(in.readUTF(), in.readUTF(), in.readInt(), optionalText(in), optionalText(in),
             in.readLong(),
             in.readLong(), in.readNBytes(in.readInt()));
--- a/src/main/java/wrenkeel/net/ProcessLease.java
+++ b/src/main/java/wrenkeel/net/ProcessLease.java
@@ -64,9 +64,9 @@
                 FileChannel lock = createLocked(folder.resolve(LOCK_FILE + "." + next), files);
                 ProcessLease lease = new ProcessLease(folder, files, next, lock);
                 before.stream().distinct().sorted().map(n -> new OtherProcess(folder, files, n))
-                    .filter(OtherProcess::isRelay).forEach(lease.predecessors::add);
+                    .filter(OtherProcess::hasUsableFiles).forEach(lease.predecessors::add);
                 OtherProcess unnumbered = new OtherProcess(folder, files, 0);
-                if (Files.exists(folder.resolve(JOURNAL_FILE)) && unnumbered.isRelay()) {
+                if (Files.exists(folder.resolve(JOURNAL_FILE)) && unnumbered.hasUsableFiles()) {
                     // Earlier releases had a single journal without a number.
                     lease.predecessors.add(0, unnumbered);
                 }
@@ -185,7 +185,7 @@
         }
 
         /** Whether no folder stands in the place of one of the process's files. */
-        private boolean isRelay() {
+        private boolean hasUsableFiles() {
             return !Files.isDirectory(file(LOCK_FILE)) && !Files.isDirectory(file(JOURNAL_FILE));
         }
 
