--- a/src/main/java/wrenkeel/Main.java
+++ b/src/main/java/wrenkeel/Main.java
@@ -8,8 +8,8 @@
 
 /**
  * Command-line entry point: {@code serve} runs a relay, {@code simhost} connects the decision module to the
- * simulator over standard input and output, {@code scale} runs the scale experiments, {@code soak} runs relays
- * under injected faults.
+ * simulator over standard input and output, {@code scale} runs the scale experiments, {@code soak} runs
+ * relays under injected faults.
  */
 public final class Main {
     private Main() { }
--- a/src/main/java/wrenkeel/Wire.java
+++ b/src/main/java/wrenkeel/Wire.java
@@ -34,8 +34,8 @@
 
     /**
      * A decoded JSON object with typed access to its fields. An accessor without a default value throws
-     * {@link MalformedException} if the field is missing or null; every accessor does if the value has another
-     * type. Times are milliseconds on the wire and microseconds when returned.
+     * {@link MalformedException} if the field is missing or null; every accessor does if the value has
+     * another type. Times are milliseconds on the wire and microseconds when returned.
      */
     public record Fields(Map<String, Object> values) {
         private Object require(String name) throws MalformedException {
@@ -290,7 +290,8 @@
             (int) s.longValue("zone", 0),
             info.text("late", "linear").equals("halving"), s.doubleValue("over-share-worth", 1),
             weights(s.text("weights", "none")), classes, tenants, kinds,
-            new Relay.Allowed((int) info.longValue("call-slots", 1), (int) allowed.longValue("open-cap", 1000),
+            new Relay.Allowed((int) info.longValue("call-slots", 1),
+                (int) allowed.longValue("open-cap", 1000),
                 allowed.booleanValue("second-copies"), allowed.booleanValue("cancel"),
                 (int) allowed.longValue("max-streams", 1),
                 allowed.micros("connect-timeout", 0), allowed.micros("keepalive", 0),
--- a/src/main/java/wrenkeel/net/Config.java
+++ b/src/main/java/wrenkeel/net/Config.java
@@ -91,9 +91,9 @@
      *
      * <p>The discovery address is taken from the file, because the environment still has the values of the
      * start. The listen and console addresses, the state folder and the seed stay as they are. The file must
-     * have every key that the one in force has. It must not change the kinds or the order of the zones, because
-     * the module knows endpoints by their numbers. It may name further zones; hosts in those keep the numbers
-     * that zones without a name get.
+     * have every key that the one in force has. It must not change the kinds or the order of the zones,
+     * because the module knows endpoints by their numbers. It may name further zones; hosts in those keep the
+     * numbers that zones without a name get.
      */
     Config reload(Map<String, String> env) throws InvalidConfigException {
         Map<String, String> folders = new HashMap<>(env);
@@ -172,22 +172,23 @@
     }
 
     /**
-     * Checks the settings and shortens each class's window, the time in which a host drops a repeated message.
-     * A call may be sent as late as its connection is established, so the module gets a window that is shorter
-     * by the connect timeout and a margin. A repeat that it allows then still arrives inside the real window.
+     * Checks the settings and shortens each class's window, the time in which a host drops a repeated
+     * message. A call may be sent as late as its connection is established, so the module gets a window that
+     * is shorter by the connect timeout and a margin. A repeat that it allows then still arrives inside the
+     * real window.
      */
     private static Relay.Settings validated(Relay.Settings s) throws InvalidConfigException {
         if (s.classes().isEmpty() || s.kinds().isEmpty() || s.relays() < 1 || s.allowed().slots() < 1
             || s.allowed().connectTimeout() <= 0 || s.allowed().keepAlive() <= 0) {
             throw new InvalidConfigException(
-                "settings must have classes, kinds and positive numbers of relays, slots and connection times");
+                "settings must have classes, kinds, and positive relays, slots and connection times");
         }
         Set<String> names = new HashSet<>();
         for (Relay.MessageClass c : s.classes()) {
             if (c.name().isEmpty() || !names.add(c.name()) || c.aim() <= 0 || c.life() <= 0
                 || c.tries() < 1) {
-                throw new InvalidConfigException("class '" + c.name() + "' must have a unique name, and a positive"
-                    + " target time, deadline and number of attempts");
+                throw new InvalidConfigException("class '" + c.name() + "' must have a unique name, and a"
+                    + " positive target time, deadline and number of attempts");
             }
             if (c.effect() == Relay.Effect.KEYED && c.window() <= 0) {
                 throw new InvalidConfigException(
--- a/src/main/java/wrenkeel/net/DescriptorBudget.java
+++ b/src/main/java/wrenkeel/net/DescriptorBudget.java
@@ -1,9 +1,9 @@
 package wrenkeel.net;
 
 /**
- * How a relay divides its limit of file descriptors between connections from clients and connections to hosts.
- * However many clients connect and however many slots are configured, the descriptors that the rest of the
- * process needs stay free.
+ * How a relay divides its limit of file descriptors between connections from clients and connections to
+ * hosts. However many clients connect and however many slots are configured, the descriptors that the rest of
+ * the process needs stay free.
  */
 record DescriptorBudget(int clientConnections, int hostConnections) {
     /** Held by the process itself: the runtime's files, selectors, listeners and the journal. */
@@ -30,7 +30,8 @@
     static DescriptorBudget of(int limit, int slots) {
         int free = limit - RESERVED;
         int clients = Math.min(limit / CLIENT_SHARE_DIVISOR, free / 2);
-        // Every call must get a connection, because only idle connections are closed to stay within the share.
+        // Every call must get a connection, because only idle connections are closed to stay within the
+        // share.
         int wanted = Math.max(slots + slots / 4, limit / HOST_SHARE_DIVISOR);
         return new DescriptorBudget(clients, Math.min(wanted, free - clients));
     }
--- a/src/main/java/wrenkeel/net/EndReserve.java
+++ b/src/main/java/wrenkeel/net/EndReserve.java
@@ -1,8 +1,8 @@
 package wrenkeel.net;
 
 /**
- * How long before a message's deadline its end must be decided. The reserve lets the notice reach the platform
- * in time even if the process stalls just then and the notice must be posted more than once.
+ * How long before a message's deadline its end must be decided. The reserve lets the notice reach the
+ * platform in time even if the process stalls just then and the notice must be posted more than once.
  */
 final class EndReserve {
     /** The relay may stall for 150 ms before it decides, and again before it writes. */
--- a/src/main/java/wrenkeel/net/HandoverSnapshot.java
+++ b/src/main/java/wrenkeel/net/HandoverSnapshot.java
@@ -64,8 +64,9 @@
     }
 
     /**
-     * Reads a snapshot as events for the module. Text that is not valid JSON yields no events, and a malformed
-     * entry ends the reading; this process then learns the state of the other hosts as after a restart.
+     * Reads a snapshot as events for the module. Text that is not valid JSON yields no events, and a
+     * malformed entry ends the reading; this process then learns the state of the other hosts as after a
+     * restart.
      *
      * @param hostByName returns the host of a name, which the module must know before it gets these events;
      *     null if there is none
@@ -97,8 +98,8 @@
     }
 
     /**
-     * Reads the health of an endpoint. The previous release has no field for it: it wrote whether the endpoint
-     * was out, and when it returned.
+     * Reads the health of an endpoint. The previous release has no field for it: it wrote whether the
+     * endpoint was out, and when it returned.
      */
     private static Relay.Health health(Wire.Fields f) throws Wire.MalformedException {
         String name = f.text("health", null);
--- a/src/main/java/wrenkeel/net/Journal.java
+++ b/src/main/java/wrenkeel/net/Journal.java
@@ -26,51 +26,92 @@
 import wrenkeel.Relay;
 
 /**
- * What this relay owes, in one append-only file of the lasting folder, which this process alone writes. What
- * earlier processes left in theirs is adopted; each message is taken over once, whoever is killed meanwhile.
+ * Write-ahead journal of the messages that this relay has accepted and not yet closed, in an append-only file
+ * of the state folder. Each process writes a file of its own. A later process adopts the open messages from
+ * the files of earlier ones; each message is adopted once, even if processes are killed meanwhile.
  *
- * <p>A record is its length (4 bytes), the CRC-32 of its content (4 bytes) and the content: its sort, the
- * number of the message, and what the sort asks for. What does not check is passed over at the start. The
- * file is written anew when it has grown; old and new file together stay within the limit, for which each
- * message reserves room.
+ * <p>A record consists of the content's length (4 bytes), the CRC-32 of the content (4 bytes) and the
+ * content: the record's type (1 byte), the number of the message (8 bytes) and further fields that depend on
+ * the type. Records whose checksum does not match are skipped on reading. The file is rewritten with the open
+ * messages only when it has grown. Old and new file together stay within the limit, because each accepted
+ * message reserves the bytes that all its records may need.
+ *
+ * <p>Not thread-safe. A failed write throws {@link IOException}; the whole file is then rewritten before
+ * anything is appended, from what this object holds in memory.
  */
 final class Journal implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Journal.class);
+    /** A record's length and checksum. */
     private static final int HEADER_BYTES = 8;
-    /** Bytes of a content at most: a body of 64 KiB, and ids, keys and rules far shorter than that. */
+    /** A body of up to 64 KiB, and ids, keys and the message class, which are far shorter. */
     private static final int MAX_CONTENT_BYTES = 128 * 1024;
     /**
-     * Bytes that are checked in vain at most for one file. Any place in a damaged stretch may look like the
-     * head of a long record; the start must not stand still over that.
+     * Bytes of mismatched checksums after which the rest of a file is skipped. Any position in a damaged
+     * range may look like the header of a long record, and checking all of them would delay the start for too
+     * long.
      */
     private static final long MAX_MISMATCHED_BYTES = 64 << 20;
-    /** Bytes of a content's sort and number. */
+    /** The type and the number. */
     private static final int MIN_CONTENT_BYTES = 9;
-    /** Bytes kept clear of the limit, for what the file system rounds up. */
+    /** Bytes of the limit that stay unused, because the file system rounds sizes up. */
     private static final long LIMIT_MARGIN_BYTES = 32_768;
     /**
-     * Share of the room that live messages may reserve; the rest is for the old file and for growth between
-     * rewrites.
+     * Share of the capacity that open messages may reserve; the rest is for the old file during a rewrite,
+     * and for growth between rewrites.
      */
     private static final double OPEN_MESSAGES_SHARE = 0.4;
-    /** The zone of an attempt of which nothing is known: that of no host. */
+    /** Zone of an attempt whose record is lost; no host has it. */
     private static final int UNKNOWN_ZONE = -1;
-    /** Attempts for which a message without its class written down reserves room. */
+    /** Attempts for which a message reserves space if its class was not recorded. */
     private static final int DEFAULT_MAX_ATTEMPTS = 16;
-    /** Bytes of a send with its outcome, and of an end with its notice. */
-    private static final int ATTEMPT_BYTES = (HEADER_BYTES + 23) + (HEADER_BYTES + 11), END_BYTES = (HEADER_BYTES + 18) + (HEADER_BYTES + 9);
-    /** Sort 1: a message by a release that did not write down its class. */
-    private static final byte ACCEPTED_WITHOUT_CLASS = 1, SENT = 2, NOT_RUN = 3, ENDED = 4, CLOSED = 5,
-        ADOPTED = 6, PREDECESSOR_EMPTIED = 7, PASSED_ON = 8, WAIT = 9, ACCEPTED = 10, CLOCK = 11, NOT_MADE = 12, ENDPOINT_HEALTH = 13;
-    /** Share of the room that the health of endpoints may take. */
+    /** An attempt: the record of its send and the one of its outcome. */
+    private static final int ATTEMPT_BYTES = (HEADER_BYTES + 23) + (HEADER_BYTES + 11);
+    /** A message's end: its record and the one that closes the message. */
+    private static final int END_BYTES = (HEADER_BYTES + 18) + (HEADER_BYTES + 9);
+
+    // Types of records. The numbers are stored and must not change.
+    /** A message of a release that did not record the message's class. */
+    private static final byte ACCEPTED_WITHOUT_CLASS = 1;
+    /** An attempt is about to be sent. */
+    private static final byte SENT = 2;
+    /** An attempt had no effect at the host. */
+    private static final byte NOT_RUN = 3;
+    /** The end of a message was decided, and its notice is due. */
+    private static final byte ENDED = 4;
+    /** Nothing more is to be done for a message. */
+    private static final byte CLOSED = 5;
+    /** The message of this number was adopted from the given process; the number is that in its journal. */
+    private static final byte ADOPTED = 6;
+    /** The journal of the process of this number holds no open message any more. */
+    private static final byte PREDECESSOR_EMPTIED = 7;
+    /** A message belongs to the next process from now on. */
+    private static final byte PASSED_ON = 8;
+    /** A host asked the relay to wait. */
+    private static final byte WAIT = 9;
+    /** A message was accepted, with its class. */
+    private static final byte ACCEPTED = 10;
+    /** The clocks of the process that writes the file. */
+    private static final byte CLOCK = 11;
+    /** An attempt was never made, because this machine had no socket for it. */
+    private static final byte NOT_MADE = 12;
+    /** The health of an endpoint has changed. */
+    private static final byte ENDPOINT_HEALTH = 13;
+
+    /** Share of the capacity that the health of endpoints may take. */
     private static final double HEALTH_SHARE = 0.125;
 
-    /** One send of a message. {@code sentMillis}: Unix time, ms; {@code zone}: its host's. */
+    /** One attempt to send a message. */
     static final class Attempt {
+        /** Unix time when it was sent. */
         final long sentMillis;
+        /** The zone of the host it was sent to. */
         final int zone;
+        /** Whether the host may have processed the message. */
         boolean mayHaveRun = true;
-        /** This machine failed: it counts only among the numbers of this process's attempts. */
+        /**
+         * Whether the attempt was never made, because this machine failed. It keeps its number among the
+         * attempts of this process, but is not adopted by the next.
+         */
         private boolean notMade;
 
         Attempt(long sentMillis, int zone) {
@@ -85,28 +126,36 @@
         }
     }
 
-    /** The end that was decided for a message; its notice is owed until it is acknowledged. */
+    /**
+     * The end that was decided for a message. Its notice must be posted until the platform acknowledges it.
+     *
+     * @param refused whether the message was refused, so that sending it again is harmless; otherwise it
+     *     failed
+     * @param retryAfterMicros after which time to send a refused message again; 0 for no advice
+     */
     record End(boolean refused, long retryAfterMicros) { }
 
     /**
-     * Health of an endpoint, as this relay was told of it.
+     * Health of an endpoint as the decision module reported it.
      *
      * @param host name of the endpoint
-     * @param sinceMillis Unix time, ms, when its outage began or, if it is returning, ended
-     * @param callsPerSecond calls a second that this relay carried to it before the outage
+     * @param sinceMillis Unix time when its outage began or, if it is returning, ended
+     * @param callsPerSecond rate of this relay's calls to it before the outage
      */
     record EndpointHealth(String host, Relay.Health health, long sinceMillis, double callsPerSecond) { }
 
-    /** A message that something is owed for. */
+    /** An open message: accepted, and not yet closed or passed on. */
     static final class Entry {
         final long number;
         final Message message;
-        /** Under which it was taken; null where only its name was written down. */
+        /** The message's class when it was accepted; null if only the name of the class was recorded. */
         final Relay.MessageClass messageClass;
+        /** The attempts so far, by their numbers. */
         final List<Attempt> attempts = new ArrayList<>();
+        /** Null until the end is decided. */
         End end;
         private long reservedBytes;
-        /** Some of its records are missing: the numbers of its attempts are not known. */
+        /** Whether records may be missing, so that the numbers of its attempts are unknown. */
         private boolean incomplete;
 
         private Entry(long number, Message message, Relay.MessageClass messageClass) {
@@ -115,7 +164,10 @@
             this.messageClass = messageClass;
         }
 
-        /** It may have been sent at any time since it was taken on, wherever. */
+        /**
+         * Adds an attempt for the records that may be missing: sent as early as the message can have been
+         * accepted, to an unknown zone.
+         */
         private void markIncomplete() {
             if (!incomplete) {
                 incomplete = true;
@@ -129,39 +181,53 @@
     private final FileOperations files;
     private final ProcessLease lease;
     private final Path file;
+    /** Where a rewrite is prepared before it replaces {@link #file}. */
     private final Path newFile;
+    /** Bytes that the journals of all processes may use. */
     private final long capacityBytes;
-    /** Files of earlier processes, the oldest first, until nothing in them is open. */
+    /** The journals of earlier processes, the oldest first, until they hold no open message. */
     private final List<PredecessorJournal> predecessors = new ArrayList<>();
-    /** What was taken over from files that still exist. */
+    /** The messages adopted from files that still exist. */
     private final Set<Origin> adopted = new LinkedHashSet<>();
+    /** The open messages by their numbers, in the order in which they were accepted. */
     private final Map<Long, Entry> entries = new LinkedHashMap<>();
-    /** Of endpoints that are out or returning, by their names. */
+    /** Recorded health of endpoints that are out or returning, by their names. */
     private final Map<String, EndpointHealth> endpointHealth = new LinkedHashMap<>();
-    /** What files of earlier processes tell of endpoints, and nobody has asked for yet. */
+    /** Health from journals of earlier processes that {@link #takeInheritedHealth} has not returned yet. */
     private final Map<String, EndpointHealth> inheritedHealth = new LinkedHashMap<>();
+    /** Total size of the health records. */
     private long healthBytes;
     private FileChannel channel;
-    /** A write has failed: the file is written anew before the next. */
+    /** A write has failed, so the file must be rewritten before the next. */
     private boolean rewriteNeeded;
+    /** Size of the file. */
     private long fileBytes;
+    /** Bytes reserved by the open messages. */
     private long reservedBytes;
+    /** The number given to a message last. */
     private long lastNumber;
+    /** Set once messages are passed on; the file is not rewritten then, because the next process reads it. */
     private boolean handingOver;
 
-    /** Begins this process's file; nothing is owed before {@link #adopt}. */
-    Journal(Path folder, long limit) throws IOException {
-        this(folder, limit, ProcessClock.system(), FileOperations.SYSTEM);
+    /** Creates a journal that uses the real clock and file system. */
+    Journal(Path folder, long limitBytes) throws IOException {
+        this(folder, limitBytes, ProcessClock.system(), FileOperations.SYSTEM);
     }
 
-    /** {@code clock}: that of the times in messages and attempts. */
-    Journal(Path folder, long limit, ProcessClock clock, FileOperations files) throws IOException {
+    /**
+     * Creates the journal of this process. It holds no messages of earlier processes before {@link #adopt}.
+     *
+     * @param limitBytes bytes that the journals in the folder may use
+     * @param clock clock of the times in messages and attempts
+     * @throws UnusableStateFolderException if the journal cannot be created and retrying will not help
+     */
+    Journal(Path folder, long limitBytes, ProcessClock clock, FileOperations files) throws IOException {
         this.clock = clock;
         this.files = files;
         this.lease = ProcessLease.acquire(folder, files);
         this.file = lease.file("journal");
         this.newFile = lease.file("journal.new");
-        this.capacityBytes = limit - LIMIT_MARGIN_BYTES;
+        this.capacityBytes = limitBytes - LIMIT_MARGIN_BYTES;
         for (ProcessLease.OtherProcess process : lease.predecessors()) {
             predecessors.add(new PredecessorJournal(process));
         }
@@ -169,12 +235,13 @@
             rewrite();
         } catch (IOException e) {
             lease.abandon();
-            // What stands in a file's place does not go away by itself; all else may.
-            throw Files.isDirectory(newFile) || Files.isDirectory(file) ? new UnusableStateFolderException(e) : e;
+            // A folder in the place of a file stays there; any other failure may pass.
+            throw Files.isDirectory(newFile) || Files.isDirectory(file)
+                ? new UnusableStateFolderException(e) : e;
         }
     }
 
-    /** True while an earlier process serves: whatever stands in its file is its own. */
+    /** Whether an earlier process is alive and has not handed over; its messages must not be adopted then. */
     boolean isPredecessorServing() throws IOException {
         for (PredecessorJournal predecessor : predecessors) {
             if (!predecessor.process.hasEnded() && predecessor.process.readSnapshot() == null) {
@@ -185,13 +252,14 @@
     }
 
     /**
-     * What a process that leaves knew.
+     * The handover snapshot of an earlier process.
      *
-     * @param shiftMillis to be added to its times in Unix time, ms, to have them on this process's clock
+     * @param text as {@link HandoverSnapshot} writes it
+     * @param shiftMillis what must be added to its times in Unix time to have them on this process's clock
      */
     record InheritedSnapshot(String text, long shiftMillis) { }
 
-    /** What the process that leaves knew; null if it left nothing. */
+    /** Returns the handover snapshot of the latest earlier process that left one; null if none did. */
     InheritedSnapshot predecessorSnapshot() throws IOException {
         InheritedSnapshot latest = null;
         for (PredecessorJournal predecessor : predecessors) {
@@ -204,19 +272,22 @@
         return latest;
     }
 
-    /** Tells the process that leaves that this one serves now. */
+    /** Signals to the earlier processes that this one serves now. */
     void confirmTakeover() throws IOException {
         for (PredecessorJournal predecessor : predecessors) {
             predecessor.process.confirmTakeover();
         }
     }
 
-    /** True while an earlier process still has a file that may hold something for this one. */
+    /** Whether the journal of an earlier process may still hold messages for this one. */
     boolean hasPredecessors() {
         return !predecessors.isEmpty();
     }
 
-    /** Waits that leaving processes have heard since the last call: until when (Unix time, ms), by host. */
+    /**
+     * Returns and forgets the waits that hosts asked earlier processes for, as read since the last call:
+     * until when nothing may be sent (Unix time, ms), by host.
+     */
     Map<String, Long> waits() {
         Map<String, Long> waits = new HashMap<>();
         for (PredecessorJournal predecessor : predecessors) {
@@ -227,23 +298,26 @@
         return waits;
     }
 
-    /** Messages that processes which leave still have out, by destination. */
+    /** Returns the number of messages that earlier processes still have in flight, by destination. */
     Map<Long, Integer> inFlightElsewhere() {
-        Map<Long, Integer> out = new HashMap<>();
+        Map<Long, Integer> inFlight = new HashMap<>();
         for (PredecessorJournal predecessor : predecessors) {
             predecessor.entries.values().stream().filter(e -> !predecessor.passedOn.contains(e.number))
-                .forEach(e -> out.merge(e.message.destination(), 1, Integer::sum));
+                .forEach(e -> inFlight.merge(e.message.destination(), 1, Integer::sum));
         }
-        return out;
+        return inFlight;
     }
 
     /**
-     * Takes over what has been passed on, and all that is open in the file of a process that has ended; that
-     * file is then deleted. Each message that is newly owed is told once.
+     * Adopts the messages that earlier processes have passed on, and all open messages of processes that have
+     * ended, whose files are then deleted.
+     *
+     * @param onAdopted receives each adopted message once
      */
     void adopt(Consumer<Entry> onAdopted) throws IOException {
         for (PredecessorJournal predecessor : predecessors) {
-            // In this order: after the end nothing more is written, so what is read then is all there is.
+            // In this order: a process that has ended writes nothing more, so the file is then read
+            // completely.
             predecessor.processEnded = predecessor.process.hasEnded();
             predecessor.readNewRecords();
         }
@@ -258,9 +332,9 @@
                 if (predecessor.processEnded || predecessor.passedOn.contains(entry.number)) {
                     Origin origin = new Origin(predecessor.number(), entry.number);
                     if (!emptied.contains(predecessor.number()) && !adopted.contains(origin)) {
-                        Entry owed = adopt(entry, origin, predecessor.times(clock));
+                        Entry copy = adopt(entry, origin, predecessor.times(clock));
                         adopted.add(origin);
-                        onAdopted.accept(owed);
+                        onAdopted.accept(copy);
                     }
                     predecessor.entries.remove(entry.number);
                 }
@@ -269,15 +343,16 @@
                 removePredecessor(predecessor);
             }
         }
-        adopted.removeIf(origin -> predecessors.stream().noneMatch(predecessor -> predecessor.number() == origin.process));
+        adopted.removeIf(origin ->
+            predecessors.stream().noneMatch(predecessor -> predecessor.number() == origin.process));
     }
 
-    /** What it tells of endpoints is kept here too, before its file goes. */
+    /** Copies the health of endpoints from an earlier process, before its journal is deleted. */
     private void inheritHealth(PredecessorJournal predecessor) {
         RecordedTimes times = predecessor.times(clock);
         for (EndpointHealth health : predecessor.endpointHealth.values()) {
-            EndpointHealth inherited = new EndpointHealth(health.host, health.health, times.outageTime(health.sinceMillis),
-                health.callsPerSecond);
+            EndpointHealth inherited = new EndpointHealth(health.host, health.health,
+                times.outageTime(health.sinceMillis), health.callsPerSecond);
             inheritedHealth.put(inherited.host, inherited);
             if (!endpointHealth.containsKey(inherited.host)) {
                 keepHealth(inherited);
@@ -286,7 +361,10 @@
         predecessor.endpointHealth.clear();
     }
 
-    /** Endpoints that earlier processes knew to be out or returning, as told since the last call. */
+    /**
+     * Returns and forgets the endpoints that earlier processes knew to be out or returning, as read since the
+     * last call.
+     */
     List<EndpointHealth> takeInheritedHealth() {
         List<EndpointHealth> health = List.copyOf(inheritedHealth.values());
         inheritedHealth.clear();
@@ -294,8 +372,8 @@
     }
 
     /**
-     * Writes down the health of an endpoint, for the next process. One that is well is forgotten; beyond the
-     * room for it no more endpoints are written down.
+     * Records the health of an endpoint for the next process. The record of an endpoint with good health is
+     * dropped. Once the space for health records is used up, no further endpoints are recorded.
      */
     void endpointHealth(EndpointHealth health) throws IOException {
         boolean known = endpointHealth.containsKey(health.host);
@@ -304,12 +382,12 @@
         }
     }
 
-    /** How many endpoints' health is written down. */
+    /** Returns the number of endpoints whose health is recorded. */
     int endpointHealthCount() {
         return endpointHealth.size();
     }
 
-    /** False where it needs no record, or there is no room for it. */
+    /** Updates the health in memory; returns false if it needs no record or there is no space for one. */
     private boolean keepHealth(EndpointHealth health) {
         EndpointHealth before = endpointHealth.remove(health.host);
         healthBytes -= before == null ? 0 : healthRecord(before).length;
@@ -322,7 +400,10 @@
         return true;
     }
 
-    /** Nothing in it is open any more; what it had taken over from files that still exist is kept. */
+    /**
+     * Deletes the files of an earlier process, which hold no open message any more. Records first what that
+     * process had adopted from files that still exist, so that it is not adopted again.
+     */
     private void removePredecessor(PredecessorJournal predecessor) throws IOException {
         ByteArrayOutputStream records = new ByteArrayOutputStream();
         for (EndpointHealth health : endpointHealth.values()) {
@@ -337,53 +418,57 @@
         predecessors.remove(predecessor);
     }
 
-    /** In one write: a message that is taken over without its attempts could run twice. */
-    private Entry adopt(Entry from, Origin origin, RecordedTimes times) throws IOException {
-        long deadline = times.deadline(from.message.deadline(), from.messageClass);
-        Entry entry = new Entry(++lastNumber, from.message.withDeadline(deadline), from.messageClass);
-        from.attempts.stream().filter(attempt -> !attempt.notMade)
+    /**
+     * Copies a message into this journal. All its records go into one write, because a message that is
+     * adopted without its attempts could be processed twice.
+     */
+    private Entry adopt(Entry source, Origin origin, RecordedTimes times) throws IOException {
+        long deadline = times.deadline(source.message.deadline(), source.messageClass);
+        Entry entry = new Entry(++lastNumber, source.message.withDeadline(deadline), source.messageClass);
+        source.attempts.stream().filter(attempt -> !attempt.notMade)
             .forEach(attempt -> entry.attempts.add(attempt.withSendTime(times.sendTime(attempt.sentMillis))));
-        entry.end = from.end;
+        entry.end = source.end;
         ByteArrayOutputStream records = new ByteArrayOutputStream();
         records.writeBytes(adoptedRecord(origin));
         write(entry, records::writeBytes);
         writeAtEnd(records.toByteArray());
-        entry.reservedBytes = bytesToReserve(acceptedRecord(entry).length, from.messageClass);
+        entry.reservedBytes = bytesToReserve(acceptedRecord(entry).length, source.messageClass);
         reservedBytes += entry.reservedBytes;
         entries.put(entry.number, entry);
         return entry;
     }
 
-    /** True while a later process stands by to take over. */
+    /** Whether a later process is alive and can take over. */
     boolean hasStandby() throws IOException {
         return lease.hasStandby();
     }
 
     /**
-     * From now on messages are passed on to the later process, which reads this file as it grows: it is
-     * compacted now, for the last time.
+     * Begins passing messages on to the next process. That process reads this file while it grows, so the
+     * file is rewritten now for the last time.
      */
     void beginHandover() throws IOException {
         rewrite();
         handingOver = true;
     }
 
-    /** Leaves what this process knows to the later one, which serves once {@link #isTakenOver}. */
+    /** Writes the handover snapshot for the next process, which then begins to serve. */
     void publishSnapshot(String snapshot) throws IOException {
         lease.publishSnapshot(snapshot);
     }
 
+    /** Whether the next process has taken over, after {@link #publishSnapshot}. */
     boolean isTakenOver() {
         return lease.isTakenOver();
     }
 
-    /** The message is the later process's from here on. */
+    /** Passes a message on: from now on it belongs to the next process. */
     void passOn(Entry entry) throws IOException {
         append(record(PASSED_ON, entry.number, o -> { }));
         removeEntry(entry.number);
     }
 
-    /** A host told to wait; the later process must heed it. */
+    /** Records, for the next process, that a host asked to wait until the given Unix time, in ms. */
     void waits(String host, long until) throws IOException {
         append(record(WAIT, 0, o -> {
             o.writeLong(until);
@@ -391,17 +476,17 @@
         }));
     }
 
-    /** The messages that something is owed for, in the order in which they were taken on. */
+    /** Returns the open messages in the order in which they were accepted. */
     Collection<Entry> openEntries() {
         return List.copyOf(entries.values());
     }
 
-    /** How many messages something is owed for. */
+    /** Returns the number of open messages. */
     int openCount() {
         return entries.size();
     }
 
-    /** Writes a message down; null if there is no room for it until its end. */
+    /** Records a new message; returns null if there is no space for the records that it may need. */
     Entry accept(Message message, Relay.MessageClass messageClass) throws IOException {
         Entry entry = new Entry(lastNumber + 1, message, messageClass);
         byte[] record = acceptedRecord(entry);
@@ -416,13 +501,18 @@
         return entry;
     }
 
-    /** To be written before the first byte of a send goes out: from then on it may have run. */
+    /**
+     * Records an attempt. Must be called before the first byte is sent, since the host may process the
+     * message from then on.
+     *
+     * @param time Unix time, ms
+     */
     void recordSent(Entry entry, long time, int zone) throws IOException {
         Attempt attempt = new Attempt(time, zone);
         try {
             append(recordSent(entry, attempt));
         } catch (IOException e) {
-            // It is not sent then; it keeps its number, so that later attempts keep theirs.
+            // The attempt is not sent then. It keeps its number, so that later attempts keep theirs.
             attempt.mayHaveRun = false;
             throw e;
         } finally {
@@ -430,36 +520,39 @@
         }
     }
 
-    /** An attempt that was written down was never made: this machine had no socket for it. */
+    /** Records that an attempt was never made, because this machine had no socket for it. */
     void recordNotMade(Entry entry, int attempt) throws IOException {
         entry.attempts.get(attempt).mayHaveRun = false;
         entry.attempts.get(attempt).notMade = true;
         append(record(NOT_MADE, entry.number, o -> o.writeShort(attempt)));
     }
 
-    /** A send that was decided and is not made, for it cannot be written down; it keeps its number. */
+    /**
+     * Adds an attempt in memory only. It was decided but is not made, because it cannot be recorded or must
+     * not be sent; it keeps its number.
+     */
     void addUnrecordedAttempt(Entry entry, long time, int zone) {
         Attempt attempt = new Attempt(time, zone);
         attempt.mayHaveRun = false;
         attempt.notMade = true;
         entry.attempts.add(attempt);
-        // The file lacks it, and its later records would have other numbers.
+        // Without it in the file, the records of later attempts would have wrong numbers.
         rewriteNeeded = true;
     }
 
-    /** An outcome has proved that the attempt never ran. */
+    /** Records that an attempt had no effect, as its outcome has proved. */
     void recordNotRun(Entry entry, int attempt) throws IOException {
         entry.attempts.get(attempt).mayHaveRun = false;
         append(record(NOT_RUN, entry.number, o -> o.writeShort(attempt)));
     }
 
-    /** An end was decided: a notice is owed. */
+    /** Records the end that was decided for a message; its notice is due from now on. */
     void recordEnd(Entry entry, End end) throws IOException {
         entry.end = end;
         append(recordEnd(entry.number, end));
     }
 
-    /** Nothing more is owed: delivered, withdrawn, or its notice acknowledged. */
+    /** Closes a message that was delivered or withdrawn, or whose notice was acknowledged. */
     void recordClosed(Entry entry) throws IOException {
         removeEntry(entry.number);
         append(record(CLOSED, entry.number, o -> { }));
@@ -471,22 +564,24 @@
         lease.close();
     }
 
-    private static long bytesToReserve(int taken, Relay.MessageClass messageClass) {
-        int tries = messageClass == null ? DEFAULT_MAX_ATTEMPTS : messageClass.tries();
-        return taken + (long) tries * ATTEMPT_BYTES + END_BYTES;
+    /** Returns the size of all records that a message may need, given that of its first one. */
+    private static long bytesToReserve(int acceptedBytes, Relay.MessageClass messageClass) {
+        int maxAttempts = messageClass == null ? DEFAULT_MAX_ATTEMPTS : messageClass.tries();
+        return acceptedBytes + (long) maxAttempts * ATTEMPT_BYTES + END_BYTES;
     }
 
-    /** Bytes for this file, beside those of earlier processes that still exist. */
+    /** Returns the bytes that this file may use beside those of earlier processes that still exist. */
     private long availableBytes() {
         return capacityBytes - predecessors.stream().mapToLong(predecessor -> predecessor.readBytes).sum();
     }
 
     private void removeEntry(long number) {
-        Entry gone = entries.remove(number);
-        reservedBytes -= gone == null ? 0 : gone.reservedBytes;
+        Entry removed = entries.remove(number);
+        reservedBytes -= removed == null ? 0 : removed.reservedBytes;
     }
 
     // ---- The file -------------------------------------------------------------------------------
+    /** Appends a record, after a rewrite if the file would grow into the space that is reserved. */
     private void append(byte[] record) throws IOException {
         if (!handingOver && fileBytes + record.length + reservedBytes + healthBytes > availableBytes()) {
             rewrite();
@@ -494,7 +589,7 @@
         writeAtEnd(record);
     }
 
-    /** Writes at the end; what a failed write may have left there is first made good by writing all anew. */
+    /** Writes at the end of the file. After a failed write, the file is first rewritten. */
     private void writeAtEnd(byte[] records) throws IOException {
         if (rewriteNeeded) {
             rewrite();
@@ -505,12 +600,15 @@
         fileBytes += records.length;
     }
 
-    /** A record cut short by a fault is taken back, lest what follows it be lost with it. */
+    /**
+     * Writes a record. If that fails halfway, the partial record is truncated, because records after it could
+     * not be read.
+     */
     private void write(FileChannel channel, byte[] record) throws IOException {
         long before = channel.position();
         try {
-            for (ByteBuffer left = ByteBuffer.wrap(record); left.hasRemaining();) {
-                channel.write(left);
+            for (ByteBuffer buffer = ByteBuffer.wrap(record); buffer.hasRemaining();) {
+                channel.write(buffer);
             }
         } catch (IOException e) {
             try {
@@ -522,7 +620,7 @@
         }
     }
 
-    /** Writes all that is owed anew, which makes good whatever writes before it have failed. */
+    /** Rewrites the file, which makes up for all failed writes before. */
     void repair() throws IOException {
         rewrite();
     }
@@ -531,7 +629,7 @@
         void accept(byte[] record) throws IOException;
     }
 
-    /** All that is known of one message. */
+    /** Writes all records of a message. */
     private static void write(Entry entry, RecordConsumer to) throws IOException {
         to.accept(acceptedRecord(entry));
         for (int i = 0; i < entry.attempts.size(); i++) {
@@ -547,7 +645,7 @@
         }
     }
 
-    /** Writes what is owed to a new file and puts it in the old one's place. */
+    /** Writes all current state to a new file, which then replaces the old one atomically. */
     private void rewrite() throws IOException {
         rewriteNeeded = true;
         FileChannel next = files.open(newFile, StandardOpenOption.CREATE,
@@ -578,41 +676,51 @@
                 old.close();
             }
         } catch (IOException e) {
-            LOG.warn("the journal's old file is not closed: {}", e.toString());
+            LOG.warn("cannot close the journal's old file: {}", e.toString());
         }
     }
 
+    /** Deletes the new file after a failed rewrite. */
     private void discard(FileChannel next, IOException cause) {
         try {
             next.close();
             files.delete(newFile);
         } catch (IOException e) {
-            // It is truncated before it is written again.
+            // The file may stay: the next rewrite truncates it.
             cause.addSuppressed(e);
         }
     }
 
-    /** A message by the file that it was first written to. */
+    /**
+     * Identifies a message by the process that it was adopted from and its number in that process's journal.
+     */
     private record Origin(long process, long number) { }
 
-    /** The file of an earlier process, read as far as it has been written. */
+    /** The journal of an earlier process, read incrementally while that process may still be writing it. */
     private static final class PredecessorJournal {
         final ProcessLease.OtherProcess process;
+        /** Open messages that are not adopted yet, by number. */
         final Map<Long, Entry> entries = new LinkedHashMap<>();
+        /** Numbers of the messages that the process has passed on. */
         final Set<Long> passedOn = new HashSet<>();
+        /** The messages that the process has adopted itself. */
         final Set<Origin> adopted = new HashSet<>();
-        /** Numbers of processes in whose files nothing is open any more. */
+        /** Numbers of processes whose journals hold no open message any more. */
         final Set<Long> emptied = new HashSet<>();
+        /** Until when hosts asked to wait, in Unix time by the process's clock (ms), by host. */
         final Map<String, Long> waits = new HashMap<>();
-        /** Of endpoints, as far as it has not been taken over. */
+        /** Health of endpoints that is not inherited yet. */
         final Map<String, EndpointHealth> endpointHealth = new LinkedHashMap<>();
-        /** Null in a file of a release that did not write its clocks down. */
+        /** Null in a journal of a release that did not record its clocks. */
         private ProcessClock.Reading clockReading;
-        /** Unix time, ms, by its own clock: the latest of which the file tells. */
+        /** The latest time in the journal: Unix time by the process's clock. */
         private long latestMillis;
         private RecordedTimes times;
+        /** Whether the process had ended before the last read. */
         boolean processEnded;
+        /** Bytes of the file that have been read or skipped. */
         long readBytes;
+        /** Total length of the contents whose checksum did not match. */
         private long mismatchedBytes;
 
         PredecessorJournal(ProcessLease.OtherProcess process) {
@@ -624,16 +732,17 @@
         }
 
         /**
-         * How its times compare with this process's clock, by what has been read so far; settled once its
-         * clocks are known, for they are the first record of a file.
+         * Returns how the journal's times convert to this process's clock, from what has been read so far.
+         * Once the writing process's clocks are known, which are the first record of a file, the result is
+         * final.
          */
-        RecordedTimes times(ProcessClock inherited) {
+        RecordedTimes times(ProcessClock ownClock) {
             if (times != null) {
                 return times;
             }
-            RecordedTimes known = RecordedTimes.of(inherited, clockReading, latestMillis);
-            times = clockReading == null ? null : known;
-            return known;
+            RecordedTimes current = RecordedTimes.of(ownClock, clockReading, latestMillis);
+            times = clockReading == null ? null : current;
+            return current;
         }
 
         private void noteTime(long millis) {
@@ -641,8 +750,10 @@
         }
 
         /**
-         * Reads on. What does not check is still being written, or, once the process has ended, is passed
-         * over. An unfinished record at the end was never acted on; any other gap may have held anything.
+         * Reads the records written since the last call. Bytes that form no valid record are left for the
+         * next call while the process lives, as they may be still being written; after its end they are
+         * skipped. An unfinished record at the end of the file was never acted on. Any other skipped range
+         * may have held records of any message before it, all of which then count as possibly processed.
          */
         void readNewRecords() throws IOException {
             ByteBuffer in = ByteBuffer.wrap(process.readJournalFrom(readBytes));
@@ -672,50 +783,54 @@
             if (skippedBytes > 0 && !unfinished) {
                 markGap(skippedBytes);
             } else if (skippedBytes > 0) {
-                LOG.warn("journal cut at an unfinished record, {} bytes dropped", skippedBytes);
+                LOG.warn("journal ends with an unfinished record, {} bytes skipped", skippedBytes);
             }
         }
 
-        /** The next record's content; null, and nothing taken, if no whole one that checks stands here. */
+        /** Reads the next record's content; returns null and reads nothing if no valid record begins here. */
         private byte[] nextContent(ByteBuffer in) {
             if (in.remaining() < HEADER_BYTES) {
                 return null;
             }
-            int begin = in.position();
-            int length = in.getInt(begin);
-            if (length < MIN_CONTENT_BYTES || length > MAX_CONTENT_BYTES || length > in.remaining() - HEADER_BYTES) {
+            int start = in.position();
+            int length = in.getInt(start);
+            if (length < MIN_CONTENT_BYTES || length > MAX_CONTENT_BYTES
+                || length > in.remaining() - HEADER_BYTES) {
                 return null;
             }
-            if (crc(in.slice(begin + HEADER_BYTES, length)) != in.getInt(begin + Integer.BYTES)) {
+            if (crc(in.slice(start + HEADER_BYTES, length)) != in.getInt(start + Integer.BYTES)) {
                 mismatchedBytes += length;
                 return null;
             }
             byte[] content = new byte[length];
-            in.position(begin + HEADER_BYTES).get(content);
+            in.position(start + HEADER_BYTES).get(content);
             return content;
         }
 
+        /** Whether the rest of the file can be a record of which only the beginning was written. */
         private static boolean isUnfinished(ByteBuffer in) {
             if (in.remaining() < HEADER_BYTES) {
                 return true;
             }
             int length = in.getInt(in.position());
-            return length >= MIN_CONTENT_BYTES && length <= MAX_CONTENT_BYTES && length > in.remaining() - HEADER_BYTES;
+            return length >= MIN_CONTENT_BYTES && length <= MAX_CONTENT_BYTES
+                && length > in.remaining() - HEADER_BYTES;
         }
 
+        /** Notes that records may be lost here: any message before this point may have been sent. */
         private void markGap(int bytes) {
-            LOG.warn("journal {}: {} bytes cannot be read, {} messages before them may have run", number(),
-                bytes, entries.size());
+            LOG.warn("journal {}: {} bytes are unreadable, {} messages before them may have been processed",
+                number(), bytes, entries.size());
             entries.values().forEach(Entry::markIncomplete);
         }
 
-        /** A record that checks and cannot be understood is told; its message may have run. */
+        /** Replays a record. If it cannot be decoded, that is logged and its message may have been sent. */
         private void replay(byte[] content) {
             try {
                 replay(new DataInputStream(new ByteArrayInputStream(content)));
             } catch (IOException | RuntimeException e) {
                 long message = ByteBuffer.wrap(content).getLong(1);
-                LOG.warn("journal {}: a record of message {} is not understood: {}", number(), message,
+                LOG.warn("journal {}: cannot decode a record of message {}: {}", number(), message,
                     e.toString());
                 if (entries.containsKey(message)) {
                     entries.get(message).markIncomplete();
@@ -763,6 +878,7 @@
             }
         }
 
+        /** Replays a record that changes an open message. */
         private static void replayForEntry(Entry entry, byte type, DataInputStream in) throws IOException {
             switch (type) {
                 case SENT -> entry.attempts.add(new Attempt(in.readLong(), in.readInt()));
@@ -779,22 +895,24 @@
                     }
                 }
                 case ENDED -> entry.end = new End(in.readBoolean(), in.readLong());
-                default -> throw new IOException("journal holds a record of unknown sort " + type);
+                default -> throw new IOException("unknown record type " + type);
             }
         }
     }
 
     // ---- Records --------------------------------------------------------------------------------
+    /** Writes the fields of a record's content. */
     private interface ContentWriter {
         void write(DataOutputStream out) throws IOException;
     }
 
-    private static byte[] record(byte type, long number, ContentWriter body) throws IOException {
+    /** Encodes a record; {@code fields} writes what follows the type and the number. */
+    private static byte[] record(byte type, long number, ContentWriter fields) throws IOException {
         ByteArrayOutputStream content = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(content);
         out.writeByte(type);
         out.writeLong(number);
-        body.write(out);
+        fields.write(out);
         byte[] bytes = content.toByteArray();
         int check = crc(ByteBuffer.wrap(bytes));
         return ByteBuffer.allocate(HEADER_BYTES + bytes.length).putInt(bytes.length).putInt(check).put(bytes)
@@ -810,7 +928,7 @@
                 o.writeDouble(health.callsPerSecond);
             });
         } catch (IOException e) {
-            throw new IllegalStateException("an array of bytes cannot fail to be written", e);
+            throw new IllegalStateException("writing to a byte array failed", e);
         }
     }
 
@@ -849,7 +967,8 @@
         });
     }
 
-    private static void messageClass(DataOutputStream out, Relay.MessageClass messageClass) throws IOException {
+    private static void messageClass(DataOutputStream out, Relay.MessageClass messageClass)
+        throws IOException {
         out.writeUTF(messageClass.name());
         out.writeLong(messageClass.aim());
         out.writeLong(messageClass.life());
@@ -870,10 +989,10 @@
 
     private static Message readMessage(DataInputStream in) throws IOException {
         return new Message(in.readUTF(), in.readUTF(), in.readInt(), optionalText(in), optionalText(in),
-            in.readLong(),
-            in.readLong(), in.readNBytes(in.readInt()));
+            in.readLong(), in.readLong(), in.readNBytes(in.readInt()));
     }
 
+    /** Encodes the record of an attempt. */
     private static byte[] recordSent(Entry entry, Attempt attempt) throws IOException {
         return record(SENT, entry.number, o -> {
             o.writeLong(attempt.sentMillis);
@@ -881,6 +1000,7 @@
         });
     }
 
+    /** Encodes the record of a message's end. */
     private static byte[] recordEnd(long number, End end) throws IOException {
         return record(ENDED, number, o -> {
             o.writeBoolean(end.refused());
@@ -888,6 +1008,7 @@
         });
     }
 
+    /** Writes a text that may be null. */
     private static void optionalText(DataOutputStream out, String text) throws IOException {
         out.writeBoolean(text != null);
         if (text != null) {
--- a/src/main/java/wrenkeel/net/JournalHealth.java
+++ b/src/main/java/wrenkeel/net/JournalHealth.java
@@ -8,9 +8,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tracks whether the journal can be written. After a failed write the whole journal is rewritten, retried with
- * growing delays until that succeeds; callers need not try meanwhile. Each outage is logged once. Used on one
- * event loop.
+ * Tracks whether the journal can be written. After a failed write the whole journal is rewritten, retried
+ * with growing delays until that succeeds; callers need not try meanwhile. Each outage is logged once. Used
+ * on one event loop.
  */
 final class JournalHealth {
     private static final Logger LOG = LoggerFactory.getLogger(JournalHealth.class);
--- a/src/main/java/wrenkeel/net/ProcessClock.java
+++ b/src/main/java/wrenkeel/net/ProcessClock.java
@@ -3,9 +3,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Unix time of this process: the wall clock's time at the start of the process, advanced by the monotonic clock.
- * A later step of the wall clock therefore changes no deadline and no wait. Clocks of two processes may differ;
- * a {@link Reading} that one of them wrote to a file lets the other compare them. Thread-safe.
+ * Unix time of this process: the wall clock's time at the start of the process, advanced by the monotonic
+ * clock. A later step of the wall clock therefore changes no deadline and no wait. Clocks of two processes
+ * may differ; a {@link Reading} that one of them wrote to a file lets the other compare them. Thread-safe.
  */
 final class ProcessClock {
     /**
--- a/src/main/java/wrenkeel/net/ProcessLease.java
+++ b/src/main/java/wrenkeel/net/ProcessLease.java
@@ -19,9 +19,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This process's registration in the state folder, which several relay processes may share. Each process has a
- * number, higher than all before it, and keeps a file {@code relay.N} locked. The operating system releases the
- * lock when the process ends, however it ends. The other files of a process carry the same number.
+ * This process's registration in the state folder, which several relay processes may share. Each process has
+ * a number, higher than all before it, and keeps a file {@code relay.N} locked. The operating system releases
+ * the lock when the process ends, however it ends. The other files of a process carry the same number.
  */
 final class ProcessLease implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ProcessLease.class);
--- a/src/main/java/wrenkeel/net/RecordedTimes.java
+++ b/src/main/java/wrenkeel/net/RecordedTimes.java
@@ -4,13 +4,13 @@
 import wrenkeel.Relay;
 
 /**
- * Converts the times that an earlier process wrote to its journal, which are Unix time by that process's clock,
- * to this process's clock. All times are milliseconds.
+ * Converts the times that an earlier process wrote to its journal, which are Unix time by that process's
+ * clock, to this process's clock. All times are milliseconds.
  *
- * <p>Within one boot of the machine, the monotonic clock shows how much time has passed. After a reboot, or if
- * the journal has no reading of the clocks, only the wall clock is left, which may have been stepped. If it
- * stands before the latest time in the journal, it has gone back, and the times are shifted so that the latest
- * of them becomes the present.
+ * <p>Within one boot of the machine, the monotonic clock shows how much time has passed. After a reboot, or
+ * if the journal has no reading of the clocks, only the wall clock is left, which may have been stepped. If
+ * it stands before the latest time in the journal, it has gone back, and the times are shifted so that the
+ * latest of them becomes the present.
  */
 final class RecordedTimes {
     /** Longer than any window in which receivers drop a repeated message. */
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Returns a message's deadline. If the elapsed time was not measured, the deadline is at most the lifetime
-     * of the message's class from now. {@code messageClass} is null if it was not recorded.
+     * Returns a message's deadline. If the elapsed time was not measured, the deadline is at most the
+     * lifetime of the message's class from now. {@code messageClass} is null if it was not recorded.
      */
     long deadline(long recorded, Relay.MessageClass messageClass) {
         long shifted = recorded + shiftMillis;
@@ -62,8 +62,8 @@
     }
 
     /**
-     * Returns when an attempt was made. If its age is unknown, that is one day ago, so that no repeat relies on
-     * a window that may be over.
+     * Returns when an attempt was made. If its age is unknown, that is one day ago, so that no repeat relies
+     * on a window that may be over.
      */
     long sendTime(long recorded) {
         return ageKnown ? recorded + shiftMillis : clock.millis() - LONG_AGO_MS;
