--- a/src/main/java/wrenkeel/net/Journal.java
+++ b/src/main/java/wrenkeel/net/Journal.java
@@ -206,7 +206,7 @@
     private long reservedBytes;
     /** The number given to a message last. */
     private long lastNumber;
-    /** Set once messages are passed on; the file is not rewritten then, because the next process reads it. */
+    /** Set when messages are passed on; the next process then reads the file, so it is no longer compacted. */
     private boolean handingOver;
 
     /** Creates a journal that uses the real clock and file system. */
@@ -401,8 +401,9 @@
     }
 
     /**
-     * Deletes the files of an earlier process, which hold no open message any more. Records first what that
-     * process had adopted from files that still exist, so that it is not adopted again.
+     * Deletes the files of an earlier process that hold no open message any more. Records first the health of
+     * endpoints, and what that process had adopted from files that still exist, so that it is not adopted
+     * again.
      */
     private void removePredecessor(PredecessorJournal predecessor) throws IOException {
         ByteArrayOutputStream records = new ByteArrayOutputStream();
--- a/src/test/java/wrenkeel/net/ClockStepTest.java
+++ b/src/test/java/wrenkeel/net/ClockStepTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The wall clock is stepped while the relay is down; what it owes keeps its spans of real time. */
+/** A step of the wall clock while the relay is down does not change how long its open messages live. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class ClockStepTest {
     private static final String ACCEPTED = "HTTP/1.1 202 Accepted";
@@ -34,10 +34,11 @@
     }
 
     private Node relay(long step) throws Exception {
-        return new Node(platform.config(Platform.host("s-1", host.port(), 7, "ready")), new Machine(SteppedClock.stepped(step), FileOperations.SYSTEM, ListeningSockets.SYSTEM));
+        return new Node(platform.config(Platform.host("s-1", host.port(), 7, "ready")),
+            new Machine(SteppedClock.stepped(step), FileOperations.SYSTEM, ListeningSockets.SYSTEM));
     }
 
-    /** Takes a message on and ends without a word of it, as at SIGKILL; its first call stays unanswered. */
+    /** Accepts a message and stops abruptly, as with SIGKILL, while its first call is unanswered. */
     private void acceptBeforeTheStep(String id, String messageClass, long time) throws Exception {
         try (Node relay = relay(0); var client = new Platform.Client(relay)) {
             assertEquals(ACCEPTED, client.post(id, messageClass, 7, time).get(0));
@@ -63,7 +64,7 @@
         acceptBeforeTheStep("a", "bill", 4_000);
         try (Node relay = relay(-HOUR)) {
             String notice = platform.notice();
-            assertNotNull(notice, "no end was told");
+            assertNotNull(notice, "no notice was posted");
             assertTrue(notice.contains("\"a\""), notice);
         }
     }
--- a/src/test/java/wrenkeel/net/ConfigTest.java
+++ b/src/test/java/wrenkeel/net/ConfigTest.java
@@ -24,7 +24,7 @@
 import wrenkeel.Control;
 import wrenkeel.Wire;
 
-/** A configuration is read, or turned down in one plain line. */
+/** A configuration is accepted, or rejected with a message of one line. */
 class ConfigTest {
     @TempDir
     Path folder;
@@ -50,11 +50,12 @@
     }
 
     private void assertRejectedInOneLine() {
-        String fault = assertThrows(Config.InvalidConfigException.class, () -> Config.read(platform.env())).getMessage();
-        assertEquals(1, fault.lines().count(), fault);
+        String message = assertThrows(Config.InvalidConfigException.class, () -> Config.read(platform.env()))
+            .getMessage();
+        assertEquals(1, message.lines().count(), message);
     }
 
-    /** Guards against a relay that starts and can never make a call, or hold a client. */
+    /** A relay with such a limit would start but could never make a call or hold a client's connection. */
     @ParameterizedTest
     @ValueSource(strings = {"0", "-1", "69", "5000000000", "\"many\""})
     void aSocketLimitThatLeavesNoConnectionsIsRejected(String sockets) throws IOException {
@@ -69,11 +70,12 @@
         assertTrue(shares.clientConnections() > 0 && shares.hostConnections() > 0, shares.toString());
     }
 
-    /** The configuration with one value replaced, or taken out where the other is {@code REMOVED}. */
+    /** Replaces the value at a path of the configuration, or removes it if the replacement is {@code REMOVED}. */
     private record Change(String path, Object replacement) { }
 
     private static final Object REMOVED = new Object();
 
+    /** Writes a decoded value as JSON, with one change. */
     private static String json(Object value, String path, Change change) {
         Object written = path.equals(change.path) ? change.replacement : value;
         if (written instanceof Map<?, ?> map) {
@@ -90,6 +92,7 @@
         return written instanceof String ? "\"" + written + "\"" : String.valueOf(written);
     }
 
+    /** Collects the paths of a value and of all values in it. */
     private static void collectPaths(Object value, String path, List<String> all) {
         all.add(path);
         if (value instanceof Map<?, ?> map) {
@@ -99,7 +102,7 @@
         }
     }
 
-    /** Guards the start: whatever one value is replaced by, it is read, or turned down in one line. */
+    /** Whatever replaces a single value, the start must not fail with anything but a message of one line. */
     @Test
     void anySingleReplacedValueIsAcceptedOrRejectedInOneLine() throws Exception {
         Object whole = Wire.decode(Files.readString(file)).values();
@@ -122,7 +125,7 @@
         assertEquals(List.of(), faults);
     }
 
-    /** What a start would end with that is no plain line; null if it would not. */
+    /** Returns the failure of a start that is not reported in one line; null if there is none. */
     private String unexpectedStartFailure() {
         try {
             Config config = Config.read(platform.env());
@@ -152,7 +155,7 @@
         }
     }
 
-    /** A file of another form is no end of the start: each way is one plain line and a status of its own. */
+    /** A start that cannot use its environment prints one line without a stack trace and returns status 2. */
     @Test
     void aStartThatCannotReadOrWritePrintsOneLineAndReturnsTwo() throws IOException {
         Map<String, String> env = new HashMap<>(platform.env());
--- a/src/test/java/wrenkeel/net/DescriptorBudgetTest.java
+++ b/src/test/java/wrenkeel/net/DescriptorBudgetTest.java
@@ -5,9 +5,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The shares of all sides together stay within what the process may hold. */
+/** All connections together stay within the process's limit of file descriptors. */
 class DescriptorBudgetTest {
-    /** Guards the watch, the notices, the journal and the operators against crowds and wide settings. */
+    /**
+     * The watch, the notices, the journal and the operators must get their descriptors however many clients connect and
+     * however many slots are configured.
+     */
     @ParameterizedTest
     @ValueSource(ints = {DescriptorBudget.MIN_LIMIT, 128, 192, 256, 384, 1_024})
     void sharesStayWithinTheLimitForAnyNumberOfSlots(int limit) {
--- a/src/test/java/wrenkeel/net/EndReserveTest.java
+++ b/src/test/java/wrenkeel/net/EndReserveTest.java
@@ -6,12 +6,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** The reserve leaves time for the notice of a message's end without taking too much of the message's lifetime. */
 class EndReserveTest {
-    /** ms; a message is lost when its end is not told so long after its time is up. */
+    /** A message counts as lost if the platform has no notice of its end this long after its lifetime. */
     private static final long END_SLACK_MS = 300;
-    /** ms; a relay may be held up for so long, before it decides and before it writes. */
+    /** How long a relay may stall, once before it decides and once before it writes. */
     private static final long STALL_MS = 150;
-    /** ms until the fourth post of a notice, where three connections to the agent in a row have failed. */
+    /** Time until the fourth post of a notice, after three connections to the agent in a row have failed. */
     private static final long FOURTH_POST_MS = 420;
 
     @ParameterizedTest
--- a/src/test/java/wrenkeel/net/FailingFiles.java
+++ b/src/test/java/wrenkeel/net/FailingFiles.java
@@ -13,22 +13,24 @@
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Files that can be written only while the test allows it, as in a full folder or on a disk that fails. */
+/** File operations whose writes fail while the test says so, as on a full or failing disk. */
 final class FailingFiles implements FileOperations {
-    /** What the system says; null while all goes well. */
+    /** Message of the exception that writes throw; null while they succeed. */
     volatile String failure;
-    /** Writes that still go well before {@link #failure} holds. */
+    /** Writes that still succeed before {@link #failure} takes effect. */
     final AtomicInteger successfulWrites = new AtomicInteger();
-    /** Writes that have failed. */
+    /** One permit for each failed write. */
     final Semaphore failedWrites = new Semaphore(0);
-    /** A write that fails leaves so many bytes of what it was to write. */
+    /** Bytes that a failing write still writes. */
     volatile int bytesBeforeFailure;
+    /** These operations fail while set. */
     volatile boolean truncateFails, closeFails, replaceFails;
 
     FailingFiles(String failure) {
         this.failure = failure;
     }
 
+    /** Throws the failure that is in force. */
     private void check() throws IOException {
         if (failure != null && successfulWrites.getAndDecrement() <= 0) {
             failedWrites.release();
@@ -42,11 +44,11 @@
     }
 
     @Override
-    public void replace(Path by, Path file) throws IOException {
+    public void replace(Path source, Path target) throws IOException {
         if (replaceFails) {
             throw new IOException("Input/output error");
         }
-        SYSTEM.replace(by, file);
+        SYSTEM.replace(source, target);
     }
 
     @Override
--- a/src/test/java/wrenkeel/net/HandoverSnapshotTest.java
+++ b/src/test/java/wrenkeel/net/HandoverSnapshotTest.java
@@ -11,12 +11,15 @@
 import wrenkeel.Control;
 import wrenkeel.Relay;
 
-/** What one process leaves for the next. */
+/** The handover snapshot that one process writes for the next. */
 class HandoverSnapshotTest {
     private static final int HOSTS = 2_000;
     private static final long SECOND = 1_000_000;
 
-    /** Guards the folder's limit, beyond which the relay has crashed, and the rule on waits inside it. */
+    /**
+     * A snapshot of very many destinations must stay within the folder's limit: exceeding it has crashed the relay.
+     * What is left out must not be a wait that a host asked for.
+     */
     @Test
     void waitsComeFirstAndTheTextStaysSmallForManyDestinations(@TempDir Path folder) throws Exception {
         String[] names = IntStream.range(0, HOSTS).mapToObj(i -> Platform.host("s-" + i, 80, i, "ready"))
--- a/src/test/java/wrenkeel/net/JournalTest.java
+++ b/src/test/java/wrenkeel/net/JournalTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.api.io.TempDir;
 import wrenkeel.Relay;
 
-/** What is owed outlasts the process, within the limit of the folder. */
+/** The journal keeps open messages and the health of endpoints across processes, within the folder's limit. */
 class JournalTest {
     private static final long LIMIT = 3_000_000;
 
     @TempDir
     Path folder;
 
-    /** So that times that pass from process to process can be compared to the millisecond. */
+    /** Lets the tests compare times that pass from process to process to the millisecond. */
     private static final MachineClock STOPPED_CLOCK = new MachineClock() {
         @Override
         public long monotonicNanos() {
@@ -36,9 +36,10 @@
         }
     };
 
-    private static final Relay.MessageClass MESSAGE_CLASS = new Relay.MessageClass("bill-post", 2_000_000, 16_000_000, 1.5,
-        0.25, Relay.Effect.KEYED, true, 3_000_000, true, 12);
+    private static final Relay.MessageClass MESSAGE_CLASS = new Relay.MessageClass("bill-post", 2_000_000, 16_000_000,
+        1.5, 0.25, Relay.Effect.KEYED, true, 3_000_000, true, 12);
 
+    /** Opens a journal and adopts what earlier processes left. */
     private Journal open() throws IOException {
         Journal journal = new Journal(folder, LIMIT, new ProcessClock(STOPPED_CLOCK), FileOperations.SYSTEM);
         journal.adopt(entry -> { });
@@ -54,6 +55,7 @@
         return journal.openEntries().iterator().next();
     }
 
+    /** Returns the size of the folder's files, each rounded up to 512 bytes. */
     private long bytesOnDisk() throws IOException {
         try (var files = Files.list(folder)) {
             return files.mapToLong(f -> (f.toFile().length() + 511) / 512 * 512).sum();
@@ -69,7 +71,7 @@
             journal.recordNotRun(entry, 0);
             journal.recordEnd(entry, new Journal.End(true, 500_000));
         }
-        // Twice: what the first start wrote anew must read the same.
+        // Twice, because the first start rewrites the file.
         for (int start = 0; start < 2; start++) {
             try (Journal journal = open()) {
                 Journal.Entry entry = onlyOpenEntry(journal);
@@ -89,7 +91,7 @@
         }
     }
 
-    /** Guards the form of notices: a time to come back only with what is handed back, in whole milliseconds. */
+    /** A notice has a retry time only if the message was refused and the time is not 0; in whole milliseconds. */
     @Test
     void recoveredEndsProduceTheNoticesThatWerePending() throws IOException {
         try (Journal journal = open()) {
@@ -117,19 +119,19 @@
         }
     }
 
-    /** Guards against a kill in the middle of a write: the records before it count, new ones follow them. */
+    /** A kill in the middle of a write leaves a partial record; the records before it must remain readable. */
     @Test
     void anUnfinishedRecordAtTheEndIsDropped() throws IOException {
         try (Journal journal = open()) {
             journal.accept(message("a", 100), MESSAGE_CLASS);
         }
-        long whole;
+        long lengthBeforeSecond;
         try (Journal journal = open()) {
-            whole = Files.size(Platform.journal(folder));
+            lengthBeforeSecond = Files.size(Platform.journal(folder));
             journal.accept(message("b", 100), MESSAGE_CLASS);
         }
         byte[] both = Files.readAllBytes(Platform.journal(folder));
-        for (int length = (int) whole; length < both.length; length++) {
+        for (int length = (int) lengthBeforeSecond; length < both.length; length++) {
             Files.write(Platform.journal(folder), java.util.Arrays.copyOf(both, length));
             try (Journal journal = open()) {
                 assertEquals("a", onlyOpenEntry(journal).message.id());
@@ -142,7 +144,7 @@
         }
     }
 
-    /** Guards the numbers of attempts: one whose record failed never ran, and what follows is not taken for it. */
+    /** An attempt whose record could not be written was not sent, but must not shift the numbers of later ones. */
     @Test
     void attemptNumbersSurviveAFailedWrite() throws IOException {
         Journal before = open();
@@ -152,10 +154,12 @@
         before.recordSent(entry, 2_000, 1);
         before.close();
         try (Journal journal = open()) {
-            assertEquals(List.of(false, true), onlyOpenEntry(journal).attempts.stream().map(a -> a.mayHaveRun).toList());
+            assertEquals(List.of(false, true),
+                onlyOpenEntry(journal).attempts.stream().map(a -> a.mayHaveRun).toList());
         }
     }
 
+    /** Returns the open message with this id, or null. */
     private Journal.Entry openEntry(Journal journal, String id) {
         return journal.openEntries().stream().filter(entry -> entry.message.id().equals(id)).findFirst().orElse(null);
     }
@@ -165,8 +169,8 @@
     }
 
     /**
-     * Guards what a damaged file still holds, and against a second run: a record that is lost may have been a send of
-     * any message before it.
+     * A damaged record may have been the send of any message before it, so those may have been processed. Messages
+     * after it are read as usual.
      */
     @Test
     void aDamagedRecordIsSkippedAndEarlierMessagesMayHaveRun() throws IOException {
@@ -189,7 +193,7 @@
                 assertNull(openEntry(journal, "b"));
                 assertFalse(mayHaveRun(openEntry(journal, "c")));
             }
-            // The start has written a file of its own; the next one is to find the damaged one again.
+            // The start wrote a file of its own and deleted the damaged one; restore the original for the next round.
             try (var files = Files.list(folder)) {
                 for (Path file : files.toList()) {
                     Files.delete(file);
@@ -199,15 +203,17 @@
         }
     }
 
-    private static byte[] record(int sort, long number, byte[] rest) {
-        byte[] content = java.nio.ByteBuffer.allocate(9 + rest.length).put((byte) sort).putLong(number).put(rest).array();
+    /** Encodes a record as {@link Journal} does. */
+    private static byte[] record(int type, long number, byte[] rest) {
+        byte[] content = java.nio.ByteBuffer.allocate(9 + rest.length).put((byte) type).putLong(number).put(rest)
+            .array();
         java.util.zip.CRC32 crc = new java.util.zip.CRC32();
         crc.update(content);
         return java.nio.ByteBuffer.allocate(8 + content.length).putInt(content.length).putInt((int) crc.getValue())
             .put(content).array();
     }
 
-    /** Guards the start against what a later release or a fault has written: the rest is taken up. */
+    /** Records of a later release or of a faulty one must not prevent the recovery of the others. */
     @Test
     void recordsThatCannotBeDecodedAreSkippedAndTheirMessageMayHaveRun() throws IOException {
         try (Journal journal = open()) {
@@ -215,10 +221,10 @@
             journal.accept(message("b", 100), MESSAGE_CLASS);
         }
         Path file = Platform.journal(folder);
-        // An unknown sort, the outcome of an attempt never made, and messages that end too soon.
-        for (byte[] strange : List.of(record(77, 1, new byte[3]), record(3, 1, new byte[] {0, 9}), record(1, 9, new byte[2]),
-                record(10, 9, new byte[40]))) {
-            Files.write(file, strange, StandardOpenOption.APPEND);
+        // An unknown type, the outcome of an attempt that does not exist, and two messages that end too soon.
+        for (byte[] undecodable : List.of(record(77, 1, new byte[3]), record(3, 1, new byte[] {0, 9}),
+                record(1, 9, new byte[2]), record(10, 9, new byte[40]))) {
+            Files.write(file, undecodable, StandardOpenOption.APPEND);
         }
         try (Journal journal = open()) {
             assertEquals(2, journal.openEntries().size());
@@ -242,15 +248,15 @@
         }
     }
 
-    /** Guards the limit on disk: bodies of 64 KiB times the open cap would exceed it, so room is reserved. */
+    /** Bodies of 64 KiB times the cap on open messages would exceed the disk limit, so each reserves its space. */
     @Test
     void acceptedMessagesReserveSpaceAndTheLimitIsNeverExceeded() throws IOException {
         try (Journal journal = open()) {
-            int taken = 0;
-            while (journal.accept(message("m" + taken, 64 * 1024), MESSAGE_CLASS) != null) {
-                taken++;
+            int accepted = 0;
+            while (journal.accept(message("m" + accepted, 64 * 1024), MESSAGE_CLASS) != null) {
+                accepted++;
             }
-            assertTrue(taken > 10, "only " + taken + " were taken");
+            assertTrue(accepted > 10, "only " + accepted + " were accepted");
             for (int round = 0; round < 200; round++) {
                 for (Journal.Entry entry : journal.openEntries()) {
                     if (entry.attempts.size() < 12) {
@@ -261,13 +267,14 @@
                 Journal.Entry oldest = journal.openEntries().iterator().next();
                 journal.recordEnd(oldest, new Journal.End(false, 0));
                 journal.recordClosed(oldest);
-                assertNotNull(journal.accept(message("n" + round, 64 * 1024), MESSAGE_CLASS), "a closed message frees its room");
+                assertNotNull(journal.accept(message("n" + round, 64 * 1024), MESSAGE_CLASS),
+                    "a closed message frees its space");
                 assertTrue(bytesOnDisk() <= LIMIT, bytesOnDisk() + " bytes on disk");
             }
         }
     }
 
-    /** Guards what is owed at an upgrade: the release before wrote one file without a number. */
+    /** Open messages must survive an upgrade: the previous release wrote one file without a number. */
     @Test
     void anUnnumberedJournalOfThePreviousReleaseIsAdopted() throws IOException {
         try (Journal journal = open()) {
@@ -282,17 +289,17 @@
         }
     }
 
-    /** Guards the one owner: what a living process has not passed on is not touched, nor is its file. */
+    /** Messages that a live process has not passed on must have only one owner: they and its file stay untouched. */
     @Test
     void onlyPassedOnMessagesAreAdoptedFromALiveProcess() throws IOException {
         Journal old = open();
         try (Journal next = new Journal(folder, LIMIT, new ProcessClock(STOPPED_CLOCK), FileOperations.SYSTEM)) {
-            Journal.Entry out = old.accept(message("out", 10), MESSAGE_CLASS);
-            Journal.Entry waits = old.accept(message("waits", 10), MESSAGE_CLASS);
+            Journal.Entry inFlight = old.accept(message("out", 10), MESSAGE_CLASS);
+            Journal.Entry waiting = old.accept(message("waits", 10), MESSAGE_CLASS);
             assertTrue(next.isPredecessorServing());
             assertTrue(old.hasStandby());
             old.beginHandover();
-            old.passOn(waits);
+            old.passOn(waiting);
             old.publishSnapshot("{}");
             assertFalse(old.isTakenOver());
             assertFalse(next.isPredecessorServing());
@@ -303,7 +310,7 @@
             assertEquals("waits", onlyOpenEntry(next).message.id());
             assertEquals(java.util.Map.of(7L, 1), next.inFlightElsewhere());
             old.waits("s-1", 5_000);
-            old.passOn(out);
+            old.passOn(inFlight);
             next.adopt(entry -> { });
             assertEquals(2, next.openEntries().size());
             assertEquals(java.util.Map.of("s-1", 5_000L), next.waits());
@@ -316,7 +323,7 @@
         }
     }
 
-    /** Guards against a second run: whoever starts after both were killed finds each message once. */
+    /** A message must not be processed twice: a process that starts after both were killed finds each message once. */
     @Test
     void adoptedMessagesAreNotAdoptedAgainAfterTheAdoptingProcessWasKilled() throws IOException {
         Journal old = open();
@@ -328,11 +335,12 @@
         old.publishSnapshot("{}");
         next.adopt(entry -> { });
         next.recordClosed(onlyOpenEntry(next));
-        // The taker writes its file anew, and must still know what it had taken over.
+        // Rewrites the file, which must still record what was adopted.
         next.beginHandover();
         next.close();
         try (Journal third = open()) {
-            assertEquals(List.of(), List.copyOf(third.openEntries()), "the first is done, the second is still out");
+            assertEquals(List.of(), List.copyOf(third.openEntries()),
+                "the first is closed, the second is still in flight");
             old.close();
             third.adopt(entry -> { });
             assertEquals("second", onlyOpenEntry(third).message.id());
@@ -342,7 +350,7 @@
         }
     }
 
-    /** Guards the old process: one that was to follow it and is dead has nothing to be passed. */
+    /** A process must not pass messages on to a successor that has died. */
     @Test
     void aLaterProcessThatHasEndedIsNoStandby() throws IOException {
         try (Journal old = open()) {
@@ -351,11 +359,12 @@
         }
     }
 
+    /** Opens a journal on these files and adopts nothing. */
     private Journal open(FileOperations files) throws IOException {
         return new Journal(folder, LIMIT, new ProcessClock(STOPPED_CLOCK), files);
     }
 
-    /** Guards against a needless end: a record half written between two others puts neither in doubt. */
+    /** A partial record between two messages must not make either of them count as possibly processed. */
     @Test
     void anAdoptionThatFailsHalfwayLeavesNoGapInTheFile() throws IOException {
         try (Journal before = open()) {
@@ -379,7 +388,7 @@
         }
     }
 
-    /** Guards what comes after a compaction: it belongs into the new file, whatever became of the old one. */
+    /** After a rewrite, records belong in the new file even if closing the old one failed. */
     @Test
     void recordsGoToTheNewFileEvenIfTheOldOneCannotBeClosed() throws IOException {
         FailingFiles files = new FailingFiles(null);
@@ -395,7 +404,7 @@
         }
     }
 
-    /** Guards a message's attempts across a restart: what was never made is none of them. */
+    /** Attempts that were never made must not use up a message's attempts after a restart. */
     @Test
     void attemptsThatWereNeverMadeAreNotAdopted() throws IOException {
         try (Journal journal = open()) {
@@ -407,11 +416,12 @@
             journal.recordSent(entry, 4_000, 4);
             journal.recordNotRun(entry, 3);
         }
-        // Twice: what the first start wrote anew must read the same.
+        // Twice, because the first start rewrites the file.
         for (int start = 0; start < 2; start++) {
             try (Journal journal = open()) {
                 assertEquals(List.of(2, 4), onlyOpenEntry(journal).attempts.stream().map(a -> a.zone).toList());
-                assertEquals(List.of(true, false), onlyOpenEntry(journal).attempts.stream().map(a -> a.mayHaveRun).toList());
+                assertEquals(List.of(true, false),
+                    onlyOpenEntry(journal).attempts.stream().map(a -> a.mayHaveRun).toList());
             }
         }
     }
@@ -434,7 +444,7 @@
         for (int start = 0; start < 3; start++) {
             try (Journal journal = open()) {
                 assertEquals(left, journal.takeInheritedHealth());
-                assertEquals(List.of(), journal.takeInheritedHealth(), "told once");
+                assertEquals(List.of(), journal.takeInheritedHealth(), "returned once");
             }
         }
         try (Journal journal = open()) {
@@ -479,12 +489,12 @@
             for (int host = 0; host < 100_000; host++) {
                 journal.endpointHealth(health("s-" + host, Relay.Health.OUT));
             }
-            assertTrue(journal.endpointHealthCount() > 3_200, "held: " + journal.endpointHealthCount());
-            int taken = 0;
-            while (journal.accept(message("m" + taken, 1_000), MESSAGE_CLASS) != null) {
-                taken++;
+            assertTrue(journal.endpointHealthCount() > 3_200, "recorded: " + journal.endpointHealthCount());
+            int accepted = 0;
+            while (journal.accept(message("m" + accepted, 1_000), MESSAGE_CLASS) != null) {
+                accepted++;
             }
-            assertTrue(taken > 500, "taken: " + taken);
+            assertTrue(accepted > 500, "accepted: " + accepted);
             assertTrue(bytesOnDisk() <= LIMIT);
         }
     }
--- a/src/test/java/wrenkeel/net/RecordedTimesTest.java
+++ b/src/test/java/wrenkeel/net/RecordedTimesTest.java
@@ -5,20 +5,20 @@
 import org.junit.jupiter.api.Test;
 import wrenkeel.Relay;
 
-/** What the times in an earlier process's file mean to this one, whatever the wall clock does meanwhile. */
+/** Conversion of an earlier process's times to this process's clock, with steps of the wall clock in between. */
 class RecordedTimesTest {
     private static final long SECOND = 1_000, HOUR = 3_600 * SECOND, NOW = 1_800_000_000_000L;
     private static final Relay.MessageClass MESSAGE_CLASS = new Relay.MessageClass("bill", 2_000_000, 16_000_000, 1, 0,
         Relay.Effect.KEYED, false, 3_000_000, false, 12);
 
-    /** A machine whose clocks stand still. */
+    /** A machine whose clocks are stopped. */
     private record StoppedClock(long wallMillis, long monotonicNanos, String bootId) implements MachineClock { }
 
     private static ProcessClock clock(long wallMillis, long upSeconds, String boot) {
         return new ProcessClock(new StoppedClock(wallMillis, upSeconds * 1_000_000_000, boot));
     }
 
-    /** The earlier process wrote at NOW, 100 s after its boot. */
+    /** The earlier process recorded its clocks at NOW, 100 s after the boot. */
     private static final ProcessClock.Reading WRITTEN = clock(NOW, 100, "one").reading();
 
     @Test
@@ -39,14 +39,14 @@
         assertEquals(NOW - SECOND, times.sendTime(NOW - SECOND));
     }
 
-    /** A monotonic clock that has run back is another boot's, whatever the name of the boot. */
+    /** A monotonic clock that has gone back belongs to another boot, even if the boot's id is the same. */
     @Test
     void aMonotonicClockThatWentBackIsNotUsed() {
         RecordedTimes times = RecordedTimes.of(clock(NOW + 3 * SECOND, 2, "one"), WRITTEN, NOW);
         assertEquals(NOW + 8 * SECOND, times.deadline(NOW + 8 * SECOND, MESSAGE_CLASS));
     }
 
-    /** Guards against a message that is owed for an hour, and against a repeat past its window. */
+    /** Otherwise a message would stay open for an hour too long, and could be repeated after its window. */
     @Test
     void aWallClockThatWentBackExtendsNoDeadlineAndAllowsNoRepeat() {
         ProcessClock now = clock(NOW - HOUR, 2, "two");
@@ -55,7 +55,7 @@
         assertTrue(times.sendTime(NOW - SECOND) < now.millis() - HOUR);
     }
 
-    /** A file of the release before tells nothing of clocks: its messages live no longer than their class. */
+    /** A journal of the previous release has no clock reading: its messages live no longer than their class allows. */
     @Test
     void withoutAClockReadingNoMessageOutlivesItsClass() {
         ProcessClock now = clock(NOW - HOUR, 2, "two");
--- a/src/test/java/wrenkeel/net/StateFolderTest.java
+++ b/src/test/java/wrenkeel/net/StateFolderTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import wrenkeel.Relay;
 
-/** A lasting folder in which something stands in a file's place, or that holds garbage. */
+/** A state folder in which folders stand in the place of files, or files contain garbage. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class StateFolderTest {
     private static final long LIMIT = 3_000_000;
@@ -46,17 +46,19 @@
         return new Message(id, "bill", 0, null, null, 7, System.currentTimeMillis() + 600_000, new byte[10]);
     }
 
-    /** A folder in a file's place, which cannot be deleted, read or written like one. */
+    /** Creates a folder in the place of a file. It is not empty, so that it cannot be deleted like a file. */
     private void obstruct(String name) throws IOException {
         Files.createDirectories(state.resolve(name).resolve("inside"));
     }
 
+    /** Returns the ids of the messages that a start adopts. */
     private List<String> openMessageIds() throws IOException {
         try (Journal journal = platform.leftBehind()) {
             return journal.openEntries().stream().map(entry -> entry.message.id()).toList();
         }
     }
 
+    /** Checks that a start fails with status 2 and one line, besides the log, that contains the name. */
     private void assertStartFailsNaming(String name) {
         ByteArrayOutputStream written = new ByteArrayOutputStream();
         PrintStream before = System.err;
@@ -74,7 +76,7 @@
         assertTrue(plain.get(0).contains(name), text);
     }
 
-    /** The name that a release before used has no number. */
+    /** The journal of earlier releases has no number. */
     @Test
     void aFolderNamedLikeTheUnnumberedJournalIsLeftAlone() throws Exception {
         obstruct("journal");
@@ -90,7 +92,7 @@
         assertStartFailsNaming("journal.new.1");
     }
 
-    /** What an earlier process left for this one to read is no reason to lose its journal. */
+    /** The messages in the journal must be adopted even if the snapshot of the same process cannot be read. */
     @Test
     void anUnreadableHandoverSnapshotIsIgnored() throws Exception {
         try (Journal journal = new Journal(state, LIMIT)) {
@@ -104,8 +106,8 @@
     }
 
     /**
-     * Guards against a second run: a file that could not be deleted is read again at each start, and whoever
-     * took over what it holds must still know that, also once its own file was written anew.
+     * A file that cannot be deleted is read again at each start. The process that adopted its messages must still know
+     * that, also after a rewrite of its own file; otherwise they would be sent twice.
      */
     @Test
     void messagesOfAFileThatCannotBeDeletedAreAdoptedOnce() throws Exception {
@@ -116,13 +118,13 @@
         try (Journal journal = platform.leftBehind()) {
             assertEquals(1, journal.openCount());
             journal.recordClosed(journal.openEntries().iterator().next());
-            // The file is written anew.
+            // Rewrites the file.
             journal.beginHandover();
         }
         assertEquals(List.of(), openMessageIds());
     }
 
-    /** Guards the start against standing still: no number above such a one would be seen by the next start. */
+    /** The start must not loop: a longer number would not be recognized by the next start. */
     @Test
     void aFileWithTheHighestNumberFailsTheStartInOneLine() throws Exception {
         Files.createFile(state.resolve("journal.999999999999999999"));
@@ -130,7 +132,7 @@
         assertStartFailsNaming("999999999999999999");
     }
 
-    /** Guards the start: garbage in which each place could begin a long record is passed over in time. */
+    /** Garbage in which every position could begin a long record must not delay the start for too long. */
     @Test
     void garbageThatLooksLikeLongRecordsIsSkippedInTime() throws Exception {
         byte[] garbage = new byte[(int) LIMIT];
--- a/src/test/java/wrenkeel/net/UnwritableStateFolderTest.java
+++ b/src/test/java/wrenkeel/net/UnwritableStateFolderTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The lasting folder cannot be written for a while; what was taken on is still owed. */
+/** While the state folder cannot be written, the relay loses no message that it has accepted. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class UnwritableStateFolderTest {
     private static final String ACCEPTED = "HTTP/1.1 202 Accepted", REFUSED = "HTTP/1.1 503 Service Unavailable";
@@ -47,7 +47,7 @@
         }
     }
 
-    /** A message that the folder holds, with no attempt made. */
+    /** Leaves an open message in the folder, with no attempt made. */
     private void leaveOpenMessage(String id) throws Exception {
         platform.config();
         try (Journal journal = platform.leftBehind()) {
@@ -56,7 +56,7 @@
         }
     }
 
-    /** Guards against a refused start: until it can write, it says that it does not serve, and takes nothing on. */
+    /** The start must not fail: until it can write, the relay reports that it does not serve and accepts nothing. */
     @Test
     void aStartWaitsUntilTheStateFolderIsWritable() throws Exception {
         leaveOpenMessage("a");
@@ -66,7 +66,7 @@
             try (var client = new Platform.Client(relay)) {
                 assertEquals(REFUSED, client.post("b", "bill", 7, 16_000).get(0));
             }
-            assertTrue(host.quiet(), "nothing is sent that cannot be written down");
+            assertTrue(host.quiet(), "nothing is sent that cannot be recorded");
             files.failure = null;
             Host.Call call = host.call();
             assertEquals("a", call.header("X-Request-ID"));
@@ -76,7 +76,7 @@
         assertEquals(List.of(), List.copyOf(platform.notices));
     }
 
-    /** Guards a message's attempts: what cannot be written down is not sent, and is none of them. */
+    /** An attempt that cannot be recorded is not sent, and must not count among the message's attempts. */
     @Test
     void aFullStateFolderUsesUpNoAttempts() throws Exception {
         FailingFiles files = new FailingFiles(null);
@@ -85,7 +85,7 @@
             Host.Call first = host.call();
             files.failure = NO_SPACE;
             first.answer("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
-            // Its eleven further attempts with their outcomes, and its end.
+            // As many failed writes as its eleven further attempts with their outcomes, and its end, would make.
             files.failedWrites.acquire(2 * 11 + 1);
             files.failure = null;
             Host.Call second = host.call();
@@ -96,7 +96,7 @@
         assertEquals(List.of(), List.copyOf(platform.notices));
     }
 
-    /** Guards the end: told to stop while it waits, it goes at once. */
+    /** A relay that is told to stop while its start waits must stop at once. */
     @Test
     void aWaitingStartCanBeStopped() throws Exception {
         Node relay = relay(new FailingFiles(NO_SPACE));
@@ -105,7 +105,10 @@
         assertThrows(IOException.class, () -> new Platform.Client(address).close());
     }
 
-    /** Guards who is served as the process is to be replaced: a folder that fails then cuts nobody off. */
+    /**
+     * A process that hands over must not disconnect a client in the middle of a request because the handover cannot be
+     * recorded.
+     */
     @Test
     void aHandoverThatCannotBeRecordedDisconnectsNoClient() throws Exception {
         Config config = platform.config("127.0.0.1:" + platform.freePort(),
@@ -124,7 +127,7 @@
                 while (!REFUSED.equals(health(old))) {
                     Thread.onSpinWait();
                 }
-                assertTrue(files.failedWrites.tryAcquire(3, Platform.PATIENCE_S, TimeUnit.SECONDS), "tried again");
+                assertTrue(files.failedWrites.tryAcquire(3, Platform.PATIENCE_S, TimeUnit.SECONDS), "retried");
                 half.write("lf");
                 assertEquals(REFUSED, half.answer().get(0));
                 end.join();
