--- a/src/main/java/wrenkeel/net/Journal.java
+++ b/src/main/java/wrenkeel/net/Journal.java
@@ -292,7 +292,7 @@
         Map<String, Long> waits = new HashMap<>();
         for (PredecessorJournal predecessor : predecessors) {
             RecordedTimes times = predecessor.times(clock);
-            predecessor.waits.forEach((host, until) -> waits.put(host, times.waitUntil(until)));
+            predecessor.waits.forEach((host, untilMillis) -> waits.put(host, times.waitUntil(untilMillis)));
             predecessor.waits.clear();
         }
         return waits;
@@ -470,9 +470,9 @@
     }
 
     /** Records, for the next process, that a host asked to wait until the given Unix time, in ms. */
-    void waits(String host, long until) throws IOException {
+    void waits(String host, long untilMillis) throws IOException {
         append(record(WAIT, 0, o -> {
-            o.writeLong(until);
+            o.writeLong(untilMillis);
             o.writeUTF(host);
         }));
     }
@@ -508,8 +508,8 @@
      *
      * @param time Unix time, ms
      */
-    void recordSent(Entry entry, long time, int zone) throws IOException {
-        Attempt attempt = new Attempt(time, zone);
+    void recordSent(Entry entry, long sentMillis, int zone) throws IOException {
+        Attempt attempt = new Attempt(sentMillis, zone);
         try {
             append(recordSent(entry, attempt));
         } catch (IOException e) {
@@ -532,8 +532,8 @@
      * Adds an attempt in memory only. It was decided but is not made, because it cannot be recorded or must
      * not be sent; it keeps its number.
      */
-    void addUnrecordedAttempt(Entry entry, long time, int zone) {
-        Attempt attempt = new Attempt(time, zone);
+    void addUnrecordedAttempt(Entry entry, long sentMillis, int zone) {
+        Attempt attempt = new Attempt(sentMillis, zone);
         attempt.mayHaveRun = false;
         attempt.notMade = true;
         entry.attempts.add(attempt);
--- a/src/main/java/wrenkeel/net/Loop.java
+++ b/src/main/java/wrenkeel/net/Loop.java
@@ -588,7 +588,7 @@
         h.out++;
         if (h.untried) {
             h.untried = false;
-            takenUp.countTried();
+            takenUp.countAttempted();
         }
         if (h.over) {
             ended(h, attempt, host, unsent(Relay.Outcome.NOT_SENT, true));
--- a/src/main/java/wrenkeel/net/RecordedTimes.java
+++ b/src/main/java/wrenkeel/net/RecordedTimes.java
@@ -53,8 +53,8 @@
      * Returns a message's deadline. If the elapsed time was not measured, the deadline is at most the
      * lifetime of the message's class from now. {@code messageClass} is null if it was not recorded.
      */
-    long deadline(long recorded, Relay.MessageClass messageClass) {
-        long shifted = recorded + shiftMillis;
+    long deadline(long recordedMillis, Relay.MessageClass messageClass) {
+        long shifted = recordedMillis + shiftMillis;
         if (monotonic || messageClass == null) {
             return shifted;
         }
@@ -65,17 +65,17 @@
      * Returns when an attempt was made. If its age is unknown, that is one day ago, so that no repeat relies
      * on a window that may be over.
      */
-    long sendTime(long recorded) {
-        return ageKnown ? recorded + shiftMillis : clock.millis() - LONG_AGO_MS;
+    long sendTime(long recordedMillis) {
+        return ageKnown ? recordedMillis + shiftMillis : clock.millis() - LONG_AGO_MS;
     }
 
     /** Returns when a host's outage began or ended: now, if the elapsed time was not measured. */
-    long outageTime(long recorded) {
-        return monotonic ? recorded + shiftMillis : clock.millis();
+    long outageTime(long recordedMillis) {
+        return monotonic ? recordedMillis + shiftMillis : clock.millis();
     }
 
     /** Returns until when nothing may be sent to a host that asked the relay to wait. */
-    long waitUntil(long recorded) {
-        return recorded + shiftMillis;
+    long waitUntil(long recordedMillis) {
+        return recordedMillis + shiftMillis;
     }
 }
--- a/src/main/java/wrenkeel/net/RecoverySummary.java
+++ b/src/main/java/wrenkeel/net/RecoverySummary.java
@@ -12,7 +12,7 @@
 
     /** Messages recovered without an attempt. */
     private int untried;
-    private int tried;
+    private int attempted;
     /** Failed because their deadline had passed before the process began. */
     private int expiredBeforeStart;
     /** Failed for want of time since the process began. */
@@ -26,8 +26,8 @@
     }
 
     /** Counts a message whose first attempt is made now. */
-    void countTried() {
-        tried++;
+    void countAttempted() {
+        attempted++;
         logIfComplete();
     }
 
@@ -55,14 +55,14 @@
     }
 
     private void logIfComplete() {
-        if (tried + expiredBeforeStart + expiredSinceStart + refused + passedOn == untried) {
+        if (attempted + expiredBeforeStart + expiredSinceStart + refused + passedOn == untried) {
             LOG.info("{}", this);
         }
     }
 
     @Override
     public String toString() {
-        return "recovered " + untried + " messages without an attempt: " + tried + " attempted since, "
+        return "recovered " + untried + " messages without an attempt: " + attempted + " attempted since, "
             + expiredBeforeStart + " expired before the start, " + expiredSinceStart + " expired since, "
             + refused + " refused, " + passedOn + " passed on without an attempt";
     }
--- a/src/test/java/wrenkeel/net/ClockStepTest.java
+++ b/src/test/java/wrenkeel/net/ClockStepTest.java
@@ -14,7 +14,7 @@
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class ClockStepTest {
     private static final String ACCEPTED = "HTTP/1.1 202 Accepted";
-    private static final long HOUR = TimeUnit.HOURS.toMillis(1);
+    private static final long HOUR_MS = TimeUnit.HOURS.toMillis(1);
 
     @TempDir
     Path folder;
@@ -33,15 +33,15 @@
         platform.close();
     }
 
-    private Node relay(long step) throws Exception {
+    private Node relay(long stepMillis) throws Exception {
         return new Node(platform.config(Platform.host("s-1", host.port(), 7, "ready")),
-            new Machine(SteppedClock.stepped(step), FileOperations.SYSTEM, ListeningSockets.SYSTEM));
+            new Machine(SteppedClock.stepped(stepMillis), FileOperations.SYSTEM, ListeningSockets.SYSTEM));
     }
 
     /** Accepts a message and stops abruptly, as with SIGKILL, while its first call is unanswered. */
-    private void acceptBeforeTheStep(String id, String messageClass, long time) throws Exception {
+    private void acceptBeforeTheStep(String id, String messageClass, long lifetimeMillis) throws Exception {
         try (Node relay = relay(0); var client = new Platform.Client(relay)) {
-            assertEquals(ACCEPTED, client.post(id, messageClass, 7, time).get(0));
+            assertEquals(ACCEPTED, client.post(id, messageClass, 7, lifetimeMillis).get(0));
             assertEquals(id, host.call().header("X-Request-ID"));
         }
     }
@@ -49,7 +49,7 @@
     @Test
     void aForwardClockStepDoesNotExpireAMessage() throws Exception {
         acceptBeforeTheStep("a", "bill", 16_000);
-        try (Node relay = relay(HOUR)) {
+        try (Node relay = relay(HOUR_MS)) {
             Host.Call repeat = host.call();
             assertNotNull(repeat, "notices: " + platform.notices);
             assertEquals("a", repeat.header("X-Request-ID"));
@@ -62,7 +62,7 @@
     @Test
     void aBackwardClockStepDoesNotExtendAMessagesDeadline() throws Exception {
         acceptBeforeTheStep("a", "bill", 4_000);
-        try (Node relay = relay(-HOUR)) {
+        try (Node relay = relay(-HOUR_MS)) {
             String notice = platform.notice();
             assertNotNull(notice, "no notice was posted");
             assertTrue(notice.contains("\"a\""), notice);
--- a/src/test/java/wrenkeel/net/ConfigTest.java
+++ b/src/test/java/wrenkeel/net/ConfigTest.java
@@ -105,24 +105,24 @@
     /** Whatever replaces a single value, the start must not fail with anything but a message of one line. */
     @Test
     void anySingleReplacedValueIsAcceptedOrRejectedInOneLine() throws Exception {
-        Object whole = Wire.decode(Files.readString(file)).values();
+        Object configuration = Wire.decode(Files.readString(file)).values();
         List<String> paths = new ArrayList<>();
-        collectPaths(whole, "", paths);
-        List<String> faults = new ArrayList<>();
+        collectPaths(configuration, "", paths);
+        List<String> failures = new ArrayList<>();
         for (String path : paths) {
-            for (Object other : Arrays.asList(REMOVED, null, "x", "", -1, 0, 1.5, 1e300, 99_999_999_999L, true,
+            for (Object replacement : Arrays.asList(REMOVED, null, "x", "", -1, 0, 1.5, 1e300, 99_999_999_999L, true,
                     List.of(), List.of(1), Map.of(), List.of(List.of()))) {
-                if (path.isEmpty() && other == REMOVED) {
+                if (path.isEmpty() && replacement == REMOVED) {
                     continue;
                 }
-                Files.writeString(file, json(whole, "", new Change(path, other)));
-                String fault = unexpectedStartFailure();
-                if (fault != null) {
-                    faults.add(path + " = " + (other == REMOVED ? "removed" : other) + ": " + fault);
+                Files.writeString(file, json(configuration, "", new Change(path, replacement)));
+                String failure = unexpectedStartFailure();
+                if (failure != null) {
+                    failures.add(path + " = " + (replacement == REMOVED ? "removed" : replacement) + ": " + failure);
                 }
             }
         }
-        assertEquals(List.of(), faults);
+        assertEquals(List.of(), failures);
     }
 
     /** Returns the failure of a start that is not reported in one line; null if there is none. */
@@ -160,13 +160,13 @@
     void aStartThatCannotReadOrWritePrintsOneLineAndReturnsTwo() throws IOException {
         Map<String, String> env = new HashMap<>(platform.env());
         Path file = Files.createFile(folder.resolve("a-file"));
-        for (Map<String, String> other : List.of(Map.of("EDGE_STATE", file.toString()),
+        for (Map<String, String> override : List.of(Map.of("EDGE_STATE", file.toString()),
                 Map.of("EDGE_STATE", folder.resolve("absent").toString()), Map.of("EDGE_STATE", ""),
                 Map.of("EDGE_CONFIG", folder.toString()), Map.of("EDGE_CONFIG", ""),
                 Map.of("EDGE_CONFIG", folder.resolve("absent").toString()),
                 Map.of("EDGE_LISTEN", "here"), Map.of("EDGE_DISCOVERY", "127.0.0.1:99999"))) {
             Map<String, String> changed = new HashMap<>(env);
-            changed.putAll(other);
+            changed.putAll(override);
             assertStartFails(changed);
         }
     }
--- a/src/test/java/wrenkeel/net/EndReserveTest.java
+++ b/src/test/java/wrenkeel/net/EndReserveTest.java
@@ -17,19 +17,19 @@
 
     @ParameterizedTest
     @ValueSource(longs = {2_400, 4_000, 12_000, 28_000})
-    void theFourthPostOfANoticeIsInTimeDespiteTwoStalls(long time) {
-        long sent = 1_000_000;
-        long deadline = Server.deadline(sent, time);
-        long decidedAt = deadline - EndReserve.millis(deadline - sent);
-        assertTrue(decidedAt + 2 * STALL_MS + FOURTH_POST_MS <= sent + time + END_SLACK_MS);
+    void theFourthPostOfANoticeIsInTimeDespiteTwoStalls(long lifetimeMillis) {
+        long sentMillis = 1_000_000;
+        long deadline = Server.deadline(sentMillis, lifetimeMillis);
+        long decidedAt = deadline - EndReserve.millis(deadline - sentMillis);
+        assertTrue(decidedAt + 2 * STALL_MS + FOURTH_POST_MS <= sentMillis + lifetimeMillis + END_SLACK_MS);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 40, 400, 1_000, 1_200, 2_000, 4_000, 28_000})
-    void aMessageKeepsThreeQuartersOfItsLifetime(long time) {
-        long sent = 1_000_000;
-        long deadline = Server.deadline(sent, time);
-        assertTrue(deadline - EndReserve.millis(deadline - sent) >= sent + time * 3 / 4);
+    void aMessageKeepsThreeQuartersOfItsLifetime(long lifetimeMillis) {
+        long sentMillis = 1_000_000;
+        long deadline = Server.deadline(sentMillis, lifetimeMillis);
+        assertTrue(deadline - EndReserve.millis(deadline - sentMillis) >= sentMillis + lifetimeMillis * 3 / 4);
     }
 
     @Test
--- a/src/test/java/wrenkeel/net/HandoverSnapshotTest.java
+++ b/src/test/java/wrenkeel/net/HandoverSnapshotTest.java
@@ -14,7 +14,7 @@
 /** The handover snapshot that one process writes for the next. */
 class HandoverSnapshotTest {
     private static final int HOSTS = 2_000;
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
     /**
      * A snapshot of very many destinations must stay within the folder's limit: exceeding it has crashed the relay.
@@ -30,12 +30,12 @@
             hosts.take(config.savedList().open());
             Control control = new Control(1, config.settings());
             List<Relay.Event> events = new ArrayList<>();
-            for (long d = 0; d < HOSTS; d++) {
-                events.add(new Relay.Introduced(hosts.tell(d).endpoints()));
+            for (long destination = 0; destination < HOSTS; destination++) {
+                events.add(new Relay.Introduced(hosts.tell(destination).endpoints()));
             }
             long waiting = hosts.named("s-1999").number;
-            events.add(Relay.Known.waiting(waiting, 90 * SECOND));
-            control.turn(SECOND, events);
+            events.add(Relay.Known.waiting(waiting, 90 * SECOND_MICROS));
+            control.turn(SECOND_MICROS, events);
             List<Relay.Known> all = control.knowledge();
             assertEquals(HOSTS, all.size());
             String text = HandoverSnapshot.write(all, hosts, time -> time, 20_000);
@@ -43,7 +43,7 @@
             List<Relay.Event> read = HandoverSnapshot.read(text, hosts, hosts::named, time -> time);
             assertTrue(read.size() > 50 && read.size() < HOSTS / 10);
             assertEquals(waiting, ((Relay.Known) read.get(0)).endpoint());
-            assertEquals(90 * SECOND, ((Relay.Known) read.get(0)).waitUntil());
+            assertEquals(90 * SECOND_MICROS, ((Relay.Known) read.get(0)).waitUntil());
         }
     }
 }
--- a/src/test/java/wrenkeel/net/JournalTest.java
+++ b/src/test/java/wrenkeel/net/JournalTest.java
@@ -13,7 +13,7 @@
 
 /** The journal keeps open messages and the health of endpoints across processes, within the folder's limit. */
 class JournalTest {
-    private static final long LIMIT = 3_000_000;
+    private static final long LIMIT_BYTES = 3_000_000;
 
     @TempDir
     Path folder;
@@ -41,7 +41,7 @@
 
     /** Opens a journal and adopts what earlier processes left. */
     private Journal open() throws IOException {
-        Journal journal = new Journal(folder, LIMIT, new ProcessClock(STOPPED_CLOCK), FileOperations.SYSTEM);
+        Journal journal = new Journal(folder, LIMIT_BYTES, new ProcessClock(STOPPED_CLOCK), FileOperations.SYSTEM);
         journal.adopt(entry -> { });
         return journal;
     }
@@ -139,7 +139,7 @@
             }
             try (Journal journal = open()) {
                 assertEquals(2, journal.openEntries().size());
-                assertTrue(bytesOnDisk() <= LIMIT);
+                assertTrue(bytesOnDisk() <= LIMIT_BYTES);
             }
         }
     }
@@ -269,7 +269,7 @@
                 journal.recordClosed(oldest);
                 assertNotNull(journal.accept(message("n" + round, 64 * 1024), MESSAGE_CLASS),
                     "a closed message frees its space");
-                assertTrue(bytesOnDisk() <= LIMIT, bytesOnDisk() + " bytes on disk");
+                assertTrue(bytesOnDisk() <= LIMIT_BYTES, bytesOnDisk() + " bytes on disk");
             }
         }
     }
@@ -293,7 +293,7 @@
     @Test
     void onlyPassedOnMessagesAreAdoptedFromALiveProcess() throws IOException {
         Journal old = open();
-        try (Journal next = new Journal(folder, LIMIT, new ProcessClock(STOPPED_CLOCK), FileOperations.SYSTEM)) {
+        try (Journal next = new Journal(folder, LIMIT_BYTES, new ProcessClock(STOPPED_CLOCK), FileOperations.SYSTEM)) {
             Journal.Entry inFlight = old.accept(message("out", 10), MESSAGE_CLASS);
             Journal.Entry waiting = old.accept(message("waits", 10), MESSAGE_CLASS);
             assertTrue(next.isPredecessorServing());
@@ -329,7 +329,7 @@
         Journal old = open();
         Journal.Entry first = old.accept(message("first", 10), MESSAGE_CLASS);
         old.accept(message("second", 10), MESSAGE_CLASS);
-        Journal next = new Journal(folder, LIMIT, new ProcessClock(STOPPED_CLOCK), FileOperations.SYSTEM);
+        Journal next = new Journal(folder, LIMIT_BYTES, new ProcessClock(STOPPED_CLOCK), FileOperations.SYSTEM);
         old.beginHandover();
         old.passOn(first);
         old.publishSnapshot("{}");
@@ -354,14 +354,14 @@
     @Test
     void aLaterProcessThatHasEndedIsNoStandby() throws IOException {
         try (Journal old = open()) {
-            new Journal(folder, LIMIT, new ProcessClock(STOPPED_CLOCK), FileOperations.SYSTEM).close();
+            new Journal(folder, LIMIT_BYTES, new ProcessClock(STOPPED_CLOCK), FileOperations.SYSTEM).close();
             assertFalse(old.hasStandby());
         }
     }
 
     /** Opens a journal on these files and adopts nothing. */
     private Journal open(FileOperations files) throws IOException {
-        return new Journal(folder, LIMIT, new ProcessClock(STOPPED_CLOCK), files);
+        return new Journal(folder, LIMIT_BYTES, new ProcessClock(STOPPED_CLOCK), files);
     }
 
     /** A partial record between two messages must not make either of them count as possibly processed. */
@@ -495,7 +495,7 @@
                 accepted++;
             }
             assertTrue(accepted > 500, "accepted: " + accepted);
-            assertTrue(bytesOnDisk() <= LIMIT);
+            assertTrue(bytesOnDisk() <= LIMIT_BYTES);
         }
     }
 }
--- a/src/test/java/wrenkeel/net/StateFolderTest.java
+++ b/src/test/java/wrenkeel/net/StateFolderTest.java
@@ -21,7 +21,7 @@
 /** A state folder in which folders stand in the place of files, or files contain garbage. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class StateFolderTest {
-    private static final long LIMIT = 3_000_000;
+    private static final long LIMIT_BYTES = 3_000_000;
     private static final Relay.MessageClass MESSAGE_CLASS = new Relay.MessageClass("bill", 2_000_000, 16_000_000, 1, 0,
         Relay.Effect.UNSAFE, false, 0, false, 12);
 
@@ -95,7 +95,7 @@
     /** The messages in the journal must be adopted even if the snapshot of the same process cannot be read. */
     @Test
     void anUnreadableHandoverSnapshotIsIgnored() throws Exception {
-        try (Journal journal = new Journal(state, LIMIT)) {
+        try (Journal journal = new Journal(state, LIMIT_BYTES)) {
             journal.accept(message("a"), MESSAGE_CLASS);
         }
         obstruct("leaving.1");
@@ -111,7 +111,7 @@
      */
     @Test
     void messagesOfAFileThatCannotBeDeletedAreAdoptedOnce() throws Exception {
-        try (Journal journal = new Journal(state, LIMIT)) {
+        try (Journal journal = new Journal(state, LIMIT_BYTES)) {
             journal.accept(message("a"), MESSAGE_CLASS);
         }
         obstruct("journal.new.1");
@@ -135,7 +135,7 @@
     /** Garbage in which every position could begin a long record must not delay the start for too long. */
     @Test
     void garbageThatLooksLikeLongRecordsIsSkippedInTime() throws Exception {
-        byte[] garbage = new byte[(int) LIMIT];
+        byte[] garbage = new byte[(int) LIMIT_BYTES];
         for (int i = 1; i < garbage.length; i += 2) {
             garbage[i] = 0x0f;
         }
--- a/src/test/java/wrenkeel/net/UnwritableStateFolderTest.java
+++ b/src/test/java/wrenkeel/net/UnwritableStateFolderTest.java
@@ -115,12 +115,12 @@
             new String[] {Platform.host("s-1", host.port(), 7, "ready")});
         FailingFiles files = new FailingFiles(null);
         Node old = new Node(config, new Machine(MachineClock.SYSTEM, files, ListeningSockets.SYSTEM));
-        try (var half = new Platform.Client(old)) {
+        try (var client = new Platform.Client(old)) {
             try (Node next = new Node(config)) {
                 String head = "POST /bill HTTP/1.1\r\nHost: api.internal\r\n"
                     + String.join("\r\n", Platform.Client.headers("a", "bill", 7, 16_000))
                     + "\r\nContent-Length: 4\r\n\r\n";
-                half.write(head + "ha");
+                client.write(head + "ha");
                 files.failure = NO_SPACE;
                 Thread end = new Thread(old::leave);
                 end.start();
@@ -128,8 +128,8 @@
                     Thread.onSpinWait();
                 }
                 assertTrue(files.failedWrites.tryAcquire(3, Platform.PATIENCE_S, TimeUnit.SECONDS), "retried");
-                half.write("lf");
-                assertEquals(REFUSED, half.answer().get(0));
+                client.write("lf");
+                assertEquals(REFUSED, client.answer().get(0));
                 end.join();
                 assertNotNull(next.consoleAddress());
             }
