--- a/src/main/java/wrenkeel/net/Journal.java
+++ b/src/main/java/wrenkeel/net/Journal.java
@@ -206,7 +206,9 @@
     private long reservedBytes;
     /** The number given to a message last. */
     private long lastNumber;
-    /** Set when messages are passed on; the next process then reads the file, so it is no longer compacted. */
+    /**
+     * Set when messages are passed on; the file is then no longer compacted, as the next process reads it.
+     */
     private boolean handingOver;
 
     /** Creates a journal that uses the real clock and file system. */
@@ -469,7 +471,7 @@
         removeEntry(entry.number);
     }
 
-    /** Records, for the next process, that a host asked to wait until the given Unix time, in ms. */
+    /** Records, for the next process, that a host asked to wait until the given Unix time. */
     void waits(String host, long untilMillis) throws IOException {
         append(record(WAIT, 0, o -> {
             o.writeLong(untilMillis);
@@ -506,7 +508,8 @@
      * Records an attempt. Must be called before the first byte is sent, since the host may process the
      * message from then on.
      *
-     * @param time Unix time, ms
+     * @param sentMillis Unix time of the attempt
+     * @param zone the host's zone
      */
     void recordSent(Entry entry, long sentMillis, int zone) throws IOException {
         Attempt attempt = new Attempt(sentMillis, zone);
