--- a/src/main/java/wrenkeel/net/RecoverySummary.java
+++ b/src/main/java/wrenkeel/net/RecoverySummary.java
@@ -5,13 +5,14 @@
 
 /**
  * Counts what becomes of the messages that this process recovered without an attempt made so far. Logs the
- * counts once all of these messages are accounted for. One thread.
+ * counts when all of these messages are accounted for, and again if more were recovered later. One thread.
  */
 final class RecoverySummary {
     private static final Logger LOG = LoggerFactory.getLogger(RecoverySummary.class);
 
     /** Messages recovered without an attempt. */
     private int untried;
+    /** Of these, messages with an attempt since. */
     private int attempted;
     /** Failed because their deadline had passed before the process began. */
     private int expiredBeforeStart;
