--- a/src/main/java/wrenkeel/net/Knowledge.java
+++ b/src/main/java/wrenkeel/net/HandoverSnapshot.java
@@ -13,15 +13,22 @@
 import wrenkeel.Relay;
 import wrenkeel.Wire;
 
-/** What a process that leaves knows of the hosts, as text for the next; points in time in Unix time, ms. */
-final class Knowledge {
-    private static final Logger LOG = LoggerFactory.getLogger(Knowledge.class);
+/**
+ * What a relay that hands over to another process knows of its hosts, as JSON text. Points in time are Unix
+ * time in milliseconds.
+ */
+final class HandoverSnapshot {
+    private static final Logger LOG = LoggerFactory.getLogger(HandoverSnapshot.class);
     private static final JsonFactory JSON = new JsonFactory();
 
-    private Knowledge() { }
+    private HandoverSnapshot() { }
 
-    /** Stops once the text has {@code most} characters: what comes later in the list is left out. */
-    static String write(List<Relay.EndpointSnapshot> all, HostList hosts, LongUnaryOperator toUnix, long most)
+    /**
+     * Writes what is known of endpoints. Once the text has {@code maxChars} characters, the rest is left out.
+     *
+     * @param toUnix converts the module's times to Unix time in ms
+     */
+    static String write(List<Relay.EndpointSnapshot> all, HostList hosts, LongUnaryOperator toUnix, long maxChars)
         throws IOException {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = JSON.createGenerator(text)) {
@@ -31,7 +38,7 @@
             for (Relay.EndpointSnapshot known : all) {
                 HostList.Host host = hosts.host(known.endpoint());
                 out.flush();
-                if (text.getBuffer().length() >= most) {
+                if (text.getBuffer().length() >= maxChars) {
                     break;
                 }
                 if (host == null) {
@@ -57,48 +64,57 @@
     }
 
     /**
-     * Text that cannot be read tells nothing: this process then learns as one does after a restart.
-     * {@code named}: the host of a name, made known to the module before these events; null if none.
+     * Reads a snapshot as events for the module. Text that is not valid JSON yields no events, and a
+     * malformed entry ends the reading; this process then learns the state of the other hosts as after a
+     * restart.
+     *
+     * @param hostByName returns the host of a name, which the module must know before it gets these events;
+     *     null if there is none
+     * @param toModule converts Unix time in ms to the module's time
      */
-    static List<Relay.Event> read(String text, HostList hosts, Function<String, HostList.Host> named,
+    static List<Relay.Event> read(String text, HostList hosts, Function<String, HostList.Host> hostByName,
                                   LongUnaryOperator toModule) {
         List<Relay.Event> events = new ArrayList<>();
         try {
             Wire.Fields all = Wire.decode(text);
-            boolean newer = all.whole("seq") > hosts.version();
+            boolean newer = all.longValue("seq") > hosts.version();
             for (Wire.Fields f : all.objects("known")) {
-                HostList.Host host = named.apply(f.text("host"));
+                HostList.Host host = hostByName.apply(f.text("host"));
                 if (host == null) {
                     continue;
                 }
-                if (newer && host.ready && !f.flag("ready")) {
+                if (newer && host.ready && !f.booleanValue("ready")) {
                     events.add(hosts.drain(host));
                 }
-                events.add(new Relay.EndpointSnapshot(host.number, toModule.applyAsLong(f.whole("wait")),
-                    toModule.applyAsLong(f.whole("closed")), health(f), toModule.applyAsLong(since(f)),
-                    f.number("carried", 0), f.number("pace"), f.number("window"), f.number("latency")));
+                events.add(new Relay.EndpointSnapshot(host.number, toModule.applyAsLong(f.longValue("wait")),
+                    toModule.applyAsLong(f.longValue("closed")), health(f), toModule.applyAsLong(since(f)),
+                    f.doubleValue("carried", 0), f.doubleValue("pace"), f.doubleValue("window"),
+                    f.doubleValue("latency")));
             }
-        } catch (Wire.Malformed e) {
-            LOG.warn("what the process before knew cannot be read: {}", e.getMessage());
+        } catch (Wire.MalformedException e) {
+            LOG.warn("the previous process's handover snapshot is malformed: {}", e.getMessage());
         }
         return events;
     }
 
-    /** The release before wrote down whether it was out, and when it came back. */
-    private static Relay.Health health(Wire.Fields f) throws Wire.Malformed {
+    /**
+     * Reads the health of an endpoint. The previous release has no field for it: it wrote whether the
+     * endpoint was out, and when it returned.
+     */
+    private static Relay.Health health(Wire.Fields f) throws Wire.MalformedException {
         String name = f.text("health", null);
         if (name == null) {
-            return f.flag("out") ? Relay.Health.OUT
-                : f.whole("returned") != 0 ? Relay.Health.RETURNING : Relay.Health.GOOD;
+            return f.booleanValue("out") ? Relay.Health.OUT
+                : f.longValue("returned") != 0 ? Relay.Health.RETURNING : Relay.Health.GOOD;
         }
         try {
             return Relay.Health.valueOf(name);
         } catch (IllegalArgumentException e) {
-            throw new Wire.Malformed("unknown health " + name);
+            throw new Wire.MalformedException("unknown health '" + name + "'");
         }
     }
 
-    private static long since(Wire.Fields f) throws Wire.Malformed {
-        return f.whole("since", f.whole("returned", 0));
+    private static long since(Wire.Fields f) throws Wire.MalformedException {
+        return f.longValue("since", f.longValue("returned", 0));
     }
 }
--- a/src/main/java/wrenkeel/net/Journal.java
+++ b/src/main/java/wrenkeel/net/Journal.java
@@ -26,100 +26,152 @@
 import wrenkeel.Relay;
 
 /**
- * What this relay owes, in one append-only file of the lasting folder, which this process alone writes. What
- * earlier processes left in theirs is adopted; each message is taken over once, whoever is killed meanwhile.
+ * Write-ahead journal of the messages that this relay has accepted and not yet closed, in an append-only file
+ * of the state folder. Each process writes a file of its own. A later process adopts the open messages from
+ * the files of earlier ones; each message is adopted once, even if processes are killed meanwhile.
  *
- * <p>A record is its length (4 bytes), the CRC-32 of its content (4 bytes) and the content: its sort, the
- * number of the message, and what the sort asks for. What does not check is passed over at the start. The
- * file is written anew when it has grown; old and new file together stay within the limit, for which each
- * message reserves room.
+ * <p>A record consists of the content's length (4 bytes), the CRC-32 of the content (4 bytes) and the
+ * content: the record's type (1 byte), the number of the message (8 bytes) and further fields that depend on
+ * the type. Records whose checksum does not match are skipped on reading. The file is rewritten with the open
+ * messages only when it has grown. Old and new file together stay within the limit, because each accepted
+ * message reserves the bytes that all its records may need.
+ *
+ * <p>Not thread-safe. A failed write throws {@link IOException}; the whole file is then rewritten before
+ * anything is appended, from what this object holds in memory.
  */
 final class Journal implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Journal.class);
-    private static final int HEAD = 8;
-    /** Bytes of a content at most: a body of 64 KiB, and ids, keys and rules far shorter than that. */
-    private static final int RECORD_MOST = 128 * 1024;
+    /** A record's length and checksum. */
+    private static final int HEADER_BYTES = 8;
+    /** A body of up to 64 KiB, and ids, keys and the message class, which are far shorter. */
+    private static final int MAX_CONTENT_BYTES = 128 * 1024;
     /**
-     * Bytes that are checked in vain at most for one file. Any place in a damaged stretch may look like the
-     * head of a long record; the start must not stand still over that.
+     * Bytes of mismatched checksums after which the rest of a file is skipped. Any position in a damaged
+     * range may look like the header of a long record, and checking all of them would delay the start for too
+     * long.
      */
-    private static final long CHECKED_IN_VAIN_MOST = 64 << 20;
-    /** Bytes of a content's sort and number. */
-    private static final int LEAST = 9;
-    /** Bytes kept clear of the limit, for what the file system rounds up. */
-    private static final long CLEAR = 32_768;
+    private static final long MAX_MISMATCHED_BYTES = 64 << 20;
+    /** The type and the number. */
+    private static final int MIN_CONTENT_BYTES = 9;
+    /** Bytes of the limit that stay unused, because the file system rounds sizes up. */
+    private static final long LIMIT_MARGIN_BYTES = 32_768;
     /**
-     * Share of the room that live messages may reserve; the rest is for the old file and for growth between
-     * rewrites.
+     * Share of the capacity that open messages may reserve; the rest is for the old file during a rewrite,
+     * and for growth between rewrites.
      */
-    private static final double LIVE_SHARE = 0.4;
-    /** The zone of an attempt of which nothing is known: that of no host. */
+    private static final double OPEN_MESSAGES_SHARE = 0.4;
+    /** Zone of an attempt whose record is lost; no host has it. */
     private static final int UNKNOWN_ZONE = -1;
-    /** Attempts for which a message without its class written down reserves room. */
-    private static final int BARE_TRIES = 16;
-    /** Bytes of a send with its outcome, and of an end with its notice. */
-    private static final int ATTEMPT_BYTES = (HEAD + 23) + (HEAD + 11), END_BYTES = (HEAD + 18) + (HEAD + 9);
-    /** Sort 1: a message by a release that did not write down its class. */
-    private static final byte TAKEN_BARE = 1, SENT = 2, NOT_RUN = 3, ENDED = 4, CLOSED = 5,
-        ORIGIN = 6, ABSORBED = 7, PASSED = 8, WAIT = 9, TAKEN = 10, CLOCK = 11, UNMADE = 12, HEALTH = 13;
-    /** Share of the room that the health of endpoints may take. */
+    /** Attempts for which a message reserves space if its class was not recorded. */
+    private static final int DEFAULT_MAX_ATTEMPTS = 16;
+    /** An attempt: the record of its send and the one of its outcome. */
+    private static final int ATTEMPT_BYTES = (HEADER_BYTES + 23) + (HEADER_BYTES + 11);
+    /** A message's end: its record and the one that closes the message. */
+    private static final int END_BYTES = (HEADER_BYTES + 18) + (HEADER_BYTES + 9);
+
+    // Types of records. The numbers are stored and must not change.
+    /** A message of a release that did not record the message's class. */
+    private static final byte ACCEPTED_WITHOUT_CLASS = 1;
+    /** An attempt is about to be sent. */
+    private static final byte SENT = 2;
+    /** An attempt had no effect at the host. */
+    private static final byte NOT_RUN = 3;
+    /** The end of a message was decided, and its notice is due. */
+    private static final byte ENDED = 4;
+    /** Nothing more is to be done for a message. */
+    private static final byte CLOSED = 5;
+    /** The message of this number was adopted from the given process; the number is that in its journal. */
+    private static final byte ADOPTED = 6;
+    /** The journal of the process of this number holds no open message any more. */
+    private static final byte PREDECESSOR_EMPTIED = 7;
+    /** A message belongs to the next process from now on. */
+    private static final byte PASSED_ON = 8;
+    /** A host asked the relay to wait. */
+    private static final byte WAIT = 9;
+    /** A message was accepted, with its class. */
+    private static final byte ACCEPTED = 10;
+    /** The clocks of the process that writes the file. */
+    private static final byte CLOCK = 11;
+    /** An attempt was never made, because this machine had no socket for it. */
+    private static final byte NOT_MADE = 12;
+    /** The health of an endpoint has changed. */
+    private static final byte ENDPOINT_HEALTH = 13;
+
+    /** Share of the capacity that the health of endpoints may take. */
     private static final double HEALTH_SHARE = 0.125;
 
-    /** One send of a message. {@code sent}: Unix time, ms; {@code zone}: its host's. */
+    /** One attempt to send a message. */
     static final class Attempt {
-        final long sent;
+        /** Unix time when it was sent. */
+        final long sentMillis;
+        /** The zone of the host it was sent to. */
         final int zone;
+        /** Whether the host may have processed the message. */
         boolean mayHaveRun = true;
-        /** This machine failed: it counts only among the numbers of this process's attempts. */
-        private boolean unmade;
+        /**
+         * Whether the attempt was never made, because this machine failed. It keeps its number among the
+         * attempts of this process, but is not adopted by the next.
+         */
+        private boolean notMade;
 
-        Attempt(long sent, int zone) {
-            this.sent = sent;
+        Attempt(long sentMillis, int zone) {
+            this.sentMillis = sentMillis;
             this.zone = zone;
         }
 
-        private Attempt sentAt(long other) {
-            Attempt attempt = new Attempt(other, zone);
+        private Attempt withSendTime(long sentMillis) {
+            Attempt attempt = new Attempt(sentMillis, zone);
             attempt.mayHaveRun = mayHaveRun;
             return attempt;
         }
     }
 
-    /** The end that was decided for a message; its notice is owed until it is acknowledged. */
-    record End(boolean handedBack, long retryAfter) { }
+    /**
+     * The end that was decided for a message. Its notice must be posted until the platform acknowledges it.
+     *
+     * @param refused whether the message was refused, so that sending it again is harmless; otherwise it
+     *     failed
+     * @param retryAfterMicros after which time to send a refused message again; 0 for no advice
+     */
+    record End(boolean refused, long retryAfterMicros) { }
 
     /**
-     * Health of an endpoint, as this relay was told of it.
+     * Health of an endpoint as the decision module reported it.
      *
      * @param host name of the endpoint
-     * @param since Unix time, ms, when its outage began or, if it is returning, ended
-     * @param carried calls a second that this relay carried to it before the outage
+     * @param sinceMillis Unix time when its outage began or, if it is returning, ended
+     * @param callsPerSecond rate of this relay's calls to it before the outage
      */
-    record EndpointHealth(String host, Relay.Health health, long since, double carried) { }
+    record EndpointHealth(String host, Relay.Health health, long sinceMillis, double callsPerSecond) { }
 
-    /** A message that something is owed for. */
+    /** An open message: accepted, and not yet closed or passed on. */
     static final class Entry {
         final long number;
         final Message message;
-        /** Under which it was taken; null where only its name was written down. */
-        final Relay.MessageClass rules;
+        /** The message's class when it was accepted; null if only the name of the class was recorded. */
+        final Relay.MessageClass messageClass;
+        /** The attempts so far, by their numbers. */
         final List<Attempt> attempts = new ArrayList<>();
+        /** Null until the end is decided. */
         End end;
-        private long reserved;
-        /** Some of its records are missing: the numbers of its attempts are not known. */
-        private boolean doubted;
+        private long reservedBytes;
+        /** Whether records may be missing, so that the numbers of its attempts are unknown. */
+        private boolean incomplete;
 
-        private Entry(long number, Message message, Relay.MessageClass rules) {
+        private Entry(long number, Message message, Relay.MessageClass messageClass) {
             this.number = number;
             this.message = message;
-            this.rules = rules;
+            this.messageClass = messageClass;
         }
 
-        /** It may have been sent at any time since it was taken on, wherever. */
-        private void doubt() {
-            if (!doubted) {
-                doubted = true;
-                long life = rules == null ? 0 : rules.lifetime() / 1_000;
+        /**
+         * Adds an attempt for the records that may be missing: sent as early as the message can have been
+         * accepted, to an unknown zone.
+         */
+        private void markIncomplete() {
+            if (!incomplete) {
+                incomplete = true;
+                long life = messageClass == null ? 0 : messageClass.lifetime() / 1_000;
                 attempts.add(new Attempt(message.deadline() - life, UNKNOWN_ZONE));
             }
         }
@@ -127,57 +179,74 @@
 
     private final ProcessClock clock;
     private final FileOperations files;
-    private final Tenure tenure;
+    private final ProcessLease lease;
     private final Path file;
-    private final Path fresh;
-    private final long room;
-    /** Files of earlier processes, the oldest first, until nothing in them is open. */
-    private final List<Legacy> legacies = new ArrayList<>();
-    /** What was taken over from files that still exist. */
+    /** Where a rewrite is prepared before it replaces {@link #file}. */
+    private final Path newFile;
+    /** Bytes that the journals of all processes may use. */
+    private final long capacityBytes;
+    /** The journals of earlier processes, the oldest first, until they hold no open message. */
+    private final List<PredecessorJournal> predecessors = new ArrayList<>();
+    /** The messages adopted from files that still exist. */
     private final Set<Origin> adopted = new LinkedHashSet<>();
+    /** The open messages by their numbers, in the order in which they were accepted. */
     private final Map<Long, Entry> entries = new LinkedHashMap<>();
-    /** Of endpoints that are out or returning, by their names. */
-    private final Map<String, EndpointHealth> health = new LinkedHashMap<>();
-    /** What files of earlier processes tell of endpoints, and nobody has asked for yet. */
-    private final Map<String, EndpointHealth> inherited = new LinkedHashMap<>();
+    /** Recorded health of endpoints that are out or returning, by their names. */
+    private final Map<String, EndpointHealth> endpointHealth = new LinkedHashMap<>();
+    /** Health from journals of earlier processes that {@link #takeInheritedHealth} has not returned yet. */
+    private final Map<String, EndpointHealth> inheritedHealth = new LinkedHashMap<>();
+    /** Total size of the health records. */
     private long healthBytes;
-    private FileChannel out;
-    /** A write has failed: the file is written anew before the next. */
-    private boolean behind;
-    private long size;
-    private long reserved;
-    private long last;
-    private boolean passing;
+    private FileChannel channel;
+    /** A write has failed, so the file must be rewritten before the next. */
+    private boolean rewriteNeeded;
+    /** Size of the file. */
+    private long fileBytes;
+    /** Bytes reserved by the open messages. */
+    private long reservedBytes;
+    /** The number given to a message last. */
+    private long lastNumber;
+    /**
+     * Set when messages are passed on; the file is then no longer compacted, as the next process reads it.
+     */
+    private boolean handingOver;
 
-    /** Begins this process's file; nothing is owed before {@link #adopt}. */
-    Journal(Path folder, long limit) throws IOException {
-        this(folder, limit, ProcessClock.system(), FileOperations.SYSTEM);
+    /** Creates a journal that uses the real clock and file system. */
+    Journal(Path folder, long limitBytes) throws IOException {
+        this(folder, limitBytes, ProcessClock.system(), FileOperations.SYSTEM);
     }
 
-    /** {@code clock}: that of the times in messages and attempts. */
-    Journal(Path folder, long limit, ProcessClock clock, FileOperations files) throws IOException {
+    /**
+     * Creates the journal of this process. It holds no messages of earlier processes before {@link #adopt}.
+     *
+     * @param limitBytes bytes that the journals in the folder may use
+     * @param clock clock of the times in messages and attempts
+     * @throws UnusableStateFolderException if the journal cannot be created and retrying will not help
+     */
+    Journal(Path folder, long limitBytes, ProcessClock clock, FileOperations files) throws IOException {
         this.clock = clock;
         this.files = files;
-        this.tenure = Tenure.begin(folder, files);
-        this.file = tenure.file("journal");
-        this.fresh = tenure.file("journal.new");
-        this.room = limit - CLEAR;
-        for (Tenure.Earlier earlier : tenure.earlier()) {
-            legacies.add(new Legacy(earlier));
+        this.lease = ProcessLease.acquire(folder, files);
+        this.file = lease.file("journal");
+        this.newFile = lease.file("journal.new");
+        this.capacityBytes = limitBytes - LIMIT_MARGIN_BYTES;
+        for (ProcessLease.OtherProcess process : lease.predecessors()) {
+            predecessors.add(new PredecessorJournal(process));
         }
         try {
             rewrite();
         } catch (IOException e) {
-            tenure.abandon();
-            // What stands in a file's place does not go away by itself; all else may.
-            throw Files.isDirectory(fresh) || Files.isDirectory(file) ? new UnusableFolder(e) : e;
+            lease.abandon();
+            // A folder in the place of a file stays there; any other failure may pass.
+            throw Files.isDirectory(newFile) || Files.isDirectory(file)
+                ? new UnusableStateFolderException(e) : e;
         }
     }
 
-    /** True while an earlier process serves: whatever stands in its file is its own. */
-    boolean earlierServes() throws IOException {
-        for (Legacy legacy : legacies) {
-            if (!legacy.earlier.over() && legacy.earlier.knowledge() == null) {
+    /** Whether an earlier process is alive and has not handed over; its messages must not be adopted then. */
+    boolean isPredecessorServing() throws IOException {
+        for (PredecessorJournal predecessor : predecessors) {
+            if (!predecessor.process.hasEnded() && predecessor.process.readSnapshot() == null) {
                 return true;
             }
         }
@@ -185,244 +254,269 @@
     }
 
     /**
-     * What a process that leaves knew.
+     * The handover snapshot of an earlier process.
      *
-     * @param shiftMillis to be added to its times in Unix time, ms, to have them on this process's clock
+     * @param text as {@link HandoverSnapshot} writes it
+     * @param shiftMillis what must be added to its times in Unix time to have them on this process's clock
      */
-    record Left(String knowledge, long shiftMillis) { }
-
-    /** What the process that leaves knew; null if it left nothing. */
-    Left knowledge() throws IOException {
-        Left latest = null;
-        for (Legacy legacy : legacies) {
-            String knowledge = legacy.earlier.knowledge();
-            if (knowledge != null) {
-                legacy.read();
-                latest = new Left(knowledge, legacy.times(clock).shiftMillis());
+    record InheritedSnapshot(String text, long shiftMillis) { }
+
+    /** Returns the handover snapshot of the latest earlier process that left one; null if none did. */
+    InheritedSnapshot predecessorSnapshot() throws IOException {
+        InheritedSnapshot latest = null;
+        for (PredecessorJournal predecessor : predecessors) {
+            String snapshot = predecessor.process.readSnapshot();
+            if (snapshot != null) {
+                predecessor.readNewRecords();
+                latest = new InheritedSnapshot(snapshot, predecessor.times(clock).shiftMillis());
             }
         }
         return latest;
     }
 
-    /** Tells the process that leaves that this one serves now. */
-    void takenOver() throws IOException {
-        for (Legacy legacy : legacies) {
-            legacy.earlier.heard();
+    /** Signals to the earlier processes that this one serves now. */
+    void confirmTakeover() throws IOException {
+        for (PredecessorJournal predecessor : predecessors) {
+            predecessor.process.confirmTakeover();
         }
     }
 
-    /** True while an earlier process still has a file that may hold something for this one. */
-    boolean hasLegacies() {
-        return !legacies.isEmpty();
+    /** Whether the journal of an earlier process may still hold messages for this one. */
+    boolean hasPredecessors() {
+        return !predecessors.isEmpty();
     }
 
-    /** Waits that leaving processes have heard since the last call: until when (Unix time, ms), by host. */
+    /**
+     * Returns and forgets the waits that hosts asked earlier processes for, as read since the last call:
+     * until when nothing may be sent (Unix time, ms), by host.
+     */
     Map<String, Long> waits() {
         Map<String, Long> waits = new HashMap<>();
-        for (Legacy legacy : legacies) {
-            RecordedTimes times = legacy.times(clock);
-            legacy.waits.forEach((host, until) -> waits.put(host, times.waitUntil(until)));
-            legacy.waits.clear();
+        for (PredecessorJournal predecessor : predecessors) {
+            RecordedTimes times = predecessor.times(clock);
+            predecessor.waits.forEach((host, untilMillis) -> waits.put(host, times.waitUntil(untilMillis)));
+            predecessor.waits.clear();
         }
         return waits;
     }
 
-    /** Messages that processes which leave still have out, by destination. */
-    Map<Long, Integer> outElsewhere() {
-        Map<Long, Integer> out = new HashMap<>();
-        for (Legacy legacy : legacies) {
-            legacy.entries.values().stream().filter(e -> !legacy.passed.contains(e.number))
-                .forEach(e -> out.merge(e.message.destination(), 1, Integer::sum));
+    /** Returns the number of messages that earlier processes still have in flight, by destination. */
+    Map<Long, Integer> inFlightElsewhere() {
+        Map<Long, Integer> inFlight = new HashMap<>();
+        for (PredecessorJournal predecessor : predecessors) {
+            predecessor.entries.values().stream().filter(e -> !predecessor.passedOn.contains(e.number))
+                .forEach(e -> inFlight.merge(e.message.destination(), 1, Integer::sum));
         }
-        return out;
+        return inFlight;
     }
 
     /**
-     * Takes over what has been passed on, and all that is open in the file of a process that has ended; that
-     * file is then deleted. Each message that is newly owed is told once.
+     * Adopts the messages that earlier processes have passed on, and all open messages of processes that have
+     * ended, whose files are then deleted.
+     *
+     * @param onAdopted receives each adopted message once
      */
-    void adopt(Consumer<Entry> whenOwed) throws IOException {
-        for (Legacy legacy : legacies) {
-            // In this order: after the end nothing more is written, so what is read then is all there is.
-            legacy.ended = legacy.earlier.over();
-            legacy.read();
-        }
-        legacies.forEach(this::inherit);
-        Set<Long> absorbed = new HashSet<>();
-        for (Legacy legacy : legacies) {
-            adopted.addAll(legacy.adopted);
-            absorbed.addAll(legacy.absorbed);
-        }
-        for (Legacy legacy : List.copyOf(legacies)) {
-            for (Entry entry : List.copyOf(legacy.entries.values())) {
-                if (legacy.ended || legacy.passed.contains(entry.number)) {
-                    Origin origin = new Origin(legacy.number(), entry.number);
-                    if (!absorbed.contains(legacy.number()) && !adopted.contains(origin)) {
-                        Entry owed = adopt(entry, origin, legacy.times(clock));
+    void adopt(Consumer<Entry> onAdopted) throws IOException {
+        for (PredecessorJournal predecessor : predecessors) {
+            // In this order: a process that has ended writes nothing more, so the file is then read
+            // completely.
+            predecessor.processEnded = predecessor.process.hasEnded();
+            predecessor.readNewRecords();
+        }
+        predecessors.forEach(this::inheritHealth);
+        Set<Long> emptied = new HashSet<>();
+        for (PredecessorJournal predecessor : predecessors) {
+            adopted.addAll(predecessor.adopted);
+            emptied.addAll(predecessor.emptied);
+        }
+        for (PredecessorJournal predecessor : List.copyOf(predecessors)) {
+            for (Entry entry : List.copyOf(predecessor.entries.values())) {
+                if (predecessor.processEnded || predecessor.passedOn.contains(entry.number)) {
+                    Origin origin = new Origin(predecessor.number(), entry.number);
+                    if (!emptied.contains(predecessor.number()) && !adopted.contains(origin)) {
+                        Entry copy = adopt(entry, origin, predecessor.times(clock));
                         adopted.add(origin);
-                        whenOwed.accept(owed);
+                        onAdopted.accept(copy);
                     }
-                    legacy.entries.remove(entry.number);
+                    predecessor.entries.remove(entry.number);
                 }
             }
-            if (legacy.ended) {
-                absorb(legacy);
+            if (predecessor.processEnded) {
+                removePredecessor(predecessor);
             }
         }
-        adopted.removeIf(origin -> legacies.stream().noneMatch(legacy -> legacy.number() == origin.file));
+        adopted.removeIf(origin ->
+            predecessors.stream().noneMatch(predecessor -> predecessor.number() == origin.process));
     }
 
-    /** What it tells of endpoints is kept here too, before its file goes. */
-    private void inherit(Legacy legacy) {
-        RecordedTimes times = legacy.times(clock);
-        for (EndpointHealth told : legacy.health.values()) {
-            EndpointHealth now = new EndpointHealth(told.host, told.health, times.outage(told.since),
-                told.carried);
-            inherited.put(now.host, now);
-            if (!health.containsKey(now.host)) {
-                keep(now);
+    /** Copies the health of endpoints from an earlier process, before its journal is deleted. */
+    private void inheritHealth(PredecessorJournal predecessor) {
+        RecordedTimes times = predecessor.times(clock);
+        for (EndpointHealth health : predecessor.endpointHealth.values()) {
+            EndpointHealth inherited = new EndpointHealth(health.host, health.health,
+                times.outageTime(health.sinceMillis), health.callsPerSecond);
+            inheritedHealth.put(inherited.host, inherited);
+            if (!endpointHealth.containsKey(inherited.host)) {
+                keepHealth(inherited);
             }
         }
-        legacy.health.clear();
+        predecessor.endpointHealth.clear();
     }
 
-    /** Endpoints that earlier processes knew to be out or returning, as told since the last call. */
-    List<EndpointHealth> inheritedHealth() {
-        List<EndpointHealth> told = List.copyOf(inherited.values());
-        inherited.clear();
-        return told;
+    /**
+     * Returns and forgets the endpoints that earlier processes knew to be out or returning, as read since the
+     * last call.
+     */
+    List<EndpointHealth> takeInheritedHealth() {
+        List<EndpointHealth> health = List.copyOf(inheritedHealth.values());
+        inheritedHealth.clear();
+        return health;
     }
 
     /**
-     * Writes down the health of an endpoint, for the next process. One that is well is forgotten; beyond the
-     * room for it no more endpoints are written down.
+     * Records the health of an endpoint for the next process. The record of an endpoint with good health is
+     * dropped. Once the space for health records is used up, no further endpoints are recorded.
      */
-    void health(EndpointHealth told) throws IOException {
-        boolean known = health.containsKey(told.host);
-        if (keep(told) || known) {
-            append(healthRecord(told));
+    void endpointHealth(EndpointHealth health) throws IOException {
+        boolean known = endpointHealth.containsKey(health.host);
+        if (keepHealth(health) || known) {
+            append(healthRecord(health));
         }
     }
 
-    /** How many endpoints' health is written down. */
-    int healthSize() {
-        return health.size();
+    /** Returns the number of endpoints whose health is recorded. */
+    int endpointHealthCount() {
+        return endpointHealth.size();
     }
 
-    /** False where it needs no record, or there is no room for it. */
-    private boolean keep(EndpointHealth told) {
-        EndpointHealth before = health.remove(told.host);
+    /** Updates the health in memory; returns false if it needs no record or there is no space for one. */
+    private boolean keepHealth(EndpointHealth health) {
+        EndpointHealth before = endpointHealth.remove(health.host);
         healthBytes -= before == null ? 0 : healthRecord(before).length;
-        int length = healthRecord(told).length;
-        if (told.health == Relay.Health.GOOD || healthBytes + length > room * HEALTH_SHARE) {
+        int length = healthRecord(health).length;
+        if (health.health == Relay.Health.GOOD || healthBytes + length > capacityBytes * HEALTH_SHARE) {
             return false;
         }
-        health.put(told.host, told);
+        endpointHealth.put(health.host, health);
         healthBytes += length;
         return true;
     }
 
-    /** Nothing in it is open any more; what it had taken over from files that still exist is kept. */
-    private void absorb(Legacy legacy) throws IOException {
+    /**
+     * Deletes the files of an earlier process that hold no open message any more. Records first the health of
+     * endpoints, and what that process had adopted from files that still exist, so that it is not adopted
+     * again.
+     */
+    private void removePredecessor(PredecessorJournal predecessor) throws IOException {
         ByteArrayOutputStream records = new ByteArrayOutputStream();
-        for (EndpointHealth told : health.values()) {
-            records.writeBytes(healthRecord(told));
+        for (EndpointHealth health : endpointHealth.values()) {
+            records.writeBytes(healthRecord(health));
         }
-        for (Origin origin : legacy.adopted) {
-            records.writeBytes(origin(origin));
+        for (Origin origin : predecessor.adopted) {
+            records.writeBytes(adoptedRecord(origin));
         }
-        records.writeBytes(record(ABSORBED, legacy.number(), o -> { }));
-        put(records.toByteArray());
-        legacy.earlier.delete();
-        legacies.remove(legacy);
+        records.writeBytes(record(PREDECESSOR_EMPTIED, predecessor.number(), o -> { }));
+        writeAtEnd(records.toByteArray());
+        predecessor.process.delete();
+        predecessors.remove(predecessor);
     }
 
-    /** In one write: a message that is taken over without its attempts could run twice. */
-    private Entry adopt(Entry from, Origin origin, RecordedTimes times) throws IOException {
-        long deadline = times.deadline(from.message.deadline(), from.rules);
-        Entry entry = new Entry(++last, from.message.withDeadline(deadline), from.rules);
-        from.attempts.stream().filter(attempt -> !attempt.unmade)
-            .forEach(attempt -> entry.attempts.add(attempt.sentAt(times.sent(attempt.sent))));
-        entry.end = from.end;
+    /**
+     * Copies a message into this journal. All its records go into one write, because a message that is
+     * adopted without its attempts could be processed twice.
+     */
+    private Entry adopt(Entry source, Origin origin, RecordedTimes times) throws IOException {
+        long deadline = times.deadline(source.message.deadline(), source.messageClass);
+        Entry entry = new Entry(++lastNumber, source.message.withDeadline(deadline), source.messageClass);
+        source.attempts.stream().filter(attempt -> !attempt.notMade)
+            .forEach(attempt -> entry.attempts.add(attempt.withSendTime(times.sendTime(attempt.sentMillis))));
+        entry.end = source.end;
         ByteArrayOutputStream records = new ByteArrayOutputStream();
-        records.writeBytes(origin(origin));
+        records.writeBytes(adoptedRecord(origin));
         write(entry, records::writeBytes);
-        put(records.toByteArray());
-        entry.reserved = reserve(taken(entry).length, from.rules);
-        reserved += entry.reserved;
+        writeAtEnd(records.toByteArray());
+        entry.reservedBytes = bytesToReserve(acceptedRecord(entry).length, source.messageClass);
+        reservedBytes += entry.reservedBytes;
         entries.put(entry.number, entry);
         return entry;
     }
 
-    /** True while a later process stands by to take over. */
-    boolean laterWaits() throws IOException {
-        return tenure.laterWaits();
+    /** Whether a later process is alive and can take over. */
+    boolean hasStandby() throws IOException {
+        return lease.hasStandby();
     }
 
     /**
-     * From now on messages are passed on to the later process, which reads this file as it grows: it is
-     * compacted now, for the last time.
+     * Begins passing messages on to the next process. That process reads this file while it grows, so the
+     * file is rewritten now for the last time.
      */
-    void beginPassing() throws IOException {
+    void beginHandover() throws IOException {
         rewrite();
-        passing = true;
+        handingOver = true;
     }
 
-    /** Leaves what this process knows to the later one, which serves once {@link #laterServes}. */
-    void leave(String knowledge) throws IOException {
-        tenure.leave(knowledge);
+    /** Writes the handover snapshot for the next process, which then begins to serve. */
+    void publishSnapshot(String snapshot) throws IOException {
+        lease.publishSnapshot(snapshot);
     }
 
-    boolean laterServes() {
-        return tenure.laterServes();
+    /** Whether the next process has taken over, after {@link #publishSnapshot}. */
+    boolean isTakenOver() {
+        return lease.isTakenOver();
     }
 
-    /** The message is the later process's from here on. */
-    void passed(Entry entry) throws IOException {
-        append(record(PASSED, entry.number, o -> { }));
-        forget(entry.number);
+    /** Passes a message on: from now on it belongs to the next process. */
+    void passOn(Entry entry) throws IOException {
+        append(record(PASSED_ON, entry.number, o -> { }));
+        removeEntry(entry.number);
     }
 
-    /** A host told to wait; the later process must heed it. */
-    void waits(String host, long until) throws IOException {
+    /** Records, for the next process, that a host asked to wait until the given Unix time. */
+    void waits(String host, long untilMillis) throws IOException {
         append(record(WAIT, 0, o -> {
-            o.writeLong(until);
+            o.writeLong(untilMillis);
             o.writeUTF(host);
         }));
     }
 
-    /** The messages that something is owed for, in the order in which they were taken on. */
-    Collection<Entry> owed() {
+    /** Returns the open messages in the order in which they were accepted. */
+    Collection<Entry> openEntries() {
         return List.copyOf(entries.values());
     }
 
-    /** How many messages something is owed for. */
-    int size() {
+    /** Returns the number of open messages. */
+    int openCount() {
         return entries.size();
     }
 
-    /** Writes a message down; null if there is no room for it until its end. */
-    Entry take(Message message, Relay.MessageClass rules) throws IOException {
-        Entry entry = new Entry(last + 1, message, rules);
-        byte[] record = taken(entry);
-        entry.reserved = reserve(record.length, rules);
-        if (reserved + entry.reserved > room() * LIVE_SHARE) {
+    /** Records a new message; returns null if there is no space for the records that it may need. */
+    Entry accept(Message message, Relay.MessageClass messageClass) throws IOException {
+        Entry entry = new Entry(lastNumber + 1, message, messageClass);
+        byte[] record = acceptedRecord(entry);
+        entry.reservedBytes = bytesToReserve(record.length, messageClass);
+        if (reservedBytes + entry.reservedBytes > availableBytes() * OPEN_MESSAGES_SHARE) {
             return null;
         }
         append(record);
-        last++;
-        reserved += entry.reserved;
+        lastNumber++;
+        reservedBytes += entry.reservedBytes;
         entries.put(entry.number, entry);
         return entry;
     }
 
-    /** To be written before the first byte of a send goes out: from then on it may have run. */
-    void sent(Entry entry, long time, int zone) throws IOException {
-        Attempt attempt = new Attempt(time, zone);
+    /**
+     * Records an attempt. Must be called before the first byte is sent, since the host may process the
+     * message from then on.
+     *
+     * @param sentMillis Unix time of the attempt
+     * @param zone the host's zone
+     */
+    void recordSent(Entry entry, long sentMillis, int zone) throws IOException {
+        Attempt attempt = new Attempt(sentMillis, zone);
         try {
-            append(sent(entry, attempt));
+            append(recordSent(entry, attempt));
         } catch (IOException e) {
-            // It is not sent then; it keeps its number, so that later attempts keep theirs.
+            // The attempt is not sent then. It keeps its number, so that later attempts keep theirs.
             attempt.mayHaveRun = false;
             throw e;
         } finally {
@@ -430,396 +524,424 @@
         }
     }
 
-    /** An attempt that was written down was never made: this machine had no socket for it. */
-    void unmade(Entry entry, int attempt) throws IOException {
+    /** Records that an attempt was never made, because this machine had no socket for it. */
+    void recordNotMade(Entry entry, int attempt) throws IOException {
         entry.attempts.get(attempt).mayHaveRun = false;
-        entry.attempts.get(attempt).unmade = true;
-        append(record(UNMADE, entry.number, o -> o.writeShort(attempt)));
+        entry.attempts.get(attempt).notMade = true;
+        append(record(NOT_MADE, entry.number, o -> o.writeShort(attempt)));
     }
 
-    /** A send that was decided and is not made, for it cannot be written down; it keeps its number. */
-    void notMade(Entry entry, long time, int zone) {
-        Attempt attempt = new Attempt(time, zone);
+    /**
+     * Adds an attempt in memory only. It was decided but is not made, because it cannot be recorded or must
+     * not be sent; it keeps its number.
+     */
+    void addUnrecordedAttempt(Entry entry, long sentMillis, int zone) {
+        Attempt attempt = new Attempt(sentMillis, zone);
         attempt.mayHaveRun = false;
-        attempt.unmade = true;
+        attempt.notMade = true;
         entry.attempts.add(attempt);
-        // The file lacks it, and its later records would have other numbers.
-        behind = true;
+        // Without it in the file, the records of later attempts would have wrong numbers.
+        rewriteNeeded = true;
     }
 
-    /** An outcome has proved that the attempt never ran. */
-    void notRun(Entry entry, int attempt) throws IOException {
+    /** Records that an attempt had no effect, as its outcome has proved. */
+    void recordNotRun(Entry entry, int attempt) throws IOException {
         entry.attempts.get(attempt).mayHaveRun = false;
         append(record(NOT_RUN, entry.number, o -> o.writeShort(attempt)));
     }
 
-    /** An end was decided: a notice is owed. */
-    void ended(Entry entry, End end) throws IOException {
+    /** Records the end that was decided for a message; its notice is due from now on. */
+    void recordEnd(Entry entry, End end) throws IOException {
         entry.end = end;
-        append(ended(entry.number, end));
+        append(recordEnd(entry.number, end));
     }
 
-    /** Nothing more is owed: delivered, withdrawn, or its notice acknowledged. */
-    void closed(Entry entry) throws IOException {
-        forget(entry.number);
+    /** Closes a message that was delivered or withdrawn, or whose notice was acknowledged. */
+    void recordClosed(Entry entry) throws IOException {
+        removeEntry(entry.number);
         append(record(CLOSED, entry.number, o -> { }));
     }
 
     @Override
     public void close() throws IOException {
-        out.close();
-        tenure.close();
+        channel.close();
+        lease.close();
     }
 
-    private static long reserve(int taken, Relay.MessageClass rules) {
-        int tries = rules == null ? BARE_TRIES : rules.maxAttempts();
-        return taken + (long) tries * ATTEMPT_BYTES + END_BYTES;
+    /** Returns the size of all records that a message may need, given that of its first one. */
+    private static long bytesToReserve(int acceptedBytes, Relay.MessageClass messageClass) {
+        int maxAttempts = messageClass == null ? DEFAULT_MAX_ATTEMPTS : messageClass.maxAttempts();
+        return acceptedBytes + (long) maxAttempts * ATTEMPT_BYTES + END_BYTES;
     }
 
-    /** Bytes for this file, beside those of earlier processes that still exist. */
-    private long room() {
-        return room - legacies.stream().mapToLong(legacy -> legacy.size).sum();
+    /** Returns the bytes that this file may use beside those of earlier processes that still exist. */
+    private long availableBytes() {
+        return capacityBytes - predecessors.stream().mapToLong(predecessor -> predecessor.readBytes).sum();
     }
 
-    private void forget(long number) {
-        Entry gone = entries.remove(number);
-        reserved -= gone == null ? 0 : gone.reserved;
+    private void removeEntry(long number) {
+        Entry removed = entries.remove(number);
+        reservedBytes -= removed == null ? 0 : removed.reservedBytes;
     }
 
     // ---- The file -------------------------------------------------------------------------------
+    /** Appends a record, after a rewrite if the file would grow into the space that is reserved. */
     private void append(byte[] record) throws IOException {
-        if (!passing && size + record.length + reserved + healthBytes > room()) {
+        if (!handingOver && fileBytes + record.length + reservedBytes + healthBytes > availableBytes()) {
             rewrite();
         }
-        put(record);
+        writeAtEnd(record);
     }
 
-    /** Writes at the end; what a failed write may have left there is first made good by writing all anew. */
-    private void put(byte[] records) throws IOException {
-        if (behind) {
+    /** Writes at the end of the file. After a failed write, the file is first rewritten. */
+    private void writeAtEnd(byte[] records) throws IOException {
+        if (rewriteNeeded) {
             rewrite();
         }
-        behind = true;
-        write(out, records);
-        behind = false;
-        size += records.length;
+        rewriteNeeded = true;
+        write(channel, records);
+        rewriteNeeded = false;
+        fileBytes += records.length;
     }
 
-    /** A record cut short by a fault is taken back, lest what follows it be lost with it. */
+    /**
+     * Writes a record. If that fails halfway, the partial record is truncated, because records after it could
+     * not be read.
+     */
     private void write(FileChannel channel, byte[] record) throws IOException {
         long before = channel.position();
         try {
-            for (ByteBuffer left = ByteBuffer.wrap(record); left.hasRemaining();) {
-                channel.write(left);
+            for (ByteBuffer buffer = ByteBuffer.wrap(record); buffer.hasRemaining();) {
+                channel.write(buffer);
             }
         } catch (IOException e) {
             try {
                 channel.truncate(before);
-            } catch (IOException second) {
-                e.addSuppressed(second);
+            } catch (IOException truncateFailure) {
+                e.addSuppressed(truncateFailure);
             }
             throw e;
         }
     }
 
-    /** Writes all that is owed anew, which makes good whatever writes before it have failed. */
+    /** Rewrites the file, which makes up for all failed writes before. */
     void repair() throws IOException {
         rewrite();
     }
 
-    private interface Sink {
-        void write(byte[] record) throws IOException;
+    private interface RecordConsumer {
+        void accept(byte[] record) throws IOException;
     }
 
-    /** All that is known of one message. */
-    private static void write(Entry entry, Sink to) throws IOException {
-        to.write(taken(entry));
+    /** Writes all records of a message. */
+    private static void write(Entry entry, RecordConsumer to) throws IOException {
+        to.accept(acceptedRecord(entry));
         for (int i = 0; i < entry.attempts.size(); i++) {
             int attempt = i;
-            to.write(sent(entry, entry.attempts.get(i)));
+            to.accept(recordSent(entry, entry.attempts.get(i)));
             if (!entry.attempts.get(i).mayHaveRun) {
-                byte sort = entry.attempts.get(i).unmade ? UNMADE : NOT_RUN;
-                to.write(record(sort, entry.number, o -> o.writeShort(attempt)));
+                byte type = entry.attempts.get(i).notMade ? NOT_MADE : NOT_RUN;
+                to.accept(record(type, entry.number, o -> o.writeShort(attempt)));
             }
         }
         if (entry.end != null) {
-            to.write(ended(entry.number, entry.end));
+            to.accept(recordEnd(entry.number, entry.end));
         }
     }
 
-    /** Writes what is owed to a new file and puts it in the old one's place. */
+    /** Writes all current state to a new file, which then replaces the old one atomically. */
     private void rewrite() throws IOException {
-        behind = true;
-        FileChannel next = files.open(fresh, StandardOpenOption.CREATE,
+        rewriteNeeded = true;
+        FileChannel next = files.open(newFile, StandardOpenOption.CREATE,
             StandardOpenOption.TRUNCATE_EXISTING,
             StandardOpenOption.WRITE);
         try {
-            write(next, clock(clock.read()));
-            for (EndpointHealth told : health.values()) {
-                write(next, healthRecord(told));
+            write(next, clockRecord(clock.reading()));
+            for (EndpointHealth health : endpointHealth.values()) {
+                write(next, healthRecord(health));
             }
             for (Origin origin : adopted) {
-                write(next, origin(origin));
+                write(next, adoptedRecord(origin));
             }
             for (Entry entry : entries.values()) {
                 write(entry, record -> write(next, record));
             }
-            files.replace(fresh, file);
-            size = next.position();
+            files.replace(newFile, file);
+            fileBytes = next.position();
         } catch (IOException e) {
             discard(next, e);
             throw e;
         }
-        FileChannel old = out;
-        out = next;
-        behind = false;
+        FileChannel old = channel;
+        channel = next;
+        rewriteNeeded = false;
         try {
             if (old != null) {
                 old.close();
             }
         } catch (IOException e) {
-            LOG.warn("the journal's old file is not closed: {}", e.toString());
+            LOG.warn("cannot close the journal's old file: {}", e.toString());
         }
     }
 
+    /** Deletes the new file after a failed rewrite. */
     private void discard(FileChannel next, IOException cause) {
         try {
             next.close();
-            files.delete(fresh);
+            files.delete(newFile);
         } catch (IOException e) {
-            // It is truncated before it is written again.
+            // The file may stay: the next rewrite truncates it.
             cause.addSuppressed(e);
         }
     }
 
-    /** A message by the file that it was first written to. */
-    private record Origin(long file, long number) { }
+    /**
+     * Identifies a message by the process that it was adopted from and its number in that process's journal.
+     */
+    private record Origin(long process, long number) { }
 
-    /** The file of an earlier process, read as far as it has been written. */
-    private static final class Legacy {
-        final Tenure.Earlier earlier;
+    /** The journal of an earlier process, read incrementally while that process may still be writing it. */
+    private static final class PredecessorJournal {
+        final ProcessLease.OtherProcess process;
+        /** Open messages that are not adopted yet, by number. */
         final Map<Long, Entry> entries = new LinkedHashMap<>();
-        final Set<Long> passed = new HashSet<>();
+        /** Numbers of the messages that the process has passed on. */
+        final Set<Long> passedOn = new HashSet<>();
+        /** The messages that the process has adopted itself. */
         final Set<Origin> adopted = new HashSet<>();
-        /** Numbers of processes in whose files nothing is open any more. */
-        final Set<Long> absorbed = new HashSet<>();
+        /** Numbers of processes whose journals hold no open message any more. */
+        final Set<Long> emptied = new HashSet<>();
+        /** Until when hosts asked to wait, in Unix time by the process's clock (ms), by host. */
         final Map<String, Long> waits = new HashMap<>();
-        /** Of endpoints, as far as it has not been taken over. */
-        final Map<String, EndpointHealth> health = new LinkedHashMap<>();
-        /** Null in a file of a release that did not write its clocks down. */
-        private ProcessClock.Reading clock;
-        /** Unix time, ms, by its own clock: the latest of which the file tells. */
-        private long latest;
+        /** Health of endpoints that is not inherited yet. */
+        final Map<String, EndpointHealth> endpointHealth = new LinkedHashMap<>();
+        /** Null in a journal of a release that did not record its clocks. */
+        private ProcessClock.Reading clockReading;
+        /** The latest time in the journal: Unix time by the process's clock. */
+        private long latestMillis;
         private RecordedTimes times;
-        boolean ended;
-        long size;
-        private long checkedInVain;
-
-        Legacy(Tenure.Earlier earlier) {
-            this.earlier = earlier;
+        /** Whether the process had ended before the last read. */
+        boolean processEnded;
+        /** Bytes of the file that have been read or skipped. */
+        long readBytes;
+        /** Total length of the contents whose checksum did not match. */
+        private long mismatchedBytes;
+
+        PredecessorJournal(ProcessLease.OtherProcess process) {
+            this.process = process;
         }
 
         long number() {
-            return earlier.number();
+            return process.number();
         }
 
         /**
-         * How its times compare with this process's clock, by what has been read so far; settled once its
-         * clocks are known, for they are the first record of a file.
+         * Returns how the journal's times convert to this process's clock, from what has been read so far.
+         * Once the writing process's clocks are known, which are the first record of a file, the result is
+         * final.
          */
-        RecordedTimes times(ProcessClock now) {
+        RecordedTimes times(ProcessClock ownClock) {
             if (times != null) {
                 return times;
             }
-            RecordedTimes known = RecordedTimes.of(now, clock, latest);
-            times = clock == null ? null : known;
-            return known;
+            RecordedTimes current = RecordedTimes.of(ownClock, clockReading, latestMillis);
+            times = clockReading == null ? null : current;
+            return current;
         }
 
-        private void happened(long millis) {
-            latest = Math.max(latest, millis);
+        private void noteTime(long millis) {
+            latestMillis = Math.max(latestMillis, millis);
         }
 
         /**
-         * Reads on. What does not check is still being written, or, once the process has ended, is passed
-         * over. An unfinished record at the end was never acted on; any other gap may have held anything.
+         * Reads the records written since the last call. Bytes that form no valid record are left for the
+         * next call while the process lives, as they may be still being written; after its end they are
+         * skipped. An unfinished record at the end of the file was never acted on. Any other skipped range
+         * may have held records of any message before it, all of which then count as possibly processed.
          */
-        void read() throws IOException {
-            ByteBuffer in = ByteBuffer.wrap(earlier.journalFrom(size));
-            int unread = 0;
+        void readNewRecords() throws IOException {
+            ByteBuffer in = ByteBuffer.wrap(process.readJournalFrom(readBytes));
+            int skippedBytes = 0;
             boolean unfinished = false;
             while (in.hasRemaining()) {
-                byte[] content = content(in);
-                if (content == null && !ended) {
+                byte[] content = nextContent(in);
+                if (content == null && !processEnded) {
                     return;
                 }
                 if (content == null) {
-                    boolean givenUp = checkedInVain > CHECKED_IN_VAIN_MOST;
-                    unfinished = !givenUp && (unread == 0 ? unfinished(in) : unfinished);
-                    int passed = givenUp ? in.remaining() : 1;
-                    in.position(in.position() + passed);
-                    unread += passed;
-                    size += passed;
+                    boolean limitExceeded = mismatchedBytes > MAX_MISMATCHED_BYTES;
+                    unfinished = !limitExceeded && (skippedBytes == 0 ? isUnfinished(in) : unfinished);
+                    int skip = limitExceeded ? in.remaining() : 1;
+                    in.position(in.position() + skip);
+                    skippedBytes += skip;
+                    readBytes += skip;
                     continue;
                 }
-                if (unread > 0) {
-                    gap(unread);
-                    unread = 0;
+                if (skippedBytes > 0) {
+                    markGap(skippedBytes);
+                    skippedBytes = 0;
                 }
-                size += content.length + HEAD;
+                readBytes += content.length + HEADER_BYTES;
                 replay(content);
             }
-            if (unread > 0 && !unfinished) {
-                gap(unread);
-            } else if (unread > 0) {
-                LOG.warn("journal cut at an unfinished record, {} bytes dropped", unread);
+            if (skippedBytes > 0 && !unfinished) {
+                markGap(skippedBytes);
+            } else if (skippedBytes > 0) {
+                LOG.warn("journal ends with an unfinished record, {} bytes skipped", skippedBytes);
             }
         }
 
-        /** The next record's content; null, and nothing taken, if no whole one that checks stands here. */
-        private byte[] content(ByteBuffer in) {
-            if (in.remaining() < HEAD) {
+        /** Reads the next record's content; returns null and reads nothing if no valid record begins here. */
+        private byte[] nextContent(ByteBuffer in) {
+            if (in.remaining() < HEADER_BYTES) {
                 return null;
             }
-            int begin = in.position();
-            int length = in.getInt(begin);
-            if (length < LEAST || length > RECORD_MOST || length > in.remaining() - HEAD) {
+            int start = in.position();
+            int length = in.getInt(start);
+            if (length < MIN_CONTENT_BYTES || length > MAX_CONTENT_BYTES
+                || length > in.remaining() - HEADER_BYTES) {
                 return null;
             }
-            if (crc(in.slice(begin + HEAD, length)) != in.getInt(begin + Integer.BYTES)) {
-                checkedInVain += length;
+            if (crc(in.slice(start + HEADER_BYTES, length)) != in.getInt(start + Integer.BYTES)) {
+                mismatchedBytes += length;
                 return null;
             }
             byte[] content = new byte[length];
-            in.position(begin + HEAD).get(content);
+            in.position(start + HEADER_BYTES).get(content);
             return content;
         }
 
-        private static boolean unfinished(ByteBuffer in) {
-            if (in.remaining() < HEAD) {
+        /** Whether the rest of the file can be a record of which only the beginning was written. */
+        private static boolean isUnfinished(ByteBuffer in) {
+            if (in.remaining() < HEADER_BYTES) {
                 return true;
             }
             int length = in.getInt(in.position());
-            return length >= LEAST && length <= RECORD_MOST && length > in.remaining() - HEAD;
+            return length >= MIN_CONTENT_BYTES && length <= MAX_CONTENT_BYTES
+                && length > in.remaining() - HEADER_BYTES;
         }
 
-        private void gap(int bytes) {
-            LOG.warn("journal {}: {} bytes cannot be read, {} messages before them may have run", number(),
-                bytes, entries.size());
-            entries.values().forEach(Entry::doubt);
+        /** Notes that records may be lost here: any message before this point may have been sent. */
+        private void markGap(int bytes) {
+            LOG.warn("journal {}: {} bytes are unreadable, {} messages before them may have been processed",
+                number(), bytes, entries.size());
+            entries.values().forEach(Entry::markIncomplete);
         }
 
-        /** A record that checks and cannot be understood is told; its message may have run. */
+        /** Replays a record. If it cannot be decoded, that is logged and its message may have been sent. */
         private void replay(byte[] content) {
             try {
                 replay(new DataInputStream(new ByteArrayInputStream(content)));
             } catch (IOException | RuntimeException e) {
                 long message = ByteBuffer.wrap(content).getLong(1);
-                LOG.warn("journal {}: a record of message {} is not understood: {}", number(), message,
+                LOG.warn("journal {}: cannot decode a record of message {}: {}", number(), message,
                     e.toString());
                 if (entries.containsKey(message)) {
-                    entries.get(message).doubt();
+                    entries.get(message).markIncomplete();
                 }
             }
         }
 
         private void replay(DataInputStream in) throws IOException {
-            byte sort = in.readByte();
+            byte type = in.readByte();
             long number = in.readLong();
             Entry entry = entries.get(number);
-            switch (sort) {
+            switch (type) {
                 case CLOCK -> {
-                    clock = new ProcessClock.Reading(in.readUTF(), in.readLong(), in.readLong());
-                    happened(clock.millis());
+                    clockReading = new ProcessClock.Reading(in.readUTF(), in.readLong(), in.readLong());
+                    noteTime(clockReading.millis());
                 }
-                case TAKEN_BARE -> entries.put(number, new Entry(number, message(in), null));
-                case TAKEN -> {
-                    Relay.MessageClass rules = rules(in);
-                    entries.put(number, new Entry(number, message(in), rules));
+                case ACCEPTED_WITHOUT_CLASS -> entries.put(number, new Entry(number, readMessage(in), null));
+                case ACCEPTED -> {
+                    Relay.MessageClass messageClass = messageClass(in);
+                    entries.put(number, new Entry(number, readMessage(in), messageClass));
                 }
-                case ORIGIN -> adopted.add(new Origin(in.readLong(), number));
-                case ABSORBED -> absorbed.add(number);
-                case PASSED -> passed.add(number);
+                case ADOPTED -> adopted.add(new Origin(in.readLong(), number));
+                case PREDECESSOR_EMPTIED -> emptied.add(number);
+                case PASSED_ON -> passedOn.add(number);
                 case WAIT -> {
                     long until = in.readLong();
                     waits.put(in.readUTF(), until);
                 }
                 case CLOSED -> entries.remove(number);
-                case HEALTH -> {
-                    EndpointHealth told = health(in);
-                    happened(told.since);
-                    if (told.health == Relay.Health.GOOD) {
-                        health.remove(told.host);
+                case ENDPOINT_HEALTH -> {
+                    EndpointHealth health = endpointHealth(in);
+                    noteTime(health.sinceMillis);
+                    if (health.health == Relay.Health.GOOD) {
+                        endpointHealth.remove(health.host);
                     } else {
-                        health.put(told.host, told);
+                        endpointHealth.put(health.host, health);
                     }
                 }
                 default -> {
                     if (entry != null) {
-                        follow(entry, sort, in);
-                        entry.attempts.forEach(attempt -> happened(attempt.sent));
+                        replayForEntry(entry, type, in);
+                        entry.attempts.forEach(attempt -> noteTime(attempt.sentMillis));
                     }
                 }
             }
         }
 
-        private static void follow(Entry entry, byte sort, DataInputStream in) throws IOException {
-            switch (sort) {
+        /** Replays a record that changes an open message. */
+        private static void replayForEntry(Entry entry, byte type, DataInputStream in) throws IOException {
+            switch (type) {
                 case SENT -> entry.attempts.add(new Attempt(in.readLong(), in.readInt()));
                 case NOT_RUN -> {
-                    if (!entry.doubted) {
+                    if (!entry.incomplete) {
                         entry.attempts.get(in.readShort()).mayHaveRun = false;
                     }
                 }
-                case UNMADE -> {
-                    if (!entry.doubted) {
+                case NOT_MADE -> {
+                    if (!entry.incomplete) {
                         Attempt attempt = entry.attempts.get(in.readShort());
                         attempt.mayHaveRun = false;
-                        attempt.unmade = true;
+                        attempt.notMade = true;
                     }
                 }
                 case ENDED -> entry.end = new End(in.readBoolean(), in.readLong());
-                default -> throw new IOException("journal holds a record of unknown sort " + sort);
+                default -> throw new IOException("unknown record type " + type);
             }
         }
     }
 
     // ---- Records --------------------------------------------------------------------------------
-    private interface Body {
+    /** Writes the fields of a record's content. */
+    private interface ContentWriter {
         void write(DataOutputStream out) throws IOException;
     }
 
-    private static byte[] record(byte sort, long number, Body body) throws IOException {
+    /** Encodes a record; {@code fields} writes what follows the type and the number. */
+    private static byte[] record(byte type, long number, ContentWriter fields) throws IOException {
         ByteArrayOutputStream content = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(content);
-        out.writeByte(sort);
+        out.writeByte(type);
         out.writeLong(number);
-        body.write(out);
+        fields.write(out);
         byte[] bytes = content.toByteArray();
         int check = crc(ByteBuffer.wrap(bytes));
-        return ByteBuffer.allocate(HEAD + bytes.length).putInt(bytes.length).putInt(check).put(bytes)
+        return ByteBuffer.allocate(HEADER_BYTES + bytes.length).putInt(bytes.length).putInt(check).put(bytes)
             .array();
     }
 
-    private static byte[] healthRecord(EndpointHealth told) {
+    private static byte[] healthRecord(EndpointHealth health) {
         try {
-            return record(HEALTH, 0, o -> {
-                o.writeUTF(told.host);
-                o.writeByte(told.health.ordinal());
-                o.writeLong(told.since);
-                o.writeDouble(told.carried);
+            return record(ENDPOINT_HEALTH, 0, o -> {
+                o.writeUTF(health.host);
+                o.writeByte(health.health.ordinal());
+                o.writeLong(health.sinceMillis);
+                o.writeDouble(health.callsPerSecond);
             });
         } catch (IOException e) {
-            throw new IllegalStateException("an array of bytes cannot fail to be written", e);
+            throw new IllegalStateException("writing to a byte array failed", e);
         }
     }
 
-    private static EndpointHealth health(DataInputStream in) throws IOException {
+    private static EndpointHealth endpointHealth(DataInputStream in) throws IOException {
         String host = in.readUTF();
         return new EndpointHealth(host, Relay.Health.values()[in.readByte()], in.readLong(), in.readDouble());
     }
 
-    private static byte[] clock(ProcessClock.Reading clock) throws IOException {
+    private static byte[] clockRecord(ProcessClock.Reading clock) throws IOException {
         return record(CLOCK, 0, o -> {
             o.writeUTF(clock.bootId());
             o.writeLong(clock.millis());
@@ -827,75 +949,78 @@
         });
     }
 
-    private static byte[] origin(Origin origin) throws IOException {
-        return record(ORIGIN, origin.number, o -> o.writeLong(origin.file));
+    private static byte[] adoptedRecord(Origin origin) throws IOException {
+        return record(ADOPTED, origin.number, o -> o.writeLong(origin.process));
     }
 
-    private static byte[] taken(Entry entry) throws IOException {
-        Message m = entry.message;
-        return record(entry.rules == null ? TAKEN_BARE : TAKEN, entry.number, o -> {
-            if (entry.rules != null) {
-                rules(o, entry.rules);
+    private static byte[] acceptedRecord(Entry entry) throws IOException {
+        Message message = entry.message;
+        return record(entry.messageClass == null ? ACCEPTED_WITHOUT_CLASS : ACCEPTED, entry.number, o -> {
+            if (entry.messageClass != null) {
+                messageClass(o, entry.messageClass);
             }
-            o.writeUTF(m.id());
-            o.writeUTF(m.messageClass());
-            o.writeInt(m.tenant());
-            optional(o, m.routeKey());
-            optional(o, m.idempotencyKey());
-            o.writeLong(m.destination());
-            o.writeLong(m.deadline());
-            o.writeInt(m.body().length);
-            o.write(m.body());
+            o.writeUTF(message.id());
+            o.writeUTF(message.messageClass());
+            o.writeInt(message.tenant());
+            optionalText(o, message.routeKey());
+            optionalText(o, message.idempotencyKey());
+            o.writeLong(message.destination());
+            o.writeLong(message.deadline());
+            o.writeInt(message.body().length);
+            o.write(message.body());
         });
     }
 
-    private static void rules(DataOutputStream out, Relay.MessageClass c) throws IOException {
-        out.writeUTF(c.name());
-        out.writeLong(c.aim());
-        out.writeLong(c.lifetime());
-        out.writeDouble(c.worth());
-        out.writeDouble(c.lateWorth());
-        out.writeByte(c.effect().ordinal());
-        out.writeBoolean(c.dedupPerZone());
-        out.writeLong(c.dedupWindow());
-        out.writeBoolean(c.inOrder());
-        out.writeShort(c.maxAttempts());
+    private static void messageClass(DataOutputStream out, Relay.MessageClass messageClass)
+        throws IOException {
+        out.writeUTF(messageClass.name());
+        out.writeLong(messageClass.aim());
+        out.writeLong(messageClass.lifetime());
+        out.writeDouble(messageClass.worth());
+        out.writeDouble(messageClass.lateWorth());
+        out.writeByte(messageClass.effect().ordinal());
+        out.writeBoolean(messageClass.dedupPerZone());
+        out.writeLong(messageClass.dedupWindow());
+        out.writeBoolean(messageClass.inOrder());
+        out.writeShort(messageClass.maxAttempts());
     }
 
-    private static Relay.MessageClass rules(DataInputStream in) throws IOException {
+    private static Relay.MessageClass messageClass(DataInputStream in) throws IOException {
         return new Relay.MessageClass(in.readUTF(), in.readLong(), in.readLong(), in.readDouble(),
             in.readDouble(), Relay.Effect.values()[in.readByte()], in.readBoolean(), in.readLong(),
             in.readBoolean(), in.readShort());
     }
 
-    private static Message message(DataInputStream in) throws IOException {
-        return new Message(in.readUTF(), in.readUTF(), in.readInt(), optional(in), optional(in),
-            in.readLong(),
-            in.readLong(), in.readNBytes(in.readInt()));
+    private static Message readMessage(DataInputStream in) throws IOException {
+        return new Message(in.readUTF(), in.readUTF(), in.readInt(), optionalText(in), optionalText(in),
+            in.readLong(), in.readLong(), in.readNBytes(in.readInt()));
     }
 
-    private static byte[] sent(Entry entry, Attempt attempt) throws IOException {
+    /** Encodes the record of an attempt. */
+    private static byte[] recordSent(Entry entry, Attempt attempt) throws IOException {
         return record(SENT, entry.number, o -> {
-            o.writeLong(attempt.sent);
+            o.writeLong(attempt.sentMillis);
             o.writeInt(attempt.zone);
         });
     }
 
-    private static byte[] ended(long number, End end) throws IOException {
+    /** Encodes the record of a message's end. */
+    private static byte[] recordEnd(long number, End end) throws IOException {
         return record(ENDED, number, o -> {
-            o.writeBoolean(end.handedBack());
-            o.writeLong(end.retryAfter());
+            o.writeBoolean(end.refused());
+            o.writeLong(end.retryAfterMicros());
         });
     }
 
-    private static void optional(DataOutputStream out, String text) throws IOException {
+    /** Writes a text that may be null. */
+    private static void optionalText(DataOutputStream out, String text) throws IOException {
         out.writeBoolean(text != null);
         if (text != null) {
             out.writeUTF(text);
         }
     }
 
-    private static String optional(DataInputStream in) throws IOException {
+    private static String optionalText(DataInputStream in) throws IOException {
         return in.readBoolean() ? in.readUTF() : null;
     }
 
--- a/src/main/java/wrenkeel/net/SendGuard.java
+++ b/src/main/java/wrenkeel/net/SendGuard.java
@@ -64,7 +64,7 @@
                                      long nowMillis) {
         return switch (rules.effect()) {
             case SAFE -> true;
-            case KEYED -> nowMillis - before.sent <= rules.dedupWindow() / 1_000 + ROUNDING
+            case KEYED -> nowMillis - before.sentMillis <= rules.dedupWindow() / 1_000 + ROUNDING
                 && (!rules.dedupPerZone() || before.zone == host.zone);
             case UNSAFE -> false;
         };
--- a/src/test/java/wrenkeel/net/ClockStepTest.java
+++ b/src/test/java/wrenkeel/net/ClockStepTest.java
@@ -10,11 +10,11 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The wall clock is stepped while the relay is down; what it owes keeps its spans of real time. */
+/** A step of the wall clock while the relay is down does not change how long its open messages live. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class ClockStepTest {
-    private static final String TAKEN = "HTTP/1.1 202 Accepted";
-    private static final long HOUR = TimeUnit.HOURS.toMillis(1);
+    private static final String ACCEPTED = "HTTP/1.1 202 Accepted";
+    private static final long HOUR_MS = TimeUnit.HOURS.toMillis(1);
 
     @TempDir
     Path folder;
@@ -33,22 +33,23 @@
         platform.close();
     }
 
-    private Node relay(long step) throws Exception {
-        return new Node(platform.config(Platform.host("s-1", host.port(), 7, "ready")), new Machine(SteppedClock.stepped(step), FileOperations.SYSTEM, ListeningSockets.SYSTEM));
+    private Node relay(long stepMillis) throws Exception {
+        return new Node(platform.config(Platform.host("s-1", host.port(), 7, "ready")),
+            new Machine(SteppedClock.stepped(stepMillis), FileOperations.SYSTEM, ListeningSockets.SYSTEM));
     }
 
-    /** Takes a message on and ends without a word of it, as at SIGKILL; its first call stays unanswered. */
-    private void takenBefore(String id, String messageClass, long time) throws Exception {
+    /** Accepts a message and stops abruptly, as with SIGKILL, while its first call is unanswered. */
+    private void acceptBeforeTheStep(String id, String messageClass, long lifetimeMillis) throws Exception {
         try (Node relay = relay(0); var client = new Platform.Client(relay)) {
-            assertEquals(TAKEN, client.post(id, messageClass, 7, time).get(0));
+            assertEquals(ACCEPTED, client.post(id, messageClass, 7, lifetimeMillis).get(0));
             assertEquals(id, host.call().header("X-Request-ID"));
         }
     }
 
     @Test
-    void aClockStepForwardDoesNotUseUpAMessagesTime() throws Exception {
-        takenBefore("a", "bill", 16_000);
-        try (Node relay = relay(HOUR)) {
+    void aForwardClockStepDoesNotExpireAMessage() throws Exception {
+        acceptBeforeTheStep("a", "bill", 16_000);
+        try (Node relay = relay(HOUR_MS)) {
             Host.Call repeat = host.call();
             assertNotNull(repeat, "notices: " + platform.notices);
             assertEquals("a", repeat.header("X-Request-ID"));
@@ -59,11 +60,11 @@
     }
 
     @Test
-    void aClockStepBackDoesNotProlongAMessagesTime() throws Exception {
-        takenBefore("a", "bill", 4_000);
-        try (Node relay = relay(-HOUR)) {
+    void aBackwardClockStepDoesNotExtendAMessagesDeadline() throws Exception {
+        acceptBeforeTheStep("a", "bill", 4_000);
+        try (Node relay = relay(-HOUR_MS)) {
             String notice = platform.notice();
-            assertNotNull(notice, "no end was told");
+            assertNotNull(notice, "no notice was posted");
             assertTrue(notice.contains("\"a\""), notice);
         }
     }
--- a/src/test/java/wrenkeel/net/ConfigTest.java
+++ b/src/test/java/wrenkeel/net/ConfigTest.java
@@ -24,7 +24,7 @@
 import wrenkeel.Control;
 import wrenkeel.Wire;
 
-/** A configuration is read, or turned down in one plain line. */
+/** A configuration is accepted, or rejected with a message of one line. */
 class ConfigTest {
     @TempDir
     Path folder;
@@ -49,36 +49,38 @@
         Files.writeString(file, text.replace(from, to));
     }
 
-    private void assertTurnedDown() {
-        String fault = assertThrows(Config.Unusable.class, () -> Config.read(platform.env())).getMessage();
-        assertEquals(1, fault.lines().count(), fault);
+    private void assertRejectedInOneLine() {
+        String message = assertThrows(Config.InvalidConfigException.class, () -> Config.read(platform.env()))
+            .getMessage();
+        assertEquals(1, message.lines().count(), message);
     }
 
-    /** Guards against a relay that starts and can never make a call, or hold a client. */
+    /** A relay with such a limit would start but could never make a call or hold a client's connection. */
     @ParameterizedTest
     @ValueSource(strings = {"0", "-1", "69", "5000000000", "\"many\""})
-    void aLimitOfSocketsThatLeavesNoConnectionsIsTurnedDown(String sockets) throws IOException {
+    void aSocketLimitThatLeavesNoConnectionsIsRejected(String sockets) throws IOException {
         replace("\"sockets\":1024", "\"sockets\":" + sockets);
-        assertTurnedDown();
+        assertRejectedInOneLine();
     }
 
     @Test
-    void theSmallestLimitOfSocketsLeavesAConnectionToEitherSide() throws Exception {
-        replace("\"sockets\":1024", "\"sockets\":" + Descriptors.LIMIT_LEAST);
-        Descriptors shares = Config.read(platform.env()).descriptors();
-        assertTrue(shares.clients() > 0 && shares.hosts() > 0, shares.toString());
+    void theSmallestSocketLimitLeavesConnectionsForClientsAndHosts() throws Exception {
+        replace("\"sockets\":1024", "\"sockets\":" + DescriptorBudget.MIN_LIMIT);
+        DescriptorBudget shares = Config.read(platform.env()).descriptorBudget();
+        assertTrue(shares.clientConnections() > 0 && shares.hostConnections() > 0, shares.toString());
     }
 
-    /** The configuration with one value replaced, or taken out where the other is {@code REMOVED}. */
-    private record Change(String path, Object other) { }
+    /** Replaces the value at a path of the configuration, or removes it if the replacement is {@code REMOVED}. */
+    private record Change(String path, Object replacement) { }
 
     private static final Object REMOVED = new Object();
 
+    /** Writes a decoded value as JSON, with one change. */
     private static String json(Object value, String path, Change change) {
-        Object written = path.equals(change.path) ? change.other : value;
+        Object written = path.equals(change.path) ? change.replacement : value;
         if (written instanceof Map<?, ?> map) {
             return map.entrySet().stream()
-                .filter(entry -> !(path + "/" + entry.getKey()).equals(change.path) || change.other != REMOVED)
+                .filter(entry -> !(path + "/" + entry.getKey()).equals(change.path) || change.replacement != REMOVED)
                 .map(entry -> "\"" + entry.getKey() + "\":"
                     + json(entry.getValue(), path + "/" + entry.getKey(), change))
                 .collect(Collectors.joining(",", "{", "}"));
@@ -90,47 +92,48 @@
         return written instanceof String ? "\"" + written + "\"" : String.valueOf(written);
     }
 
-    private static void paths(Object value, String path, List<String> all) {
+    /** Collects the paths of a value and of all values in it. */
+    private static void collectPaths(Object value, String path, List<String> all) {
         all.add(path);
         if (value instanceof Map<?, ?> map) {
-            map.forEach((name, inner) -> paths(inner, path + "/" + name, all));
+            map.forEach((name, inner) -> collectPaths(inner, path + "/" + name, all));
         } else if (value instanceof List<?> list) {
-            IntStream.range(0, list.size()).forEach(i -> paths(list.get(i), path + "/" + i, all));
+            IntStream.range(0, list.size()).forEach(i -> collectPaths(list.get(i), path + "/" + i, all));
         }
     }
 
-    /** Guards the start: whatever one value is replaced by, it is read, or turned down in one line. */
+    /** Whatever replaces a single value, the start must not fail with anything but a message of one line. */
     @Test
-    void anyOneValueThatIsWrongIsReadOrTurnedDownInOneLine() throws Exception {
-        Object whole = Wire.decode(Files.readString(file)).values();
+    void anySingleReplacedValueIsAcceptedOrRejectedInOneLine() throws Exception {
+        Object configuration = Wire.decode(Files.readString(file)).values();
         List<String> paths = new ArrayList<>();
-        paths(whole, "", paths);
-        List<String> faults = new ArrayList<>();
+        collectPaths(configuration, "", paths);
+        List<String> failures = new ArrayList<>();
         for (String path : paths) {
-            for (Object other : Arrays.asList(REMOVED, null, "x", "", -1, 0, 1.5, 1e300, 99_999_999_999L, true,
+            for (Object replacement : Arrays.asList(REMOVED, null, "x", "", -1, 0, 1.5, 1e300, 99_999_999_999L, true,
                     List.of(), List.of(1), Map.of(), List.of(List.of()))) {
-                if (path.isEmpty() && other == REMOVED) {
+                if (path.isEmpty() && replacement == REMOVED) {
                     continue;
                 }
-                Files.writeString(file, json(whole, "", new Change(path, other)));
-                String fault = faultOfStart();
-                if (fault != null) {
-                    faults.add(path + " = " + (other == REMOVED ? "removed" : other) + ": " + fault);
+                Files.writeString(file, json(configuration, "", new Change(path, replacement)));
+                String failure = unexpectedStartFailure();
+                if (failure != null) {
+                    failures.add(path + " = " + (replacement == REMOVED ? "removed" : replacement) + ": " + failure);
                 }
             }
         }
-        assertEquals(List.of(), faults);
+        assertEquals(List.of(), failures);
     }
 
-    /** What a start would end with that is no plain line; null if it would not. */
-    private String faultOfStart() {
+    /** Returns the failure of a start that is not reported in one line; null if there is none. */
+    private String unexpectedStartFailure() {
         try {
             Config config = Config.read(platform.env());
-            config.descriptors();
+            config.descriptorBudget();
             new HostList(config.zones(), config.kinds());
             new Control(config.seed(), config.settings());
             return null;
-        } catch (Config.Unusable e) {
+        } catch (Config.InvalidConfigException e) {
             return e.getMessage().lines().count() == 1 ? null : e.getMessage();
         } catch (RuntimeException | StackOverflowError e) {
             return e.toString();
@@ -139,31 +142,31 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "\0\1\2", "nonsense", "[]", "{\"settings\":", "{\"known\":[]}", "{} {}"})
-    void aFileThatHoldsSomethingElseIsTurnedDown(String text) throws IOException {
+    void aFileWithOtherContentIsRejected(String text) throws IOException {
         Files.writeString(file, text);
-        assertTurnedDown();
+        assertRejectedInOneLine();
     }
 
     @Test
-    void aFileThatNestsWithoutEndIsTurnedDown() throws IOException {
+    void aDeeplyNestedFileIsRejected() throws IOException {
         for (String open : List.of("[", "{\"a\":")) {
             Files.writeString(file, "{\"settings\":" + open.repeat(200_000));
-            assertTurnedDown();
+            assertRejectedInOneLine();
         }
     }
 
-    /** A file of another form is no end of the start: each way is one plain line and a status of its own. */
+    /** A start that cannot use its environment prints one line without a stack trace and returns status 2. */
     @Test
-    void aStartThatCannotReadOrWriteIsOnePlainLineAndNotAStatusOfZero() throws IOException {
+    void aStartThatCannotReadOrWritePrintsOneLineAndReturnsTwo() throws IOException {
         Map<String, String> env = new HashMap<>(platform.env());
         Path file = Files.createFile(folder.resolve("a-file"));
-        for (Map<String, String> other : List.of(Map.of("EDGE_STATE", file.toString()),
+        for (Map<String, String> override : List.of(Map.of("EDGE_STATE", file.toString()),
                 Map.of("EDGE_STATE", folder.resolve("absent").toString()), Map.of("EDGE_STATE", ""),
                 Map.of("EDGE_CONFIG", folder.toString()), Map.of("EDGE_CONFIG", ""),
                 Map.of("EDGE_CONFIG", folder.resolve("absent").toString()),
                 Map.of("EDGE_LISTEN", "here"), Map.of("EDGE_DISCOVERY", "127.0.0.1:99999"))) {
             Map<String, String> changed = new HashMap<>(env);
-            changed.putAll(other);
+            changed.putAll(override);
             assertStartFails(changed);
         }
     }
--- a/src/test/java/wrenkeel/net/KnowledgeTest.java
+++ b/src/test/java/wrenkeel/net/HandoverSnapshotTest.java
@@ -11,36 +11,39 @@
 import wrenkeel.Control;
 import wrenkeel.Relay;
 
-/** What one process leaves for the next. */
-class KnowledgeTest {
+/** The handover snapshot that one process writes for the next. */
+class HandoverSnapshotTest {
     private static final int HOSTS = 2_000;
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
-    /** Guards the folder's limit, beyond which the relay has crashed, and the rule on waits inside it. */
+    /**
+     * A snapshot of very many destinations must stay within the folder's limit: exceeding it has crashed the relay.
+     * What is left out must not be a wait that a host asked for.
+     */
     @Test
-    void ofVeryManyPlacesTheWaitsAreLeftFirstAndTheTextStaysSmall(@TempDir Path folder) throws Exception {
+    void waitsComeFirstAndTheTextStaysSmallForManyDestinations(@TempDir Path folder) throws Exception {
         String[] names = IntStream.range(0, HOSTS).mapToObj(i -> Platform.host("s-" + i, 80, i, "ready"))
             .toArray(String[]::new);
         try (Platform platform = new Platform(folder)) {
             Config config = platform.config(names);
             HostList hosts = new HostList(config.zones(), config.kinds());
-            hosts.take(config.known().open());
+            hosts.take(config.savedList().open());
             Control control = new Control(1, config.settings());
             List<Relay.Event> events = new ArrayList<>();
-            for (long d = 0; d < HOSTS; d++) {
-                events.add(new Relay.DestinationIntroduced(hosts.tell(d).endpoints()));
+            for (long destination = 0; destination < HOSTS; destination++) {
+                events.add(new Relay.DestinationIntroduced(hosts.tell(destination).endpoints()));
             }
             long waiting = hosts.named("s-1999").number;
-            events.add(Relay.EndpointSnapshot.ofWait(waiting, 90 * SECOND));
-            control.turn(SECOND, events);
+            events.add(Relay.EndpointSnapshot.ofWait(waiting, 90 * SECOND_MICROS));
+            control.turn(SECOND_MICROS, events);
             List<Relay.EndpointSnapshot> all = control.endpointSnapshots();
             assertEquals(HOSTS, all.size());
-            String text = Knowledge.write(all, hosts, time -> time, 20_000);
+            String text = HandoverSnapshot.write(all, hosts, time -> time, 20_000);
             assertTrue(text.length() >= 20_000 && text.length() < 20_500, "characters: " + text.length());
-            List<Relay.Event> read = Knowledge.read(text, hosts, hosts::named, time -> time);
+            List<Relay.Event> read = HandoverSnapshot.read(text, hosts, hosts::named, time -> time);
             assertTrue(read.size() > 50 && read.size() < HOSTS / 10);
             assertEquals(waiting, ((Relay.EndpointSnapshot) read.get(0)).endpoint());
-            assertEquals(90 * SECOND, ((Relay.EndpointSnapshot) read.get(0)).waitUntil());
+            assertEquals(90 * SECOND_MICROS, ((Relay.EndpointSnapshot) read.get(0)).waitUntil());
         }
     }
 }
--- a/src/test/java/wrenkeel/net/JournalTest.java
+++ b/src/test/java/wrenkeel/net/JournalTest.java
@@ -11,15 +11,15 @@
 import org.junit.jupiter.api.io.TempDir;
 import wrenkeel.Relay;
 
-/** What is owed outlasts the process, within the limit of the folder. */
+/** The journal keeps open messages and the health of endpoints across processes, within the folder's limit. */
 class JournalTest {
-    private static final long LIMIT = 3_000_000;
+    private static final long LIMIT_BYTES = 3_000_000;
 
     @TempDir
     Path folder;
 
-    /** So that times that pass from process to process can be compared to the millisecond. */
-    private static final MachineClock STILL = new MachineClock() {
+    /** Lets the tests compare times that pass from process to process to the millisecond. */
+    private static final MachineClock STOPPED_CLOCK = new MachineClock() {
         @Override
         public long monotonicNanos() {
             return 5_000_000_000L;
@@ -36,11 +36,12 @@
         }
     };
 
-    private static final Relay.MessageClass RULES = new Relay.MessageClass("bill-post", 2_000_000, 16_000_000, 1.5,
-        0.25, Relay.Effect.KEYED, true, 3_000_000, true, 12);
+    private static final Relay.MessageClass MESSAGE_CLASS = new Relay.MessageClass("bill-post", 2_000_000, 16_000_000,
+        1.5, 0.25, Relay.Effect.KEYED, true, 3_000_000, true, 12);
 
+    /** Opens a journal and adopts what earlier processes left. */
     private Journal open() throws IOException {
-        Journal journal = new Journal(folder, LIMIT, new ProcessClock(STILL), FileOperations.SYSTEM);
+        Journal journal = new Journal(folder, LIMIT_BYTES, new ProcessClock(STOPPED_CLOCK), FileOperations.SYSTEM);
         journal.adopt(entry -> { });
         return journal;
     }
@@ -49,39 +50,40 @@
         return new Message(id, "bill-post", 0, "house-3", "key-" + id, 7, 1_900_000_000_000L, new byte[bytes]);
     }
 
-    private static Journal.Entry only(Journal journal) {
-        assertEquals(1, journal.owed().size());
-        return journal.owed().iterator().next();
+    private static Journal.Entry onlyOpenEntry(Journal journal) {
+        assertEquals(1, journal.openEntries().size());
+        return journal.openEntries().iterator().next();
     }
 
-    private long onDisk() throws IOException {
+    /** Returns the size of the folder's files, each rounded up to 512 bytes. */
+    private long bytesOnDisk() throws IOException {
         try (var files = Files.list(folder)) {
             return files.mapToLong(f -> (f.toFile().length() + 511) / 512 * 512).sum();
         }
     }
 
     @Test
-    void allThatIsKnownOfAMessageIsReadBack() throws IOException {
+    void allRecordedStateOfAMessageIsReadBack() throws IOException {
         try (Journal journal = open()) {
-            Journal.Entry entry = journal.take(message("a", 300), RULES);
-            journal.sent(entry, 1_000, 2);
-            journal.sent(entry, 2_000, 1);
-            journal.notRun(entry, 0);
-            journal.ended(entry, new Journal.End(true, 500_000));
+            Journal.Entry entry = journal.accept(message("a", 300), MESSAGE_CLASS);
+            journal.recordSent(entry, 1_000, 2);
+            journal.recordSent(entry, 2_000, 1);
+            journal.recordNotRun(entry, 0);
+            journal.recordEnd(entry, new Journal.End(true, 500_000));
         }
-        // Twice: what the first start wrote anew must read the same.
+        // Twice, because the first start rewrites the file.
         for (int start = 0; start < 2; start++) {
             try (Journal journal = open()) {
-                Journal.Entry entry = only(journal);
+                Journal.Entry entry = onlyOpenEntry(journal);
                 assertEquals("a", entry.message.id());
                 assertEquals("bill-post", entry.message.messageClass());
-                assertEquals(RULES, entry.rules);
+                assertEquals(MESSAGE_CLASS, entry.messageClass);
                 assertEquals("house-3", entry.message.routeKey());
                 assertEquals("key-a", entry.message.idempotencyKey());
                 assertEquals(7, entry.message.destination());
                 assertEquals(1_900_000_000_000L, entry.message.deadline());
                 assertArrayEquals(new byte[300], entry.message.body());
-                assertEquals(List.of(1_000L, 2_000L), entry.attempts.stream().map(a -> a.sent).toList());
+                assertEquals(List.of(1_000L, 2_000L), entry.attempts.stream().map(a -> a.sentMillis).toList());
                 assertEquals(List.of(2, 1), entry.attempts.stream().map(a -> a.zone).toList());
                 assertEquals(List.of(false, true), entry.attempts.stream().map(a -> a.mayHaveRun).toList());
                 assertEquals(new Journal.End(true, 500_000), entry.end);
@@ -89,75 +91,77 @@
         }
     }
 
-    /** Guards the form of notices: a time to come back only with what is handed back, in whole milliseconds. */
+    /** A notice has a retry time only if the message was refused and the time is not 0; in whole milliseconds. */
     @Test
-    void anEndReadBackIsTheNoticeThatWasOwed() throws IOException {
+    void recoveredEndsProduceTheNoticesThatWerePending() throws IOException {
         try (Journal journal = open()) {
-            journal.ended(journal.take(message("a", 1), RULES), new Journal.End(true, 499_001));
-            journal.ended(journal.take(message("b", 1), RULES), new Journal.End(true, 0));
-            journal.ended(journal.take(message("c", 1), RULES), new Journal.End(false, 0));
+            journal.recordEnd(journal.accept(message("a", 1), MESSAGE_CLASS), new Journal.End(true, 499_001));
+            journal.recordEnd(journal.accept(message("b", 1), MESSAGE_CLASS), new Journal.End(true, 0));
+            journal.recordEnd(journal.accept(message("c", 1), MESSAGE_CLASS), new Journal.End(false, 0));
         }
         try (Journal journal = open()) {
             assertEquals("""
                 {"message":"a","outcome":"handed_back","retry_in_ms":500}
                 {"message":"b","outcome":"handed_back"}
                 {"message":"c","outcome":"given_up"}
-                """, NoticeBody.of(List.copyOf(journal.owed())));
+                """, NoticeBody.of(List.copyOf(journal.openEntries())));
         }
     }
 
     @Test
-    void whatIsClosedIsForgotten() throws IOException {
+    void closedMessagesAreNotRecovered() throws IOException {
         try (Journal journal = open()) {
-            journal.closed(journal.take(message("a", 10), RULES));
-            journal.take(message("b", 10), RULES);
+            journal.recordClosed(journal.accept(message("a", 10), MESSAGE_CLASS));
+            journal.accept(message("b", 10), MESSAGE_CLASS);
         }
         try (Journal journal = open()) {
-            assertEquals("b", only(journal).message.id());
+            assertEquals("b", onlyOpenEntry(journal).message.id());
         }
     }
 
-    /** Guards against a kill in the middle of a write: the records before it count, new ones follow them. */
+    /** A kill in the middle of a write leaves a partial record; the records before it must remain readable. */
     @Test
-    void aTornTailIsCutOff() throws IOException {
+    void anUnfinishedRecordAtTheEndIsDropped() throws IOException {
         try (Journal journal = open()) {
-            journal.take(message("a", 100), RULES);
+            journal.accept(message("a", 100), MESSAGE_CLASS);
         }
-        long whole;
+        long lengthBeforeSecond;
         try (Journal journal = open()) {
-            whole = Files.size(Platform.journal(folder));
-            journal.take(message("b", 100), RULES);
+            lengthBeforeSecond = Files.size(Platform.journal(folder));
+            journal.accept(message("b", 100), MESSAGE_CLASS);
         }
         byte[] both = Files.readAllBytes(Platform.journal(folder));
-        for (int length = (int) whole; length < both.length; length++) {
+        for (int length = (int) lengthBeforeSecond; length < both.length; length++) {
             Files.write(Platform.journal(folder), java.util.Arrays.copyOf(both, length));
             try (Journal journal = open()) {
-                assertEquals("a", only(journal).message.id());
-                journal.take(message("c", 100), RULES);
+                assertEquals("a", onlyOpenEntry(journal).message.id());
+                journal.accept(message("c", 100), MESSAGE_CLASS);
             }
             try (Journal journal = open()) {
-                assertEquals(2, journal.owed().size());
-                assertTrue(onDisk() <= LIMIT);
+                assertEquals(2, journal.openEntries().size());
+                assertTrue(bytesOnDisk() <= LIMIT_BYTES);
             }
         }
     }
 
-    /** Guards the numbers of attempts: one whose record failed never ran, and what follows is not taken for it. */
+    /** An attempt whose record could not be written was not sent, but must not shift the numbers of later ones. */
     @Test
-    void aFailedWriteIsMadeGoodByTheNext() throws IOException {
+    void attemptNumbersSurviveAFailedWrite() throws IOException {
         Journal before = open();
-        Journal.Entry entry = before.take(message("a", 10), RULES);
+        Journal.Entry entry = before.accept(message("a", 10), MESSAGE_CLASS);
         before.close();
-        assertThrows(IOException.class, () -> before.sent(entry, 1_000, 0));
-        before.sent(entry, 2_000, 1);
+        assertThrows(IOException.class, () -> before.recordSent(entry, 1_000, 0));
+        before.recordSent(entry, 2_000, 1);
         before.close();
         try (Journal journal = open()) {
-            assertEquals(List.of(false, true), only(journal).attempts.stream().map(a -> a.mayHaveRun).toList());
+            assertEquals(List.of(false, true),
+                onlyOpenEntry(journal).attempts.stream().map(a -> a.mayHaveRun).toList());
         }
     }
 
-    private Journal.Entry owed(Journal journal, String id) {
-        return journal.owed().stream().filter(entry -> entry.message.id().equals(id)).findFirst().orElse(null);
+    /** Returns the open message with this id, or null. */
+    private Journal.Entry openEntry(Journal journal, String id) {
+        return journal.openEntries().stream().filter(entry -> entry.message.id().equals(id)).findFirst().orElse(null);
     }
 
     private static boolean mayHaveRun(Journal.Entry entry) {
@@ -165,19 +169,19 @@
     }
 
     /**
-     * Guards what a damaged file still holds, and against a second run: a record that is lost may have been a send of
-     * any message before it.
+     * A damaged record may have been the send of any message before it, so those may have been processed. Messages
+     * after it are read as usual.
      */
     @Test
-    void aRecordThatDoesNotCheckIsPassedOverAndWhatStandsBeforeItMayHaveRun() throws IOException {
+    void aDamagedRecordIsSkippedAndEarlierMessagesMayHaveRun() throws IOException {
         long middle;
         long end;
         try (Journal journal = open()) {
-            journal.take(message("a", 100), RULES);
+            journal.accept(message("a", 100), MESSAGE_CLASS);
             middle = Files.size(Platform.journal(folder));
-            journal.take(message("b", 100), RULES);
+            journal.accept(message("b", 100), MESSAGE_CLASS);
             end = Files.size(Platform.journal(folder));
-            journal.take(message("c", 100), RULES);
+            journal.accept(message("c", 100), MESSAGE_CLASS);
         }
         byte[] whole = Files.readAllBytes(Platform.journal(folder));
         for (long at = middle; at < end; at++) {
@@ -185,11 +189,11 @@
             damaged[(int) at] ^= 0x55;
             Files.write(Platform.journal(folder), damaged, StandardOpenOption.TRUNCATE_EXISTING);
             try (Journal journal = open()) {
-                assertTrue(mayHaveRun(owed(journal, "a")), "damaged at " + at);
-                assertNull(owed(journal, "b"));
-                assertFalse(mayHaveRun(owed(journal, "c")));
+                assertTrue(mayHaveRun(openEntry(journal, "a")), "damaged at " + at);
+                assertNull(openEntry(journal, "b"));
+                assertFalse(mayHaveRun(openEntry(journal, "c")));
             }
-            // The start has written a file of its own; the next one is to find the damaged one again.
+            // The start wrote a file of its own and deleted the damaged one; restore the original for the next round.
             try (var files = Files.list(folder)) {
                 for (Path file : files.toList()) {
                     Files.delete(file);
@@ -199,293 +203,299 @@
         }
     }
 
-    private static byte[] record(int sort, long number, byte[] rest) {
-        byte[] content = java.nio.ByteBuffer.allocate(9 + rest.length).put((byte) sort).putLong(number).put(rest).array();
+    /** Encodes a record as {@link Journal} does. */
+    private static byte[] record(int type, long number, byte[] rest) {
+        byte[] content = java.nio.ByteBuffer.allocate(9 + rest.length).put((byte) type).putLong(number).put(rest)
+            .array();
         java.util.zip.CRC32 crc = new java.util.zip.CRC32();
         crc.update(content);
         return java.nio.ByteBuffer.allocate(8 + content.length).putInt(content.length).putInt((int) crc.getValue())
             .put(content).array();
     }
 
-    /** Guards the start against what a later release or a fault has written: the rest is taken up. */
+    /** Records of a later release or of a faulty one must not prevent the recovery of the others. */
     @Test
-    void aRecordThatIsNotUnderstoodIsTold() throws IOException {
+    void recordsThatCannotBeDecodedAreSkippedAndTheirMessageMayHaveRun() throws IOException {
         try (Journal journal = open()) {
-            journal.take(message("a", 100), RULES);
-            journal.take(message("b", 100), RULES);
+            journal.accept(message("a", 100), MESSAGE_CLASS);
+            journal.accept(message("b", 100), MESSAGE_CLASS);
         }
         Path file = Platform.journal(folder);
-        // An unknown sort, the outcome of an attempt never made, and messages that end too soon.
-        for (byte[] strange : List.of(record(77, 1, new byte[3]), record(3, 1, new byte[] {0, 9}), record(1, 9, new byte[2]),
-                record(10, 9, new byte[40]))) {
-            Files.write(file, strange, StandardOpenOption.APPEND);
+        // An unknown type, the outcome of an attempt that does not exist, and two messages that end too soon.
+        for (byte[] undecodable : List.of(record(77, 1, new byte[3]), record(3, 1, new byte[] {0, 9}),
+                record(1, 9, new byte[2]), record(10, 9, new byte[40]))) {
+            Files.write(file, undecodable, StandardOpenOption.APPEND);
         }
         try (Journal journal = open()) {
-            assertEquals(2, journal.owed().size());
-            assertTrue(mayHaveRun(owed(journal, "a")));
-            assertFalse(mayHaveRun(owed(journal, "b")));
+            assertEquals(2, journal.openEntries().size());
+            assertTrue(mayHaveRun(openEntry(journal, "a")));
+            assertFalse(mayHaveRun(openEntry(journal, "b")));
         }
     }
 
     @Test
-    void aFolderThatHoldsSomethingElseDoesNotStopTheStart() throws IOException {
+    void foreignFilesInTheStateFolderDoNotPreventTheStart() throws IOException {
         Files.createDirectories(folder.resolve("journal.7"));
         Files.createDirectories(folder.resolve("relay.9"));
         Files.write(folder.resolve("journal.3"), new byte[4_096]);
         Files.write(folder.resolve("leaving.3"), new byte[] {(byte) 0xc3, (byte) 0x28});
         try (Journal journal = open()) {
-            assertEquals(0, journal.owed().size());
-            assertNotNull(journal.take(message("a", 100), RULES));
+            assertEquals(0, journal.openEntries().size());
+            assertNotNull(journal.accept(message("a", 100), MESSAGE_CLASS));
         }
         try (Journal journal = open()) {
-            assertEquals("a", only(journal).message.id());
+            assertEquals("a", onlyOpenEntry(journal).message.id());
         }
     }
 
-    /** Guards the limit on disk: bodies of 64 KiB times the open cap would exceed it, so room is reserved. */
+    /** Bodies of 64 KiB times the cap on open messages would exceed the disk limit, so each reserves its space. */
     @Test
-    void roomIsReservedAndNeverOverrun() throws IOException {
+    void acceptedMessagesReserveSpaceAndTheLimitIsNeverExceeded() throws IOException {
         try (Journal journal = open()) {
-            int taken = 0;
-            while (journal.take(message("m" + taken, 64 * 1024), RULES) != null) {
-                taken++;
+            int accepted = 0;
+            while (journal.accept(message("m" + accepted, 64 * 1024), MESSAGE_CLASS) != null) {
+                accepted++;
             }
-            assertTrue(taken > 10, "only " + taken + " were taken");
+            assertTrue(accepted > 10, "only " + accepted + " were accepted");
             for (int round = 0; round < 200; round++) {
-                for (Journal.Entry entry : journal.owed()) {
+                for (Journal.Entry entry : journal.openEntries()) {
                     if (entry.attempts.size() < 12) {
-                        journal.sent(entry, round, 0);
-                        journal.notRun(entry, entry.attempts.size() - 1);
+                        journal.recordSent(entry, round, 0);
+                        journal.recordNotRun(entry, entry.attempts.size() - 1);
                     }
                 }
-                Journal.Entry oldest = journal.owed().iterator().next();
-                journal.ended(oldest, new Journal.End(false, 0));
-                journal.closed(oldest);
-                assertNotNull(journal.take(message("n" + round, 64 * 1024), RULES), "a closed message frees its room");
-                assertTrue(onDisk() <= LIMIT, onDisk() + " bytes on disk");
+                Journal.Entry oldest = journal.openEntries().iterator().next();
+                journal.recordEnd(oldest, new Journal.End(false, 0));
+                journal.recordClosed(oldest);
+                assertNotNull(journal.accept(message("n" + round, 64 * 1024), MESSAGE_CLASS),
+                    "a closed message frees its space");
+                assertTrue(bytesOnDisk() <= LIMIT_BYTES, bytesOnDisk() + " bytes on disk");
             }
         }
     }
 
-    /** Guards what is owed at an upgrade: the release before wrote one file without a number. */
+    /** Open messages must survive an upgrade: the previous release wrote one file without a number. */
     @Test
-    void aJournalOfTheReleaseBeforeIsTakenOver() throws IOException {
+    void anUnnumberedJournalOfThePreviousReleaseIsAdopted() throws IOException {
         try (Journal journal = open()) {
-            journal.sent(journal.take(message("a", 100), null), 1_000, 0);
+            journal.recordSent(journal.accept(message("a", 100), null), 1_000, 0);
         }
         Files.move(Platform.journal(folder), folder.resolve("journal"));
         Files.writeString(folder.resolve("journal.new"), "cut off");
         try (Journal journal = open()) {
-            assertEquals(1, only(journal).attempts.size());
+            assertEquals(1, onlyOpenEntry(journal).attempts.size());
             assertFalse(Files.exists(folder.resolve("journal")));
             assertFalse(Files.exists(folder.resolve("journal.new")));
         }
     }
 
-    /** Guards the one owner: what a living process has not passed on is not touched, nor is its file. */
+    /** Messages that a live process has not passed on must have only one owner: they and its file stay untouched. */
     @Test
-    void onlyWhatIsPassedOnIsTakenOverFromAProcessThatLives() throws IOException {
+    void onlyPassedOnMessagesAreAdoptedFromALiveProcess() throws IOException {
         Journal old = open();
-        try (Journal next = new Journal(folder, LIMIT, new ProcessClock(STILL), FileOperations.SYSTEM)) {
-            Journal.Entry out = old.take(message("out", 10), RULES);
-            Journal.Entry waits = old.take(message("waits", 10), RULES);
-            assertTrue(next.earlierServes());
-            assertTrue(old.laterWaits());
-            old.beginPassing();
-            old.passed(waits);
-            old.leave("{}");
-            assertFalse(old.laterServes());
-            assertFalse(next.earlierServes());
-            assertEquals(new Journal.Left("{}", 0), next.knowledge());
+        try (Journal next = new Journal(folder, LIMIT_BYTES, new ProcessClock(STOPPED_CLOCK), FileOperations.SYSTEM)) {
+            Journal.Entry inFlight = old.accept(message("out", 10), MESSAGE_CLASS);
+            Journal.Entry waiting = old.accept(message("waits", 10), MESSAGE_CLASS);
+            assertTrue(next.isPredecessorServing());
+            assertTrue(old.hasStandby());
+            old.beginHandover();
+            old.passOn(waiting);
+            old.publishSnapshot("{}");
+            assertFalse(old.isTakenOver());
+            assertFalse(next.isPredecessorServing());
+            assertEquals(new Journal.InheritedSnapshot("{}", 0), next.predecessorSnapshot());
             next.adopt(entry -> { });
-            next.takenOver();
-            assertTrue(old.laterServes());
-            assertEquals("waits", only(next).message.id());
-            assertEquals(java.util.Map.of(7L, 1), next.outElsewhere());
+            next.confirmTakeover();
+            assertTrue(old.isTakenOver());
+            assertEquals("waits", onlyOpenEntry(next).message.id());
+            assertEquals(java.util.Map.of(7L, 1), next.inFlightElsewhere());
             old.waits("s-1", 5_000);
-            old.passed(out);
+            old.passOn(inFlight);
             next.adopt(entry -> { });
-            assertEquals(2, next.owed().size());
+            assertEquals(2, next.openEntries().size());
             assertEquals(java.util.Map.of("s-1", 5_000L), next.waits());
-            assertEquals(java.util.Map.of(), next.outElsewhere());
-            assertTrue(next.hasLegacies());
+            assertEquals(java.util.Map.of(), next.inFlightElsewhere());
+            assertTrue(next.hasPredecessors());
             old.close();
             next.adopt(entry -> { });
-            assertFalse(next.hasLegacies());
-            assertEquals(2, next.owed().size());
+            assertFalse(next.hasPredecessors());
+            assertEquals(2, next.openEntries().size());
         }
     }
 
-    /** Guards against a second run: whoever starts after both were killed finds each message once. */
+    /** A message must not be processed twice: a process that starts after both were killed finds each message once. */
     @Test
-    void whatWasTakenOverIsNotTakenOverAgainAfterTheTakerWasKilled() throws IOException {
+    void adoptedMessagesAreNotAdoptedAgainAfterTheAdoptingProcessWasKilled() throws IOException {
         Journal old = open();
-        Journal.Entry first = old.take(message("first", 10), RULES);
-        old.take(message("second", 10), RULES);
-        Journal next = new Journal(folder, LIMIT, new ProcessClock(STILL), FileOperations.SYSTEM);
-        old.beginPassing();
-        old.passed(first);
-        old.leave("{}");
+        Journal.Entry first = old.accept(message("first", 10), MESSAGE_CLASS);
+        old.accept(message("second", 10), MESSAGE_CLASS);
+        Journal next = new Journal(folder, LIMIT_BYTES, new ProcessClock(STOPPED_CLOCK), FileOperations.SYSTEM);
+        old.beginHandover();
+        old.passOn(first);
+        old.publishSnapshot("{}");
         next.adopt(entry -> { });
-        next.closed(only(next));
-        // The taker writes its file anew, and must still know what it had taken over.
-        next.beginPassing();
+        next.recordClosed(onlyOpenEntry(next));
+        // Rewrites the file, which must still record what was adopted.
+        next.beginHandover();
         next.close();
         try (Journal third = open()) {
-            assertEquals(List.of(), List.copyOf(third.owed()), "the first is done, the second is still out");
+            assertEquals(List.of(), List.copyOf(third.openEntries()),
+                "the first is closed, the second is still in flight");
             old.close();
             third.adopt(entry -> { });
-            assertEquals("second", only(third).message.id());
+            assertEquals("second", onlyOpenEntry(third).message.id());
         }
         try (Journal fourth = open()) {
-            assertEquals("second", only(fourth).message.id());
+            assertEquals("second", onlyOpenEntry(fourth).message.id());
         }
     }
 
-    /** Guards the old process: one that was to follow it and is dead has nothing to be passed. */
+    /** A process must not pass messages on to a successor that has died. */
     @Test
-    void aLaterProcessThatHasEndedDoesNotWait() throws IOException {
+    void aLaterProcessThatHasEndedIsNoStandby() throws IOException {
         try (Journal old = open()) {
-            new Journal(folder, LIMIT, new ProcessClock(STILL), FileOperations.SYSTEM).close();
-            assertFalse(old.laterWaits());
+            new Journal(folder, LIMIT_BYTES, new ProcessClock(STOPPED_CLOCK), FileOperations.SYSTEM).close();
+            assertFalse(old.hasStandby());
         }
     }
 
+    /** Opens a journal on these files and adopts nothing. */
     private Journal open(FileOperations files) throws IOException {
-        return new Journal(folder, LIMIT, new ProcessClock(STILL), files);
+        return new Journal(folder, LIMIT_BYTES, new ProcessClock(STOPPED_CLOCK), files);
     }
 
-    /** Guards against a needless end: a record half written between two others puts neither in doubt. */
+    /** A partial record between two messages must not make either of them count as possibly processed. */
     @Test
-    void anAdoptionThatFailsHalfWayLeavesNoGap() throws IOException {
+    void anAdoptionThatFailsHalfwayLeavesNoGapInTheFile() throws IOException {
         try (Journal before = open()) {
-            before.take(message("a", 10), RULES);
-            before.take(message("b", 10), RULES);
+            before.accept(message("a", 10), MESSAGE_CLASS);
+            before.accept(message("b", 10), MESSAGE_CLASS);
         }
         FailingFiles files = new FailingFiles(null);
         try (Journal journal = open(files)) {
-            files.goodWrites.set(1);
+            files.successfulWrites.set(1);
             files.bytesBeforeFailure = 5;
             files.truncateFails = true;
             files.failure = "Input/output error";
             assertThrows(IOException.class, () -> journal.adopt(entry -> { }));
             files.failure = null;
             journal.adopt(entry -> { });
-            assertEquals(2, journal.size());
+            assertEquals(2, journal.openCount());
         }
         try (Journal journal = open()) {
-            assertEquals(List.of("a", "b"), journal.owed().stream().map(e -> e.message.id()).toList());
-            assertTrue(journal.owed().stream().allMatch(e -> e.attempts.isEmpty()), "neither was ever sent");
+            assertEquals(List.of("a", "b"), journal.openEntries().stream().map(e -> e.message.id()).toList());
+            assertTrue(journal.openEntries().stream().allMatch(e -> e.attempts.isEmpty()), "neither was ever sent");
         }
     }
 
-    /** Guards what comes after a compaction: it belongs into the new file, whatever became of the old one. */
+    /** After a rewrite, records belong in the new file even if closing the old one failed. */
     @Test
-    void anOldFileThatCannotBeClosedIsLeftAllTheSame() throws IOException {
+    void recordsGoToTheNewFileEvenIfTheOldOneCannotBeClosed() throws IOException {
         FailingFiles files = new FailingFiles(null);
         try (Journal journal = open(files)) {
-            journal.take(message("a", 10), RULES);
+            journal.accept(message("a", 10), MESSAGE_CLASS);
             files.closeFails = true;
-            journal.beginPassing();
+            journal.beginHandover();
             files.closeFails = false;
-            journal.take(message("b", 10), RULES);
+            journal.accept(message("b", 10), MESSAGE_CLASS);
         }
         try (Journal journal = open()) {
-            assertEquals(List.of("a", "b"), journal.owed().stream().map(e -> e.message.id()).toList());
+            assertEquals(List.of("a", "b"), journal.openEntries().stream().map(e -> e.message.id()).toList());
         }
     }
 
-    /** Guards a message's attempts across a restart: what was never made is none of them. */
+    /** Attempts that were never made must not use up a message's attempts after a restart. */
     @Test
-    void anAttemptThatWasNeverMadeIsNotTakenOver() throws IOException {
+    void attemptsThatWereNeverMadeAreNotAdopted() throws IOException {
         try (Journal journal = open()) {
-            Journal.Entry entry = journal.take(message("a", 10), RULES);
-            journal.sent(entry, 1_000, 1);
-            journal.sent(entry, 2_000, 2);
-            journal.unmade(entry, 0);
-            journal.notMade(entry, 3_000, 3);
-            journal.sent(entry, 4_000, 4);
-            journal.notRun(entry, 3);
-        }
-        // Twice: what the first start wrote anew must read the same.
+            Journal.Entry entry = journal.accept(message("a", 10), MESSAGE_CLASS);
+            journal.recordSent(entry, 1_000, 1);
+            journal.recordSent(entry, 2_000, 2);
+            journal.recordNotMade(entry, 0);
+            journal.addUnrecordedAttempt(entry, 3_000, 3);
+            journal.recordSent(entry, 4_000, 4);
+            journal.recordNotRun(entry, 3);
+        }
+        // Twice, because the first start rewrites the file.
         for (int start = 0; start < 2; start++) {
             try (Journal journal = open()) {
-                assertEquals(List.of(2, 4), only(journal).attempts.stream().map(a -> a.zone).toList());
-                assertEquals(List.of(true, false), only(journal).attempts.stream().map(a -> a.mayHaveRun).toList());
+                assertEquals(List.of(2, 4), onlyOpenEntry(journal).attempts.stream().map(a -> a.zone).toList());
+                assertEquals(List.of(true, false),
+                    onlyOpenEntry(journal).attempts.stream().map(a -> a.mayHaveRun).toList());
             }
         }
     }
 
     private static Journal.EndpointHealth health(String host, Relay.Health health) {
-        return new Journal.EndpointHealth(host, health, STILL.wallMillis() - 1_000, 0.5);
+        return new Journal.EndpointHealth(host, health, STOPPED_CLOCK.wallMillis() - 1_000, 0.5);
     }
 
     @Test
-    void whatIsKnownOfEndpointsOutlivesEveryKillUntilTheyAreWell() throws IOException {
+    void endpointHealthSurvivesRestartsUntilItIsGood() throws IOException {
         try (Journal journal = open()) {
-            journal.health(health("s-out", Relay.Health.OUT));
-            journal.health(health("s-back", Relay.Health.OUT));
-            journal.health(health("s-back", Relay.Health.RETURNING));
-            journal.health(health("s-well", Relay.Health.OUT));
-            journal.health(health("s-well", Relay.Health.GOOD));
+            journal.endpointHealth(health("s-out", Relay.Health.OUT));
+            journal.endpointHealth(health("s-back", Relay.Health.OUT));
+            journal.endpointHealth(health("s-back", Relay.Health.RETURNING));
+            journal.endpointHealth(health("s-well", Relay.Health.OUT));
+            journal.endpointHealth(health("s-well", Relay.Health.GOOD));
         }
         List<Journal.EndpointHealth> left = List.of(health("s-out", Relay.Health.OUT),
             health("s-back", Relay.Health.RETURNING));
         for (int start = 0; start < 3; start++) {
             try (Journal journal = open()) {
-                assertEquals(left, journal.inheritedHealth());
-                assertEquals(List.of(), journal.inheritedHealth(), "told once");
+                assertEquals(left, journal.takeInheritedHealth());
+                assertEquals(List.of(), journal.takeInheritedHealth(), "returned once");
             }
         }
         try (Journal journal = open()) {
-            journal.health(health("s-out", Relay.Health.GOOD));
+            journal.endpointHealth(health("s-out", Relay.Health.GOOD));
             journal.repair();
         }
         try (Journal journal = open()) {
-            assertEquals(left.subList(1, 2), journal.inheritedHealth());
+            assertEquals(left.subList(1, 2), journal.takeInheritedHealth());
         }
     }
 
     @Test
-    void aHealthRecordThatIsHalfWrittenLeavesTheOneBefore() throws IOException {
+    void anUnfinishedHealthRecordLeavesThePreviousOneInForce() throws IOException {
         try (Journal journal = open()) {
-            journal.health(health("s-1", Relay.Health.OUT));
-            journal.health(health("s-1", Relay.Health.RETURNING));
+            journal.endpointHealth(health("s-1", Relay.Health.OUT));
+            journal.endpointHealth(health("s-1", Relay.Health.RETURNING));
         }
         Path file = Platform.journal(folder);
         try (var channel = java.nio.channels.FileChannel.open(file, StandardOpenOption.WRITE)) {
             channel.truncate(channel.size() - 3);
         }
         try (Journal journal = open()) {
-            assertEquals(List.of(health("s-1", Relay.Health.OUT)), journal.inheritedHealth());
+            assertEquals(List.of(health("s-1", Relay.Health.OUT)), journal.takeInheritedHealth());
         }
     }
 
     @Test
-    void healthThatCannotBeWrittenIsMadeGoodByTheNextWrite() throws IOException {
+    void healthWhoseWriteFailedIsWrittenByTheRepair() throws IOException {
         Journal before = open();
         before.close();
-        assertThrows(IOException.class, () -> before.health(health("s-1", Relay.Health.OUT)));
+        assertThrows(IOException.class, () -> before.endpointHealth(health("s-1", Relay.Health.OUT)));
         before.repair();
         before.close();
         try (Journal journal = open()) {
-            assertEquals(List.of(health("s-1", Relay.Health.OUT)), journal.inheritedHealth());
+            assertEquals(List.of(health("s-1", Relay.Health.OUT)), journal.takeInheritedHealth());
         }
     }
 
     @Test
-    void healthOfManyEndpointsLeavesRoomForMessages() throws IOException {
+    void healthOfManyEndpointsLeavesSpaceForMessages() throws IOException {
         try (Journal journal = open()) {
             for (int host = 0; host < 100_000; host++) {
-                journal.health(health("s-" + host, Relay.Health.OUT));
+                journal.endpointHealth(health("s-" + host, Relay.Health.OUT));
             }
-            assertTrue(journal.healthSize() > 3_200, "held: " + journal.healthSize());
-            int taken = 0;
-            while (journal.take(message("m" + taken, 1_000), RULES) != null) {
-                taken++;
+            assertTrue(journal.endpointHealthCount() > 3_200, "recorded: " + journal.endpointHealthCount());
+            int accepted = 0;
+            while (journal.accept(message("m" + accepted, 1_000), MESSAGE_CLASS) != null) {
+                accepted++;
             }
-            assertTrue(taken > 500, "taken: " + taken);
-            assertTrue(onDisk() <= LIMIT);
+            assertTrue(accepted > 500, "accepted: " + accepted);
+            assertTrue(bytesOnDisk() <= LIMIT_BYTES);
         }
     }
 }
--- a/src/test/java/wrenkeel/net/StateFolderTest.java
+++ b/src/test/java/wrenkeel/net/StateFolderTest.java
@@ -18,11 +18,11 @@
 import org.junit.jupiter.api.io.TempDir;
 import wrenkeel.Relay;
 
-/** A lasting folder in which something stands in a file's place, or that holds garbage. */
+/** A state folder in which folders stand in the place of files, or files contain garbage. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class StateFolderTest {
-    private static final long LIMIT = 3_000_000;
-    private static final Relay.MessageClass RULES = new Relay.MessageClass("bill", 2_000_000, 16_000_000, 1, 0,
+    private static final long LIMIT_BYTES = 3_000_000;
+    private static final Relay.MessageClass MESSAGE_CLASS = new Relay.MessageClass("bill", 2_000_000, 16_000_000, 1, 0,
         Relay.Effect.UNSAFE, false, 0, false, 12);
 
     @TempDir
@@ -46,17 +46,19 @@
         return new Message(id, "bill", 0, null, null, 7, System.currentTimeMillis() + 600_000, new byte[10]);
     }
 
-    /** A folder in a file's place, which cannot be deleted, read or written like one. */
+    /** Creates a folder in the place of a file. It is not empty, so that it cannot be deleted like a file. */
     private void obstruct(String name) throws IOException {
         Files.createDirectories(state.resolve(name).resolve("inside"));
     }
 
-    private List<String> owed() throws IOException {
+    /** Returns the ids of the messages that a start adopts. */
+    private List<String> openMessageIds() throws IOException {
         try (Journal journal = platform.leftBehind()) {
-            return journal.owed().stream().map(entry -> entry.message.id()).toList();
+            return journal.openEntries().stream().map(entry -> entry.message.id()).toList();
         }
     }
 
+    /** Checks that a start fails with status 2 and one line, besides the log, that contains the name. */
     private void assertStartFailsNaming(String name) {
         ByteArrayOutputStream written = new ByteArrayOutputStream();
         PrintStream before = System.err;
@@ -74,9 +76,9 @@
         assertTrue(plain.get(0).contains(name), text);
     }
 
-    /** The name that a release before used has no number. */
+    /** The journal of earlier releases has no number. */
     @Test
-    void aFolderNamedLikeTheJournalOfAReleaseBeforeIsLeftAlone() throws Exception {
+    void aFolderNamedLikeTheUnnumberedJournalIsLeftAlone() throws Exception {
         obstruct("journal");
         try (Node relay = platform.relay()) {
             assertNotNull(relay.address());
@@ -85,59 +87,59 @@
     }
 
     @Test
-    void aJournalThatCannotBeWrittenEndsTheStartInOnePlainLine() throws Exception {
+    void aJournalThatCannotBeCreatedFailsTheStartInOneLine() throws Exception {
         obstruct("journal.new.1");
         assertStartFailsNaming("journal.new.1");
     }
 
-    /** What an earlier process left for this one to read is no reason to lose its journal. */
+    /** The messages in the journal must be adopted even if the snapshot of the same process cannot be read. */
     @Test
-    void knowledgeThatCannotBeReadIsDoneWithout() throws Exception {
-        try (Journal journal = new Journal(state, LIMIT)) {
-            journal.take(message("a"), RULES);
+    void anUnreadableHandoverSnapshotIsIgnored() throws Exception {
+        try (Journal journal = new Journal(state, LIMIT_BYTES)) {
+            journal.accept(message("a"), MESSAGE_CLASS);
         }
         obstruct("leaving.1");
         try (Node relay = platform.relay()) {
             assertNotNull(relay.address());
         }
-        assertEquals(List.of("a"), owed());
+        assertEquals(List.of("a"), openMessageIds());
     }
 
     /**
-     * Guards against a second run: a file that could not be deleted is read again at each start, and whoever
-     * took over what it holds must still know that, also once its own file was written anew.
+     * A file that cannot be deleted is read again at each start. The process that adopted its messages must still know
+     * that, also after a rewrite of its own file; otherwise they would be sent twice.
      */
     @Test
-    void whatStandsInAFileThatCannotBeDeletedIsTakenOverOnce() throws Exception {
-        try (Journal journal = new Journal(state, LIMIT)) {
-            journal.take(message("a"), RULES);
+    void messagesOfAFileThatCannotBeDeletedAreAdoptedOnce() throws Exception {
+        try (Journal journal = new Journal(state, LIMIT_BYTES)) {
+            journal.accept(message("a"), MESSAGE_CLASS);
         }
         obstruct("journal.new.1");
         try (Journal journal = platform.leftBehind()) {
-            assertEquals(1, journal.size());
-            journal.closed(journal.owed().iterator().next());
-            // The file is written anew.
-            journal.beginPassing();
+            assertEquals(1, journal.openCount());
+            journal.recordClosed(journal.openEntries().iterator().next());
+            // Rewrites the file.
+            journal.beginHandover();
         }
-        assertEquals(List.of(), owed());
+        assertEquals(List.of(), openMessageIds());
     }
 
-    /** Guards the start against standing still: no number above such a one would be seen by the next start. */
+    /** The start must not loop: a longer number would not be recognized by the next start. */
     @Test
-    void aNumberThatLeavesNoneAboveItEndsTheStartInOnePlainLine() throws Exception {
+    void aFileWithTheHighestNumberFailsTheStartInOneLine() throws Exception {
         Files.createFile(state.resolve("journal.999999999999999999"));
         assertStartFailsNaming("999999999999999999");
         assertStartFailsNaming("999999999999999999");
     }
 
-    /** Guards the start: garbage in which each place could begin a long record is passed over in time. */
+    /** Garbage in which every position could begin a long record must not delay the start for too long. */
     @Test
-    void garbageThatLooksLikeLongRecordsIsPassedOver() throws Exception {
-        byte[] garbage = new byte[(int) LIMIT];
+    void garbageThatLooksLikeLongRecordsIsSkippedInTime() throws Exception {
+        byte[] garbage = new byte[(int) LIMIT_BYTES];
         for (int i = 1; i < garbage.length; i += 2) {
             garbage[i] = 0x0f;
         }
         Files.write(state.resolve("journal.1"), garbage);
-        assertTimeoutPreemptively(java.time.Duration.ofSeconds(60), () -> assertEquals(List.of(), owed()));
+        assertTimeoutPreemptively(java.time.Duration.ofSeconds(60), () -> assertEquals(List.of(), openMessageIds()));
     }
 }
--- a/src/test/java/wrenkeel/net/FullFolderTest.java
+++ b/src/test/java/wrenkeel/net/UnwritableStateFolderTest.java
@@ -13,11 +13,11 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The lasting folder cannot be written for a while; what was taken on is still owed. */
+/** While the state folder cannot be written, the relay loses no message that it has accepted. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
-class FullFolderTest {
-    private static final String TAKEN = "HTTP/1.1 202 Accepted", REFUSED = "HTTP/1.1 503 Service Unavailable";
-    private static final String FULL = "No space left on device";
+class UnwritableStateFolderTest {
+    private static final String ACCEPTED = "HTTP/1.1 202 Accepted", REFUSED = "HTTP/1.1 503 Service Unavailable";
+    private static final String NO_SPACE = "No space left on device";
 
     @TempDir
     Path folder;
@@ -47,26 +47,26 @@
         }
     }
 
-    /** A message that the folder holds, with no attempt made. */
-    private void owed(String id) throws Exception {
+    /** Leaves an open message in the folder, with no attempt made. */
+    private void leaveOpenMessage(String id) throws Exception {
         platform.config();
         try (Journal journal = platform.leftBehind()) {
-            journal.take(new Message(id, "bill", 0, null, "key-" + id, 7, System.currentTimeMillis() + 60_000,
+            journal.accept(new Message(id, "bill", 0, null, "key-" + id, 7, System.currentTimeMillis() + 60_000,
                 new byte[3]), null);
         }
     }
 
-    /** Guards against a refused start: until it can write, it says that it does not serve, and takes nothing on. */
+    /** The start must not fail: until it can write, the relay reports that it does not serve and accepts nothing. */
     @Test
-    void aStartWaitsUntilTheFolderCanBeWritten() throws Exception {
-        owed("a");
-        FailingFiles files = new FailingFiles(FULL);
+    void aStartWaitsUntilTheStateFolderIsWritable() throws Exception {
+        leaveOpenMessage("a");
+        FailingFiles files = new FailingFiles(NO_SPACE);
         try (Node relay = relay(files)) {
             assertEquals(REFUSED, health(relay));
             try (var client = new Platform.Client(relay)) {
                 assertEquals(REFUSED, client.post("b", "bill", 7, 16_000).get(0));
             }
-            assertTrue(host.quiet(), "nothing is sent that cannot be written down");
+            assertTrue(host.quiet(), "nothing is sent that cannot be recorded");
             files.failure = null;
             Host.Call call = host.call();
             assertEquals("a", call.header("X-Request-ID"));
@@ -76,16 +76,16 @@
         assertEquals(List.of(), List.copyOf(platform.notices));
     }
 
-    /** Guards a message's attempts: what cannot be written down is not sent, and is none of them. */
+    /** An attempt that cannot be recorded is not sent, and must not count among the message's attempts. */
     @Test
-    void aFullFolderUsesUpNoAttempts() throws Exception {
+    void aFullStateFolderUsesUpNoAttempts() throws Exception {
         FailingFiles files = new FailingFiles(null);
         try (Node relay = relay(files); var client = new Platform.Client(relay)) {
-            assertEquals(TAKEN, client.post("a", "bill", 7, 60_000).get(0));
+            assertEquals(ACCEPTED, client.post("a", "bill", 7, 60_000).get(0));
             Host.Call first = host.call();
-            files.failure = FULL;
+            files.failure = NO_SPACE;
             first.answer("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
-            // Its eleven further attempts with their outcomes, and its end.
+            // As many failed writes as its eleven further attempts with their outcomes, and its end, would make.
             files.failedWrites.acquire(2 * 11 + 1);
             files.failure = null;
             Host.Call second = host.call();
@@ -96,37 +96,40 @@
         assertEquals(List.of(), List.copyOf(platform.notices));
     }
 
-    /** Guards the end: told to stop while it waits, it goes at once. */
+    /** A relay that is told to stop while its start waits must stop at once. */
     @Test
-    void aStartThatWaitsCanBeEnded() throws Exception {
-        Node relay = relay(new FailingFiles(FULL));
+    void aWaitingStartCanBeStopped() throws Exception {
+        Node relay = relay(new FailingFiles(NO_SPACE));
         InetSocketAddress address = relay.address();
         relay.leave();
         assertThrows(IOException.class, () -> new Platform.Client(address).close());
     }
 
-    /** Guards who is served as the process is to be replaced: a folder that fails then cuts nobody off. */
+    /**
+     * A process that hands over must not disconnect a client in the middle of a request because the handover cannot be
+     * recorded.
+     */
     @Test
-    void aHandOverThatCannotBeWrittenDownCutsNoClientOff() throws Exception {
+    void aHandoverThatCannotBeRecordedDisconnectsNoClient() throws Exception {
         Config config = platform.config("127.0.0.1:" + platform.freePort(),
             new String[] {Platform.host("s-1", host.port(), 7, "ready")});
         FailingFiles files = new FailingFiles(null);
         Node old = new Node(config, new Machine(MachineClock.SYSTEM, files, ListeningSockets.SYSTEM));
-        try (var half = new Platform.Client(old)) {
+        try (var client = new Platform.Client(old)) {
             try (Node next = new Node(config)) {
                 String head = "POST /bill HTTP/1.1\r\nHost: api.internal\r\n"
                     + String.join("\r\n", Platform.Client.headers("a", "bill", 7, 16_000))
                     + "\r\nContent-Length: 4\r\n\r\n";
-                half.write(head + "ha");
-                files.failure = FULL;
+                client.write(head + "ha");
+                files.failure = NO_SPACE;
                 Thread end = new Thread(old::leave);
                 end.start();
                 while (!REFUSED.equals(health(old))) {
                     Thread.onSpinWait();
                 }
-                assertTrue(files.failedWrites.tryAcquire(3, Platform.PATIENCE_S, TimeUnit.SECONDS), "tried again");
-                half.write("lf");
-                assertEquals(REFUSED, half.answer().get(0));
+                assertTrue(files.failedWrites.tryAcquire(3, Platform.PATIENCE_S, TimeUnit.SECONDS), "retried");
+                client.write("lf");
+                assertEquals(REFUSED, client.answer().get(0));
                 end.join();
                 assertNotNull(next.consoleAddress());
             }
