--- a/src/main/java/wrenkeel/net/Door.java
+++ b/src/main/java/wrenkeel/net/ClientListener.java
@@ -22,8 +22,8 @@
  * The clients' address. Two processes may listen there at once, so that while one takes over from another
  * there is no moment at which a client finds nobody. Its listening channel runs on one event loop.
  */
-final class Door implements AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(Door.class);
+final class ClientListener implements AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(ClientListener.class);
     /** Connections that may wait to be accepted. */
     private static final int BACKLOG = 512;
     /** ms from leaving the selector until it has let go: a channel that it holds is closed late. */
@@ -41,7 +41,7 @@
     private final NioServerSocketChannel listener;
     private final Acceptor acceptor;
 
-    private Door(NetworkChannel socket, EventLoop thread, NioServerSocketChannel listener,
+    private ClientListener(NetworkChannel socket, EventLoop thread, NioServerSocketChannel listener,
                  Acceptor acceptor) {
         this.socket = socket;
         this.thread = thread;
@@ -50,7 +50,7 @@
     }
 
     /** Makes sure of the address without listening there: no client is led to this process yet. */
-    static Door reserve(InetSocketAddress address) throws IOException {
+    static ClientListener reserve(InetSocketAddress address) throws IOException {
         SocketChannel socket = SocketChannel.open();
         try {
             shared(socket).bind(address);
@@ -58,11 +58,11 @@
             socket.close();
             throw e;
         }
-        return new Door(socket, null, null, null);
+        return new ClientListener(socket, null, null, null);
     }
 
     /** Listens; each connection gets this handler. To be called on the event loop. */
-    static Door open(InetSocketAddress address, EventLoop thread, ChannelHandler clients,
+    static ClientListener open(InetSocketAddress address, EventLoop thread, ChannelHandler clients,
                      LongConsumer whenResumed, ListeningSockets sockets) throws IOException {
         return open(address, thread, clients, whenResumed, sockets, ServerSocketChannel::accept);
     }
@@ -71,7 +71,7 @@
      * {@code whenResumed}: told, after accepting has failed for a while, how long (ns) newcomers may have
      * waited for it; {@code acceptor}: what {@link #drain} accepts with.
      */
-    static Door open(InetSocketAddress address, EventLoop thread, ChannelHandler clients,
+    static ClientListener open(InetSocketAddress address, EventLoop thread, ChannelHandler clients,
                      LongConsumer whenResumed, ListeningSockets sockets, Acceptor acceptor)
         throws IOException {
         ServerSocketChannel socket = sockets.open();
@@ -87,7 +87,7 @@
             .handler(new AcceptRetry(whenResumed))
             .childOption(ChannelOption.ALLOCATOR, new UnpooledByteBufAllocator(false))
             .childOption(ChannelOption.TCP_NODELAY, true).childHandler(clients).register();
-        return new Door(socket, thread, listener, acceptor);
+        return new ClientListener(socket, thread, listener, acceptor);
     }
 
     /**
--- a/src/main/java/wrenkeel/net/Callers.java
+++ b/src/main/java/wrenkeel/net/ConnectionLimiter.java
@@ -13,7 +13,7 @@
  * whose first request is incomplete. None of the latter two is closed before its socket has been read dry,
  * and no connection that has brought a whole request is closed within the next. One thread.
  */
-final class Callers {
+final class ConnectionLimiter {
     private int most;
     private final Set<Channel> all = new HashSet<>();
     /** Those that have brought a whole request. */
@@ -25,7 +25,7 @@
     /** Those that have had their last response and wait for the peer to close, the longest so first. */
     private final Set<Channel> lingering = new LinkedHashSet<>();
 
-    Callers(int most) {
+    ConnectionLimiter(int most) {
         this.most = most;
     }
 
--- a/src/main/java/wrenkeel/net/Console.java
+++ b/src/main/java/wrenkeel/net/Console.java
@@ -55,14 +55,14 @@
 
     private final Channel listener;
 
-    Console(InetSocketAddress address, BooleanSupplier ready, Figures figures) throws InterruptedException {
+    Console(InetSocketAddress address, BooleanSupplier ready, Metrics figures) throws InterruptedException {
         this(address, ready, figures, NioServerSocketChannel::new);
     }
 
     /** {@code sockets}: makes the listening channel; fails while the machine is short of descriptors. */
-    Console(InetSocketAddress address, BooleanSupplier ready, Figures figures,
+    Console(InetSocketAddress address, BooleanSupplier ready, Metrics figures,
             ChannelFactory<ServerChannel> sockets) throws InterruptedException {
-        Callers callers = new Callers(CALLERS);
+        ConnectionLimiter callers = new ConnectionLimiter(CALLERS);
         ServerBootstrap bootstrap = new ServerBootstrap().group(group)
             .channelFactory(sockets).option(ChannelOption.SO_REUSEADDR, true)
             .handler(new AcceptRetry(waited -> { }))
@@ -72,7 +72,7 @@
                 protected void initChannel(Channel channel) {
                     channel.pipeline().addLast(new SocketReader(callers), new HttpServerCodec(),
                         new HttpObjectAggregator(CALL_MOST, true),
-                        new RequestDeadline(callers, CALL_WITHIN), new Calls(ready, figures));
+                        new RequestDeadline(callers, CALL_WITHIN), new RequestHandler(ready, figures));
                 }
             });
         listener = listen(bootstrap, address);
@@ -100,11 +100,11 @@
         group.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS).awaitUninterruptibly();
     }
 
-    private static final class Calls extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private static final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final BooleanSupplier ready;
-        private final Figures figures;
+        private final Metrics figures;
 
-        Calls(BooleanSupplier ready, Figures figures) {
+        RequestHandler(BooleanSupplier ready, Metrics figures) {
             this.ready = ready;
             this.figures = figures;
         }
--- a/src/main/java/wrenkeel/net/Loop.java
+++ b/src/main/java/wrenkeel/net/ControlDriver.java
@@ -22,8 +22,8 @@
  * Drives the module: what happens on the sockets becomes events, what the module asks for is carried out in
  * order. It decides nothing. All of it runs on one event loop.
  */
-final class Loop {
-    private static final Logger LOG = LoggerFactory.getLogger(Loop.class);
+final class ControlDriver {
+    private static final Logger LOG = LoggerFactory.getLogger(ControlDriver.class);
     /** us; told to a client that is turned away before the module has seen its message. */
     private static final long COME_BACK = 1_000_000;
     private static final long AFTER_FAULT = 100_000;
@@ -41,7 +41,7 @@
     /**
      * How a message handed in was met. A client that could not be told must be reported to {@link #withdraw}.
      */
-    interface Answer {
+    interface AcceptanceCallback {
         void taken();
 
         void refused(long retryAfter);
@@ -50,7 +50,7 @@
     }
 
     /** A message that the module holds, or that has calls out. */
-    private static final class Held {
+    private static final class TrackedMessage {
         final Message message;
         final Relay.MessageClass rules;
         final List<HostPool.Part> calls = new ArrayList<>();
@@ -62,7 +62,7 @@
         /** Clients that have been told that it is taken on, less those that are known not to have heard. */
         int told;
 
-        Held(Message message, Relay.MessageClass rules, Journal.Entry entry) {
+        TrackedMessage(Message message, Relay.MessageClass rules, Journal.Entry entry) {
             this.message = message;
             this.rules = rules;
             this.entry = entry;
@@ -76,15 +76,15 @@
     private final HostPool pool;
     private final Journal journal;
     private final Discovery discovery;
-    private final Figures figures;
+    private final Metrics figures;
     private final ProcessClock clock;
     /** All classes that the module was told of, by the number that it knows them by. */
     private final List<Relay.MessageClass> classes = new ArrayList<>();
     /** Those in force. */
     private Map<String, Relay.MessageClass> inForce = Map.of();
-    private final Map<String, Held> held = new HashMap<>();
+    private final Map<String, TrackedMessage> held = new HashMap<>();
     private List<Relay.Event> events = new ArrayList<>();
-    private final Map<String, Answer> unanswered = new LinkedHashMap<>();
+    private final Map<String, AcceptanceCallback> unanswered = new LinkedHashMap<>();
     /** What this turn sends and is not yet on its way, by host. */
     private final Map<HostList.Host, Bundle> bundles = new LinkedHashMap<>();
     private final TakenUp takenUp = new TakenUp();
@@ -108,8 +108,8 @@
     /** Destinations that the module has been told of and has not released. */
     private int introduced;
 
-    Loop(EventLoop loop, ProcessClock clock, Config config, HostList hosts, HostPool pool, Journal journal,
-         Figures figures, Agent agent) {
+    ControlDriver(EventLoop loop, ProcessClock clock, Config config, HostList hosts, HostPool pool, Journal journal,
+         Metrics figures, DiscoveryFactory agent) {
         this.loop = loop;
         this.clock = clock;
         this.beganAt = clock.millis();
@@ -154,7 +154,7 @@
     }
 
     /** Makes the link to discovery, given what it is to call. */
-    interface Agent {
+    interface DiscoveryFactory {
         Discovery open(Discovery.Listener whenListed, Consumer<Journal.Entry> whenNoticed);
     }
 
@@ -283,7 +283,7 @@
     /** The deadline passes into the module's clock; earlier attempts keep their distance from now. */
     private void recover(Journal.Entry entry) {
         String name = entry.message.messageClass();
-        Held h = new Held(entry.message, entry.rules == null ? inForce.get(name) : entry.rules, entry);
+        TrackedMessage h = new TrackedMessage(entry.message, entry.rules == null ? inForce.get(name) : entry.rules, entry);
         h.told = 1;
         held.put(h.message.id(), h);
         open++;
@@ -302,7 +302,7 @@
         tell(accepted(h, true, earlier));
     }
 
-    private Relay.Accepted accepted(Held h, boolean takenUp, List<Relay.Earlier> earlier) {
+    private Relay.Accepted accepted(TrackedMessage h, boolean takenUp, List<Relay.Earlier> earlier) {
         Message m = h.message;
         long reserve = EndReserve.millis(m.deadline() - clock.millis());
         return new Relay.Accepted(m.id(), number(h.rules), m.tenant(), m.routeKey(),
@@ -347,11 +347,11 @@
      * A message is handed in; the turn that follows answers it. The turn waits until all sockets that are
      * ready have been read: an answer among them may tell to wait, or that the message's host is full.
      */
-    void accept(Message message, Answer answer) {
+    void accept(Message message, AcceptanceCallback answer) {
         if (unanswered.containsKey(message.id())) {
             turn();
         }
-        Held known = held.get(message.id());
+        TrackedMessage known = held.get(message.id());
         if (known != null && !known.over) {
             // A client sends a request once more when its connection closed as it wrote: it is held already.
             known.told++;
@@ -366,7 +366,7 @@
             answer.refused(COME_BACK);
             return;
         }
-        Held h = new Held(message, inForce.get(message.messageClass()), null);
+        TrackedMessage h = new TrackedMessage(message, inForce.get(message.messageClass()), null);
         held.put(message.id(), h);
         open++;
         unanswered.put(message.id(), answer);
@@ -375,7 +375,7 @@
     }
 
     /** Why a message cannot be taken on now; null if it can, as far as is known before the module's turn. */
-    private Refusal refusal(Held sameId) {
+    private Refusal refusal(TrackedMessage sameId) {
         if (sameId != null) {
             return Refusal.ID_IN_USE;
         }
@@ -393,7 +393,7 @@
      * nothing, unless it was handed in twice and another client heard.
      */
     void withdraw(String id) {
-        Held h = held.get(id);
+        TrackedMessage h = held.get(id);
         if (h != null && !h.over && --h.told == 0) {
             LOG.info("message {} withdrawn, its client left before the answer", id);
             TRACE.debug("{} withdrawn", id);
@@ -466,14 +466,14 @@
     private void answer(List<Relay.Action> actions) {
         for (Relay.Action action : unanswered.isEmpty() ? List.<Relay.Action>of() : actions) {
             if (action instanceof Relay.Refuse a && unanswered.containsKey(a.id())) {
-                Held h = held.get(a.id());
+                TrackedMessage h = held.get(a.id());
                 over(h);
                 figures.rejected(h.message.messageClass());
                 figures.refused(Refusal.BY_MODULE);
                 TRACE.debug("{} refused: {}", a.id(), Refusal.BY_MODULE);
                 unanswered.remove(a.id()).refused(a.retryAfter());
             } else if (action instanceof Relay.Fail a && unanswered.containsKey(a.id())) {
-                Held h = held.get(a.id());
+                TrackedMessage h = held.get(a.id());
                 over(h);
                 figures.failed(h.message.messageClass());
                 TRACE.debug("{} failed at once", a.id());
@@ -481,7 +481,7 @@
             }
         }
         for (String id : List.copyOf(unanswered.keySet())) {
-            Held h = held.get(id);
+            TrackedMessage h = held.get(id);
             try {
                 h.entry = journalHealth.isWritable() ? journal.take(h.message, h.rules) : null;
             } catch (IOException e) {
@@ -518,11 +518,11 @@
         }
     }
 
-    private void refuse(String id, Answer answer, Refusal why) {
+    private void refuse(String id, AcceptanceCallback answer, Refusal why) {
         figures.refused(why);
         TRACE.debug("{} refused: {}", id, why);
         unanswered.remove(id);
-        Held h = held.get(id);
+        TrackedMessage h = held.get(id);
         over(h);
         figures.rejected(h.message.messageClass());
         tell(new Relay.Withdrawn(id));
@@ -539,7 +539,7 @@
         } else if (action instanceof Relay.Pass a) {
             pass(a.id());
         } else if (action instanceof Relay.Cancel a) {
-            Held h = held.get(a.id());
+            TrackedMessage h = held.get(a.id());
             HostPool.Part part = h == null ? null : h.calls.get(a.attempt());
             if (part != null) {
                 part.cancel();
@@ -577,7 +577,7 @@
 
     // ---- Calls ----------------------------------------------------------------------------------
     private void send(Relay.Send a) {
-        Held h = held.get(a.id());
+        TrackedMessage h = held.get(a.id());
         HostList.Host listed = hosts.host(a.endpoint());
         HostList.Host host = listed == null ? new HostList.Host(a.endpoint(), "unlisted") : listed;
         if (h == null) {
@@ -622,7 +622,7 @@
     }
 
     /** What the rules forbid does not go out, whatever was decided. */
-    private boolean permitted(Held h, HostList.Host host) {
+    private boolean permitted(TrackedMessage h, HostList.Host host) {
         boolean apart = apart(host);
         Violation violation = guard.check(h.entry, h.rules, host, apart, turnAtMillis, turnAtMicros);
         if (violation != null) {
@@ -648,7 +648,7 @@
     }
 
     /** Writes an attempt down before any byte of it goes out; false if it must not be made. */
-    private boolean writtenDown(Held h, HostList.Host host) {
+    private boolean writtenDown(TrackedMessage h, HostList.Host host) {
         if (!journalHealth.isWritable()) {
             journal.notMade(h.entry, clock.millis(), host.zone);
             return false;
@@ -666,7 +666,7 @@
         pool.call(host, bundles.remove(host).parts());
     }
 
-    private void ended(Held h, int attempt, HostList.Host host, HostPool.Reply reply) {
+    private void ended(TrackedMessage h, int attempt, HostList.Host host, HostPool.Reply reply) {
         if (stopped) {
             return;
         }
@@ -710,7 +710,7 @@
         }
     }
 
-    private void notRun(Held h, int attempt, boolean unmade) {
+    private void notRun(TrackedMessage h, int attempt, boolean unmade) {
         try {
             if (unmade) {
                 journal.unmade(h.entry, attempt);
@@ -725,7 +725,7 @@
 
     // ---- Ends -----------------------------------------------------------------------------------
     private void end(String id, Journal.End end) {
-        Held h = held.get(id);
+        TrackedMessage h = held.get(id);
         if (h != null && !h.over) {
             if (h.untried) {
                 takenUp.endedUntried(end.handedBack(), h.message.deadline() < beganAt);
@@ -736,7 +736,7 @@
     }
 
     private void pass(String id) {
-        Held h = held.get(id);
+        TrackedMessage h = held.get(id);
         if (h != null && !h.over) {
             if (h.untried) {
                 takenUp.passedOn();
@@ -764,7 +764,7 @@
         discovery.notice(entry);
     }
 
-    private void over(Held h) {
+    private void over(TrackedMessage h) {
         h.over = true;
         open--;
         forget(h);
@@ -774,7 +774,7 @@
      * The module may name a message until the last of its calls has ended. One that is over while a turn
      * is carried out is kept until that is done: it may hold a send of it, whose end the module must hear.
      */
-    private void forget(Held h) {
+    private void forget(TrackedMessage h) {
         loop.execute(() -> {
             if (h.over && h.out == 0) {
                 held.remove(h.message.id(), h);
--- a/src/main/java/wrenkeel/net/HostPool.java
+++ b/src/main/java/wrenkeel/net/HostPool.java
@@ -187,7 +187,7 @@
     private final EventLoop loop;
     private final Bootstrap bootstrap;
     private long idleLimit;
-    private final Figures figures;
+    private final Metrics figures;
     /** Connections at once, those that are still to come up included; and how many there are. */
     private int most;
     private int held;
@@ -202,13 +202,13 @@
      * one, further calls wait, each for its patience.
      */
     HostPool(EventLoop loop, Bootstrap bootstrap, long connectTimeout, long keepAlive, int most,
-             Figures figures) {
+             Metrics figures) {
         this(loop, bootstrap, NioSocketChannel::new, connectTimeout, keepAlive, most, figures);
     }
 
     /** {@code sockets}: makes the channels of connections; what it throws fails the call. */
     HostPool(EventLoop loop, Bootstrap bootstrap, ChannelFactory<Channel> sockets, long connectTimeout,
-             long keepAlive, int most, Figures figures) {
+             long keepAlive, int most, Metrics figures) {
         this.loop = loop;
         this.figures = figures;
         this.bootstrap = bootstrap.clone(loop).channelFactory(sockets)
--- a/src/main/java/wrenkeel/net/LingeringClose.java
+++ b/src/main/java/wrenkeel/net/LingeringClose.java
@@ -19,14 +19,14 @@
     /** Bytes that are read and discarded; what the peer sends beyond them stays unread. */
     private static final long DISCARDED_MOST = 256 * 1024;
 
-    private final Callers callers;
+    private final ConnectionLimiter callers;
     private final long millis;
     private boolean written;
     private boolean lingering;
     private long discarded;
     private Future<?> timer;
 
-    LingeringClose(Callers callers, long millis) {
+    LingeringClose(ConnectionLimiter callers, long millis) {
         this.callers = callers;
         this.millis = millis;
     }
--- a/src/main/java/wrenkeel/net/HollowRelay.java
+++ b/src/main/java/wrenkeel/net/ListOnlyRelay.java
@@ -15,21 +15,21 @@
  * that a real relay runs. It keeps the list, watches its agent, tells the module, takes reloads. For scale
  * runs, where one process holds hundreds of them; {@code serve} never loads it.
  */
-public final class HollowRelay {
+public final class ListOnlyRelay {
     private final EventLoop loop;
     private final Map<String, String> env;
     private final LongConsumer whenInForce;
     private volatile long version = -1;
     private Config config;
     private Journal journal;
-    private Loop driver;
+    private ControlDriver driver;
 
     /**
      * {@code loop} is this relay's alone; {@code env} holds the EDGE_* variables that a relay is started
      * with; {@code whenInForce} is called on the loop with the version of each list or change, once the
      * module has taken it in.
      */
-    public HollowRelay(EventLoop loop, Map<String, String> env, LongConsumer whenInForce) {
+    public ListOnlyRelay(EventLoop loop, Map<String, String> env, LongConsumer whenInForce) {
         this.loop = loop;
         this.env = env;
         this.whenInForce = whenInForce;
@@ -45,7 +45,7 @@
 
     private void begin() throws Config.Unusable, IOException, Wire.Malformed {
         config = Config.read(env);
-        Figures figures = new Figures();
+        Metrics figures = new Metrics();
         ProcessClock clock = ProcessClock.system();
         Bootstrap calls = new Bootstrap().group(loop)
             .option(ChannelOption.ALLOCATOR, new UnpooledByteBufAllocator(false));
@@ -53,7 +53,7 @@
         HostPool pool = new HostPool(loop, calls, config.settings().allowed().connectTimeout(),
             config.settings().allowed().keepAlive(), config.descriptors().hosts(), figures);
         journal = new Journal(config.state(), config.diskBytes(), clock, FileOperations.SYSTEM);
-        driver = new Loop(loop, clock, config, hosts, pool, journal, figures, (whenListed, whenNoticed) ->
+        driver = new ControlDriver(loop, clock, config, hosts, pool, journal, figures, (whenListed, whenNoticed) ->
             new Discovery(loop, calls, config.discovery(), hosts, change -> {
                 whenListed.listed(change);
                 // Behind the module's turn, which stands in the loop's queue by now.
--- a/src/main/java/wrenkeel/net/Figures.java
+++ b/src/main/java/wrenkeel/net/Metrics.java
@@ -14,36 +14,36 @@
 import wrenkeel.Relay;
 
 /** The operators' figures: counts since this process began. Any thread may read them. */
-final class Figures {
+final class Metrics {
     private static final JsonFactory JSON = new JsonFactory();
 
     /** How the messages of one class ended. */
-    private static final class Ends {
+    private static final class EndCounts {
         final AtomicLong completed = new AtomicLong();
         final AtomicLong rejected = new AtomicLong();
         final AtomicLong failed = new AtomicLong();
     }
 
     /** What stands at one moment, rather than being counted. */
-    private record Standing(int pending, int members, int unavailable, long version, long faults,
+    private record Gauges(int pending, int members, int unavailable, long version, long faults,
                             long journalFailures, long worstLagMillis) { }
 
-    private final Map<String, Ends> classes = new ConcurrentSkipListMap<>();
+    private final Map<String, EndCounts> classes = new ConcurrentSkipListMap<>();
     private final Map<Violation, AtomicLong> violations = zeroes(Violation.class);
     private final Map<Refusal, AtomicLong> refusals = zeroes(Refusal.class);
     private final Map<Relay.HealthReason, AtomicLong> healthChanges = zeroes(Relay.HealthReason.class);
     private final AtomicLong upstreamRequests = new AtomicLong();
     private final AtomicLong reloads = new AtomicLong();
     private final AtomicLong reloadErrors = new AtomicLong();
-    private volatile Standing standing = new Standing(0, 0, 0, -1, 0, 0, 0);
+    private volatile Gauges standing = new Gauges(0, 0, 0, -1, 0, 0, 0);
 
     /** These classes are in force; those of earlier settings stay, for their messages may yet end. */
     void inForce(Collection<String> names) {
         names.forEach(this::ends);
     }
 
-    private Ends ends(String messageClass) {
-        return classes.computeIfAbsent(messageClass, name -> new Ends());
+    private EndCounts ends(String messageClass) {
+        return classes.computeIfAbsent(messageClass, name -> new EndCounts());
     }
 
     /** All keys are there from the start: any thread may count. */
@@ -105,12 +105,12 @@
      */
     void stands(int pending, int members, int unavailable, long version, long faults, long journalFailures,
                 long worstLagMillis) {
-        standing = new Standing(pending, members, unavailable, version, faults, journalFailures,
+        standing = new Gauges(pending, members, unavailable, version, faults, journalFailures,
             worstLagMillis);
     }
 
     byte[] json() {
-        Standing now = standing;
+        Gauges now = standing;
         ByteArrayOutputStream text = new ByteArrayOutputStream();
         try (JsonGenerator out = JSON.createGenerator(text)) {
             out.writeStartObject();
@@ -149,10 +149,10 @@
         return text.toByteArray();
     }
 
-    private void byClass(JsonGenerator out, String name, Function<Ends, AtomicLong> count)
+    private void byClass(JsonGenerator out, String name, Function<EndCounts, AtomicLong> count)
         throws IOException {
         out.writeObjectFieldStart(name);
-        for (Map.Entry<String, Ends> entry : classes.entrySet()) {
+        for (Map.Entry<String, EndCounts> entry : classes.entrySet()) {
             out.writeNumberField(entry.getKey(), count.apply(entry.getValue()).get());
         }
         out.writeEndObject();
--- a/src/main/java/wrenkeel/net/Node.java
+++ b/src/main/java/wrenkeel/net/Node.java
@@ -38,19 +38,19 @@
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop thread = group.next();
     private final CountDownLatch left = new CountDownLatch(1);
-    private final Figures figures = new Figures();
+    private final Metrics figures = new Metrics();
     private final Console console;
     private final ProcessClock clock;
     private volatile boolean ready;
     private final Machine machine;
-    private final Callers clients;
+    private final ConnectionLimiter clients;
     private final Server server;
     private volatile Config config;
     /** Null until the lasting folder can be written. */
     private volatile Journal journal;
     /** Null as long as the journal. */
-    private volatile Loop loop;
-    private Door door;
+    private volatile ControlDriver loop;
+    private ClientListener door;
     /** False while it stands by, or waits for the lasting folder. */
     private boolean serving;
     private boolean ending;
@@ -63,7 +63,7 @@
     Node(Config config, Machine machine) throws IOException, InterruptedException, ExecutionException {
         this.config = config;
         this.machine = machine;
-        clients = new Callers(config.descriptors().clients());
+        clients = new ConnectionLimiter(config.descriptors().clients());
         server = new Server(clients);
         clock = new ProcessClock(machine.clock());
         console = config.console() == null ? null : new Console(config.console(), () -> ready, figures);
@@ -121,7 +121,7 @@
         }
         try {
             server.turnAwayUntilServing();
-            door = Door.open(config.listen(), thread, server, nanos -> { }, machine.sockets());
+            door = ClientListener.open(config.listen(), thread, server, nanos -> { }, machine.sockets());
             LOG.info("not serving yet on {}", address());
         } catch (BindException e) {
             throw e;
@@ -144,7 +144,7 @@
     /** Reserves the clients' address, and looks again and again whether the earlier process has left. */
     private void standBy() throws IOException {
         clients.allow(config.descriptors().clients() / 2);
-        door = Door.reserve(config.listen());
+        door = ClientListener.reserve(config.listen());
         LOG.info("standing by for {}", config.listen());
         ready = true;
         thread.schedule(this::await, TURN_OVER, TimeUnit.MILLISECONDS);
@@ -174,8 +174,8 @@
         }
         loop.adopt();
         if (door == null || !door.listens()) {
-            Door reserved = door;
-            door = Door.open(config.listen(), thread, server, nanos -> loop.acceptedLate(nanos),
+            ClientListener reserved = door;
+            door = ClientListener.open(config.listen(), thread, server, nanos -> loop.acceptedLate(nanos),
                 machine.sockets());
             if (reserved != null) {
                 reserved.close();
@@ -209,7 +209,7 @@
         CompletableFuture<Node> started = new CompletableFuture<>();
         try {
             // Before anybody can see that it is ready: a signal may come at that very moment.
-            Hangup.whenHeard(() -> started.thenAccept(node -> node.reload(env)));
+            HangupSignal.whenHeard(() -> started.thenAccept(node -> node.reload(env)));
             Runtime.getRuntime().addShutdownHook(new Thread(() -> started.handle((node, fault) -> {
                 if (node != null) {
                     node.leave();
@@ -268,7 +268,7 @@
         HostList hosts = new HostList(config.zones(), config.kinds());
         HostPool pool = new HostPool(thread, calls, config.settings().allowed().connectTimeout(),
             config.settings().allowed().keepAlive(), config.descriptors().hosts(), figures);
-        loop = new Loop(thread, clock, config, hosts, pool, journal, figures,
+        loop = new ControlDriver(thread, clock, config, hosts, pool, journal, figures,
             (whenListed, whenNoticed) -> new Discovery(thread, calls, config.discovery(), hosts, whenListed,
                 whenNoticed));
         loop.start(config.known());
--- a/src/main/java/wrenkeel/net/RequestDeadline.java
+++ b/src/main/java/wrenkeel/net/RequestDeadline.java
@@ -14,11 +14,11 @@
  * end off: a peer that trickles holds a descriptor as a silent one does.
  */
 final class RequestDeadline extends ChannelDuplexHandler {
-    private final Callers callers;
+    private final ConnectionLimiter callers;
     private final long millis;
     private Future<?> timer;
 
-    RequestDeadline(Callers callers, long millis) {
+    RequestDeadline(ConnectionLimiter callers, long millis) {
         this.callers = callers;
         this.millis = millis;
     }
--- a/src/main/java/wrenkeel/net/SendGuard.java
+++ b/src/main/java/wrenkeel/net/SendGuard.java
@@ -16,14 +16,14 @@
     private static final long WAIT_SLACK = 100_000;
 
     /** What a wait binds: a whole destination, or one host where routes are apart. */
-    private record Lane(long destination, long host) { }
+    private record WaitScope(long destination, long host) { }
 
     private record Wait(long heard, long until) { }
 
-    private final Map<Lane, Wait> waits = new HashMap<>();
+    private final Map<WaitScope, Wait> waits = new HashMap<>();
 
-    private static Lane lane(HostList.Host host, boolean apart) {
-        return new Lane(host.destination, apart ? host.number : -1);
+    private static WaitScope lane(HostList.Host host, boolean apart) {
+        return new WaitScope(host.destination, apart ? host.number : -1);
     }
 
     /** A host has told to wait for so long from now on; times in microseconds. */
--- a/src/main/java/wrenkeel/net/Server.java
+++ b/src/main/java/wrenkeel/net/Server.java
@@ -50,21 +50,21 @@
     /** us; told to a client that comes before the relay serves. */
     private static final long NOT_YET_MICROS = 1_000_000;
 
-    private final Callers clients;
+    private final ConnectionLimiter clients;
     /** Null until the relay serves. */
-    private Loop loop;
+    private ControlDriver loop;
     private boolean notServingYet;
     /** Null until the relay serves. */
-    private Figures figures;
+    private Metrics figures;
     private final long lingerMillis;
     private final ThrottledLog turnedAway = new ThrottledLog(LOG);
     private boolean leaving;
 
-    Server(Callers clients) {
+    Server(ConnectionLimiter clients) {
         this(clients, LINGER);
     }
 
-    Server(Callers clients, long lingerMillis) {
+    Server(ConnectionLimiter clients, long lingerMillis) {
         this.clients = clients;
         this.lingerMillis = lingerMillis;
     }
@@ -74,7 +74,7 @@
         channel.pipeline().addLast(new SocketReader(clients), new LingeringClose(clients, lingerMillis),
             new RequestDecoder(), new HttpResponseEncoder(), new RequestSequencer(this::cutOff),
             new RequestAggregator(),
-            new RequestDeadline(clients, REQUEST_WITHIN), new Requests());
+            new RequestDeadline(clients, REQUEST_WITHIN), new RequestHandler());
     }
 
     /** Until {@link #serve}, each message is refused, which harms nobody, and the health check says no. */
@@ -83,7 +83,7 @@
     }
 
     /** From now on messages go to this relay's loop. */
-    void serve(Loop relay, Figures counts) {
+    void serve(ControlDriver relay, Metrics counts) {
         loop = relay;
         figures = counts;
         notServingYet = false;
@@ -95,16 +95,16 @@
     }
 
     /** A request that cannot be served as it stands. */
-    private static final class Bad extends Exception {
+    private static final class InvalidRequestException extends Exception {
         private static final long serialVersionUID = 1L;
         private final HttpResponseStatus status;
 
-        Bad(HttpResponseStatus status, String fault) {
+        InvalidRequestException(HttpResponseStatus status, String fault) {
             super(fault);
             this.status = status;
         }
 
-        Bad(String fault) {
+        InvalidRequestException(String fault) {
             this(HttpResponseStatus.BAD_REQUEST, fault);
         }
     }
@@ -123,7 +123,7 @@
         }
     }
 
-    private final class Requests extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             if (!context.channel().isActive()) {
@@ -133,21 +133,21 @@
             boolean keep = HttpUtil.isKeepAlive(request) && request.decoderResult().isSuccess();
             try {
                 if (request.decoderResult().isFailure()) {
-                    throw new Bad("malformed request");
+                    throw new InvalidRequestException("malformed request");
                 }
                 String path = request.uri().split("\\?", 2)[0];
                 if (path.equals("/healthz")) {
                     boolean serves = !leaving && !notServingYet;
                     respond(context, HttpResponseStatus.valueOf(serves ? 200 : 503), 0, keep);
                 } else if (!request.method().equals(HttpMethod.POST)) {
-                    throw new Bad(HttpResponseStatus.METHOD_NOT_ALLOWED, "only POST hands a message in");
+                    throw new InvalidRequestException(HttpResponseStatus.METHOD_NOT_ALLOWED, "only POST hands a message in");
                 } else if (notServingYet) {
                     respond(context, HttpResponseStatus.SERVICE_UNAVAILABLE, NOT_YET_MICROS, false);
                 } else {
                     Message message = message(request, path);
-                    loop.accept(message, new ToClient(context, message.id(), keep));
+                    loop.accept(message, new ClientResponder(context, message.id(), keep));
                 }
-            } catch (Bad e) {
+            } catch (InvalidRequestException e) {
                 logTurnedAway(context, e.status, e.getMessage());
                 // A peer that asks for what no client asks for may have much more to send.
                 respond(context, e.status, 0, false);
@@ -178,25 +178,25 @@
         turnedAway.warn(context.executor(), "request turned away: " + status.code() + " " + fault);
     }
 
-    private Message message(FullHttpRequest request, String path) throws Bad {
+    private Message message(FullHttpRequest request, String path) throws InvalidRequestException {
         HttpHeaders headers = request.headers();
         String[] parts = path.split("/");
         String name = headers.get("X-Priority-Class", parts.length > 1 ? parts[1] : "");
         if (parts.length < 2 || !parts[1].equals(name)) {
-            throw new Bad(HttpResponseStatus.NOT_FOUND, "path and class differ");
+            throw new InvalidRequestException(HttpResponseStatus.NOT_FOUND, "path and class differ");
         }
         Relay.MessageClass kind = loop.messageClass(name);
         if (kind == null) {
-            throw new Bad(HttpResponseStatus.NOT_FOUND, "unknown class");
+            throw new InvalidRequestException(HttpResponseStatus.NOT_FOUND, "unknown class");
         }
         long destination = destination(headers.get("X-Envelope", ""));
         if (!loop.knows(name, destination)) {
-            throw new Bad(HttpResponseStatus.NOT_FOUND, "unknown destination " + destination);
+            throw new InvalidRequestException(HttpResponseStatus.NOT_FOUND, "unknown destination " + destination);
         }
         String key = text(headers, "Idempotency-Key", KEY_MOST, kind.effect() == Relay.Effect.KEYED);
         long time = whole(text(headers, "X-Timeout-Ms", ID_MOST, true), "X-Timeout-Ms");
         if (time < 1 || time > TIME_MOST) {
-            throw new Bad("X-Timeout-Ms is not within 1 to " + TIME_MOST);
+            throw new InvalidRequestException("X-Timeout-Ms is not within 1 to " + TIME_MOST);
         }
         String tenant = text(headers, "X-Tenant-Id", ID_MOST, false);
         return new Message(text(headers, "X-Request-ID", ID_MOST, true), name,
@@ -213,38 +213,38 @@
         return readAt + time - Math.min(ON_THE_WAY, time / 4);
     }
 
-    private static String text(HttpHeaders headers, String name, int most, boolean needed) throws Bad {
+    private static String text(HttpHeaders headers, String name, int most, boolean needed) throws InvalidRequestException {
         String value = headers.get(name);
         if (value == null ? needed : value.isEmpty() || value.length() > most) {
-            throw new Bad(name + " is missing, empty or too long");
+            throw new InvalidRequestException(name + " is missing, empty or too long");
         }
         return value;
     }
 
-    private static long destination(String envelope) throws Bad {
+    private static long destination(String envelope) throws InvalidRequestException {
         for (String pair : envelope.split("[,;]")) {
             if (pair.strip().toLowerCase(Locale.ROOT).startsWith("dest=")) {
                 return whole(pair.strip().substring(5), "dest");
             }
         }
-        throw new Bad("X-Envelope names no dest");
+        throw new InvalidRequestException("X-Envelope names no dest");
     }
 
-    private static long whole(String text, String name) throws Bad {
+    private static long whole(String text, String name) throws InvalidRequestException {
         try {
             return Long.parseLong(text.strip());
         } catch (NumberFormatException e) {
-            throw new Bad(name + " is not a whole number");
+            throw new InvalidRequestException(name + " is not a whole number");
         }
     }
 
     /** The answer to one client. */
-    private final class ToClient implements Loop.Answer {
+    private final class ClientResponder implements ControlDriver.AcceptanceCallback {
         private final ChannelHandlerContext context;
         private final String id;
         private final boolean keep;
 
-        ToClient(ChannelHandlerContext context, String id, boolean keep) {
+        ClientResponder(ChannelHandlerContext context, String id, boolean keep) {
             this.context = context;
             this.id = id;
             this.keep = keep;
--- a/src/main/java/wrenkeel/net/SocketReader.java
+++ b/src/main/java/wrenkeel/net/SocketReader.java
@@ -11,10 +11,10 @@
  * socket: a busy thread may have had no time for it. Comes first in the pipeline.
  */
 final class SocketReader extends ChannelInboundHandlerAdapter {
-    private final Callers callers;
+    private final ConnectionLimiter callers;
     private long received;
 
-    SocketReader(Callers callers) {
+    SocketReader(ConnectionLimiter callers) {
         this.callers = callers;
     }
 
--- a/src/main/java/wrenkeel/scale/TimedRelay.java
+++ b/src/main/java/wrenkeel/scale/TimedRelay.java
@@ -10,13 +10,13 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
-import wrenkeel.net.HollowRelay;
+import wrenkeel.net.ListOnlyRelay;
 
 /** One hollow relay with a folder and a thread of its own, and when each version came into force there. */
 final class TimedRelay {
     private final Map<String, String> env;
     private MultiThreadIoEventLoopGroup thread;
-    private HollowRelay relay;
+    private ListOnlyRelay relay;
     private volatile long startedAt;
     private volatile long heldAt;
     private volatile long held = -1;
@@ -42,7 +42,7 @@
         held = -1;
         heldAt = 0;
         startedAt = EpochClock.micros();
-        relay = new HollowRelay(loop, env, this::inForce);
+        relay = new ListOnlyRelay(loop, env, this::inForce);
         relay.start().addListener(done -> {
             if (!done.isSuccess()) {
                 System.err.println("relay not started: " + done.cause());
--- a/src/test/java/wrenkeel/net/CallersTest.java
+++ b/src/test/java/wrenkeel/net/CallersTest.java
@@ -24,7 +24,7 @@
 class CallersTest {
     private static final String HALF = "GET /healthz HTTP/1.1\r\nHos", HEALTH = HALF + "t: a\r\n\r\n";
 
-    private final Callers callers = new Callers(3);
+    private final ConnectionLimiter callers = new ConnectionLimiter(3);
     private final List<EmbeddedChannel> channels = IntStream.range(0, 6).mapToObj(i -> new EmbeddedChannel()).toList();
 
     private EmbeddedChannel connect(int i) {
--- a/src/test/java/wrenkeel/net/ConsoleTest.java
+++ b/src/test/java/wrenkeel/net/ConsoleTest.java
@@ -205,7 +205,7 @@
     void aConsoleWithoutASocketForAMomentTriesAgain() throws Exception {
         AtomicInteger failures = new AtomicInteger(3);
         InetSocketAddress any = new InetSocketAddress(Platform.LOOPBACK, 0);
-        try (Console console = new Console(any, () -> true, new Figures(), () -> {
+        try (Console console = new Console(any, () -> true, new Metrics(), () -> {
             if (failures.getAndDecrement() > 0) {
                 throw new ChannelException("too many open files");
             }
--- a/src/test/java/wrenkeel/net/DoorTest.java
+++ b/src/test/java/wrenkeel/net/DoorTest.java
@@ -58,7 +58,7 @@
     /** Fails accepting as the listening channel does; the look comes before Netty's acceptor would go on. */
     @Test
     void afterAFailedAcceptTheNextIsTriedSoon() throws Exception {
-        Door door = thread.submit(() -> Door.open(ANY, thread, clients, waited::add, ListeningSockets.SYSTEM)).get();
+        ClientListener door = thread.submit(() -> ClientListener.open(ANY, thread, clients, waited::add, ListeningSockets.SYSTEM)).get();
         CompletableFuture<Boolean> accepts = new CompletableFuture<>();
         thread.submit(() -> {
             thread.schedule(() -> accepts.complete(door.listener().config().isAutoRead()), NETTY_PAUSE - 100,
@@ -72,7 +72,7 @@
     /** Guards a message's time: its client has counted from when it connected. */
     @Test
     void whoCouldNotBeAcceptedIsToldToHaveWaited() throws Exception {
-        Door door = thread.submit(() -> Door.open(ANY, thread, clients, waited::add, ListeningSockets.SYSTEM)).get();
+        ClientListener door = thread.submit(() -> ClientListener.open(ANY, thread, clients, waited::add, ListeningSockets.SYSTEM)).get();
         thread.submit(() -> door.listener().pipeline().fireExceptionCaught(noBuffers())).get();
         try (Socket first = new Socket(Platform.LOOPBACK, door.address().getPort());
                 Socket second = new Socket(Platform.LOOPBACK, door.address().getPort())) {
@@ -88,7 +88,7 @@
     @Test
     void drainingGoesOnAfterAFailedAccept() throws Exception {
         List<String> tries = new ArrayList<>();
-        Door.Acceptor failsOnce = (ServerSocketChannel from) -> {
+        ClientListener.Acceptor failsOnce = (ServerSocketChannel from) -> {
             SocketChannel next = tries.size() == 1 ? null : from.accept();
             tries.add("try");
             if (tries.size() == 2) {
@@ -96,7 +96,7 @@
             }
             return next;
         };
-        Door door = thread.submit(() -> Door.open(ANY, thread, clients, waited::add, ListeningSockets.SYSTEM, failsOnce)).get();
+        ClientListener door = thread.submit(() -> ClientListener.open(ANY, thread, clients, waited::add, ListeningSockets.SYSTEM, failsOnce)).get();
         // Nobody is accepted by the selector from here on: all wait in the queue.
         thread.submit(() -> door.listener().config().setAutoRead(false)).get();
         List<Socket> waiting = new ArrayList<>();
@@ -160,7 +160,7 @@
     @Test
     void aRuntimeThatCannotShareAnAddressServesWithoutThat() throws IOException {
         WithoutReusePort socket = new WithoutReusePort();
-        assertSame(socket, Door.shared(socket));
+        assertSame(socket, ClientListener.shared(socket));
         assertEquals(Set.of(StandardSocketOptions.SO_REUSEADDR), socket.set);
     }
 }
--- a/src/test/java/wrenkeel/net/FleetSizeTest.java
+++ b/src/test/java/wrenkeel/net/FleetSizeTest.java
@@ -78,7 +78,7 @@
         BlockingQueue<HostPool.Reply> replies = new LinkedBlockingQueue<>();
         try (Host endpoint = new Host()) {
             HostPool pool = new HostPool(group.next(), new Bootstrap().group(group), LONG, LONG, share,
-                new Figures());
+                new Metrics());
             Message message = new Message("a", "bill", 0, null, null, LARGE, 0, new byte[1]);
             for (int i = 0; i < MANY; i++) {
                 HostList.Host host = new HostList.Host(i, "s-" + i);
--- a/src/test/java/wrenkeel/net/HollowRelayTest.java
+++ b/src/test/java/wrenkeel/net/HollowRelayTest.java
@@ -38,8 +38,8 @@
         platform.close();
     }
 
-    private HollowRelay relay() {
-        return new HollowRelay(threads.next(), platform.env(), inForce::add);
+    private ListOnlyRelay relay() {
+        return new ListOnlyRelay(threads.next(), platform.env(), inForce::add);
     }
 
     /** Waits for a version; those before it may come too. */
@@ -60,7 +60,7 @@
     @Test
     void aListAndThenItsChangeComeIntoForce() throws Exception {
         answerAtOnce(list(41, true, host("s-1", 9, 7, "ready")));
-        HollowRelay relay = relay();
+        ListOnlyRelay relay = relay();
         relay.start().get();
         awaitInForce(41);
         platform.changes.add(list(43, false, host("s-1", 9, 7, "draining")));
@@ -71,12 +71,12 @@
     @Test
     void afterItsEndAnotherOneBeginsInItsFolderWithNothing() throws Exception {
         answerAtOnce(list(41, true));
-        HollowRelay first = relay();
+        ListOnlyRelay first = relay();
         first.start().get();
         awaitInForce(41);
         first.stop().get();
         platform.asked.clear();
-        HollowRelay second = relay();
+        ListOnlyRelay second = relay();
         second.start().get();
         awaitInForce(41);
         assertTrue(platform.asked.contains("after=1&wait_ms=1"), "it goes on from its configuration's list");
@@ -86,7 +86,7 @@
 
     @Test
     void aReloadIsTakenWholeOrNotAtAll() throws Exception {
-        HollowRelay relay = relay();
+        ListOnlyRelay relay = relay();
         relay.start().get();
         relay.reload().get();
         Files.writeString(folder.resolve("config.json"), "{");
--- a/src/test/java/wrenkeel/net/HostPoolTest.java
+++ b/src/test/java/wrenkeel/net/HostPoolTest.java
@@ -42,7 +42,7 @@
     }
 
     private HostPool pool(long keepAlive) {
-        return new HostPool(group.next(), new Bootstrap().group(group), LONG, keepAlive, 100, new Figures());
+        return new HostPool(group.next(), new Bootstrap().group(group), LONG, keepAlive, 100, new Metrics());
     }
 
 
@@ -90,7 +90,7 @@
     @Test
     void anIdleConnectionIsClosedForOneMoreThanAllowed() throws Exception {
         try (Host first = new Host(); Host second = new Host()) {
-            HostPool pool = new HostPool(group.next(), new Bootstrap().group(group), LONG, KEEP_ALIVE, 1, new Figures());
+            HostPool pool = new HostPool(group.next(), new Bootstrap().group(group), LONG, KEEP_ALIVE, 1, new Metrics());
             call(pool, first.port(), LONG, 10);
             Host.Call idle = first.call();
             idle.answer(Host.OK);
@@ -106,7 +106,7 @@
 
     private HostPool narrow(int connections) {
         return new HostPool(group.next(), new Bootstrap().group(group), LONG, KEEP_ALIVE, connections,
-            new Figures());
+            new Metrics());
     }
 
     private void callOther(HostPool pool, int number, Host host, HostPool.Part part) throws Exception {
@@ -188,7 +188,7 @@
             protected boolean doConnect(SocketAddress remote, SocketAddress local) {
                 return false;
             }
-        }, LONG, KEEP_ALIVE, 100, new Figures());
+        }, LONG, KEEP_ALIVE, 100, new Metrics());
         HostPool.Part first = part("a", null, LONG, 10), second = part("b", null, LONG, 10);
         call(pool, 9, first, second);
         group.next().submit(first::giveUp).get();
@@ -624,7 +624,7 @@
     void aCallForWhichThereIsNoDescriptorEndsOnTheRelaysThread() throws Exception {
         HostPool pool = new HostPool(group.next(), new Bootstrap().group(group), () -> {
             throw new ChannelException("too many open files");
-        }, LONG, KEEP_ALIVE, 100, new Figures());
+        }, LONG, KEEP_ALIVE, 100, new Metrics());
         BlockingQueue<Boolean> onThread = new LinkedBlockingQueue<>();
         HostPool.Part part = new HostPool.Part(part("a", null, LONG, 1).message(), LONG, reply -> {
             replies.add(reply);
@@ -651,7 +651,7 @@
                 doClose();
                 throw new SocketException(fault);
             }
-        }, LONG, KEEP_ALIVE, 100, new Figures());
+        }, LONG, KEEP_ALIVE, 100, new Metrics());
         call(pool, 9, part("a", null, LONG, 1));
         assertEquals(Outcome.NO_SOCKET, reply().outcome());
         assertEquals(0, held(pool));
--- a/src/test/java/wrenkeel/net/LingeringCloseTest.java
+++ b/src/test/java/wrenkeel/net/LingeringCloseTest.java
@@ -31,7 +31,7 @@
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop thread = group.next();
-    private final Callers callers = new Callers(10);
+    private final ConnectionLimiter callers = new ConnectionLimiter(10);
     /** What came through to the handlers behind. */
     private final BlockingQueue<String> read = new LinkedBlockingQueue<>();
 
@@ -141,7 +141,7 @@
 
     @Test
     void aLingeringConnectionHoldsAPlaceAndIsTheFirstToGiveWay() throws Exception {
-        Callers three = new Callers(3);
+        ConnectionLimiter three = new ConnectionLimiter(3);
         try (SocketPair quiet = new SocketPair(); SocketPair lingers = new SocketPair(new LingeringClose(three, ENDLESS));
              SocketPair newcomer = new SocketPair()) {
             for (SocketPair pair : new SocketPair[] {quiet, lingers, newcomer}) {
--- a/src/test/java/wrenkeel/net/LoopTest.java
+++ b/src/test/java/wrenkeel/net/LoopTest.java
@@ -31,8 +31,8 @@
     private Platform platform;
     private Host host;
     private Journal journal;
-    private Loop loop;
-    private final Figures figures = new Figures();
+    private ControlDriver loop;
+    private final Metrics figures = new Metrics();
 
     @BeforeEach
     void begin() throws Exception {
@@ -43,7 +43,7 @@
         Bootstrap calls = new Bootstrap().group(thread);
         inOnePass(() -> {
             HostList hosts = new HostList(config.zones(), config.kinds());
-            loop = new Loop(thread, ProcessClock.system(), config, hosts, new HostPool(thread, calls, 1_000_000, 15_000_000, 100, figures), journal, figures,
+            loop = new ControlDriver(thread, ProcessClock.system(), config, hosts, new HostPool(thread, calls, 1_000_000, 15_000_000, 100, figures), journal, figures,
                 (whenListed, whenNoticed) -> new Discovery(thread, calls, config.discovery(), hosts, whenListed,
                     whenNoticed));
             loop.start(config.known());
@@ -78,8 +78,8 @@
         return new Message(id, "bill", 0, null, "key-" + id, 7, System.currentTimeMillis() + 60_000, new byte[3]);
     }
 
-    private Loop.Answer client(String name, Runnable whenTaken) {
-        return new Loop.Answer() {
+    private ControlDriver.AcceptanceCallback client(String name, Runnable whenTaken) {
+        return new ControlDriver.AcceptanceCallback() {
             @Override
             public void taken() {
                 answers.add(name + " taken");
@@ -98,7 +98,7 @@
         };
     }
 
-    private Loop.Answer client(String name) {
+    private ControlDriver.AcceptanceCallback client(String name) {
         return client(name, () -> { });
     }
 
--- a/src/test/java/wrenkeel/net/RequestDeadlineTest.java
+++ b/src/test/java/wrenkeel/net/RequestDeadlineTest.java
@@ -27,7 +27,7 @@
     private static EmbeddedChannel client() {
         EmbeddedChannel channel = new EmbeddedChannel();
         channel.freezeTime();
-        channel.pipeline().addLast(new Server(new Callers(10)));
+        channel.pipeline().addLast(new Server(new ConnectionLimiter(10)));
         channel.pipeline().fireChannelActive();
         // The last handler would ask the loop, which is not under test.
         channel.pipeline().removeLast();
@@ -96,8 +96,8 @@
     void aRequestThatStandsInTheSocketAsTheTimeIsUpIsServed() throws Exception {
         var group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop thread = group.next();
-        try (SocketPair late = new SocketPair(new Server(new Callers(10)));
-             SocketPair half = new SocketPair(new Server(new Callers(10)))) {
+        try (SocketPair late = new SocketPair(new Server(new ConnectionLimiter(10)));
+             SocketPair half = new SocketPair(new Server(new ConnectionLimiter(10)))) {
             late.register(thread);
             half.register(thread);
             thread.submit(() -> {
--- a/src/test/java/wrenkeel/net/ServerConnectionTest.java
+++ b/src/test/java/wrenkeel/net/ServerConnectionTest.java
@@ -38,7 +38,7 @@
     private Platform platform;
     private Host host;
     private Journal journal;
-    private Loop loop;
+    private ControlDriver loop;
     private Server server;
 
     @BeforeEach
@@ -48,15 +48,15 @@
         Config config = platform.config(Platform.host("s-1", host.port(), 7, "ready"));
         journal = new Journal(config.state(), config.diskBytes());
         Bootstrap calls = new Bootstrap().group(thread);
-        Figures figures = new Figures();
+        Metrics figures = new Metrics();
         onThread(() -> {
             HostList hosts = new HostList(config.zones(), config.kinds());
             HostPool pool = new HostPool(thread, calls, 1_000_000, 15_000_000, 100, figures);
-            loop = new Loop(thread, ProcessClock.system(), config, hosts, pool, journal, figures,
+            loop = new ControlDriver(thread, ProcessClock.system(), config, hosts, pool, journal, figures,
                 (whenListed, whenNoticed) -> new Discovery(thread, calls, config.discovery(), hosts, whenListed,
                     whenNoticed));
             loop.start(config.known());
-            server = new Server(new Callers(10));
+            server = new Server(new ConnectionLimiter(10));
             server.serve(loop, figures);
         });
     }
--- a/src/test/java/wrenkeel/net/ServerTest.java
+++ b/src/test/java/wrenkeel/net/ServerTest.java
@@ -35,7 +35,7 @@
     /** Guards the log and the CPU: a flood of bad peers must not leave a line each. */
     @Test
     void aFloodOfBadRequestsLeavesOneLine() {
-        Server server = new Server(new Callers(100));
+        Server server = new Server(new ConnectionLimiter(100));
         assertEquals(1, logged(() -> {
             for (int i = 0; i < 50; i++) {
                 EmbeddedChannel channel = new EmbeddedChannel();
@@ -51,7 +51,7 @@
     void aClientThatLeavesInTheMiddleOfItsRequestLeavesNoTrace() {
         assertEquals("", logged(() -> {
             EmbeddedChannel channel = new EmbeddedChannel();
-            channel.pipeline().addLast(new Server(new Callers(10)));
+            channel.pipeline().addLast(new Server(new ConnectionLimiter(10)));
             channel.pipeline().fireChannelActive();
             channel.writeInbound(Unpooled.copiedBuffer("POST /bill HTTP/1.1\r\nContent-Length: 5\r\n\r\nhi",
                 StandardCharsets.US_ASCII));
