--- a/src/main/java/wrenkeel/net/Console.java
+++ b/src/main/java/wrenkeel/net/Console.java
@@ -123,7 +123,7 @@
             } else if (!request.method().equals(HttpMethod.GET)) {
                 respond(context, HttpResponseStatus.METHOD_NOT_ALLOWED, text("only GET"));
             } else if (path.equals("/api/telemetry")) {
-                respond(context, HttpResponseStatus.OK, Unpooled.wrappedBuffer(figures.json()));
+                respond(context, HttpResponseStatus.OK, Unpooled.wrappedBuffer(figures.toJson()));
             } else if (ready.getAsBoolean()) {
                 respond(context, HttpResponseStatus.OK, text("{\"ready\":true}"));
             } else {
--- a/src/main/java/wrenkeel/net/ControlDriver.java
+++ b/src/main/java/wrenkeel/net/ControlDriver.java
@@ -128,7 +128,7 @@
 
     private void enforce() {
         inForce = settings.classes().stream().collect(Collectors.toMap(Relay.MessageClass::name, c -> c));
-        figures.inForce(inForce.keySet());
+        figures.addClasses(inForce.keySet());
     }
 
     /** Other settings, and perhaps another address of discovery, bind from the next request on. */
@@ -188,7 +188,7 @@
         lag.tick();
         try {
             int unavailable = control.unavailable() + hosts.draining();
-            figures.stands(journal.size(), hosts.listed(), unavailable, hosts.version(), discovery.faults(),
+            figures.updateGauges(journal.size(), hosts.listed(), unavailable, hosts.version(), discovery.faults(),
                 journalHealth.failures(), lag.worstMillis());
         } catch (RuntimeException e) {
             // Guards the ticks: a periodic task that throws is never run again.
@@ -360,8 +360,8 @@
         }
         Refusal refusal = refusal(known);
         if (refusal != null) {
-            figures.rejected(message.messageClass());
-            figures.refused(refusal);
+            figures.countRejected(message.messageClass());
+            figures.countRefusal(refusal);
             TRACE.debug("{} refused: {}", message.id(), refusal);
             answer.refused(COME_BACK);
             return;
@@ -468,14 +468,14 @@
             if (action instanceof Relay.Refuse a && unanswered.containsKey(a.id())) {
                 TrackedMessage h = held.get(a.id());
                 over(h);
-                figures.rejected(h.message.messageClass());
-                figures.refused(Refusal.BY_MODULE);
+                figures.countRejected(h.message.messageClass());
+                figures.countRefusal(Refusal.BY_MODULE);
                 TRACE.debug("{} refused: {}", a.id(), Refusal.BY_MODULE);
                 unanswered.remove(a.id()).refused(a.retryAfter());
             } else if (action instanceof Relay.Fail a && unanswered.containsKey(a.id())) {
                 TrackedMessage h = held.get(a.id());
                 over(h);
-                figures.failed(h.message.messageClass());
+                figures.countFailed(h.message.messageClass());
                 TRACE.debug("{} failed at once", a.id());
                 unanswered.remove(a.id()).failed();
             }
@@ -519,12 +519,12 @@
     }
 
     private void refuse(String id, AcceptanceCallback answer, Refusal why) {
-        figures.refused(why);
+        figures.countRefusal(why);
         TRACE.debug("{} refused: {}", id, why);
         unanswered.remove(id);
         TrackedMessage h = held.get(id);
         over(h);
-        figures.rejected(h.message.messageClass());
+        figures.countRejected(h.message.messageClass());
         tell(new Relay.Withdrawn(id));
         answer.refused(COME_BACK);
     }
@@ -562,7 +562,7 @@
     /** Kept for the next process: a relay that was told of an outage stays told. */
     private void healthChanged(Relay.HealthChanged a) {
         HostList.Host host = hosts.host(a.endpoint());
-        figures.healthChanged(a.reason());
+        figures.countHealthChange(a.reason());
         healthLog.changed(a, host);
         if (host == null) {
             return;
@@ -639,7 +639,7 @@
     }
 
     private void violated(Violation rule, String id) {
-        figures.violated(rule);
+        figures.countViolation(rule);
         LOG.error("{}: message {}", rule, id);
     }
 
@@ -685,10 +685,10 @@
                 over(h);
                 close(h.entry);
                 if (reply.outcome() == Relay.Outcome.OK) {
-                    figures.completed(h.message.messageClass());
+                    figures.countCompleted(h.message.messageClass());
                 } else {
                     // Its time was up before the host heard of it.
-                    figures.failed(h.message.messageClass());
+                    figures.countFailed(h.message.messageClass());
                 }
             } else if (reply.outcome().neverRan() && reply.outcome() != Relay.Outcome.NOT_JOURNALED) {
                 notRun(h, attempt, reply.outcome() == Relay.Outcome.NO_SOCKET);
@@ -790,9 +790,9 @@
             violated(Violation.ENDED_LATE, entry.message.id());
         }
         if (entry.end.handedBack()) {
-            figures.rejected(entry.message.messageClass());
+            figures.countRejected(entry.message.messageClass());
         } else {
-            figures.failed(entry.message.messageClass());
+            figures.countFailed(entry.message.messageClass());
         }
         close(entry);
     }
--- a/src/main/java/wrenkeel/net/HangupSignal.java
+++ b/src/main/java/wrenkeel/net/HangupSignal.java
@@ -10,7 +10,7 @@
     private HangupSignal() { }
 
     /** Runs this at each SIGHUP from now on, on a thread of its own. */
-    static void whenHeard(Runnable task) throws ReflectiveOperationException {
+    static void setHandler(Runnable task) throws ReflectiveOperationException {
         Class<?> signal = Class.forName("sun.misc.Signal");
         Class<?> handler = Class.forName("sun.misc.SignalHandler");
         Object heard = Proxy.newProxyInstance(HangupSignal.class.getClassLoader(), new Class<?>[] {handler},
--- a/src/main/java/wrenkeel/net/HostPool.java
+++ b/src/main/java/wrenkeel/net/HostPool.java
@@ -486,7 +486,7 @@
             states = null;
             pool.connecting.remove(next);
             if (!next.host.ready) {
-                figures.violated(Violation.SENT_WHILE_DRAINING);
+                figures.countViolation(Violation.SENT_WHILE_DRAINING);
                 LOG.error("{}: a call to {}", Violation.SENT_WHILE_DRAINING, next.host.name);
             }
             int messages = next.parts.size();
@@ -495,7 +495,7 @@
             channel.writeAndFlush(next.request()).addListener(done -> {
                 next.written = done.isSuccess();
                 if (done.isSuccess()) {
-                    figures.sent(messages);
+                    figures.countUpstreamRequests(messages);
                 } else {
                     channel.close();
                 }
--- a/src/main/java/wrenkeel/net/Metrics.java
+++ b/src/main/java/wrenkeel/net/Metrics.java
@@ -25,25 +25,25 @@
     }
 
     /** What stands at one moment, rather than being counted. */
-    private record Gauges(int pending, int members, int unavailable, long version, long faults,
-                            long journalFailures, long worstLagMillis) { }
+    private record Gauges(int pending, int listedEndpoints, int unavailableEndpoints, long listVersion, long listFaults,
+                            long journalFailures, long maxLagMillis) { }
 
-    private final Map<String, EndCounts> classes = new ConcurrentSkipListMap<>();
+    private final Map<String, EndCounts> countsByClass = new ConcurrentSkipListMap<>();
     private final Map<Violation, AtomicLong> violations = zeroes(Violation.class);
     private final Map<Refusal, AtomicLong> refusals = zeroes(Refusal.class);
     private final Map<Relay.HealthReason, AtomicLong> healthChanges = zeroes(Relay.HealthReason.class);
     private final AtomicLong upstreamRequests = new AtomicLong();
     private final AtomicLong reloads = new AtomicLong();
     private final AtomicLong reloadErrors = new AtomicLong();
-    private volatile Gauges standing = new Gauges(0, 0, 0, -1, 0, 0, 0);
+    private volatile Gauges gauges = new Gauges(0, 0, 0, -1, 0, 0, 0);
 
     /** These classes are in force; those of earlier settings stay, for their messages may yet end. */
-    void inForce(Collection<String> names) {
-        names.forEach(this::ends);
+    void addClasses(Collection<String> names) {
+        names.forEach(this::countsOf);
     }
 
-    private EndCounts ends(String messageClass) {
-        return classes.computeIfAbsent(messageClass, name -> new EndCounts());
+    private EndCounts countsOf(String messageClass) {
+        return countsByClass.computeIfAbsent(messageClass, name -> new EndCounts());
     }
 
     /** All keys are there from the start: any thread may count. */
@@ -55,45 +55,45 @@
         return counts;
     }
 
-    void violated(Violation rule) {
+    void countViolation(Violation rule) {
         violations.get(rule).incrementAndGet();
     }
 
-    long violations(Violation rule) {
+    long violationCount(Violation rule) {
         return violations.get(rule).get();
     }
 
-    void refused(Refusal why) {
+    void countRefusal(Refusal why) {
         refusals.get(why).incrementAndGet();
     }
 
     /** The health of an endpoint has changed. */
-    void healthChanged(Relay.HealthReason why) {
+    void countHealthChange(Relay.HealthReason why) {
         healthChanges.get(why).incrementAndGet();
     }
 
-    void completed(String messageClass) {
-        ends(messageClass).completed.incrementAndGet();
+    void countCompleted(String messageClass) {
+        countsOf(messageClass).completed.incrementAndGet();
     }
 
-    void rejected(String messageClass) {
-        ends(messageClass).rejected.incrementAndGet();
+    void countRejected(String messageClass) {
+        countsOf(messageClass).rejected.incrementAndGet();
     }
 
-    void failed(String messageClass) {
-        ends(messageClass).failed.incrementAndGet();
+    void countFailed(String messageClass) {
+        countsOf(messageClass).failed.incrementAndGet();
     }
 
     /** The last byte of a call with so many messages has been written. */
-    void sent(int messages) {
+    void countUpstreamRequests(int messages) {
         upstreamRequests.addAndGet(messages);
     }
 
-    void reloaded() {
+    void countReload() {
         reloads.incrementAndGet();
     }
 
-    void reloadFailed() {
+    void countReloadError() {
         reloadErrors.incrementAndGet();
     }
 
@@ -103,31 +103,31 @@
      * not be taken in; {@code journalFailures}: writes of the journal that failed; {@code worstLagMillis}:
      * the latest that the event loop has been since the start.
      */
-    void stands(int pending, int members, int unavailable, long version, long faults, long journalFailures,
-                long worstLagMillis) {
-        standing = new Gauges(pending, members, unavailable, version, faults, journalFailures,
-            worstLagMillis);
+    void updateGauges(int pending, int listedEndpoints, int unavailableEndpoints, long listVersion, long listFaults, long journalFailures,
+                long maxLagMillis) {
+        gauges = new Gauges(pending, listedEndpoints, unavailableEndpoints, listVersion, listFaults, journalFailures,
+            maxLagMillis);
     }
 
-    byte[] json() {
-        Gauges now = standing;
+    byte[] toJson() {
+        Gauges now = gauges;
         ByteArrayOutputStream text = new ByteArrayOutputStream();
         try (JsonGenerator out = JSON.createGenerator(text)) {
             out.writeStartObject();
-            byClass(out, "completed", ends -> ends.completed);
-            byClass(out, "rejected", ends -> ends.rejected);
-            byClass(out, "failed", ends -> ends.failed);
+            writeByClass(out, "completed", ends -> ends.completed);
+            writeByClass(out, "rejected", ends -> ends.rejected);
+            writeByClass(out, "failed", ends -> ends.failed);
             out.writeNumberField("upstream_requests", upstreamRequests.get());
             out.writeNumberField("pending", now.pending);
-            out.writeNumberField("members", now.members);
-            out.writeNumberField("members_unavailable", now.unavailable);
-            out.writeNumberField("list_version", now.version);
-            out.writeNumberField("list_faults", now.faults);
+            out.writeNumberField("members", now.listedEndpoints);
+            out.writeNumberField("members_unavailable", now.unavailableEndpoints);
+            out.writeNumberField("list_version", now.listVersion);
+            out.writeNumberField("list_faults", now.listFaults);
             out.writeNumberField("journal_failures", now.journalFailures);
-            out.writeNumberField("event_loop_lag_max_ms", now.worstLagMillis);
+            out.writeNumberField("event_loop_lag_max_ms", now.maxLagMillis);
             out.writeObjectFieldStart("refusals");
             for (Map.Entry<Refusal, AtomicLong> entry : refusals.entrySet()) {
-                out.writeNumberField(entry.getKey().figure(), entry.getValue().get());
+                out.writeNumberField(entry.getKey().metricName(), entry.getValue().get());
             }
             out.writeEndObject();
             out.writeObjectFieldStart("health_changes");
@@ -137,7 +137,7 @@
             out.writeEndObject();
             out.writeObjectFieldStart("violations");
             for (Map.Entry<Violation, AtomicLong> entry : violations.entrySet()) {
-                out.writeNumberField(entry.getKey().figure(), entry.getValue().get());
+                out.writeNumberField(entry.getKey().metricName(), entry.getValue().get());
             }
             out.writeEndObject();
             out.writeNumberField("config_reloads", reloads.get());
@@ -149,10 +149,10 @@
         return text.toByteArray();
     }
 
-    private void byClass(JsonGenerator out, String name, Function<EndCounts, AtomicLong> count)
+    private void writeByClass(JsonGenerator out, String name, Function<EndCounts, AtomicLong> count)
         throws IOException {
         out.writeObjectFieldStart(name);
-        for (Map.Entry<String, EndCounts> entry : classes.entrySet()) {
+        for (Map.Entry<String, EndCounts> entry : countsByClass.entrySet()) {
             out.writeNumberField(entry.getKey(), count.apply(entry.getValue()).get());
         }
         out.writeEndObject();
--- a/src/main/java/wrenkeel/net/Node.java
+++ b/src/main/java/wrenkeel/net/Node.java
@@ -209,7 +209,7 @@
         CompletableFuture<Node> started = new CompletableFuture<>();
         try {
             // Before anybody can see that it is ready: a signal may come at that very moment.
-            HangupSignal.whenHeard(() -> started.thenAccept(node -> node.reload(env)));
+            HangupSignal.setHandler(() -> started.thenAccept(node -> node.reload(env)));
             Runtime.getRuntime().addShutdownHook(new Thread(() -> started.handle((node, fault) -> {
                 if (node != null) {
                     node.leave();
@@ -246,16 +246,16 @@
                 }
                 config = next;
             }).get();
-            figures.reloaded();
+            figures.countReload();
             LOG.info("configuration read anew, discovery is at {}", next.discovery());
         } catch (Config.Unusable e) {
-            figures.reloadFailed();
+            figures.countReloadError();
             LOG.error("not reloaded: {}", e.getMessage());
         } catch (RejectedExecutionException e) {
-            figures.reloadFailed();
+            figures.countReloadError();
             LOG.warn("not reloaded: the relay has ended");
         } catch (ExecutionException e) {
-            figures.reloadFailed();
+            figures.countReloadError();
             LOG.error("not reloaded", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/wrenkeel/net/Refusal.java
+++ b/src/main/java/wrenkeel/net/Refusal.java
@@ -20,7 +20,7 @@
     TURN_FAILED;
 
     /** Its name among the operators' figures. */
-    String figure() {
+    String metricName() {
         return name().toLowerCase(Locale.ROOT);
     }
 }
--- a/src/main/java/wrenkeel/net/Server.java
+++ b/src/main/java/wrenkeel/net/Server.java
@@ -169,7 +169,7 @@
 
     private void cutOff() {
         if (figures != null) {
-            figures.violated(Violation.CLOSED_UNANSWERED);
+            figures.countViolation(Violation.CLOSED_UNANSWERED);
         }
         LOG.error("{}", Violation.CLOSED_UNANSWERED);
     }
--- a/src/main/java/wrenkeel/net/Violation.java
+++ b/src/main/java/wrenkeel/net/Violation.java
@@ -20,7 +20,7 @@
     CLOSED_UNANSWERED;
 
     /** Its name among the operators' figures. */
-    String figure() {
+    String metricName() {
         return name().toLowerCase(Locale.ROOT);
     }
 }
--- a/src/test/java/wrenkeel/net/HangupTest.java
+++ b/src/test/java/wrenkeel/net/HangupTest.java
@@ -11,7 +11,7 @@
     @Test
     void aHangupIsHeardEachTime() throws Exception {
         Semaphore heard = new Semaphore(0);
-        HangupSignal.whenHeard(heard::release);
+        HangupSignal.setHandler(heard::release);
         Class<?> signal = Class.forName("sun.misc.Signal");
         for (int i = 0; i < 2; i++) {
             signal.getMethod("raise", signal).invoke(null, signal.getConstructor(String.class).newInstance("HUP"));
