--- a/src/main/java/wrenkeel/net/ClientListener.java
+++ b/src/main/java/wrenkeel/net/ClientListener.java
@@ -27,9 +27,9 @@
     /** Connections that may wait to be accepted. */
     private static final int BACKLOG = 512;
     /** ms from leaving the selector until it has let go: a channel that it holds is closed late. */
-    private static final long LET_GO = 20;
+    private static final long DEREGISTER_DELAY_MS = 20;
     /** Tries to accept those who wait as the door closes, a failed one after the other: half a second. */
-    private static final int DRAIN_TRIES = 50;
+    private static final int MAX_DRAIN_TRIES = 50;
 
     /** Takes the next connection from the queue of the listening socket; null if none waits there. */
     interface Acceptor {
@@ -37,14 +37,14 @@
     }
 
     private final NetworkChannel socket;
-    private final EventLoop thread;
+    private final EventLoop eventLoop;
     private final NioServerSocketChannel listener;
     private final Acceptor acceptor;
 
-    private ClientListener(NetworkChannel socket, EventLoop thread, NioServerSocketChannel listener,
+    private ClientListener(NetworkChannel socket, EventLoop eventLoop, NioServerSocketChannel listener,
                  Acceptor acceptor) {
         this.socket = socket;
-        this.thread = thread;
+        this.eventLoop = eventLoop;
         this.listener = listener;
         this.acceptor = acceptor;
     }
@@ -53,7 +53,7 @@
     static ClientListener reserve(InetSocketAddress address) throws IOException {
         SocketChannel socket = SocketChannel.open();
         try {
-            shared(socket).bind(address);
+            allowSharing(socket).bind(address);
         } catch (IOException e) {
             socket.close();
             throw e;
@@ -62,39 +62,39 @@
     }
 
     /** Listens; each connection gets this handler. To be called on the event loop. */
-    static ClientListener open(InetSocketAddress address, EventLoop thread, ChannelHandler clients,
+    static ClientListener open(InetSocketAddress address, EventLoop eventLoop, ChannelHandler clients,
                      LongConsumer whenResumed, ListeningSockets sockets) throws IOException {
-        return open(address, thread, clients, whenResumed, sockets, ServerSocketChannel::accept);
+        return open(address, eventLoop, clients, whenResumed, sockets, ServerSocketChannel::accept);
     }
 
     /**
      * {@code whenResumed}: told, after accepting has failed for a while, how long (ns) newcomers may have
      * waited for it; {@code acceptor}: what {@link #drain} accepts with.
      */
-    static ClientListener open(InetSocketAddress address, EventLoop thread, ChannelHandler clients,
+    static ClientListener open(InetSocketAddress address, EventLoop eventLoop, ChannelHandler clients,
                      LongConsumer whenResumed, ListeningSockets sockets, Acceptor acceptor)
         throws IOException {
         ServerSocketChannel socket = sockets.open();
         try {
-            shared(socket);
+            allowSharing(socket);
             socket.bind(address, BACKLOG);
         } catch (IOException e) {
             socket.close();
             throw e;
         }
         NioServerSocketChannel listener = new NioServerSocketChannel(socket);
-        new ServerBootstrap().group(thread, thread).channelFactory(() -> listener)
+        new ServerBootstrap().group(eventLoop, eventLoop).channelFactory(() -> listener)
             .handler(new AcceptRetry(whenResumed))
             .childOption(ChannelOption.ALLOCATOR, new UnpooledByteBufAllocator(false))
             .childOption(ChannelOption.TCP_NODELAY, true).childHandler(clients).register();
-        return new ClientListener(socket, thread, listener, acceptor);
+        return new ClientListener(socket, eventLoop, listener, acceptor);
     }
 
     /**
      * The runtime finds out once whether an address can be shared, with a socket of its own: where there was
      * none just then it says no for ever, and the relay serves without.
      */
-    static NetworkChannel shared(NetworkChannel socket) throws IOException {
+    static NetworkChannel allowSharing(NetworkChannel socket) throws IOException {
         socket.setOption(StandardSocketOptions.SO_REUSEADDR, true);
         if (socket.supportedOptions().contains(StandardSocketOptions.SO_REUSEPORT)) {
             socket.setOption(StandardSocketOptions.SO_REUSEPORT, true);
@@ -113,7 +113,7 @@
     }
 
     /** False where the address is only reserved. */
-    boolean listens() {
+    boolean isListening() {
         return listener != null;
     }
 
@@ -125,10 +125,10 @@
     /** Lets in all who wait at the door, then closes it with nothing in between. */
     void drain() {
         listener.deregister().addListener(done ->
-            thread.schedule(() -> acceptRest(DRAIN_TRIES), LET_GO, TimeUnit.MILLISECONDS));
+            eventLoop.schedule(() -> acceptPending(MAX_DRAIN_TRIES), DEREGISTER_DELAY_MS, TimeUnit.MILLISECONDS));
     }
 
-    private void acceptRest(int triesLeft) {
+    private void acceptPending(int triesLeft) {
         ServerSocketChannel last = (ServerSocketChannel) socket;
         try {
             SocketChannel client = acceptor.accept(last);
@@ -139,7 +139,7 @@
         } catch (IOException e) {
             LOG.warn("a connection could not be accepted as the door closes: {}", e.toString());
             if (triesLeft > 1) {
-                thread.schedule(() -> acceptRest(triesLeft - 1), AcceptRetry.RETRY_GAP_MS,
+                eventLoop.schedule(() -> acceptPending(triesLeft - 1), AcceptRetry.RETRY_GAP_MS,
                     TimeUnit.MILLISECONDS);
                 return;
             }
--- a/src/main/java/wrenkeel/net/ConnectionLimiter.java
+++ b/src/main/java/wrenkeel/net/ConnectionLimiter.java
@@ -14,28 +14,28 @@
  * and no connection that has brought a whole request is closed within the next. One thread.
  */
 final class ConnectionLimiter {
-    private int most;
+    private int maxConnections;
     private final Set<Channel> all = new HashSet<>();
     /** Those that have brought a whole request. */
-    private final Set<Channel> served = new HashSet<>();
+    private final Set<Channel> completedRequest = new HashSet<>();
     /** Those that have brought nothing since they connected or were last answered, the longest so first. */
-    private final Set<Channel> silent = new LinkedHashSet<>();
+    private final Set<Channel> withoutBytes = new LinkedHashSet<>();
     /** Those that have brought part of a request, the one that brought nothing for the longest first. */
-    private final Set<Channel> partial = new LinkedHashSet<>();
+    private final Set<Channel> withPartialRequest = new LinkedHashSet<>();
     /** Those that have had their last response and wait for the peer to close, the longest so first. */
     private final Set<Channel> lingering = new LinkedHashSet<>();
 
-    ConnectionLimiter(int most) {
-        this.most = most;
+    ConnectionLimiter(int maxConnections) {
+        this.maxConnections = maxConnections;
     }
 
     /** From now on so many; of those beyond that, the ones that may be closed leave. */
-    void allow(int connections) {
-        most = connections;
-        Channel leaves = all.size() > most ? nextToLeave() : null;
-        while (leaves != null) {
-            giveWay(leaves);
-            leaves = all.size() > most ? nextToLeave() : null;
+    void setMaxConnections(int max) {
+        maxConnections = max;
+        Channel evicted = all.size() > maxConnections ? nextToClose() : null;
+        while (evicted != null) {
+            evict(evicted);
+            evicted = all.size() > maxConnections ? nextToClose() : null;
         }
     }
 
@@ -44,9 +44,9 @@
      * connections must not keep out who has something to say; if none may be closed, the newcomer leaves.
      */
     void connected(Channel channel) {
-        if (all.size() >= most) {
-            Channel leaves = nextToLeave();
-            giveWay(leaves == null ? channel : leaves);
+        if (all.size() >= maxConnections) {
+            Channel evicted = nextToClose();
+            evict(evicted == null ? channel : evicted);
         }
         if (channel.isActive()) {
             all.add(channel);
@@ -54,16 +54,16 @@
     }
 
     /** The connection to close for a newcomer; null if none may be closed. */
-    private Channel nextToLeave() {
+    private Channel nextToClose() {
         if (!lingering.isEmpty()) {
             return lingering.iterator().next();
         }
-        Channel leaves = firstReadDry(silent, channel -> true);
-        return leaves != null ? leaves : firstReadDry(partial, channel -> !served.contains(channel));
+        Channel evicted = firstWithoutUnreadBytes(withoutBytes, channel -> true);
+        return evicted != null ? evicted : firstWithoutUnreadBytes(withPartialRequest, channel -> !completedRequest.contains(channel));
     }
 
     /** The first of these whose socket holds no unread bytes; what the others' hold is read. */
-    private static Channel firstReadDry(Set<Channel> candidates, Predicate<Channel> mayLeave) {
+    private static Channel firstWithoutUnreadBytes(Set<Channel> candidates, Predicate<Channel> mayLeave) {
         for (Channel channel : List.copyOf(candidates)) {
             if (candidates.contains(channel) && mayLeave.test(channel) && !SocketReader.readNow(channel)) {
                 return channel;
@@ -73,53 +73,53 @@
     }
 
     /** Its end is only told later, and the next newcomer must not count on its place again. */
-    private void giveWay(Channel channel) {
-        gone(channel);
+    private void evict(Channel channel) {
+        disconnected(channel);
         LingeringClose.closeNow(channel);
     }
 
-    void gone(Channel channel) {
+    void disconnected(Channel channel) {
         all.remove(channel);
-        served.remove(channel);
-        removeStanding(channel);
+        completedRequest.remove(channel);
+        removeState(channel);
     }
 
-    private void removeStanding(Channel channel) {
-        silent.remove(channel);
-        partial.remove(channel);
+    private void removeState(Channel channel) {
+        withoutBytes.remove(channel);
+        withPartialRequest.remove(channel);
         lingering.remove(channel);
     }
 
-    private void stand(Channel channel, Set<Channel> standing) {
-        removeStanding(channel);
+    private void setState(Channel channel, Set<Channel> channelsInState) {
+        removeState(channel);
         if (all.contains(channel)) {
-            standing.add(channel);
+            channelsInState.add(channel);
         }
     }
 
     /** It has connected or been answered, and owes the next request. */
-    void awaited(Channel channel) {
-        stand(channel, silent);
+    void awaitingRequest(Channel channel) {
+        setState(channel, withoutBytes);
     }
 
     /** It has sent bytes. */
-    void heard(Channel channel) {
-        if (silent.contains(channel) || partial.contains(channel)) {
-            stand(channel, partial);
+    void bytesReceived(Channel channel) {
+        if (withoutBytes.contains(channel) || withPartialRequest.contains(channel)) {
+            setState(channel, withPartialRequest);
         }
     }
 
     /** Its request is whole and must have its answer. */
-    void asked(Channel channel) {
-        removeStanding(channel);
+    void requestReceived(Channel channel) {
+        removeState(channel);
         if (all.contains(channel)) {
-            served.add(channel);
+            completedRequest.add(channel);
         }
     }
 
     /** It has had its last response and is only kept until its peer has read that. */
-    void lingering(Channel channel) {
-        stand(channel, lingering);
+    void startedLingering(Channel channel) {
+        setState(channel, lingering);
     }
 
     int size() {
--- a/src/main/java/wrenkeel/net/Console.java
+++ b/src/main/java/wrenkeel/net/Console.java
@@ -41,28 +41,28 @@
  */
 final class Console implements AutoCloseable {
     /** Connections at once: operators' tools make one call at a time, and some callers only hold theirs. */
-    static final int CALLERS = 16;
+    static final int MAX_CONNECTIONS = 16;
     private static final Logger LOG = LoggerFactory.getLogger(Console.class);
     /** ms in which a call must have come; bytes that one may have. */
-    private static final long CALL_WITHIN = 2_000;
-    private static final int CALL_MOST = 4_096;
+    private static final long REQUEST_TIMEOUT_MS = 2_000;
+    private static final int MAX_REQUEST_BYTES = 4_096;
 
     private final MultiThreadIoEventLoopGroup group =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     /** Tries to listen, and ms between them: five seconds. */
-    private static final int LISTEN_TRIES = 50;
-    private static final long LISTEN_GAP = 100;
+    private static final int MAX_LISTEN_TRIES = 50;
+    private static final long LISTEN_RETRY_MS = 100;
 
     private final Channel listener;
 
-    Console(InetSocketAddress address, BooleanSupplier ready, Metrics figures) throws InterruptedException {
-        this(address, ready, figures, NioServerSocketChannel::new);
+    Console(InetSocketAddress address, BooleanSupplier ready, Metrics metrics) throws InterruptedException {
+        this(address, ready, metrics, NioServerSocketChannel::new);
     }
 
     /** {@code sockets}: makes the listening channel; fails while the machine is short of descriptors. */
-    Console(InetSocketAddress address, BooleanSupplier ready, Metrics figures,
+    Console(InetSocketAddress address, BooleanSupplier ready, Metrics metrics,
             ChannelFactory<ServerChannel> sockets) throws InterruptedException {
-        ConnectionLimiter callers = new ConnectionLimiter(CALLERS);
+        ConnectionLimiter connections = new ConnectionLimiter(MAX_CONNECTIONS);
         ServerBootstrap bootstrap = new ServerBootstrap().group(group)
             .channelFactory(sockets).option(ChannelOption.SO_REUSEADDR, true)
             .handler(new AcceptRetry(waited -> { }))
@@ -70,9 +70,9 @@
             .childHandler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel channel) {
-                    channel.pipeline().addLast(new SocketReader(callers), new HttpServerCodec(),
-                        new HttpObjectAggregator(CALL_MOST, true),
-                        new RequestDeadline(callers, CALL_WITHIN), new RequestHandler(ready, figures));
+                    channel.pipeline().addLast(new SocketReader(connections), new HttpServerCodec(),
+                        new HttpObjectAggregator(MAX_REQUEST_BYTES, true),
+                        new RequestDeadline(connections, REQUEST_TIMEOUT_MS), new RequestHandler(ready, metrics));
                 }
             });
         listener = listen(bootstrap, address);
@@ -81,13 +81,13 @@
     /** An address in use is final; any other failure, such as no descriptor, may be over in a moment. */
     private static Channel listen(ServerBootstrap bootstrap, InetSocketAddress address)
         throws InterruptedException {
-        for (int tries = LISTEN_TRIES;; tries--) {
+        for (int tries = MAX_LISTEN_TRIES;; tries--) {
             ChannelFuture bound = bootstrap.bind(address).await();
             if (bound.isSuccess() || tries == 1 || bound.cause() instanceof BindException) {
                 return bound.sync().channel();
             }
             LOG.warn("operators are not listened to yet, tried again: {}", bound.cause().toString());
-            TimeUnit.MILLISECONDS.sleep(LISTEN_GAP);
+            TimeUnit.MILLISECONDS.sleep(LISTEN_RETRY_MS);
         }
     }
 
@@ -102,11 +102,11 @@
 
     private static final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final BooleanSupplier ready;
-        private final Metrics figures;
+        private final Metrics metrics;
 
-        RequestHandler(BooleanSupplier ready, Metrics figures) {
+        RequestHandler(BooleanSupplier ready, Metrics metrics) {
             this.ready = ready;
-            this.figures = figures;
+            this.metrics = metrics;
         }
 
         @Override
@@ -123,7 +123,7 @@
             } else if (!request.method().equals(HttpMethod.GET)) {
                 respond(context, HttpResponseStatus.METHOD_NOT_ALLOWED, text("only GET"));
             } else if (path.equals("/api/telemetry")) {
-                respond(context, HttpResponseStatus.OK, Unpooled.wrappedBuffer(figures.toJson()));
+                respond(context, HttpResponseStatus.OK, Unpooled.wrappedBuffer(metrics.toJson()));
             } else if (ready.getAsBoolean()) {
                 respond(context, HttpResponseStatus.OK, text("{\"ready\":true}"));
             } else {
--- a/src/main/java/wrenkeel/net/ControlDriver.java
+++ b/src/main/java/wrenkeel/net/ControlDriver.java
@@ -176,12 +176,12 @@
 
     /** Connections that are accepted now may have waited for so many nanoseconds. */
     void acceptedLate(long nanos) {
-        lag.waited(nanos);
+        lag.recordDelay(nanos);
     }
 
     /** Unix time, ms, since which what is read now may have waited in its socket. */
     long readAtMillis() {
-        return clock.millis() - lag.millis();
+        return clock.millis() - lag.recentMillis();
     }
 
     private void stand() {
@@ -189,7 +189,7 @@
         try {
             int unavailable = control.unavailable() + hosts.draining();
             figures.updateGauges(journal.size(), hosts.listed(), unavailable, hosts.version(), discovery.faults(),
-                journalHealth.failures(), lag.worstMillis());
+                journalHealth.failures(), lag.maxMillis());
         } catch (RuntimeException e) {
             // Guards the ticks: a periodic task that throws is never run again.
             LOG.error("figures not brought up to date", e);
@@ -563,7 +563,7 @@
     private void healthChanged(Relay.HealthChanged a) {
         HostList.Host host = hosts.host(a.endpoint());
         figures.countHealthChange(a.reason());
-        healthLog.changed(a, host);
+        healthLog.logChange(a, host);
         if (host == null) {
             return;
         }
@@ -624,13 +624,13 @@
     /** What the rules forbid does not go out, whatever was decided. */
     private boolean permitted(TrackedMessage h, HostList.Host host) {
         boolean apart = apart(host);
-        Violation violation = guard.check(h.entry, h.rules, host, apart, turnAtMillis, turnAtMicros);
+        Violation violation = guard.findViolation(h.entry, h.rules, host, apart, turnAtMillis, turnAtMicros);
         if (violation != null) {
             violated(violation, h.message.id());
         }
         // What a pause since the decision has overtaken is nobody's fault, and does not go out either.
         boolean permitted = violation == null && !guard.mustWait(host, apart, now())
-            && guard.check(h.entry, h.rules, host, apart, clock.millis(), now()) == null;
+            && guard.findViolation(h.entry, h.rules, host, apart, clock.millis(), now()) == null;
         if (!permitted) {
             // It keeps its number.
             journal.notMade(h.entry, clock.millis(), host.zone);
@@ -675,7 +675,7 @@
             reply.outcome(), reply.latency());
         if (reply.waitFor() > 0) {
             wait(host, reply.waitFor());
-            guard.heardWait(host, apart(host), now(), reply.waitFor());
+            guard.recordWait(host, apart(host), now(), reply.waitFor());
             // Guards the rule on waits: calls there that still wait for their connection do not go out.
             (apart(host) ? List.of(host) : hosts.hostsOf(host.destination)).forEach(pool::takeBack);
         }
--- a/src/main/java/wrenkeel/net/Descriptors.java
+++ b/src/main/java/wrenkeel/net/Descriptors.java
@@ -10,7 +10,7 @@
     /** Connections to discovery, for the watch and for notices; at a reload also those of before. */
     static final int DISCOVERY = 4;
     /** Operators' connections, with a newcomer for which another is about to close. */
-    static final int OPERATORS = Console.CALLERS + 1;
+    static final int OPERATORS = Console.MAX_CONNECTIONS + 1;
     /** Connections that are accepted and about to be closed, or closed and not yet let go. */
     static final int CLOSING = 16;
     static final int RESERVED = PROCESS + DISCOVERY + OPERATORS + CLOSING;
--- a/src/main/java/wrenkeel/net/EndpointHealthLog.java
+++ b/src/main/java/wrenkeel/net/EndpointHealthLog.java
@@ -16,13 +16,13 @@
 final class EndpointHealthLog {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointHealthLog.class);
     /** Lines at once, and lines a second after that. */
-    private static final double BURST = 60, PER_SECOND = 1;
+    private static final double BURST_LINES = 60, LINES_PER_SECOND = 1;
 
     private final LongSupplier nanoClock;
     private final Consumer<String> out;
-    private double lines = BURST;
-    private long filledAt;
-    private long leftOut;
+    private double availableLines = BURST_LINES;
+    private long refilledAtNanos;
+    private long suppressed;
 
     EndpointHealthLog() {
         this(System::nanoTime, LOG::info);
@@ -31,25 +31,25 @@
     EndpointHealthLog(LongSupplier nanoClock, Consumer<String> out) {
         this.nanoClock = nanoClock;
         this.out = out;
-        filledAt = nanoClock.getAsLong();
+        refilledAtNanos = nanoClock.getAsLong();
     }
 
     /** {@code host}: null for one that the list does not name. */
-    void changed(Relay.HealthChanged change, HostList.Host host) {
+    void logChange(Relay.HealthChanged change, HostList.Host host) {
         long now = nanoClock.getAsLong();
-        double seconds = (double) (now - filledAt) / TimeUnit.SECONDS.toNanos(1);
-        lines = Math.min(BURST, lines + seconds * PER_SECOND);
-        filledAt = now;
-        if (lines < 1) {
-            leftOut++;
+        double seconds = (double) (now - refilledAtNanos) / TimeUnit.SECONDS.toNanos(1);
+        availableLines = Math.min(BURST_LINES, availableLines + seconds * LINES_PER_SECOND);
+        refilledAtNanos = now;
+        if (availableLines < 1) {
+            suppressed++;
             return;
         }
-        lines--;
+        availableLines--;
         out.accept(text(change, host));
-        if (leftOut > 0) {
-            out.accept(leftOut + " changes before that one were not logged");
+        if (suppressed > 0) {
+            out.accept(suppressed + " changes before that one were not logged");
         }
-        leftOut = 0;
+        suppressed = 0;
     }
 
     private static String text(Relay.HealthChanged change, HostList.Host host) {
--- a/src/main/java/wrenkeel/net/EventLoopLag.java
+++ b/src/main/java/wrenkeel/net/EventLoopLag.java
@@ -12,62 +12,62 @@
 final class EventLoopLag {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoopLag.class);
     /** A lag is remembered for so long: connections accepted after a pause are read a few passes later. */
-    private static final long REMEMBERED_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
+    private static final long RETENTION_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
     /** A pause of that length or more is logged: it may cost a message its time. */
-    private static final long TOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
+    private static final long LOG_THRESHOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
     private final LongSupplier nanoClock;
     private final long periodNanos;
-    private long lastTick;
-    private long worst;
-    private long worstAt;
-    private long worstEver;
+    private long lastTickNanos;
+    private long recentMaxNanos;
+    private long recentMaxAtNanos;
+    private long maxNanos;
 
     /** {@code periodMillis}: between two calls of {@link #tick}. */
     EventLoopLag(long periodMillis, LongSupplier nanoClock) {
         this.nanoClock = nanoClock;
         this.periodNanos = TimeUnit.MILLISECONDS.toNanos(periodMillis);
-        this.lastTick = nanoClock.getAsLong();
+        this.lastTickNanos = nanoClock.getAsLong();
     }
 
     /** To be called by the event loop once in each period. */
     void tick() {
         long now = nanoClock.getAsLong();
-        long late = overdue(now);
+        long late = overdueNanos(now);
         remember(late, now);
-        worstEver = Math.max(worstEver, late);
-        lastTick = now;
-        if (late > TOLD_NANOS) {
+        maxNanos = Math.max(maxNanos, late);
+        lastTickNanos = now;
+        if (late > LOG_THRESHOLD_NANOS) {
             LOG.warn("event loop late by {} ms", TimeUnit.NANOSECONDS.toMillis(late));
         }
     }
 
     /** The latest that the event loop has been since the start, ms. */
-    long worstMillis() {
-        return TimeUnit.NANOSECONDS.toMillis(worstEver);
+    long maxMillis() {
+        return TimeUnit.NANOSECONDS.toMillis(maxNanos);
     }
 
     /** What is read now may have waited for so many nanoseconds for another reason than a late event loop. */
-    void waited(long nanos) {
+    void recordDelay(long nanos) {
         remember(nanos, nanoClock.getAsLong());
     }
 
     private void remember(long late, long now) {
-        if (late >= worst || now - worstAt > REMEMBERED_NANOS) {
-            worst = late;
-            worstAt = now;
+        if (late >= recentMaxNanos || now - recentMaxAtNanos > RETENTION_NANOS) {
+            recentMaxNanos = late;
+            recentMaxAtNanos = now;
         }
     }
 
     /** The worst lag of late in milliseconds, that of a pause not yet over included. */
-    long millis() {
+    long recentMillis() {
         long now = nanoClock.getAsLong();
-        long remembered = now - worstAt > REMEMBERED_NANOS ? 0 : worst;
-        return TimeUnit.NANOSECONDS.toMillis(Math.max(remembered, overdue(now)));
+        long remembered = now - recentMaxAtNanos > RETENTION_NANOS ? 0 : recentMaxNanos;
+        return TimeUnit.NANOSECONDS.toMillis(Math.max(remembered, overdueNanos(now)));
     }
 
-    private long overdue(long now) {
-        return Math.max(0, now - lastTick - periodNanos);
+    private long overdueNanos(long now) {
+        return Math.max(0, now - lastTickNanos - periodNanos);
     }
 }
--- a/src/main/java/wrenkeel/net/LingeringClose.java
+++ b/src/main/java/wrenkeel/net/LingeringClose.java
@@ -63,7 +63,7 @@
 
     private void linger(ChannelHandlerContext context, DuplexChannel channel) {
         lingering = true;
-        callers.lingering(channel);
+        callers.startedLingering(channel);
         timer = context.executor().schedule(() -> context.close(), millis, TimeUnit.MILLISECONDS);
         channel.shutdownOutput();
         // Reading may be paused; without it the peer's own close would not be seen.
--- a/src/main/java/wrenkeel/net/Node.java
+++ b/src/main/java/wrenkeel/net/Node.java
@@ -143,7 +143,7 @@
 
     /** Reserves the clients' address, and looks again and again whether the earlier process has left. */
     private void standBy() throws IOException {
-        clients.allow(config.descriptors().clients() / 2);
+        clients.setMaxConnections(config.descriptors().clients() / 2);
         door = ClientListener.reserve(config.listen());
         LOG.info("standing by for {}", config.listen());
         ready = true;
@@ -173,7 +173,7 @@
             loop.learn(left);
         }
         loop.adopt();
-        if (door == null || !door.listens()) {
+        if (door == null || !door.isListening()) {
             ClientListener reserved = door;
             door = ClientListener.open(config.listen(), thread, server, nanos -> loop.acceptedLate(nanos),
                 machine.sockets());
@@ -200,7 +200,7 @@
             }
             thread.schedule(this::adoptOn, TURN_OVER, TimeUnit.MILLISECONDS);
         } else {
-            clients.allow(config.descriptors().clients());
+            clients.setMaxConnections(config.descriptors().clients());
         }
     }
 
@@ -359,7 +359,7 @@
     private boolean writeHandOver() {
         try {
             loop.leave();
-            clients.allow(config.descriptors().clients() / 2);
+            clients.setMaxConnections(config.descriptors().clients() / 2);
             return true;
         } catch (IOException e) {
             LOG.warn("the hand-over cannot be written down, tried again: {}", e.toString());
--- a/src/main/java/wrenkeel/net/RequestDeadline.java
+++ b/src/main/java/wrenkeel/net/RequestDeadline.java
@@ -34,7 +34,7 @@
     public void channelRead(ChannelHandlerContext context, Object message) {
         if (message instanceof FullHttpRequest) {
             stop();
-            callers.asked(context.channel());
+            callers.requestReceived(context.channel());
         }
         context.fireChannelRead(message);
     }
@@ -50,17 +50,17 @@
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         stop();
-        callers.gone(context.channel());
+        callers.disconnected(context.channel());
         context.fireChannelInactive();
     }
 
     private void start(ChannelHandlerContext context) {
         stop();
-        callers.awaited(context.channel());
+        callers.awaitingRequest(context.channel());
         RequestDecoder decoder = context.pipeline().get(RequestDecoder.class);
         if (decoder != null && decoder.isWithinRequest()) {
             // Part of the next request came with the one before.
-            callers.heard(context.channel());
+            callers.bytesReceived(context.channel());
         }
         if (context.channel().isActive()) {
             timer = context.executor().schedule(() -> expire(context), millis, TimeUnit.MILLISECONDS);
--- a/src/main/java/wrenkeel/net/SendGuard.java
+++ b/src/main/java/wrenkeel/net/SendGuard.java
@@ -11,25 +11,25 @@
  */
 final class SendGuard {
     /** ms; the module's clock is finer than the record of attempts. */
-    private static final long ROUNDING = 2;
+    private static final long CLOCK_ROUNDING_MS = 2;
     /** us; calls that come so soon after the word to wait are let through. */
-    private static final long WAIT_SLACK = 100_000;
+    private static final long WAIT_SLACK_MICROS = 100_000;
 
     /** What a wait binds: a whole destination, or one host where routes are apart. */
     private record WaitScope(long destination, long host) { }
 
-    private record Wait(long heard, long until) { }
+    private record Wait(long start, long until) { }
 
     private final Map<WaitScope, Wait> waits = new HashMap<>();
 
-    private static WaitScope lane(HostList.Host host, boolean apart) {
+    private static WaitScope scopeOf(HostList.Host host, boolean apart) {
         return new WaitScope(host.destination, apart ? host.number : -1);
     }
 
     /** A host has told to wait for so long from now on; times in microseconds. */
-    void heardWait(HostList.Host host, boolean apart, long now, long span) {
+    void recordWait(HostList.Host host, boolean apart, long now, long span) {
         waits.values().removeIf(wait -> wait.until <= now);
-        waits.merge(lane(host, apart), new Wait(now, now + span),
+        waits.merge(scopeOf(host, apart), new Wait(now, now + span),
             (one, other) -> one.until > other.until ? one : other);
     }
 
@@ -39,7 +39,7 @@
      * @param nowMillis by the clock of the journal's entry
      * @param nowMicros by the clock of the waits
      */
-    Violation check(Journal.Entry entry, Relay.MessageClass rules, HostList.Host host, boolean apart,
+    Violation findViolation(Journal.Entry entry, Relay.MessageClass rules, HostList.Host host, boolean apart,
                     long nowMillis, long nowMicros) {
         if (nowMillis > entry.message.deadline()) {
             return Violation.SENT_AFTER_DEADLINE;
@@ -49,14 +49,14 @@
                 return Violation.REPEATED_OUTSIDE_ALLOWANCE;
             }
         }
-        Wait wait = waits.get(lane(host, apart));
-        boolean waits = wait != null && nowMicros < wait.until && nowMicros > wait.heard + WAIT_SLACK;
+        Wait wait = waits.get(scopeOf(host, apart));
+        boolean waits = wait != null && nowMicros < wait.until && nowMicros > wait.start + WAIT_SLACK_MICROS;
         return waits ? Violation.SENT_WITHIN_WAIT : null;
     }
 
     /** True while a wait that has been heard is not over. */
     boolean mustWait(HostList.Host host, boolean apart, long nowMicros) {
-        Wait wait = waits.get(lane(host, apart));
+        Wait wait = waits.get(scopeOf(host, apart));
         return wait != null && nowMicros < wait.until;
     }
 
@@ -64,7 +64,7 @@
                                      long nowMillis) {
         return switch (rules.effect()) {
             case SAFE -> true;
-            case KEYED -> nowMillis - before.sent <= rules.window() / 1_000 + ROUNDING
+            case KEYED -> nowMillis - before.sent <= rules.window() / 1_000 + CLOCK_ROUNDING_MS
                 && (!rules.zoneGroup() || before.zone == host.zone);
             case UNSAFE -> false;
         };
--- a/src/main/java/wrenkeel/net/SocketReader.java
+++ b/src/main/java/wrenkeel/net/SocketReader.java
@@ -34,7 +34,7 @@
     public void channelRead(ChannelHandlerContext context, Object message) {
         if (message instanceof ByteBuf bytes) {
             received += bytes.readableBytes();
-            callers.heard(context.channel());
+            callers.bytesReceived(context.channel());
         }
         context.fireChannelRead(message);
     }
--- a/src/test/java/wrenkeel/net/CallersTest.java
+++ b/src/test/java/wrenkeel/net/CallersTest.java
@@ -29,7 +29,7 @@
 
     private EmbeddedChannel connect(int i) {
         callers.connected(channels.get(i));
-        callers.awaited(channels.get(i));
+        callers.awaitingRequest(channels.get(i));
         return channels.get(i);
     }
 
@@ -48,7 +48,7 @@
     @Test
     void theOneThatSpokeLastStaysLongest() {
         IntStream.range(0, 3).forEach(this::connect);
-        callers.heard(channels.get(0));
+        callers.bytesReceived(channels.get(0));
         connect(3);
         assertEquals("o-oooo", open());
     }
@@ -57,10 +57,10 @@
     @Test
     void oneThatAwaitsItsAnswerIsNotClosed() {
         IntStream.range(0, 3).forEach(this::connect);
-        IntStream.range(0, 3).forEach(i -> callers.asked(channels.get(i)));
+        IntStream.range(0, 3).forEach(i -> callers.requestReceived(channels.get(i)));
         connect(3);
         assertEquals("ooo-oo", open());
-        callers.awaited(channels.get(1));
+        callers.awaitingRequest(channels.get(1));
         connect(4);
         assertEquals("o-o-oo", open());
     }
@@ -170,7 +170,7 @@
         assertEquals("200", first.status());
         onThread(() -> {
             first.send(HALF);
-            callers.allow(0);
+            callers.setMaxConnections(0);
             assertEquals("o", openOf(first));
         });
     }
@@ -183,12 +183,12 @@
         onThread(() -> {
             first.send(HEALTH + part);
             assertTrue(SocketReader.readNow(first.channel));
-            callers.allow(0);
+            callers.setMaxConnections(0);
             assertEquals("o", openOf(first));
         });
         first.client.getOutputStream().write(HEALTH.substring(part.length()).getBytes(StandardCharsets.US_ASCII));
         assertEquals(List.of("200", "200"), first.statuses(2));
-        onThread(() -> callers.allow(0));
+        onThread(() -> callers.setMaxConnections(0));
         assertTrue(first.ends());
     }
 
@@ -200,7 +200,7 @@
         SocketPair third = client(false);
         onThread(() -> {
             second.send(HEALTH);
-            callers.allow(1);
+            callers.setMaxConnections(1);
             assertEquals("-o-", openOf(first, second, third));
         });
     }
--- a/src/test/java/wrenkeel/net/ConsoleTest.java
+++ b/src/test/java/wrenkeel/net/ConsoleTest.java
@@ -156,7 +156,7 @@
         List<Socket> hanging = new ArrayList<>();
         try (Node relay = relay()) {
             InetSocketAddress console = relay.consoleAddress();
-            for (int i = 0; i < 3 * Console.CALLERS; i++) {
+            for (int i = 0; i < 3 * Console.MAX_CONNECTIONS; i++) {
                 Socket socket = new Socket(console.getAddress(), console.getPort());
                 if (i % 2 == 0) {
                     socket.getOutputStream().write("GET /api/re".getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/wrenkeel/net/DoorTest.java
+++ b/src/test/java/wrenkeel/net/DoorTest.java
@@ -160,7 +160,7 @@
     @Test
     void aRuntimeThatCannotShareAnAddressServesWithoutThat() throws IOException {
         WithoutReusePort socket = new WithoutReusePort();
-        assertSame(socket, ClientListener.shared(socket));
+        assertSame(socket, ClientListener.allowSharing(socket));
         assertEquals(Set.of(StandardSocketOptions.SO_REUSEADDR), socket.set);
     }
 }
--- a/src/test/java/wrenkeel/net/EndpointHealthLogTest.java
+++ b/src/test/java/wrenkeel/net/EndpointHealthLogTest.java
@@ -16,7 +16,7 @@
 
     private void change(long endpoint) {
         HostList.Host host = new HostList.Host(endpoint, "s-" + endpoint);
-        log.changed(new Relay.HealthChanged(endpoint, Relay.Health.OUT, 0, 1.5, Relay.HealthReason.TRIAL_FAILED, 2,
+        log.logChange(new Relay.HealthChanged(endpoint, Relay.Health.OUT, 0, 1.5, Relay.HealthReason.TRIAL_FAILED, 2,
             0.25), host);
     }
 
--- a/src/test/java/wrenkeel/net/EventLoopLagTest.java
+++ b/src/test/java/wrenkeel/net/EventLoopLagTest.java
@@ -19,7 +19,7 @@
     void aPunctualLoopHasNoLag() {
         for (int i = 0; i < 20; i++) {
             pass(PERIOD);
-            assertEquals(0, lag.millis());
+            assertEquals(0, lag.recentMillis());
             lag.tick();
         }
     }
@@ -28,7 +28,7 @@
     @Test
     void aPauseShowsBeforeItsTickHasRun() {
         pass(PERIOD + 340);
-        assertEquals(340, lag.millis());
+        assertEquals(340, lag.recentMillis());
     }
 
     @Test
@@ -37,20 +37,20 @@
         lag.tick();
         for (int i = 0; i < 3; i++) {
             pass(PERIOD);
-            assertEquals(340, lag.millis());
+            assertEquals(340, lag.recentMillis());
             lag.tick();
         }
         pass(PERIOD);
-        assertEquals(0, lag.millis());
+        assertEquals(0, lag.recentMillis());
     }
 
     @Test
     void aWaitForAnotherReasonCountsAsAPauseDoes() {
-        lag.waited(TimeUnit.MILLISECONDS.toNanos(250));
-        assertEquals(250, lag.millis());
+        lag.recordDelay(TimeUnit.MILLISECONDS.toNanos(250));
+        assertEquals(250, lag.recentMillis());
         pass(PERIOD);
         lag.tick();
-        assertEquals(250, lag.millis());
+        assertEquals(250, lag.recentMillis());
     }
 
     @Test
@@ -59,8 +59,8 @@
         lag.tick();
         pass(PERIOD + 20);
         lag.tick();
-        assertEquals(340, lag.millis());
+        assertEquals(340, lag.recentMillis());
         pass(PERIOD + 900);
-        assertEquals(900, lag.millis());
+        assertEquals(900, lag.recentMillis());
     }
 }
--- a/src/test/java/wrenkeel/net/LingeringCloseTest.java
+++ b/src/test/java/wrenkeel/net/LingeringCloseTest.java
@@ -149,14 +149,14 @@
             }
             thread.submit(() -> {
                 three.connected(quiet.channel);
-                three.awaited(quiet.channel);
+                three.awaitingRequest(quiet.channel);
                 three.connected(lingers.channel);
-                three.awaited(lingers.channel);
+                three.awaitingRequest(lingers.channel);
                 lingers.channel.writeAndFlush(lingers.channel.alloc().buffer().writeByte('a'));
                 lingers.channel.close();
                 assertTrue(lingers.channel.isOpen());
                 assertEquals(2, three.size());
-                three.allow(2);
+                three.setMaxConnections(2);
                 three.connected(newcomer.channel);
                 assertFalse(lingers.channel.isOpen());
                 assertTrue(quiet.channel.isOpen());
--- a/src/test/java/wrenkeel/net/SendGuardTest.java
+++ b/src/test/java/wrenkeel/net/SendGuardTest.java
@@ -46,7 +46,7 @@
     }
 
     private Violation check(Journal.Entry entry, Relay.MessageClass rules, HostList.Host to, long laterMillis) {
-        return guard.check(entry, rules, to, false, NOW_MS + laterMillis, NOW_US + laterMillis * 1_000);
+        return guard.findViolation(entry, rules, to, false, NOW_MS + laterMillis, NOW_US + laterMillis * 1_000);
     }
 
     @Test
@@ -81,12 +81,12 @@
     void aWaitBindsTheWholeDestinationUntilItIsOver() throws IOException {
         Relay.MessageClass safe = rules(Relay.Effect.SAFE, false);
         Journal.Entry entry = entry(safe);
-        guard.heardWait(host, false, NOW_US, SECOND_US);
+        guard.recordWait(host, false, NOW_US, SECOND_US);
         assertNull(check(entry, safe, sibling, 50), "it may have been decided before");
         assertTrue(guard.mustWait(sibling, false, NOW_US + 1), "but it does not go out any more");
         assertFalse(guard.mustWait(sibling, false, NOW_US + SECOND_US));
         assertEquals(Violation.SENT_WITHIN_WAIT, check(entry, safe, sibling, 500));
-        guard.heardWait(host, false, NOW_US, SECOND_US / 10);
+        guard.recordWait(host, false, NOW_US, SECOND_US / 10);
         assertEquals(Violation.SENT_WITHIN_WAIT, check(entry, safe, host, 500), "the longer one binds");
         assertNull(check(entry, safe, host, 1_000));
     }
