--- a/src/main/java/wrenkeel/net/ControlDriver.java
+++ b/src/main/java/wrenkeel/net/ControlDriver.java
@@ -25,16 +25,16 @@
 final class ControlDriver {
     private static final Logger LOG = LoggerFactory.getLogger(ControlDriver.class);
     /** us; told to a client that is turned away before the module has seen its message. */
-    private static final long COME_BACK = 1_000_000;
-    private static final long AFTER_FAULT = 100_000;
+    private static final long RETRY_AFTER_MICROS = 1_000_000;
+    private static final long FAILED_TURN_RETRY_MICROS = 100_000;
     /** Part of the folder's room that knowledge for the next process may take; the rest is the journal's. */
-    private static final int KNOWLEDGE_PART = 8;
+    private static final int SNAPSHOT_DISK_DIVISOR = 8;
     /** ms between looks at what stands rather than is counted, and at what the module may release. */
-    private static final long STAND = 100, RELEASE = 1_000;
+    private static final long GAUGE_INTERVAL_MS = 100, RELEASE_INTERVAL_MS = 1_000;
     /** ms past a message's deadline, which lies 300 ms before its client's, by which its end is due. */
-    private static final long END_DUE = 650;
+    private static final long MAX_END_DELAY_MS = 650;
     /** ms from the start; no end is overdue until 1.5 s after a start is ready. */
-    private static final long AFTER_START = 3_000;
+    private static final long START_GRACE_MS = 3_000;
     /** What becomes of each message, by its id; for staff who follow one through the log. */
     private static final Logger TRACE = LoggerFactory.getLogger("wrenkeel.trace");
 
@@ -42,7 +42,7 @@
      * How a message handed in was met. A client that could not be told must be reported to {@link #withdraw}.
      */
     interface AcceptanceCallback {
-        void taken();
+        void accepted();
 
         void refused(long retryAfter);
 
@@ -52,110 +52,110 @@
     /** A message that the module holds, or that has calls out. */
     private static final class TrackedMessage {
         final Message message;
-        final Relay.MessageClass rules;
-        final List<HostPool.Part> calls = new ArrayList<>();
-        Journal.Entry entry;
-        boolean over;
+        final Relay.MessageClass messageClass;
+        final List<HostPool.Part> callParts = new ArrayList<>();
+        Journal.Entry journalEntry;
+        boolean ended;
         /** Taken up without an attempt, and none made since. */
         boolean untried;
-        int out;
+        int callsOut;
         /** Clients that have been told that it is taken on, less those that are known not to have heard. */
-        int told;
+        int acceptedAnswers;
 
         TrackedMessage(Message message, Relay.MessageClass rules, Journal.Entry entry) {
             this.message = message;
-            this.rules = rules;
-            this.entry = entry;
+            this.messageClass = rules;
+            this.journalEntry = entry;
         }
     }
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private Relay.Settings settings;
     private final Control control;
     private final HostList hosts;
     private final HostPool pool;
     private final Journal journal;
     private final Discovery discovery;
-    private final Metrics figures;
+    private final Metrics metrics;
     private final ProcessClock clock;
     /** All classes that the module was told of, by the number that it knows them by. */
-    private final List<Relay.MessageClass> classes = new ArrayList<>();
+    private final List<Relay.MessageClass> knownClasses = new ArrayList<>();
     /** Those in force. */
-    private Map<String, Relay.MessageClass> inForce = Map.of();
-    private final Map<String, TrackedMessage> held = new HashMap<>();
-    private List<Relay.Event> events = new ArrayList<>();
-    private final Map<String, AcceptanceCallback> unanswered = new LinkedHashMap<>();
+    private Map<String, Relay.MessageClass> classesInForce = Map.of();
+    private final Map<String, TrackedMessage> messages = new HashMap<>();
+    private List<Relay.Event> pendingEvents = new ArrayList<>();
+    private final Map<String, AcceptanceCallback> unansweredClients = new LinkedHashMap<>();
     /** What this turn sends and is not yet on its way, by host. */
-    private final Map<HostList.Host, Bundle> bundles = new LinkedHashMap<>();
-    private final TakenUp takenUp = new TakenUp();
-    private final EventLoopLag lag = new EventLoopLag(STAND, System::nanoTime);
-    private final long began = System.nanoTime();
+    private final Map<HostList.Host, Bundle> batches = new LinkedHashMap<>();
+    private final TakenUp recoverySummary = new TakenUp();
+    private final EventLoopLag eventLoopLag = new EventLoopLag(GAUGE_INTERVAL_MS, System::nanoTime);
+    private final long startNanos = System.nanoTime();
     /** Unix time, ms. */
-    private final long beganAt;
-    private final long knowledgeMost;
+    private final long startMillis;
+    private final long maxSnapshotBytes;
     private final JournalHealth journalHealth;
-    private final SendGuard guard = new SendGuard();
+    private final SendGuard sendGuard = new SendGuard();
     /** When the turn that is carried out was decided, by the journal's clock and the module's. */
-    private long turnAtMillis, turnAtMicros;
-    private boolean turnDue;
+    private long turnMillis, turnMicros;
+    private boolean turnScheduled;
     private boolean stopped;
-    private boolean leaving;
-    private Map<Long, Integer> outElsewhere = Map.of();
+    private boolean handingOver;
+    private Map<Long, Integer> callsOutElsewhere = Map.of();
     private final EndpointHealthLog healthLog = new EndpointHealthLog();
     /** Told by earlier processes, of hosts that the list has not named yet. */
     private final Map<String, Journal.EndpointHealth> unlistedHealth = new HashMap<>();
-    private int open;
+    private int openMessages;
     /** Destinations that the module has been told of and has not released. */
-    private int introduced;
+    private int introducedDestinations;
 
-    ControlDriver(EventLoop loop, ProcessClock clock, Config config, HostList hosts, HostPool pool, Journal journal,
-         Metrics figures, DiscoveryFactory agent) {
-        this.loop = loop;
+    ControlDriver(EventLoop eventLoop, ProcessClock clock, Config config, HostList hosts, HostPool pool, Journal journal,
+         Metrics metrics, DiscoveryFactory agent) {
+        this.eventLoop = eventLoop;
         this.clock = clock;
-        this.beganAt = clock.millis();
+        this.startMillis = clock.millis();
         this.settings = config.settings();
-        this.knowledgeMost = config.diskBytes() / KNOWLEDGE_PART;
+        this.maxSnapshotBytes = config.diskBytes() / SNAPSHOT_DISK_DIVISOR;
         this.control = new Control(config.seed(), settings);
         this.hosts = hosts;
         this.pool = pool;
         this.journal = journal;
-        this.journalHealth = new JournalHealth(loop, journal, ok -> tell(new Relay.Storage(ok)));
-        this.figures = figures;
-        this.discovery = agent.open(this::listed, this::noticed);
-        classes.addAll(settings.classes());
-        enforce();
+        this.journalHealth = new JournalHealth(eventLoop, journal, ok -> enqueue(new Relay.Storage(ok)));
+        this.metrics = metrics;
+        this.discovery = agent.create(this::listUpdated, this::endAcknowledged);
+        knownClasses.addAll(settings.classes());
+        updateClassesInForce();
     }
 
-    private void enforce() {
-        inForce = settings.classes().stream().collect(Collectors.toMap(Relay.MessageClass::name, c -> c));
-        figures.addClasses(inForce.keySet());
+    private void updateClassesInForce() {
+        classesInForce = settings.classes().stream().collect(Collectors.toMap(Relay.MessageClass::name, c -> c));
+        metrics.addClasses(classesInForce.keySet());
     }
 
     /** Other settings, and perhaps another address of discovery, bind from the next request on. */
-    void retune(Config next) {
+    void reconfigure(Config next) {
         // What has been read was handed in under the settings as they were.
-        turn();
+        runTurn();
         settings = next.settings();
-        settings.classes().stream().filter(c -> !classes.contains(c)).forEach(classes::add);
-        tell(new Relay.Retuned(settings.with(List.copyOf(classes))));
-        enforce();
+        settings.classes().stream().filter(c -> !knownClasses.contains(c)).forEach(knownClasses::add);
+        enqueue(new Relay.Retuned(settings.with(List.copyOf(knownClasses))));
+        updateClassesInForce();
         discovery.moveTo(next.discovery());
         pool.retune(settings.allowed().connectTimeout(), settings.allowed().keepAlive(),
             next.descriptors().hosts());
     }
 
     /** The module's number for a class, which it is told of first if a message of before brings it. */
-    private int number(Relay.MessageClass rules) {
-        if (!classes.contains(rules)) {
-            classes.add(rules);
-            tell(new Relay.Retuned(settings.with(List.copyOf(classes))));
+    private int classIndex(Relay.MessageClass rules) {
+        if (!knownClasses.contains(rules)) {
+            knownClasses.add(rules);
+            enqueue(new Relay.Retuned(settings.with(List.copyOf(knownClasses))));
         }
-        return classes.indexOf(rules);
+        return knownClasses.indexOf(rules);
     }
 
     /** Makes the link to discovery, given what it is to call. */
     interface DiscoveryFactory {
-        Discovery open(Discovery.Listener whenListed, Consumer<Journal.Entry> whenNoticed);
+        Discovery create(Discovery.Listener whenListed, Consumer<Journal.Entry> whenNoticed);
     }
 
     /** Takes in the list as last had, then begins to watch. One that cannot be read is told and left out. */
@@ -167,38 +167,38 @@
                 LOG.warn("the list of before cannot be taken in, begun without: {}", e.getMessage());
             }
         }
-        tell(new Relay.ListAsked());
-        turn();
+        enqueue(new Relay.ListAsked());
+        runTurn();
         discovery.watch();
-        loop.scheduleWithFixedDelay(this::stand, 0, STAND, TimeUnit.MILLISECONDS);
-        loop.scheduleWithFixedDelay(this::release, RELEASE, RELEASE, TimeUnit.MILLISECONDS);
+        eventLoop.scheduleWithFixedDelay(this::updateGauges, 0, GAUGE_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        eventLoop.scheduleWithFixedDelay(this::requestRelease, RELEASE_INTERVAL_MS, RELEASE_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Connections that are accepted now may have waited for so many nanoseconds. */
-    void acceptedLate(long nanos) {
-        lag.recordDelay(nanos);
+    void recordAcceptDelay(long nanos) {
+        eventLoopLag.recordDelay(nanos);
     }
 
     /** Unix time, ms, since which what is read now may have waited in its socket. */
-    long readAtMillis() {
-        return clock.millis() - lag.recentMillis();
+    long earliestArrivalMillis() {
+        return clock.millis() - eventLoopLag.recentMillis();
     }
 
-    private void stand() {
-        lag.tick();
+    private void updateGauges() {
+        eventLoopLag.tick();
         try {
             int unavailable = control.unavailable() + hosts.draining();
-            figures.updateGauges(journal.size(), hosts.listed(), unavailable, hosts.version(), discovery.faults(),
-                journalHealth.failures(), lag.maxMillis());
+            metrics.updateGauges(journal.size(), hosts.listed(), unavailable, hosts.version(), discovery.faults(),
+                journalHealth.failures(), eventLoopLag.maxMillis());
         } catch (RuntimeException e) {
             // Guards the ticks: a periodic task that throws is never run again.
             LOG.error("figures not brought up to date", e);
         }
     }
 
-    private void release() {
-        if (introduced > 0) {
-            tell(new Relay.Release());
+    private void requestRelease() {
+        if (introducedDestinations > 0) {
+            enqueue(new Relay.Release());
         }
     }
 
@@ -206,13 +206,13 @@
     private void introduce(long destination) {
         Relay.Listed listed = hosts.tell(destination);
         if (listed != null) {
-            introduced++;
-            tell(new Relay.Introduced(listed.endpoints()));
+            introducedDestinations++;
+            enqueue(new Relay.Introduced(listed.endpoints()));
         }
     }
 
     /** The host of this name, introduced if need be; null if the list does not name it. */
-    private HostList.Host named(String name) {
+    private HostList.Host introducedHost(String name) {
         Long destination = hosts.destination(name);
         if (destination != null) {
             introduce(destination);
@@ -222,104 +222,104 @@
 
     /** Goes on with what processes before this one have left, once they have ended or passed it on. */
     void adopt() throws IOException {
-        journal.adopt(this::owed);
+        journal.adopt(this::resume);
         journal.waits().forEach((host, until) -> {
-            HostList.Host told = named(host);
+            HostList.Host told = introducedHost(host);
             if (told != null) {
-                tell(Relay.Known.waiting(told.number, moduleTime(until)));
+                enqueue(Relay.Known.waiting(told.number, moduleTime(until)));
             }
         });
-        journal.inheritedHealth().forEach(this::inherit);
+        journal.inheritedHealth().forEach(this::restoreHealth);
         Map<Long, Integer> out = journal.outElsewhere();
         Set<Long> changed = new HashSet<>(out.keySet());
-        changed.addAll(outElsewhere.keySet());
+        changed.addAll(callsOutElsewhere.keySet());
         for (long destination : changed) {
-            if (!out.getOrDefault(destination, 0).equals(outElsewhere.getOrDefault(destination, 0))) {
+            if (!out.getOrDefault(destination, 0).equals(callsOutElsewhere.getOrDefault(destination, 0))) {
                 introduce(destination);
-                tell(new Relay.Elsewhere(destination, out.getOrDefault(destination, 0)));
+                enqueue(new Relay.Elsewhere(destination, out.getOrDefault(destination, 0)));
             }
         }
-        outElsewhere = out;
+        callsOutElsewhere = out;
     }
 
     /** An earlier process was told of an outage, and so this relay was. */
-    private void inherit(Journal.EndpointHealth told) {
-        HostList.Host host = named(told.host());
+    private void restoreHealth(Journal.EndpointHealth told) {
+        HostList.Host host = introducedHost(told.host());
         if (host == null) {
             unlistedHealth.put(told.host(), told);
         } else {
-            tell(Relay.Known.health(host.number, told.health(), moduleTime(told.since()), told.carried()));
+            enqueue(Relay.Known.health(host.number, told.health(), moduleTime(told.since()), told.carried()));
         }
     }
 
-    private void owed(Journal.Entry entry) {
+    private void resume(Journal.Entry entry) {
         if (entry.end != null) {
             discovery.notice(entry);
-        } else if (entry.rules == null && !inForce.containsKey(entry.message.messageClass())) {
+        } else if (entry.rules == null && !classesInForce.containsKey(entry.message.messageClass())) {
             LOG.warn("message {} given up: its class {} is gone", entry.message.id(),
                 entry.message.messageClass());
-            end(entry, new Journal.End(false, 0));
+            endMessage(entry, new Journal.End(false, 0));
         } else {
             recover(entry);
         }
     }
 
     /** Passes on to the next process what is not out, and leaves what the module knows. */
-    void leave() throws IOException {
+    void handOver() throws IOException {
         journal.beginPassing();
-        leaving = true;
-        tell(new Relay.Leave());
-        turn();
-        journal.leave(Knowledge.write(control.knowledge(), hosts, this::unixTime, knowledgeMost));
+        handingOver = true;
+        enqueue(new Relay.Leave());
+        runTurn();
+        journal.leave(Knowledge.write(control.knowledge(), hosts, this::unixMillis, maxSnapshotBytes));
         pool.closeAllIdle();
     }
 
     /** Takes in what the process before this one has left. */
-    void learn(Journal.Left left) {
-        Knowledge.read(left.knowledge(), hosts, this::named, unix -> moduleTime(unix + left.shiftMillis()))
-            .forEach(this::tell);
+    void restoreSnapshot(Journal.Left left) {
+        Knowledge.read(left.knowledge(), hosts, this::introducedHost, unixMillis -> moduleTime(unixMillis + left.shiftMillis()))
+            .forEach(this::enqueue);
     }
 
     /** The deadline passes into the module's clock; earlier attempts keep their distance from now. */
     private void recover(Journal.Entry entry) {
         String name = entry.message.messageClass();
-        TrackedMessage h = new TrackedMessage(entry.message, entry.rules == null ? inForce.get(name) : entry.rules, entry);
-        h.told = 1;
-        held.put(h.message.id(), h);
-        open++;
+        TrackedMessage tracked = new TrackedMessage(entry.message, entry.rules == null ? classesInForce.get(name) : entry.rules, entry);
+        tracked.acceptedAnswers = 1;
+        messages.put(tracked.message.id(), tracked);
+        openMessages++;
         List<Relay.Earlier> earlier = new ArrayList<>();
         for (Journal.Attempt a : entry.attempts) {
-            h.calls.add(null);
+            tracked.callParts.add(null);
             earlier.add(new Relay.Earlier(moduleTime(a.sent), a.zone, a.mayHaveRun));
         }
         if (earlier.isEmpty()) {
-            h.untried = true;
-            takenUp.untried();
+            tracked.untried = true;
+            recoverySummary.untried();
         }
-        TRACE.debug("{} taken up, {} attempts, {} ms left", h.message.id(), earlier.size(),
-            h.message.deadline() - clock.millis());
-        introduce(h.message.destination());
-        tell(accepted(h, true, earlier));
+        TRACE.debug("{} taken up, {} attempts, {} ms left", tracked.message.id(), earlier.size(),
+            tracked.message.deadline() - clock.millis());
+        introduce(tracked.message.destination());
+        enqueue(acceptedEvent(tracked, true, earlier));
     }
 
-    private Relay.Accepted accepted(TrackedMessage h, boolean takenUp, List<Relay.Earlier> earlier) {
-        Message m = h.message;
+    private Relay.Accepted acceptedEvent(TrackedMessage tracked, boolean takenUp, List<Relay.Earlier> earlier) {
+        Message m = tracked.message;
         long reserve = EndReserve.millis(m.deadline() - clock.millis());
-        return new Relay.Accepted(m.id(), number(h.rules), m.tenant(), m.routeKey(),
+        return new Relay.Accepted(m.id(), classIndex(tracked.messageClass), m.tenant(), m.routeKey(),
             moduleTime(m.deadline() - reserve), TimeUnit.MILLISECONDS.toMicros(reserve), m.destination(),
             takenUp, earlier);
     }
 
-    boolean knows(String messageClass, long destination) {
-        return inForce.containsKey(messageClass) && hosts.knows(destination);
+    boolean isKnown(String messageClass, long destination) {
+        return classesInForce.containsKey(messageClass) && hosts.knows(destination);
     }
 
     Relay.MessageClass messageClass(String name) {
-        return inForce.get(name);
+        return classesInForce.get(name);
     }
 
     /** The tenant's number; one that the settings do not name stands past them and has no share. */
-    int tenant(String name) {
+    int tenantIndex(String name) {
         for (int i = 0; i < settings.tenants().size(); i++) {
             if (settings.tenants().get(i).name().equals(name)) {
                 return i;
@@ -335,11 +335,11 @@
     void stop() {
         stopped = true;
         journalHealth.stop();
-        List.copyOf(unanswered.keySet()).forEach(id -> unanswered.remove(id).refused(COME_BACK));
+        List.copyOf(unansweredClients.keySet()).forEach(id -> unansweredClients.remove(id).refused(RETRY_AFTER_MICROS));
     }
 
-    boolean idle() {
-        return open == 0 && !discovery.noticesLeft();
+    boolean isIdle() {
+        return openMessages == 0 && !discovery.noticesLeft();
     }
 
     // ---- Clients --------------------------------------------------------------------------------
@@ -348,30 +348,30 @@
      * ready have been read: an answer among them may tell to wait, or that the message's host is full.
      */
     void accept(Message message, AcceptanceCallback answer) {
-        if (unanswered.containsKey(message.id())) {
-            turn();
+        if (unansweredClients.containsKey(message.id())) {
+            runTurn();
         }
-        TrackedMessage known = held.get(message.id());
-        if (known != null && !known.over) {
+        TrackedMessage known = messages.get(message.id());
+        if (known != null && !known.ended) {
             // A client sends a request once more when its connection closed as it wrote: it is held already.
-            known.told++;
-            answer.taken();
+            known.acceptedAnswers++;
+            answer.accepted();
             return;
         }
         Refusal refusal = refusal(known);
         if (refusal != null) {
-            figures.countRejected(message.messageClass());
-            figures.countRefusal(refusal);
+            metrics.countRejected(message.messageClass());
+            metrics.countRefusal(refusal);
             TRACE.debug("{} refused: {}", message.id(), refusal);
-            answer.refused(COME_BACK);
+            answer.refused(RETRY_AFTER_MICROS);
             return;
         }
-        TrackedMessage h = new TrackedMessage(message, inForce.get(message.messageClass()), null);
-        held.put(message.id(), h);
-        open++;
-        unanswered.put(message.id(), answer);
+        TrackedMessage tracked = new TrackedMessage(message, classesInForce.get(message.messageClass()), null);
+        messages.put(message.id(), tracked);
+        openMessages++;
+        unansweredClients.put(message.id(), answer);
         introduce(message.destination());
-        tell(accepted(h, false, List.of()));
+        enqueue(acceptedEvent(tracked, false, List.of()));
     }
 
     /** Why a message cannot be taken on now; null if it can, as far as is known before the module's turn. */
@@ -385,7 +385,7 @@
         if (!journalHealth.isWritable()) {
             return Refusal.FOLDER_FAILS;
         }
-        return open >= settings.allowed().open() ? Refusal.HOLD_FULL : null;
+        return openMessages >= settings.allowed().open() ? Refusal.HOLD_FULL : null;
     }
 
     /**
@@ -393,68 +393,68 @@
      * nothing, unless it was handed in twice and another client heard.
      */
     void withdraw(String id) {
-        TrackedMessage h = held.get(id);
-        if (h != null && !h.over && --h.told == 0) {
+        TrackedMessage tracked = messages.get(id);
+        if (tracked != null && !tracked.ended && --tracked.acceptedAnswers == 0) {
             LOG.info("message {} withdrawn, its client left before the answer", id);
             TRACE.debug("{} withdrawn", id);
-            over(h);
-            close(h.entry);
-            tell(new Relay.Withdrawn(id));
+            markEnded(tracked);
+            closeEntry(tracked.journalEntry);
+            enqueue(new Relay.Withdrawn(id));
         }
     }
 
     // ---- Turns ----------------------------------------------------------------------------------
-    private void tell(Relay.Event event) {
-        events.add(event);
-        if (!turnDue && !stopped) {
-            turnDue = true;
-            loop.execute(this::turn);
+    private void enqueue(Relay.Event event) {
+        pendingEvents.add(event);
+        if (!turnScheduled && !stopped) {
+            turnScheduled = true;
+            eventLoop.execute(this::runTurn);
         }
     }
 
-    private long now() {
-        return (System.nanoTime() - began) / 1_000;
+    private long moduleNow() {
+        return (System.nanoTime() - startNanos) / 1_000;
     }
 
     /** Unix time in ms to the module's clock, which may then be below 0. */
-    private long moduleTime(long unix) {
-        return now() + (unix - clock.millis()) * 1_000;
+    private long moduleTime(long unixMillis) {
+        return moduleNow() + (unixMillis - clock.millis()) * 1_000;
     }
 
     /** The module's clock to Unix time in ms. */
-    private long unixTime(long time) {
-        return clock.millis() + (time - now()) / 1_000;
+    private long unixMillis(long time) {
+        return clock.millis() + (time - moduleNow()) / 1_000;
     }
 
-    private void turn() {
-        turnDue = false;
-        if (events.isEmpty() || stopped) {
+    private void runTurn() {
+        turnScheduled = false;
+        if (pendingEvents.isEmpty() || stopped) {
             return;
         }
-        List<Relay.Event> told = events;
-        events = new ArrayList<>();
+        List<Relay.Event> told = pendingEvents;
+        pendingEvents = new ArrayList<>();
         try {
-            turnAtMillis = clock.millis();
-            turnAtMicros = now();
-            List<Relay.Action> actions = control.turn(turnAtMicros, told);
-            answer(actions);
-            readBeforeSending(actions);
+            turnMillis = clock.millis();
+            turnMicros = moduleNow();
+            List<Relay.Action> actions = control.turn(turnMicros, told);
+            answerClients(actions);
+            readInputBeforeSending(actions);
             for (Relay.Action action : actions) {
                 try {
-                    carryOut(action);
+                    perform(action);
                 } catch (RuntimeException e) {
                     LOG.error("could not carry out {}", action, e);
                 }
             }
-            List.copyOf(bundles.keySet()).forEach(this::depart);
+            List.copyOf(batches.keySet()).forEach(this::startCall);
         } catch (RuntimeException e) {
             LOG.error("turn failed on {}", told, e);
             // Guards against standing still: the module's timer may have been lost with the turn.
-            loop.schedule(() -> tell(new Relay.Due()), AFTER_FAULT, TimeUnit.MICROSECONDS);
+            eventLoop.schedule(() -> enqueue(new Relay.Due()), FAILED_TURN_RETRY_MICROS, TimeUnit.MICROSECONDS);
         } finally {
             // Guards clients against silence if the turn failed: nothing was written down for these.
-            for (String id : List.copyOf(unanswered.keySet())) {
-                refuse(id, unanswered.get(id), Refusal.TURN_FAILED);
+            for (String id : List.copyOf(unansweredClients.keySet())) {
+                refuse(id, unansweredClients.get(id), Refusal.TURN_FAILED);
             }
         }
     }
@@ -463,37 +463,37 @@
      * Answers the clients of this turn's new messages. An end that the module decided at once is the answer
      * itself; the others are written down, then answered, and only after that is anything sent.
      */
-    private void answer(List<Relay.Action> actions) {
-        for (Relay.Action action : unanswered.isEmpty() ? List.<Relay.Action>of() : actions) {
-            if (action instanceof Relay.Refuse a && unanswered.containsKey(a.id())) {
-                TrackedMessage h = held.get(a.id());
-                over(h);
-                figures.countRejected(h.message.messageClass());
-                figures.countRefusal(Refusal.BY_MODULE);
+    private void answerClients(List<Relay.Action> actions) {
+        for (Relay.Action action : unansweredClients.isEmpty() ? List.<Relay.Action>of() : actions) {
+            if (action instanceof Relay.Refuse a && unansweredClients.containsKey(a.id())) {
+                TrackedMessage tracked = messages.get(a.id());
+                markEnded(tracked);
+                metrics.countRejected(tracked.message.messageClass());
+                metrics.countRefusal(Refusal.BY_MODULE);
                 TRACE.debug("{} refused: {}", a.id(), Refusal.BY_MODULE);
-                unanswered.remove(a.id()).refused(a.retryAfter());
-            } else if (action instanceof Relay.Fail a && unanswered.containsKey(a.id())) {
-                TrackedMessage h = held.get(a.id());
-                over(h);
-                figures.countFailed(h.message.messageClass());
+                unansweredClients.remove(a.id()).refused(a.retryAfter());
+            } else if (action instanceof Relay.Fail a && unansweredClients.containsKey(a.id())) {
+                TrackedMessage tracked = messages.get(a.id());
+                markEnded(tracked);
+                metrics.countFailed(tracked.message.messageClass());
                 TRACE.debug("{} failed at once", a.id());
-                unanswered.remove(a.id()).failed();
+                unansweredClients.remove(a.id()).failed();
             }
         }
-        for (String id : List.copyOf(unanswered.keySet())) {
-            TrackedMessage h = held.get(id);
+        for (String id : List.copyOf(unansweredClients.keySet())) {
+            TrackedMessage tracked = messages.get(id);
             try {
-                h.entry = journalHealth.isWritable() ? journal.take(h.message, h.rules) : null;
+                tracked.journalEntry = journalHealth.isWritable() ? journal.take(tracked.message, tracked.messageClass) : null;
             } catch (IOException e) {
                 journalHealth.failed("message " + id + " refused", e);
             }
-            if (h.entry == null) {
-                refuse(id, unanswered.get(id),
+            if (tracked.journalEntry == null) {
+                refuse(id, unansweredClients.get(id),
                     journalHealth.isWritable() ? Refusal.FOLDER_FULL : Refusal.FOLDER_FAILS);
             } else {
-                h.told++;
-                TRACE.debug("{} taken on, {} ms left", id, h.message.deadline() - clock.millis());
-                unanswered.remove(id).taken();
+                tracked.acceptedAnswers++;
+                TRACE.debug("{} taken on, {} ms left", id, tracked.message.deadline() - clock.millis());
+                unansweredClients.remove(id).accepted();
             }
         }
     }
@@ -502,7 +502,7 @@
      * Reads what has come from the agent and from the destinations that are about to be sent to. The thread
      * may have been held up since it looked at its sockets, and what it has not read binds it all the same.
      */
-    private void readBeforeSending(List<Relay.Action> actions) {
+    private void readInputBeforeSending(List<Relay.Action> actions) {
         Set<Long> destinations = new HashSet<>();
         for (Relay.Action action : actions) {
             HostList.Host host = action instanceof Relay.Send send ? hosts.host(send.endpoint()) : null;
@@ -519,28 +519,28 @@
     }
 
     private void refuse(String id, AcceptanceCallback answer, Refusal why) {
-        figures.countRefusal(why);
+        metrics.countRefusal(why);
         TRACE.debug("{} refused: {}", id, why);
-        unanswered.remove(id);
-        TrackedMessage h = held.get(id);
-        over(h);
-        figures.countRejected(h.message.messageClass());
-        tell(new Relay.Withdrawn(id));
-        answer.refused(COME_BACK);
+        unansweredClients.remove(id);
+        TrackedMessage tracked = messages.get(id);
+        markEnded(tracked);
+        metrics.countRejected(tracked.message.messageClass());
+        enqueue(new Relay.Withdrawn(id));
+        answer.refused(RETRY_AFTER_MICROS);
     }
 
-    private void carryOut(Relay.Action action) {
+    private void perform(Relay.Action action) {
         if (action instanceof Relay.Send a) {
             send(a);
         } else if (action instanceof Relay.Refuse a) {
-            end(a.id(), new Journal.End(true, a.retryAfter()));
+            endMessage(a.id(), new Journal.End(true, a.retryAfter()));
         } else if (action instanceof Relay.Fail a) {
-            end(a.id(), new Journal.End(false, 0));
+            endMessage(a.id(), new Journal.End(false, 0));
         } else if (action instanceof Relay.Pass a) {
-            pass(a.id());
+            passToNextProcess(a.id());
         } else if (action instanceof Relay.Cancel a) {
-            TrackedMessage h = held.get(a.id());
-            HostPool.Part part = h == null ? null : h.calls.get(a.attempt());
+            TrackedMessage tracked = messages.get(a.id());
+            HostPool.Part part = tracked == null ? null : tracked.callParts.get(a.attempt());
             if (part != null) {
                 part.cancel();
             }
@@ -551,9 +551,9 @@
         } else if (action instanceof Relay.Released a) {
             hosts.hostsOf(a.destination()).forEach(pool::closeIdle);
             hosts.release(a.destination());
-            introduced--;
+            introducedDestinations--;
         } else if (action instanceof Relay.Wake a) {
-            loop.schedule(() -> tell(new Relay.Due()), a.after(), TimeUnit.MICROSECONDS);
+            eventLoop.schedule(() -> enqueue(new Relay.Due()), a.after(), TimeUnit.MICROSECONDS);
         } else if (action instanceof Relay.HealthChanged a) {
             healthChanged(a);
         }
@@ -562,13 +562,13 @@
     /** Kept for the next process: a relay that was told of an outage stays told. */
     private void healthChanged(Relay.HealthChanged a) {
         HostList.Host host = hosts.host(a.endpoint());
-        figures.countHealthChange(a.reason());
+        metrics.countHealthChange(a.reason());
         healthLog.logChange(a, host);
         if (host == null) {
             return;
         }
         try {
-            journal.health(new Journal.EndpointHealth(host.name, a.health(), unixTime(a.since()),
+            journal.health(new Journal.EndpointHealth(host.name, a.health(), unixMillis(a.since()),
                 a.carried()));
         } catch (IOException e) {
             journalHealth.failed("the health of " + host.name + " is not kept", e);
@@ -577,131 +577,131 @@
 
     // ---- Calls ----------------------------------------------------------------------------------
     private void send(Relay.Send a) {
-        TrackedMessage h = held.get(a.id());
+        TrackedMessage tracked = messages.get(a.id());
         HostList.Host listed = hosts.host(a.endpoint());
         HostList.Host host = listed == null ? new HostList.Host(a.endpoint(), "unlisted") : listed;
-        if (h == null) {
+        if (tracked == null) {
             return;
         }
-        int attempt = h.calls.size();
-        h.calls.add(null);
-        h.out++;
-        if (h.untried) {
-            h.untried = false;
-            takenUp.tried();
+        int attempt = tracked.callParts.size();
+        tracked.callParts.add(null);
+        tracked.callsOut++;
+        if (tracked.untried) {
+            tracked.untried = false;
+            recoverySummary.tried();
         }
-        if (h.over) {
-            ended(h, attempt, host, unsent(Relay.Outcome.NOT_SENT, true));
+        if (tracked.ended) {
+            attemptEnded(tracked, attempt, host, unsentReply(Relay.Outcome.NOT_SENT, true));
             return;
         }
-        if (!permitted(h, host)) {
-            ended(h, attempt, host, unsent(Relay.Outcome.NOT_SENT, false));
+        if (!checkPermitted(tracked, host)) {
+            attemptEnded(tracked, attempt, host, unsentReply(Relay.Outcome.NOT_SENT, false));
             return;
         }
-        if (!writtenDown(h, host)) {
-            ended(h, attempt, host, unsent(Relay.Outcome.NOT_JOURNALED, false));
+        if (!journalAttempt(tracked, host)) {
+            attemptEnded(tracked, attempt, host, unsentReply(Relay.Outcome.NOT_JOURNALED, false));
             return;
         }
         if (!host.ready) {
-            ended(h, attempt, host, unsent(Relay.Outcome.NOT_SENT, false));
+            attemptEnded(tracked, attempt, host, unsentReply(Relay.Outcome.NOT_SENT, false));
             return;
         }
         TRACE.debug("{} attempt {} to {}", a.id(), attempt, host.name);
-        HostPool.Part part = new HostPool.Part(h.message, a.timeout(),
-            reply -> ended(h, attempt, host, reply));
-        h.calls.set(attempt, part);
-        if (!bundles.computeIfAbsent(host, key -> new Bundle())
-                .takes(h.message, settings.kinds().get(host.kind).bundle())) {
-            depart(host);
+        HostPool.Part part = new HostPool.Part(tracked.message, a.timeout(),
+            reply -> attemptEnded(tracked, attempt, host, reply));
+        tracked.callParts.set(attempt, part);
+        if (!batches.computeIfAbsent(host, key -> new Bundle())
+                .takes(tracked.message, settings.kinds().get(host.kind).bundle())) {
+            startCall(host);
         }
-        bundles.computeIfAbsent(host, key -> new Bundle()).add(part);
+        batches.computeIfAbsent(host, key -> new Bundle()).add(part);
     }
 
-    private boolean apart(HostList.Host host) {
+    private boolean hasSeparateEndpoints(HostList.Host host) {
         return settings.kinds().get(host.kind).apart();
     }
 
     /** What the rules forbid does not go out, whatever was decided. */
-    private boolean permitted(TrackedMessage h, HostList.Host host) {
-        boolean apart = apart(host);
-        Violation violation = guard.findViolation(h.entry, h.rules, host, apart, turnAtMillis, turnAtMicros);
+    private boolean checkPermitted(TrackedMessage tracked, HostList.Host host) {
+        boolean apart = hasSeparateEndpoints(host);
+        Violation violation = sendGuard.findViolation(tracked.journalEntry, tracked.messageClass, host, apart, turnMillis, turnMicros);
         if (violation != null) {
-            violated(violation, h.message.id());
+            reportViolation(violation, tracked.message.id());
         }
         // What a pause since the decision has overtaken is nobody's fault, and does not go out either.
-        boolean permitted = violation == null && !guard.mustWait(host, apart, now())
-            && guard.findViolation(h.entry, h.rules, host, apart, clock.millis(), now()) == null;
+        boolean permitted = violation == null && !sendGuard.mustWait(host, apart, moduleNow())
+            && sendGuard.findViolation(tracked.journalEntry, tracked.messageClass, host, apart, clock.millis(), moduleNow()) == null;
         if (!permitted) {
             // It keeps its number.
-            journal.notMade(h.entry, clock.millis(), host.zone);
+            journal.notMade(tracked.journalEntry, clock.millis(), host.zone);
         }
         return permitted;
     }
 
-    private void violated(Violation rule, String id) {
-        figures.countViolation(rule);
+    private void reportViolation(Violation rule, String id) {
+        metrics.countViolation(rule);
         LOG.error("{}: message {}", rule, id);
     }
 
-    private static HostPool.Reply unsent(Relay.Outcome outcome, boolean over) {
+    private static HostPool.Reply unsentReply(Relay.Outcome outcome, boolean over) {
         return new HostPool.Reply(outcome, over, 0, 0, -1, -1);
     }
 
     /** Writes an attempt down before any byte of it goes out; false if it must not be made. */
-    private boolean writtenDown(TrackedMessage h, HostList.Host host) {
+    private boolean journalAttempt(TrackedMessage tracked, HostList.Host host) {
         if (!journalHealth.isWritable()) {
-            journal.notMade(h.entry, clock.millis(), host.zone);
+            journal.notMade(tracked.journalEntry, clock.millis(), host.zone);
             return false;
         }
         try {
-            journal.sent(h.entry, clock.millis(), host.zone);
+            journal.sent(tracked.journalEntry, clock.millis(), host.zone);
             return true;
         } catch (IOException e) {
-            journalHealth.failed("message " + h.message.id() + " not sent", e);
+            journalHealth.failed("message " + tracked.message.id() + " not sent", e);
             return false;
         }
     }
 
-    private void depart(HostList.Host host) {
-        pool.call(host, bundles.remove(host).parts());
+    private void startCall(HostList.Host host) {
+        pool.call(host, batches.remove(host).parts());
     }
 
-    private void ended(TrackedMessage h, int attempt, HostList.Host host, HostPool.Reply reply) {
+    private void attemptEnded(TrackedMessage tracked, int attempt, HostList.Host host, HostPool.Reply reply) {
         if (stopped) {
             return;
         }
-        h.out--;
-        TRACE.debug("{} attempt {} to {} ended: {} after {} us", h.message.id(), attempt, host.name,
+        tracked.callsOut--;
+        TRACE.debug("{} attempt {} to {} ended: {} after {} us", tracked.message.id(), attempt, host.name,
             reply.outcome(), reply.latency());
         if (reply.waitFor() > 0) {
-            wait(host, reply.waitFor());
-            guard.recordWait(host, apart(host), now(), reply.waitFor());
+            persistWait(host, reply.waitFor());
+            sendGuard.recordWait(host, hasSeparateEndpoints(host), moduleNow(), reply.waitFor());
             // Guards the rule on waits: calls there that still wait for their connection do not go out.
-            (apart(host) ? List.of(host) : hosts.hostsOf(host.destination)).forEach(pool::takeBack);
+            (hasSeparateEndpoints(host) ? List.of(host) : hosts.hostsOf(host.destination)).forEach(pool::takeBack);
         }
-        boolean over = h.over || reply.over();
-        if (!h.over) {
+        boolean ended = tracked.ended || reply.over();
+        if (!tracked.ended) {
             if (reply.over()) {
-                over(h);
-                close(h.entry);
+                markEnded(tracked);
+                closeEntry(tracked.journalEntry);
                 if (reply.outcome() == Relay.Outcome.OK) {
-                    figures.countCompleted(h.message.messageClass());
+                    metrics.countCompleted(tracked.message.messageClass());
                 } else {
                     // Its time was up before the host heard of it.
-                    figures.countFailed(h.message.messageClass());
+                    metrics.countFailed(tracked.message.messageClass());
                 }
             } else if (reply.outcome().neverRan() && reply.outcome() != Relay.Outcome.NOT_JOURNALED) {
-                notRun(h, attempt, reply.outcome() == Relay.Outcome.NO_SOCKET);
+                journalNotRun(tracked, attempt, reply.outcome() == Relay.Outcome.NO_SOCKET);
             }
         }
-        tell(new Relay.Ended(h.message.id(), attempt, host.number, reply.outcome(), over, reply.waitFor(),
+        enqueue(new Relay.Ended(tracked.message.id(), attempt, host.number, reply.outcome(), ended, reply.waitFor(),
             reply.latency(), reply.left(), reply.limit()));
-        forget(h);
+        removeWhenDone(tracked);
     }
 
     /** Guards the rule on waits across a replacement: the next process must hear of this one too. */
-    private void wait(HostList.Host host, long span) {
-        if (leaving) {
+    private void persistWait(HostList.Host host, long span) {
+        if (handingOver) {
             try {
                 journal.waits(host.name, clock.millis() + span / 1_000 + 1);
             } catch (IOException e) {
@@ -710,51 +710,51 @@
         }
     }
 
-    private void notRun(TrackedMessage h, int attempt, boolean unmade) {
+    private void journalNotRun(TrackedMessage tracked, int attempt, boolean unmade) {
         try {
             if (unmade) {
-                journal.unmade(h.entry, attempt);
+                journal.unmade(tracked.journalEntry, attempt);
             } else {
-                journal.notRun(h.entry, attempt);
+                journal.notRun(tracked.journalEntry, attempt);
             }
         } catch (IOException e) {
             // The attempt then counts as one that may have run, which is safe.
-            journalHealth.failed("outcome of message " + h.message.id() + " is not kept", e);
+            journalHealth.failed("outcome of message " + tracked.message.id() + " is not kept", e);
         }
     }
 
     // ---- Ends -----------------------------------------------------------------------------------
-    private void end(String id, Journal.End end) {
-        TrackedMessage h = held.get(id);
-        if (h != null && !h.over) {
-            if (h.untried) {
-                takenUp.endedUntried(end.handedBack(), h.message.deadline() < beganAt);
+    private void endMessage(String id, Journal.End end) {
+        TrackedMessage tracked = messages.get(id);
+        if (tracked != null && !tracked.ended) {
+            if (tracked.untried) {
+                recoverySummary.endedUntried(end.handedBack(), tracked.message.deadline() < startMillis);
             }
-            over(h);
-            end(h.entry, end);
+            markEnded(tracked);
+            endMessage(tracked.journalEntry, end);
         }
     }
 
-    private void pass(String id) {
-        TrackedMessage h = held.get(id);
-        if (h != null && !h.over) {
-            if (h.untried) {
-                takenUp.passedOn();
+    private void passToNextProcess(String id) {
+        TrackedMessage tracked = messages.get(id);
+        if (tracked != null && !tracked.ended) {
+            if (tracked.untried) {
+                recoverySummary.passedOn();
             }
-            over(h);
+            markEnded(tracked);
             try {
-                journal.passed(h.entry);
+                journal.passed(tracked.journalEntry);
             } catch (IOException e) {
                 journalHealth.failed("message " + id + " is passed on at the end", e);
             }
         }
     }
 
-    private void end(Journal.Entry entry, Journal.End end) {
+    private void endMessage(Journal.Entry entry, Journal.End end) {
         TRACE.debug("{} end decided: {}, {} ms left", entry.message.id(), end,
             entry.message.deadline() - clock.millis());
         if (entry.end != null) {
-            violated(Violation.ENDED_TWICE, entry.message.id());
+            reportViolation(Violation.ENDED_TWICE, entry.message.id());
         }
         try {
             journal.ended(entry, end);
@@ -764,40 +764,40 @@
         discovery.notice(entry);
     }
 
-    private void over(TrackedMessage h) {
-        h.over = true;
-        open--;
-        forget(h);
+    private void markEnded(TrackedMessage tracked) {
+        tracked.ended = true;
+        openMessages--;
+        removeWhenDone(tracked);
     }
 
     /**
      * The module may name a message until the last of its calls has ended. One that is over while a turn
      * is carried out is kept until that is done: it may hold a send of it, whose end the module must hear.
      */
-    private void forget(TrackedMessage h) {
-        loop.execute(() -> {
-            if (h.over && h.out == 0) {
-                held.remove(h.message.id(), h);
+    private void removeWhenDone(TrackedMessage tracked) {
+        eventLoop.execute(() -> {
+            if (tracked.ended && tracked.callsOut == 0) {
+                messages.remove(tracked.message.id(), tracked);
             }
         });
     }
 
     /** The platform has the end of a message. */
-    private void noticed(Journal.Entry entry) {
+    private void endAcknowledged(Journal.Entry entry) {
         long late = clock.millis() - entry.message.deadline();
         TRACE.debug("{} end acknowledged, {} ms left", entry.message.id(), -late);
-        if (late > END_DUE && clock.millis() - beganAt > AFTER_START) {
-            violated(Violation.ENDED_LATE, entry.message.id());
+        if (late > MAX_END_DELAY_MS && clock.millis() - startMillis > START_GRACE_MS) {
+            reportViolation(Violation.ENDED_LATE, entry.message.id());
         }
         if (entry.end.handedBack()) {
-            figures.countRejected(entry.message.messageClass());
+            metrics.countRejected(entry.message.messageClass());
         } else {
-            figures.countFailed(entry.message.messageClass());
+            metrics.countFailed(entry.message.messageClass());
         }
-        close(entry);
+        closeEntry(entry);
     }
 
-    private void close(Journal.Entry entry) {
+    private void closeEntry(Journal.Entry entry) {
         try {
             journal.closed(entry);
         } catch (IOException e) {
@@ -806,12 +806,12 @@
     }
 
     // ---- List -----------------------------------------------------------------------------------
-    private void listed(HostList.Change change) {
-        tell(change.listed());
+    private void listUpdated(HostList.Change change) {
+        enqueue(change.listed());
         if (!unlistedHealth.isEmpty()) {
             List<Journal.EndpointHealth> again = List.copyOf(unlistedHealth.values());
             unlistedHealth.clear();
-            again.forEach(this::inherit);
+            again.forEach(this::restoreHealth);
         }
         for (HostList.Host host : change.unready()) {
             pool.takeBack(host);
--- a/src/main/java/wrenkeel/net/ListOnlyRelay.java
+++ b/src/main/java/wrenkeel/net/ListOnlyRelay.java
@@ -79,7 +79,7 @@
     public Future<?> reload() {
         return loop.submit(() -> {
             Config next = config.reread(env);
-            driver.retune(next);
+            driver.reconfigure(next);
             config = next;
             return null;
         });
--- a/src/main/java/wrenkeel/net/Node.java
+++ b/src/main/java/wrenkeel/net/Node.java
@@ -170,12 +170,12 @@
     private void serve() throws IOException {
         Journal.Left left = journal.knowledge();
         if (left != null) {
-            loop.learn(left);
+            loop.restoreSnapshot(left);
         }
         loop.adopt();
         if (door == null || !door.isListening()) {
             ClientListener reserved = door;
-            door = ClientListener.open(config.listen(), thread, server, nanos -> loop.acceptedLate(nanos),
+            door = ClientListener.open(config.listen(), thread, server, nanos -> loop.recordAcceptDelay(nanos),
                 machine.sockets());
             if (reserved != null) {
                 reserved.close();
@@ -242,7 +242,7 @@
             Config next = config.reread(env);
             thread.submit(() -> {
                 if (loop != null) {
-                    loop.retune(next);
+                    loop.reconfigure(next);
                 }
                 config = next;
             }).get();
@@ -293,7 +293,7 @@
 
     /** True when nothing is owed any more. */
     boolean idle() throws InterruptedException, ExecutionException {
-        return thread.submit(() -> loop == null || loop.idle()).get();
+        return thread.submit(() -> loop == null || loop.isIdle()).get();
     }
 
     /**
@@ -358,7 +358,7 @@
 
     private boolean writeHandOver() {
         try {
-            loop.leave();
+            loop.handOver();
             clients.setMaxConnections(config.descriptors().clients() / 2);
             return true;
         } catch (IOException e) {
--- a/src/main/java/wrenkeel/net/Server.java
+++ b/src/main/java/wrenkeel/net/Server.java
@@ -190,7 +190,7 @@
             throw new InvalidRequestException(HttpResponseStatus.NOT_FOUND, "unknown class");
         }
         long destination = destination(headers.get("X-Envelope", ""));
-        if (!loop.knows(name, destination)) {
+        if (!loop.isKnown(name, destination)) {
             throw new InvalidRequestException(HttpResponseStatus.NOT_FOUND, "unknown destination " + destination);
         }
         String key = text(headers, "Idempotency-Key", KEY_MOST, kind.effect() == Relay.Effect.KEYED);
@@ -200,8 +200,8 @@
         }
         String tenant = text(headers, "X-Tenant-Id", ID_MOST, false);
         return new Message(text(headers, "X-Request-ID", ID_MOST, true), name,
-            tenant == null ? 0 : loop.tenant(tenant), text(headers, "X-Route-Key", KEY_MOST, false), key,
-            destination, deadline(loop.readAtMillis(), time),
+            tenant == null ? 0 : loop.tenantIndex(tenant), text(headers, "X-Route-Key", KEY_MOST, false), key,
+            destination, deadline(loop.earliestArrivalMillis(), time),
             ByteBufUtil.getBytes(request.content()));
     }
 
@@ -251,7 +251,7 @@
         }
 
         @Override
-        public void taken() {
+        public void accepted() {
             respond(context, HttpResponseStatus.ACCEPTED, 0, keep).addListener(done -> {
                 if (!done.isSuccess()) {
                     loop.withdraw(id);
--- a/src/test/java/wrenkeel/net/LoopTest.java
+++ b/src/test/java/wrenkeel/net/LoopTest.java
@@ -81,7 +81,7 @@
     private ControlDriver.AcceptanceCallback client(String name, Runnable whenTaken) {
         return new ControlDriver.AcceptanceCallback() {
             @Override
-            public void taken() {
+            public void accepted() {
                 answers.add(name + " taken");
                 whenTaken.run();
             }
@@ -226,7 +226,7 @@
         warmUp(4);
         try (ServerSocket agent = new ServerSocket(0, 8, Platform.LOOPBACK)) {
             Config moved = platform.configAt(agent.getLocalPort());
-            inOnePass(() -> loop.retune(moved));
+            inOnePass(() -> loop.reconfigure(moved));
             Socket watch = agent.accept();
             answer(watch, Platform.list(2, false));
             // The next call waits, and its answer comes while the thread is held up.
--- a/src/test/java/wrenkeel/net/ServerConnectionTest.java
+++ b/src/test/java/wrenkeel/net/ServerConnectionTest.java
@@ -179,7 +179,7 @@
             assertTrue(pair.ends());
         }
         assertEquals(0, owed());
-        onThread(() -> assertTrue(loop.idle()));
+        onThread(() -> assertTrue(loop.isIdle()));
     }
 
     private static final class FailsOnSecondRequest extends ChannelInboundHandlerAdapter {
@@ -208,7 +208,7 @@
             pair.channel.closeFuture().sync();
         }
         assertEquals(0, owed());
-        onThread(() -> assertTrue(loop.idle()));
+        onThread(() -> assertTrue(loop.isIdle()));
     }
 
     /** How many messages the journal owes, once what has been read is decided. */
