--- a/src/main/java/wrenkeel/net/LingeringClose.java
+++ b/src/main/java/wrenkeel/net/LingeringClose.java
@@ -17,18 +17,18 @@
  */
 final class LingeringClose extends ChannelDuplexHandler {
     /** Bytes that are read and discarded; what the peer sends beyond them stays unread. */
-    private static final long DISCARDED_MOST = 256 * 1024;
+    private static final long MAX_DISCARDED_BYTES = 256 * 1024;
 
-    private final ConnectionLimiter callers;
-    private final long millis;
+    private final ConnectionLimiter connections;
+    private final long lingerMillis;
     private boolean written;
     private boolean lingering;
-    private long discarded;
+    private long discardedBytes;
     private Future<?> timer;
 
-    LingeringClose(ConnectionLimiter callers, long millis) {
-        this.callers = callers;
-        this.millis = millis;
+    LingeringClose(ConnectionLimiter connections, long lingerMillis) {
+        this.connections = connections;
+        this.lingerMillis = lingerMillis;
     }
 
     /** Closes a connection at once, whatever its peer has not read. */
@@ -63,8 +63,8 @@
 
     private void linger(ChannelHandlerContext context, DuplexChannel channel) {
         lingering = true;
-        callers.startedLingering(channel);
-        timer = context.executor().schedule(() -> context.close(), millis, TimeUnit.MILLISECONDS);
+        connections.startedLingering(channel);
+        timer = context.executor().schedule(() -> context.close(), lingerMillis, TimeUnit.MILLISECONDS);
         channel.shutdownOutput();
         // Reading may be paused; without it the peer's own close would not be seen.
         channel.config().setAutoRead(true);
@@ -77,10 +77,10 @@
             return;
         }
         if (message instanceof ByteBuf bytes) {
-            discarded += bytes.readableBytes();
+            discardedBytes += bytes.readableBytes();
         }
         ReferenceCountUtil.release(message);
-        if (discarded >= DISCARDED_MOST) {
+        if (discardedBytes >= MAX_DISCARDED_BYTES) {
             context.channel().config().setAutoRead(false);
         }
     }
--- a/src/main/java/wrenkeel/net/ListOnlyRelay.java
+++ b/src/main/java/wrenkeel/net/ListOnlyRelay.java
@@ -16,48 +16,48 @@
  * runs, where one process holds hundreds of them; {@code serve} never loads it.
  */
 public final class ListOnlyRelay {
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final Map<String, String> env;
-    private final LongConsumer whenInForce;
+    private final LongConsumer whenApplied;
     private volatile long version = -1;
     private Config config;
     private Journal journal;
     private ControlDriver driver;
 
     /**
-     * {@code loop} is this relay's alone; {@code env} holds the EDGE_* variables that a relay is started
-     * with; {@code whenInForce} is called on the loop with the version of each list or change, once the
+     * {@code eventLoop} is this relay's alone; {@code env} holds the EDGE_* variables that a relay is started
+     * with; {@code whenApplied} is called on the loop with the version of each list or change, once the
      * module has taken it in.
      */
-    public ListOnlyRelay(EventLoop loop, Map<String, String> env, LongConsumer whenInForce) {
-        this.loop = loop;
+    public ListOnlyRelay(EventLoop eventLoop, Map<String, String> env, LongConsumer whenApplied) {
+        this.eventLoop = eventLoop;
         this.env = env;
-        this.whenInForce = whenInForce;
+        this.whenApplied = whenApplied;
     }
 
     /** Reads the configuration and begins to watch; fails if no relay could start so. */
     public Future<?> start() {
-        return loop.submit(() -> {
-            begin();
+        return eventLoop.submit(() -> {
+            createDriver();
             return null;
         });
     }
 
-    private void begin() throws Config.Unusable, IOException, Wire.Malformed {
+    private void createDriver() throws Config.Unusable, IOException, Wire.Malformed {
         config = Config.read(env);
-        Metrics figures = new Metrics();
+        Metrics metrics = new Metrics();
         ProcessClock clock = ProcessClock.system();
-        Bootstrap calls = new Bootstrap().group(loop)
+        Bootstrap calls = new Bootstrap().group(eventLoop)
             .option(ChannelOption.ALLOCATOR, new UnpooledByteBufAllocator(false));
         HostList hosts = new HostList(config.zones(), config.kinds());
-        HostPool pool = new HostPool(loop, calls, config.settings().allowed().connectTimeout(),
-            config.settings().allowed().keepAlive(), config.descriptors().hosts(), figures);
+        HostPool pool = new HostPool(eventLoop, calls, config.settings().allowed().connectTimeout(),
+            config.settings().allowed().keepAlive(), config.descriptors().hosts(), metrics);
         journal = new Journal(config.state(), config.diskBytes(), clock, FileOperations.SYSTEM);
-        driver = new ControlDriver(loop, clock, config, hosts, pool, journal, figures, (whenListed, whenNoticed) ->
-            new Discovery(loop, calls, config.discovery(), hosts, change -> {
+        driver = new ControlDriver(eventLoop, clock, config, hosts, pool, journal, metrics, (whenListed, whenNoticed) ->
+            new Discovery(eventLoop, calls, config.discovery(), hosts, change -> {
                 whenListed.listed(change);
                 // Behind the module's turn, which stands in the loop's queue by now.
-                loop.execute(() -> inForce(hosts.version()));
+                eventLoop.execute(() -> versionApplied(hosts.version()));
             }, whenNoticed));
         driver.start(config.known());
         // Nobody else shares the folder: what is there was left by one that has ended.
@@ -65,9 +65,9 @@
         journal.takenOver();
     }
 
-    private void inForce(long held) {
-        version = held;
-        whenInForce.accept(held);
+    private void versionApplied(long appliedVersion) {
+        version = appliedVersion;
+        whenApplied.accept(appliedVersion);
     }
 
     /** The version of the list in force; -1 before the first. Any thread may ask. */
@@ -77,7 +77,7 @@
 
     /** Reads the configuration anew, as at SIGHUP; fails, and changes nothing, if it is of no use. */
     public Future<?> reload() {
-        return loop.submit(() -> {
+        return eventLoop.submit(() -> {
             Config next = config.reread(env);
             driver.reconfigure(next);
             config = next;
@@ -90,7 +90,7 @@
      * connection to the agent only end with the loop, which the owner shuts down next.
      */
     public Future<?> stop() {
-        return loop.submit(() -> {
+        return eventLoop.submit(() -> {
             if (driver != null) {
                 driver.stop();
                 journal.close();
--- a/src/main/java/wrenkeel/net/Message.java
+++ b/src/main/java/wrenkeel/net/Message.java
@@ -6,7 +6,7 @@
  */
 record Message(String id, String messageClass, int tenant, String routeKey, String idempotencyKey,
                       long destination, long deadline, byte[] body) {
-    Message withDeadline(long other) {
-        return new Message(id, messageClass, tenant, routeKey, idempotencyKey, destination, other, body);
+    Message withDeadline(long newDeadline) {
+        return new Message(id, messageClass, tenant, routeKey, idempotencyKey, destination, newDeadline, body);
     }
 }
--- a/src/main/java/wrenkeel/net/Node.java
+++ b/src/main/java/wrenkeel/net/Node.java
@@ -26,34 +26,34 @@
      * ms from SIGTERM: clients are served on for the first, all is over by the second (SIGKILL may come at
      * 3.7 s).
      */
-    private static final long SERVE_ON = 600, LEAVE_BY = 3_300;
+    private static final long SERVE_AFTER_SIGTERM_MS = 600, SHUTDOWN_TIMEOUT_MS = 3_300;
     /** ns before the end by which a hand-over is written down or done without; ms between tries. */
-    private static final long HAND_OVER_MOST = TimeUnit.MILLISECONDS.toNanos(1_000), HAND_OVER_GAP = 50;
+    private static final long HANDOVER_RESERVE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000), HANDOVER_RETRY_MS = 50;
     /** ms between looks: for the end, at what the earlier process passes on, and after a fault. */
-    private static final long LOOK = 20, TURN_OVER = 10, AGAIN = 200;
+    private static final long SHUTDOWN_POLL_MS = 20, TAKEOVER_POLL_MS = 10, TAKEOVER_RETRY_MS = 200;
     /** ms between tries to use a lasting folder that fails: the first gap, doubled up to the longest. */
-    private static final long FOLDER_GAP_FIRST = 50, FOLDER_GAP_MOST = 1_000;
+    private static final long MIN_START_RETRY_MS = 50, MAX_START_RETRY_MS = 1_000;
 
-    private final MultiThreadIoEventLoopGroup group =
+    private final MultiThreadIoEventLoopGroup eventLoopGroup =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final EventLoop thread = group.next();
-    private final CountDownLatch left = new CountDownLatch(1);
-    private final Metrics figures = new Metrics();
+    private final EventLoop eventLoop = eventLoopGroup.next();
+    private final CountDownLatch closed = new CountDownLatch(1);
+    private final Metrics metrics = new Metrics();
     private final Console console;
     private final ProcessClock clock;
     private volatile boolean ready;
     private final Machine machine;
-    private final ConnectionLimiter clients;
+    private final ConnectionLimiter connections;
     private final Server server;
     private volatile Config config;
     /** Null until the lasting folder can be written. */
     private volatile Journal journal;
     /** Null as long as the journal. */
-    private volatile ControlDriver loop;
-    private ClientListener door;
+    private volatile ControlDriver driver;
+    private ClientListener clientListener;
     /** False while it stands by, or waits for the lasting folder. */
     private boolean serving;
-    private boolean ending;
+    private boolean shuttingDown;
 
     /** Takes up what the lasting folder holds, and serves; or stands by while an earlier process serves. */
     Node(Config config) throws IOException, InterruptedException, ExecutionException {
@@ -63,15 +63,15 @@
     Node(Config config, Machine machine) throws IOException, InterruptedException, ExecutionException {
         this.config = config;
         this.machine = machine;
-        clients = new ConnectionLimiter(config.descriptors().clients());
-        server = new Server(clients);
+        connections = new ConnectionLimiter(config.descriptors().clients());
+        server = new Server(connections);
         clock = new ProcessClock(machine.clock());
-        console = config.console() == null ? null : new Console(config.console(), () -> ready, figures);
+        console = config.console() == null ? null : new Console(config.console(), () -> ready, metrics);
         if (console != null) {
             LOG.info("operators at {}", consoleAddress());
         }
-        thread.submit(() -> {
-            start(FOLDER_GAP_FIRST);
+        eventLoop.submit(() -> {
+            start(MIN_START_RETRY_MS);
             return null;
         }).get();
     }
@@ -80,13 +80,13 @@
      * Begins this process's journal and serves, or stands by. While the folder cannot be written, or the
      * machine has no socket, it waits and tries again: what is owed is not given up for that.
      */
-    private void start(long gap) throws IOException, Wire.Malformed {
+    private void start(long delayMillis) throws IOException, Wire.Malformed {
         try {
             if (journal == null) {
                 journal = new Journal(config.state(), config.diskBytes(), clock, machine.files());
             }
-            if (loop == null) {
-                begin();
+            if (driver == null) {
+                createDriver();
             }
             if (journal.earlierServes()) {
                 standBy();
@@ -96,32 +96,32 @@
         } catch (UnusableFolder | BindException | Wire.Malformed e) {
             throw e;
         } catch (IOException e) {
-            LOG.warn("cannot serve yet, tried again in {} ms: {}", gap, e.toString());
-            turnAwayUntilServing();
-            thread.schedule(() -> startAgain(Math.min(FOLDER_GAP_MOST, 2 * gap)), gap, TimeUnit.MILLISECONDS);
+            LOG.warn("cannot serve yet, tried again in {} ms: {}", delayMillis, e.toString());
+            refuseUntilServing();
+            eventLoop.schedule(() -> retryStart(Math.min(MAX_START_RETRY_MS, 2 * delayMillis)), delayMillis, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void startAgain(long gap) {
-        if (ending) {
+    private void retryStart(long delayMillis) {
+        if (shuttingDown) {
             return;
         }
         try {
-            start(gap);
+            start(delayMillis);
         } catch (IOException | RuntimeException e) {
-            LOG.error("cannot start, tried again in {} ms", gap, e);
-            thread.schedule(() -> startAgain(gap), gap, TimeUnit.MILLISECONDS);
+            LOG.error("cannot start, tried again in {} ms", delayMillis, e);
+            eventLoop.schedule(() -> retryStart(delayMillis), delayMillis, TimeUnit.MILLISECONDS);
         }
     }
 
     /** Clients hear that this relay does not serve yet, unless another process may be serving them. */
-    private void turnAwayUntilServing() throws BindException {
-        if (door != null || !alone()) {
+    private void refuseUntilServing() throws BindException {
+        if (clientListener != null || !isAlone()) {
             return;
         }
         try {
-            server.turnAwayUntilServing();
-            door = ClientListener.open(config.listen(), thread, server, nanos -> { }, machine.sockets());
+            server.refuseUntilServing();
+            clientListener = ClientListener.open(config.listen(), eventLoop, server, nanos -> { }, machine.sockets());
             LOG.info("not serving yet on {}", address());
         } catch (BindException e) {
             throw e;
@@ -131,7 +131,7 @@
     }
 
     /** True if no earlier process can be serving at the address. */
-    private boolean alone() {
+    private boolean isAlone() {
         try {
             return journal == null ? !Tenure.anyLives(config.state(), machine.files())
                 : !journal.earlierServes();
@@ -143,26 +143,26 @@
 
     /** Reserves the clients' address, and looks again and again whether the earlier process has left. */
     private void standBy() throws IOException {
-        clients.setMaxConnections(config.descriptors().clients() / 2);
-        door = ClientListener.reserve(config.listen());
+        connections.setMaxConnections(config.descriptors().clients() / 2);
+        clientListener = ClientListener.reserve(config.listen());
         LOG.info("standing by for {}", config.listen());
         ready = true;
-        thread.schedule(this::await, TURN_OVER, TimeUnit.MILLISECONDS);
+        eventLoop.schedule(this::pollForTakeover, TAKEOVER_POLL_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void await() {
-        if (ending) {
+    private void pollForTakeover() {
+        if (shuttingDown) {
             return;
         }
         try {
             if (journal.earlierServes()) {
-                thread.schedule(this::await, TURN_OVER, TimeUnit.MILLISECONDS);
+                eventLoop.schedule(this::pollForTakeover, TAKEOVER_POLL_MS, TimeUnit.MILLISECONDS);
             } else {
                 serve();
             }
         } catch (IOException | RuntimeException e) {
             LOG.error("cannot take over, tried again", e);
-            thread.schedule(this::await, AGAIN, TimeUnit.MILLISECONDS);
+            eventLoop.schedule(this::pollForTakeover, TAKEOVER_RETRY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -170,37 +170,37 @@
     private void serve() throws IOException {
         Journal.Left left = journal.knowledge();
         if (left != null) {
-            loop.restoreSnapshot(left);
+            driver.restoreSnapshot(left);
         }
-        loop.adopt();
-        if (door == null || !door.isListening()) {
-            ClientListener reserved = door;
-            door = ClientListener.open(config.listen(), thread, server, nanos -> loop.recordAcceptDelay(nanos),
+        driver.adopt();
+        if (clientListener == null || !clientListener.isListening()) {
+            ClientListener reserved = clientListener;
+            clientListener = ClientListener.open(config.listen(), eventLoop, server, nanos -> driver.recordAcceptDelay(nanos),
                 machine.sockets());
             if (reserved != null) {
                 reserved.close();
             }
         }
-        server.serve(loop, figures);
+        server.serve(driver, metrics);
         journal.takenOver();
         serving = true;
         ready = true;
         LOG.info("serving on {}, {} messages taken up", address(), journal.size());
-        adoptOn();
+        continueAdopting();
     }
 
     /** What the process that leaves still passes on, until it has ended. */
-    private void adoptOn() {
+    private void continueAdopting() {
         if (journal.hasLegacies()) {
             try {
-                loop.adopt();
+                driver.adopt();
             } catch (IOException | RuntimeException e) {
                 // Guards what is still passed on: without another look nobody would take it over.
                 LOG.error("cannot take over all, tried again", e);
             }
-            thread.schedule(this::adoptOn, TURN_OVER, TimeUnit.MILLISECONDS);
+            eventLoop.schedule(this::continueAdopting, TAKEOVER_POLL_MS, TimeUnit.MILLISECONDS);
         } else {
-            clients.setMaxConnections(config.descriptors().clients());
+            connections.setMaxConnections(config.descriptors().clients());
         }
     }
 
@@ -212,13 +212,13 @@
             HangupSignal.setHandler(() -> started.thenAccept(node -> node.reload(env)));
             Runtime.getRuntime().addShutdownHook(new Thread(() -> started.handle((node, fault) -> {
                 if (node != null) {
-                    node.leave();
+                    node.shutDown();
                 }
                 return null;
             }).join(), "leave"));
             Node node = new Node(Config.read(env));
             started.complete(node);
-            node.left.await();
+            node.closed.await();
             return 0;
         } catch (Config.Unusable e) {
             System.err.println(e.getMessage());
@@ -240,50 +240,50 @@
     synchronized void reload(Map<String, String> env) {
         try {
             Config next = config.reread(env);
-            thread.submit(() -> {
-                if (loop != null) {
-                    loop.reconfigure(next);
+            eventLoop.submit(() -> {
+                if (driver != null) {
+                    driver.reconfigure(next);
                 }
                 config = next;
             }).get();
-            figures.countReload();
+            metrics.countReload();
             LOG.info("configuration read anew, discovery is at {}", next.discovery());
         } catch (Config.Unusable e) {
-            figures.countReloadError();
+            metrics.countReloadError();
             LOG.error("not reloaded: {}", e.getMessage());
         } catch (RejectedExecutionException e) {
-            figures.countReloadError();
+            metrics.countReloadError();
             LOG.warn("not reloaded: the relay has ended");
         } catch (ExecutionException e) {
-            figures.countReloadError();
+            metrics.countReloadError();
             LOG.error("not reloaded", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void begin() throws Wire.Malformed {
-        Bootstrap calls = new Bootstrap().group(thread)
+    private void createDriver() throws Wire.Malformed {
+        Bootstrap calls = new Bootstrap().group(eventLoop)
             .option(ChannelOption.ALLOCATOR, new UnpooledByteBufAllocator(false));
         HostList hosts = new HostList(config.zones(), config.kinds());
-        HostPool pool = new HostPool(thread, calls, config.settings().allowed().connectTimeout(),
-            config.settings().allowed().keepAlive(), config.descriptors().hosts(), figures);
-        loop = new ControlDriver(thread, clock, config, hosts, pool, journal, figures,
-            (whenListed, whenNoticed) -> new Discovery(thread, calls, config.discovery(), hosts, whenListed,
+        HostPool pool = new HostPool(eventLoop, calls, config.settings().allowed().connectTimeout(),
+            config.settings().allowed().keepAlive(), config.descriptors().hosts(), metrics);
+        driver = new ControlDriver(eventLoop, clock, config, hosts, pool, journal, metrics,
+            (whenListed, whenNoticed) -> new Discovery(eventLoop, calls, config.discovery(), hosts, whenListed,
                 whenNoticed));
-        loop.start(config.known());
+        driver.start(config.known());
     }
 
     /** Waits until it serves; for a test. */
     void awaitServing() throws InterruptedException, ExecutionException {
-        while (!thread.submit(() -> serving).get()) {
-            Thread.sleep(LOOK);
+        while (!eventLoop.submit(() -> serving).get()) {
+            Thread.sleep(SHUTDOWN_POLL_MS);
         }
     }
 
     /** The address that clients connect to. */
     InetSocketAddress address() {
-        return door.address();
+        return clientListener.address();
     }
 
     /** The address that operators connect to. */
@@ -292,8 +292,8 @@
     }
 
     /** True when nothing is owed any more. */
-    boolean idle() throws InterruptedException, ExecutionException {
-        return thread.submit(() -> loop == null || loop.isIdle()).get();
+    boolean isIdle() throws InterruptedException, ExecutionException {
+        return eventLoop.submit(() -> driver == null || driver.isIdle()).get();
     }
 
     /**
@@ -301,24 +301,24 @@
      * off. What is left stays in the journal, as it does when the process is killed; where another process
      * stands by, it takes over at once.
      */
-    void leave() {
-        long by = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LEAVE_BY);
+    void shutDown() {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SHUTDOWN_TIMEOUT_MS);
         ready = false;
         try {
-            thread.submit(() -> {
-                ending = true;
-                server.leave();
+            eventLoop.submit(() -> {
+                shuttingDown = true;
+                server.closeAfterResponses();
             }).get();
-            if (!thread.submit(() -> serving).get()) {
+            if (!eventLoop.submit(() -> serving).get()) {
                 LOG.info("told to end before it served");
             } else {
-                if (!laterWaits() || !passOn(by - HAND_OVER_MOST)) {
-                    Thread.sleep(SERVE_ON);
+                if (!isStandbyWaiting() || !handOver(deadlineNanos - HANDOVER_RESERVE_NANOS)) {
+                    Thread.sleep(SERVE_AFTER_SIGTERM_MS);
                 }
-                turnAway(by);
+                drainClients(deadlineNanos);
             }
-            while (System.nanoTime() < by && !idle()) {
-                Thread.sleep(LOOK);
+            while (System.nanoTime() < deadlineNanos && !isIdle()) {
+                Thread.sleep(SHUTDOWN_POLL_MS);
             }
         } catch (InterruptedException | ExecutionException e) {
             LOG.error("left at once", e);
@@ -327,8 +327,8 @@
     }
 
     /** Whether another process stands by; where the folder cannot be read, as if none did. */
-    private boolean laterWaits() throws InterruptedException, ExecutionException {
-        return thread.submit(() -> {
+    private boolean isStandbyWaiting() throws InterruptedException, ExecutionException {
+        return eventLoop.submit(() -> {
             try {
                 return journal.laterWaits();
             } catch (IOException e) {
@@ -343,23 +343,23 @@
      * down until then: the next process takes over once this one has ended, and clients are turned away as
      * if there were none.
      */
-    private boolean passOn(long until) throws InterruptedException, ExecutionException {
-        while (!thread.submit(this::writeHandOver).get()) {
-            if (System.nanoTime() >= until) {
+    private boolean handOver(long untilNanos) throws InterruptedException, ExecutionException {
+        while (!eventLoop.submit(this::tryWriteHandover).get()) {
+            if (System.nanoTime() >= untilNanos) {
                 return false;
             }
-            Thread.sleep(HAND_OVER_GAP);
+            Thread.sleep(HANDOVER_RETRY_MS);
         }
-        while (System.nanoTime() < until && !journal.laterServes() && laterWaits()) {
-            Thread.sleep(LOOK);
+        while (System.nanoTime() < untilNanos && !journal.laterServes() && isStandbyWaiting()) {
+            Thread.sleep(SHUTDOWN_POLL_MS);
         }
         return true;
     }
 
-    private boolean writeHandOver() {
+    private boolean tryWriteHandover() {
         try {
-            loop.handOver();
-            clients.setMaxConnections(config.descriptors().clients() / 2);
+            driver.handOver();
+            connections.setMaxConnections(config.descriptors().clients() / 2);
             return true;
         } catch (IOException e) {
             LOG.warn("the hand-over cannot be written down, tried again: {}", e.toString());
@@ -371,26 +371,26 @@
      * The door closes behind those who wait there. Clients that hold connections are served, and each answer
      * closes one, as does a silence: closing them now would cut off what is on its way.
      */
-    private void turnAway(long by) throws InterruptedException, ExecutionException {
-        thread.submit(door::drain).get();
-        while (System.nanoTime() < by && thread.submit(clients::size).get() > 0) {
-            Thread.sleep(LOOK);
+    private void drainClients(long deadlineNanos) throws InterruptedException, ExecutionException {
+        eventLoop.submit(clientListener::drain).get();
+        while (System.nanoTime() < deadlineNanos && eventLoop.submit(connections::size).get() > 0) {
+            Thread.sleep(SHUTDOWN_POLL_MS);
         }
     }
 
     /** The abrupt end: what is owed stays in the journal. */
     @Override
     public void close() {
-        thread.submit(() -> {
-            ending = true;
-            if (loop != null) {
-                loop.stop();
+        eventLoop.submit(() -> {
+            shuttingDown = true;
+            if (driver != null) {
+                driver.stop();
             }
-            if (door != null) {
-                door.close();
+            if (clientListener != null) {
+                clientListener.close();
             }
         }).awaitUninterruptibly();
-        group.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS).awaitUninterruptibly();
+        eventLoopGroup.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS).awaitUninterruptibly();
         try {
             if (journal != null) {
                 journal.close();
@@ -401,6 +401,6 @@
         if (console != null) {
             console.close();
         }
-        left.countDown();
+        closed.countDown();
     }
 }
--- a/src/main/java/wrenkeel/net/RequestDeadline.java
+++ b/src/main/java/wrenkeel/net/RequestDeadline.java
@@ -14,27 +14,27 @@
  * end off: a peer that trickles holds a descriptor as a silent one does.
  */
 final class RequestDeadline extends ChannelDuplexHandler {
-    private final ConnectionLimiter callers;
-    private final long millis;
+    private final ConnectionLimiter connections;
+    private final long timeoutMillis;
     private Future<?> timer;
 
-    RequestDeadline(ConnectionLimiter callers, long millis) {
-        this.callers = callers;
-        this.millis = millis;
+    RequestDeadline(ConnectionLimiter connections, long timeoutMillis) {
+        this.connections = connections;
+        this.timeoutMillis = timeoutMillis;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-        callers.connected(context.channel());
-        start(context);
+        connections.connected(context.channel());
+        startTimer(context);
         context.fireChannelActive();
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         if (message instanceof FullHttpRequest) {
-            stop();
-            callers.requestReceived(context.channel());
+            stopTimer();
+            connections.requestReceived(context.channel());
         }
         context.fireChannelRead(message);
     }
@@ -42,28 +42,28 @@
     @Override
     public void write(ChannelHandlerContext context, Object message, ChannelPromise promise) {
         if (message instanceof LastHttpContent) {
-            start(context);
+            startTimer(context);
         }
         context.write(message, promise);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        stop();
-        callers.disconnected(context.channel());
+        stopTimer();
+        connections.disconnected(context.channel());
         context.fireChannelInactive();
     }
 
-    private void start(ChannelHandlerContext context) {
-        stop();
-        callers.awaitingRequest(context.channel());
+    private void startTimer(ChannelHandlerContext context) {
+        stopTimer();
+        connections.awaitingRequest(context.channel());
         RequestDecoder decoder = context.pipeline().get(RequestDecoder.class);
         if (decoder != null && decoder.isWithinRequest()) {
             // Part of the next request came with the one before.
-            callers.bytesReceived(context.channel());
+            connections.bytesReceived(context.channel());
         }
         if (context.channel().isActive()) {
-            timer = context.executor().schedule(() -> expire(context), millis, TimeUnit.MILLISECONDS);
+            timer = context.executor().schedule(() -> expire(context), timeoutMillis, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -76,7 +76,7 @@
         }
     }
 
-    private void stop() {
+    private void stopTimer() {
         if (timer != null) {
             timer.cancel(false);
             timer = null;
--- a/src/main/java/wrenkeel/net/RequestSequencer.java
+++ b/src/main/java/wrenkeel/net/RequestSequencer.java
@@ -24,12 +24,12 @@
     /** A whole request was passed on and its response has not been written. */
     private boolean responseOwed;
     private boolean closing;
-    private boolean peerGone;
-    private final Runnable whenCutOff;
+    private boolean connectionFailed;
+    private final Runnable whenClosedUnanswered;
 
-    /** {@code whenCutOff}: run when this side closes the connection with a whole request on it unanswered. */
-    RequestSequencer(Runnable whenCutOff) {
-        this.whenCutOff = whenCutOff;
+    /** {@code whenClosedUnanswered}: run when this side closes the connection with a whole request on it unanswered. */
+    RequestSequencer(Runnable whenClosedUnanswered) {
+        this.whenClosedUnanswered = whenClosedUnanswered;
     }
 
     /** Whether further requests of this connection, or parts of one, have been read already. */
@@ -96,8 +96,8 @@
 
     @Override
     public void close(ChannelHandlerContext context, ChannelPromise promise) {
-        if (responseOwed && !peerGone && context.channel().isActive()) {
-            whenCutOff.run();
+        if (responseOwed && !connectionFailed && context.channel().isActive()) {
+            whenClosedUnanswered.run();
         }
         stopPassingOn();
         context.close(promise);
@@ -105,7 +105,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        peerGone |= cause instanceof IOException;
+        connectionFailed |= cause instanceof IOException;
         context.fireExceptionCaught(cause);
     }
 
--- a/src/main/java/wrenkeel/net/SocketReader.java
+++ b/src/main/java/wrenkeel/net/SocketReader.java
@@ -11,11 +11,11 @@
  * socket: a busy thread may have had no time for it. Comes first in the pipeline.
  */
 final class SocketReader extends ChannelInboundHandlerAdapter {
-    private final ConnectionLimiter callers;
-    private long received;
+    private final ConnectionLimiter connections;
+    private long bytesReceived;
 
-    SocketReader(ConnectionLimiter callers) {
-        this.callers = callers;
+    SocketReader(ConnectionLimiter connections) {
+        this.connections = connections;
     }
 
     /** Reads what has come on a connection, and passes it on as usual; false if nothing has. */
@@ -25,16 +25,16 @@
             || !(channel.unsafe() instanceof AbstractNioChannel.NioUnsafe socket)) {
             return false;
         }
-        long before = reader.received;
+        long before = reader.bytesReceived;
         socket.read();
-        return reader.received > before;
+        return reader.bytesReceived > before;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         if (message instanceof ByteBuf bytes) {
-            received += bytes.readableBytes();
-            callers.bytesReceived(context.channel());
+            bytesReceived += bytes.readableBytes();
+            connections.bytesReceived(context.channel());
         }
         context.fireChannelRead(message);
     }
--- a/src/main/java/wrenkeel/net/ThrottledLog.java
+++ b/src/main/java/wrenkeel/net/ThrottledLog.java
@@ -9,42 +9,42 @@
  * counted and told in one line, with the last of them. Belongs to one executor.
  */
 final class ThrottledLog {
-    private static final long SPAN_MILLIS = 1_000;
+    private static final long INTERVAL_MS = 1_000;
 
     private final Logger log;
-    private boolean counting;
-    private long counted;
-    private String last;
+    private boolean throttling;
+    private long suppressed;
+    private String lastSuppressed;
 
     ThrottledLog(Logger log) {
         this.log = log;
     }
 
     void warn(EventExecutor executor, String event) {
-        if (counting) {
-            counted++;
-            last = event;
+        if (throttling) {
+            suppressed++;
+            lastSuppressed = event;
         } else {
             log.warn("{}", event);
-            count(executor);
+            startInterval(executor);
         }
     }
 
-    private void count(EventExecutor executor) {
-        counting = true;
-        executor.schedule(() -> tell(executor), SPAN_MILLIS, TimeUnit.MILLISECONDS);
+    private void startInterval(EventExecutor executor) {
+        throttling = true;
+        executor.schedule(() -> endInterval(executor), INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void tell(EventExecutor executor) {
-        counting = false;
-        if (counted == 1) {
-            log.warn("{}", last);
-        } else if (counted > 1) {
-            log.warn("{}, and {} more within a second", last, counted - 1);
+    private void endInterval(EventExecutor executor) {
+        throttling = false;
+        if (suppressed == 1) {
+            log.warn("{}", lastSuppressed);
+        } else if (suppressed > 1) {
+            log.warn("{}, and {} more within a second", lastSuppressed, suppressed - 1);
         }
-        if (counted > 0) {
-            counted = 0;
-            count(executor);
+        if (suppressed > 0) {
+            suppressed = 0;
+            startInterval(executor);
         }
     }
 }
--- a/src/test/java/wrenkeel/net/ConsoleTest.java
+++ b/src/test/java/wrenkeel/net/ConsoleTest.java
@@ -79,7 +79,7 @@
             assertTrue(call(relay.consoleAddress(), "GET /api/ready HTTP/1.1").startsWith("HTTP/1.1 200 "));
             assertEquals("HTTP/1.1 202 Accepted", client.post("a", "bill", 7, 16_000).get(0));
             Host.Call out = host.call();
-            Thread end = new Thread(relay::leave);
+            Thread end = new Thread(relay::shutDown);
             end.start();
             while (!call(relay.consoleAddress(), "GET /api/ready HTTP/1.1").startsWith("HTTP/1.1 503 ")) {
                 Thread.sleep(5);
--- a/src/test/java/wrenkeel/net/FleetSizeTest.java
+++ b/src/test/java/wrenkeel/net/FleetSizeTest.java
@@ -61,7 +61,7 @@
                     assertEquals(id, call.header("X-Request-ID"));
                     call.answer(Host.OK);
                 }
-                while (!relay.idle() || ConsoleTest.figures(relay).whole("members") < MANY) {
+                while (!relay.isIdle() || ConsoleTest.figures(relay).whole("members") < MANY) {
                     Thread.sleep(5);
                 }
                 assertEquals(MANY, ConsoleTest.figures(relay).whole("members"));
--- a/src/test/java/wrenkeel/net/FullFolderTest.java
+++ b/src/test/java/wrenkeel/net/FullFolderTest.java
@@ -101,7 +101,7 @@
     void aStartThatWaitsCanBeEnded() throws Exception {
         Node relay = relay(new FailingFiles(FULL));
         InetSocketAddress address = relay.address();
-        relay.leave();
+        relay.shutDown();
         assertThrows(IOException.class, () -> new Platform.Client(address).close());
     }
 
@@ -119,7 +119,7 @@
                     + "\r\nContent-Length: 4\r\n\r\n";
                 half.write(head + "ha");
                 files.failure = FULL;
-                Thread end = new Thread(old::leave);
+                Thread end = new Thread(old::shutDown);
                 end.start();
                 while (!REFUSED.equals(health(old))) {
                     Thread.onSpinWait();
--- a/src/test/java/wrenkeel/net/NodeTest.java
+++ b/src/test/java/wrenkeel/net/NodeTest.java
@@ -43,7 +43,7 @@
     }
 
     private void awaitClosedJournal(Node relay) throws Exception {
-        while (!relay.idle()) {
+        while (!relay.isIdle()) {
             Thread.sleep(5);
         }
     }
@@ -242,7 +242,7 @@
             }
         }
         try (Node relay = relay()) {
-            assertFalse(relay.idle());
+            assertFalse(relay.isIdle());
             assertEquals("a", host.call().header("X-Request-ID"));
         }
     }
@@ -401,7 +401,7 @@
         Node relay = relay();
         try (var client = new Platform.Client(relay)) {
             assertEquals(TAKEN, client.post("a", "bill", 7, 16_000).get(0));
-            Thread end = new Thread(relay::leave);
+            Thread end = new Thread(relay::shutDown);
             end.start();
             List<String> health;
             do {
@@ -431,7 +431,7 @@
             half.write("POST /bill HTTP/1.1\r\nHost: api.internal\r\n");
             // Answered by the same thread after it has read the half request.
             assertEquals("HTTP/1.1 200 OK", client.raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]).get(0));
-            Thread end = new Thread(relay::leave);
+            Thread end = new Thread(relay::shutDown);
             end.start();
             while (!refused(address)) {
                 Thread.onSpinWait();
@@ -498,7 +498,7 @@
             try (Node next = new Node(config)) {
                 awaitReady(next);
                 assertTrue(host.quiet(), "one process decides");
-                Thread end = new Thread(old::leave);
+                Thread end = new Thread(old::shutDown);
                 end.start();
                 try (var late = new Platform.Client(new java.net.InetSocketAddress(Platform.LOOPBACK, port))) {
                     assertEquals(TAKEN, late.post("c", "bill", 7, 60_000).get(0));
@@ -548,7 +548,7 @@
             awaitReady(next);
             try (Node third = new Node(config)) {
                 awaitReady(third);
-                next.leave();
+                next.shutDown();
                 // It had nothing to pass on, and must not have told anybody to take over.
                 assertFalse(Files.exists(folder.resolve("state").resolve("leaving.2")));
                 assertEquals(TAKEN, client.post("a", "bill", 7, 60_000).get(0));
@@ -568,7 +568,7 @@
             host.call().answer("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 3.5\r\nContent-Length: 0\r\n\r\n");
             long told = System.nanoTime();
             awaitReady(next);
-            old.leave();
+            old.shutDown();
             assertEquals("a", host.call().header("X-Request-ID"));
             assertTrue(System.nanoTime() - told >= TimeUnit.MILLISECONDS.toNanos(3_400));
         }
--- a/src/test/java/wrenkeel/net/ServerConnectionTest.java
+++ b/src/test/java/wrenkeel/net/ServerConnectionTest.java
@@ -126,7 +126,7 @@
     /** Guards against a lost message: at the orderly end what has been read is answered, the last with the close. */
     @Test
     void atTheOrderlyEndAllThatHasBeenReadIsAnswered() throws Exception {
-        onThread(server::leave);
+        onThread(server::closeAfterResponses);
         try (var pair = connected(post("a") + HEALTH + post("b"))) {
             assertEquals(List.of("202", "503", "202"), pair.statuses(3));
             assertTrue(pair.ends());
@@ -136,7 +136,7 @@
     /** Guards against a lost message: at the orderly end a request that is half read is awaited and answered. */
     @Test
     void atTheOrderlyEndARequestThatIsHalfReadIsAnswered() throws Exception {
-        onThread(server::leave);
+        onThread(server::closeAfterResponses);
         String second = post("b");
         String half = second.substring(0, second.length() / 2);
         try (var pair = connected(post("a") + half)) {
