--- a/src/main/java/wrenkeel/net/AcceptRetry.java
+++ b/src/main/java/wrenkeel/net/AcceptRetry.java
@@ -8,13 +8,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Goes on accepting soon after a failed accept (no descriptor, no buffer for a moment). Netty's own acceptor
- * stops for a second after any failure, in which whoever has connected waits unseen. Belongs to the pipeline
- * of one listening channel.
+ * Retries soon after a failed accept, such as for a momentary lack of file descriptors or buffers. Netty's
+ * own acceptor pauses for a second after any failure, and clients that have connected wait that long. Belongs
+ * to the pipeline of one listening channel.
  */
 final class AcceptRetry extends ChannelInboundHandlerAdapter {
     private static final Logger LOG = LoggerFactory.getLogger(AcceptRetry.class);
-    /** Gap before the next try: long enough not to spin while descriptors are short. */
+    /** Delay before the next try: long enough not to spin while descriptors are short. */
     static final long RETRY_GAP_MS = 10;
 
     private final LongConsumer whenResumed;
@@ -23,8 +23,8 @@
     private long failingSince;
 
     /**
-     * {@code whenResumed}: told at the first connection after failures how long, in nanoseconds, it may have
-     * waited for them.
+     * {@code whenResumed} receives, at the first connection after failures, how long that connection may have
+     * waited because of them, in nanoseconds.
      */
     AcceptRetry(LongConsumer whenResumed) {
         this.whenResumed = whenResumed;
@@ -32,7 +32,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        failures.warn(context.executor(), "a connection could not be accepted, tried again in "
+        failures.warn(context.executor(), "connection not accepted, retrying in "
             + RETRY_GAP_MS + " ms: " + cause);
         if (!failing) {
             failing = true;
--- a/src/main/java/wrenkeel/net/ClientListener.java
+++ b/src/main/java/wrenkeel/net/ClientListener.java
@@ -19,19 +19,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The clients' address. Two processes may listen there at once, so that while one takes over from another
- * there is no moment at which a client finds nobody. Its listening channel runs on one event loop.
+ * Listens at the clients' address. Two processes may listen there at once (SO_REUSEPORT), so that clients can
+ * always connect while one process takes over from another. The listening channel runs on one event loop.
  */
 final class ClientListener implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ClientListener.class);
-    /** Connections that may wait to be accepted. */
+    /** Length of the queue of connections that wait to be accepted. */
     private static final int BACKLOG = 512;
-    /** ms from leaving the selector until it has let go: a channel that it holds is closed late. */
+    /**
+     * Time for which the selector may still hold a deregistered channel. A channel that it holds is not
+     * closed at once.
+     */
     private static final long DEREGISTER_DELAY_MS = 20;
-    /** Tries to accept those who wait as the door closes, a failed one after the other: half a second. */
+    /** Failed tries, half a second in all, after which {@link #drain} gives up on queued connections. */
     private static final int MAX_DRAIN_TRIES = 50;
 
-    /** Takes the next connection from the queue of the listening socket; null if none waits there. */
+    /** Accepts the next connection from the queue of the listening socket; returns null if there is none. */
     interface Acceptor {
         SocketChannel accept(ServerSocketChannel from) throws IOException;
     }
@@ -49,7 +52,7 @@
         this.acceptor = acceptor;
     }
 
-    /** Makes sure of the address without listening there: no client is led to this process yet. */
+    /** Binds the address without listening there: no client connects to this process yet. */
     static ClientListener reserve(InetSocketAddress address) throws IOException {
         SocketChannel socket = SocketChannel.open();
         try {
@@ -61,15 +64,20 @@
         return new ClientListener(socket, null, null, null);
     }
 
-    /** Listens; each connection gets this handler. To be called on the event loop. */
+    /** Listens; each connection gets the handler {@code clients}. To be called on the event loop. */
     static ClientListener open(InetSocketAddress address, EventLoop eventLoop, ChannelHandler clients,
                      LongConsumer whenResumed, ListeningSockets sockets) throws IOException {
         return open(address, eventLoop, clients, whenResumed, sockets, ServerSocketChannel::accept);
     }
 
     /**
-     * {@code whenResumed}: told, after accepting has failed for a while, how long (ns) newcomers may have
-     * waited for it; {@code acceptor}: what {@link #drain} accepts with.
+     * Listens at the address; to be called on the event loop.
+     *
+     * @param clients handler of each connection
+     * @param whenResumed receives, once accepting works again after failures, how long new connections may
+     * have waited, in nanoseconds
+     * @param sockets opens the listening socket
+     * @param acceptor accepts connections for {@link #drain}
      */
     static ClientListener open(InetSocketAddress address, EventLoop eventLoop, ChannelHandler clients,
                      LongConsumer whenResumed, ListeningSockets sockets, Acceptor acceptor)
@@ -91,59 +99,62 @@
     }
 
     /**
-     * The runtime finds out once whether an address can be shared, with a socket of its own: where there was
-     * none just then it says no for ever, and the relay serves without.
+     * Lets another process bind the socket's address too, if the platform supports that. The Java runtime
+     * determines the support once, with a socket of its own: if it cannot open one at that moment, it reports
+     * no support from then on, and the relay serves without sharing.
      */
     static NetworkChannel allowSharing(NetworkChannel socket) throws IOException {
         socket.setOption(StandardSocketOptions.SO_REUSEADDR, true);
         if (socket.supportedOptions().contains(StandardSocketOptions.SO_REUSEPORT)) {
             socket.setOption(StandardSocketOptions.SO_REUSEPORT, true);
         } else {
-            LOG.warn("the address cannot be shared: no process can take over before this one has ended");
+            LOG.warn("SO_REUSEPORT is not supported: no process can take over before this one has ended");
         }
         return socket;
     }
 
+    /** Returns the bound address; fails once the socket is closed. */
     InetSocketAddress address() {
         try {
             return (InetSocketAddress) socket.getLocalAddress();
         } catch (IOException e) {
-            throw new IllegalStateException("a door that is closed has no address", e);
+            throw new IllegalStateException("a closed listener has no address", e);
         }
     }
 
-    /** False where the address is only reserved. */
+    /** True if this process listens; false if it has only reserved the address. */
     boolean isListening() {
         return listener != null;
     }
 
-    /** The channel that connections are accepted on; null where the address is only reserved. */
+    /** Returns the listening channel; null if the address is only reserved. */
     NioServerSocketChannel listener() {
         return listener;
     }
 
-    /** Lets in all who wait at the door, then closes it with nothing in between. */
+    /** Accepts all queued connections, then closes at once, so that none is queued in between. */
     void drain() {
         listener.deregister().addListener(done ->
-            eventLoop.schedule(() -> acceptPending(MAX_DRAIN_TRIES), DEREGISTER_DELAY_MS, TimeUnit.MILLISECONDS));
+            eventLoop.schedule(() -> acceptPending(MAX_DRAIN_TRIES), DEREGISTER_DELAY_MS,
+                TimeUnit.MILLISECONDS));
     }
 
     private void acceptPending(int triesLeft) {
-        ServerSocketChannel last = (ServerSocketChannel) socket;
+        ServerSocketChannel listening = (ServerSocketChannel) socket;
         try {
-            SocketChannel client = acceptor.accept(last);
+            SocketChannel client = acceptor.accept(listening);
             while (client != null) {
                 listener.pipeline().fireChannelRead(new NioSocketChannel(listener, client));
-                client = acceptor.accept(last);
+                client = acceptor.accept(listening);
             }
         } catch (IOException e) {
-            LOG.warn("a connection could not be accepted as the door closes: {}", e.toString());
+            LOG.warn("queued connection not accepted while closing the listener: {}", e.toString());
             if (triesLeft > 1) {
                 eventLoop.schedule(() -> acceptPending(triesLeft - 1), AcceptRetry.RETRY_GAP_MS,
                     TimeUnit.MILLISECONDS);
                 return;
             }
-            LOG.error("the door closes on those who still wait there");
+            LOG.error("listener closed with connections still queued");
         }
         closeSocket();
         close();
@@ -153,7 +164,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            LOG.error("the door is not closed in order", e);
+            LOG.error("listening socket not closed", e);
         }
     }
 
@@ -166,7 +177,7 @@
                 listener.close();
             }
         } catch (IOException e) {
-            LOG.warn("the clients' address is not given back", e);
+            LOG.warn("listener not closed, its address may stay in use", e);
         }
     }
 }
--- a/src/main/java/wrenkeel/net/ConnectionLimiter.java
+++ b/src/main/java/wrenkeel/net/ConnectionLimiter.java
@@ -8,28 +8,30 @@
 import java.util.function.Predicate;
 
 /**
- * The connections to one server, at most so many of them, and which gives way when all places are taken: one
- * that only lingers, else one that has brought nothing since it connected or was last answered, else one
- * whose first request is incomplete. None of the latter two is closed before its socket has been read dry,
- * and no connection that has brought a whole request is closed within the next. One thread.
+ * Limits the connections to one server. At the limit, a new connection evicts another one: first one that
+ * only lingers after its last response, then one that has sent nothing since it connected or was last
+ * answered, then one whose first request is incomplete. A connection of the latter two kinds is evicted only
+ * if its socket holds no unread bytes, and one that has sent a whole request is never evicted while it sends
+ * the next. One thread.
  */
 final class ConnectionLimiter {
     private int maxConnections;
+    /** All open connections. */
     private final Set<Channel> all = new HashSet<>();
-    /** Those that have brought a whole request. */
+    /** Connections that have sent at least one whole request. */
     private final Set<Channel> completedRequest = new HashSet<>();
-    /** Those that have brought nothing since they connected or were last answered, the longest so first. */
+    /** Connections that have sent nothing since they connected or were last answered, longest first. */
     private final Set<Channel> withoutBytes = new LinkedHashSet<>();
-    /** Those that have brought part of a request, the one that brought nothing for the longest first. */
+    /** Connections that have sent part of a request, the one without new bytes for the longest first. */
     private final Set<Channel> withPartialRequest = new LinkedHashSet<>();
-    /** Those that have had their last response and wait for the peer to close, the longest so first. */
+    /** Connections whose last response is sent and whose peer has yet to close them, longest first. */
     private final Set<Channel> lingering = new LinkedHashSet<>();
 
     ConnectionLimiter(int maxConnections) {
         this.maxConnections = maxConnections;
     }
 
-    /** From now on so many; of those beyond that, the ones that may be closed leave. */
+    /** Changes the limit and closes connections above it, as far as they may be evicted. */
     void setMaxConnections(int max) {
         maxConnections = max;
         Channel evicted = all.size() > maxConnections ? nextToClose() : null;
@@ -40,8 +42,9 @@
     }
 
     /**
-     * One more has connected. When all places are taken, another gives way, for a crowd that only holds
-     * connections must not keep out who has something to say; if none may be closed, the newcomer leaves.
+     * Adds a new connection. At the limit it evicts another one, since many clients that only hold
+     * connections must not keep out one that has a request; if no other may be evicted, the new connection is
+     * closed.
      */
     void connected(Channel channel) {
         if (all.size() >= maxConnections) {
@@ -53,31 +56,39 @@
         }
     }
 
-    /** The connection to close for a newcomer; null if none may be closed. */
+    /** Returns the connection to evict next; null if none may be evicted. */
     private Channel nextToClose() {
         if (!lingering.isEmpty()) {
             return lingering.iterator().next();
         }
         Channel evicted = firstWithoutUnreadBytes(withoutBytes, channel -> true);
-        return evicted != null ? evicted : firstWithoutUnreadBytes(withPartialRequest, channel -> !completedRequest.contains(channel));
+        return evicted != null ? evicted
+            : firstWithoutUnreadBytes(withPartialRequest, channel -> !completedRequest.contains(channel));
     }
 
-    /** The first of these whose socket holds no unread bytes; what the others' hold is read. */
-    private static Channel firstWithoutUnreadBytes(Set<Channel> candidates, Predicate<Channel> mayLeave) {
+    /**
+     * Returns the first evictable candidate whose socket holds no unread bytes, and reads the unread bytes of
+     * those before it.
+     */
+    private static Channel firstWithoutUnreadBytes(Set<Channel> candidates, Predicate<Channel> evictable) {
         for (Channel channel : List.copyOf(candidates)) {
-            if (candidates.contains(channel) && mayLeave.test(channel) && !SocketReader.readNow(channel)) {
+            if (candidates.contains(channel) && evictable.test(channel) && !SocketReader.readNow(channel)) {
                 return channel;
             }
         }
         return null;
     }
 
-    /** Its end is only told later, and the next newcomer must not count on its place again. */
+    /**
+     * Closes a connection and removes it at once: the notification of its end comes later, and until then the
+     * next new connection could evict it once more, which frees no place.
+     */
     private void evict(Channel channel) {
         disconnected(channel);
         LingeringClose.closeNow(channel);
     }
 
+    /** A connection has ended. */
     void disconnected(Channel channel) {
         all.remove(channel);
         completedRequest.remove(channel);
@@ -90,6 +101,7 @@
         lingering.remove(channel);
     }
 
+    /** Moves a connection to the end of one of the sets by state, and out of the others. */
     private void setState(Channel channel, Set<Channel> channelsInState) {
         removeState(channel);
         if (all.contains(channel)) {
@@ -97,19 +109,19 @@
         }
     }
 
-    /** It has connected or been answered, and owes the next request. */
+    /** A connection was opened or answered, and its next request is awaited. */
     void awaitingRequest(Channel channel) {
         setState(channel, withoutBytes);
     }
 
-    /** It has sent bytes. */
+    /** A connection has sent bytes. */
     void bytesReceived(Channel channel) {
         if (withoutBytes.contains(channel) || withPartialRequest.contains(channel)) {
             setState(channel, withPartialRequest);
         }
     }
 
-    /** Its request is whole and must have its answer. */
+    /** A connection has sent a whole request: it must not be evicted before the response. */
     void requestReceived(Channel channel) {
         removeState(channel);
         if (all.contains(channel)) {
@@ -117,11 +129,12 @@
         }
     }
 
-    /** It has had its last response and is only kept until its peer has read that. */
+    /** A connection's last response is sent; it stays open only until its peer has read that. */
     void startedLingering(Channel channel) {
         setState(channel, lingering);
     }
 
+    /** Returns the number of open connections. */
     int size() {
         return all.size();
     }
--- a/src/main/java/wrenkeel/net/Console.java
+++ b/src/main/java/wrenkeel/net/Console.java
@@ -36,21 +36,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The operators' door: says whether this process serves, and its figures. It has a thread and connections of
- * its own, so that neither a busy relay nor a crowd of clients keeps an operator waiting.
+ * The HTTP server for operators: reports readiness and metrics. It has its own thread and its own connection
+ * limit, so that neither a busy relay nor many clients delay an operator. Each connection carries one
+ * request.
  */
 final class Console implements AutoCloseable {
-    /** Connections at once: operators' tools make one call at a time, and some callers only hold theirs. */
+    /**
+     * Connections at once: operators' tools make one request at a time, and some peers only hold connections.
+     */
     static final int MAX_CONNECTIONS = 16;
     private static final Logger LOG = LoggerFactory.getLogger(Console.class);
-    /** ms in which a call must have come; bytes that one may have. */
+    /** Time within which a whole request must have arrived. */
     private static final long REQUEST_TIMEOUT_MS = 2_000;
     private static final int MAX_REQUEST_BYTES = 4_096;
 
     private final MultiThreadIoEventLoopGroup group =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    /** Tries to listen, and ms between them: five seconds. */
+    /** Tries to listen before the start fails: five seconds in all. */
     private static final int MAX_LISTEN_TRIES = 50;
+    /** Delay between two tries to listen. */
     private static final long LISTEN_RETRY_MS = 100;
 
     private final Channel listener;
@@ -59,7 +63,9 @@
         this(address, ready, metrics, NioServerSocketChannel::new);
     }
 
-    /** {@code sockets}: makes the listening channel; fails while the machine is short of descriptors. */
+    /**
+     * {@code sockets} creates the listening channel; it may fail while the machine is short of descriptors.
+     */
     Console(InetSocketAddress address, BooleanSupplier ready, Metrics metrics,
             ChannelFactory<ServerChannel> sockets) throws InterruptedException {
         ConnectionLimiter connections = new ConnectionLimiter(MAX_CONNECTIONS);
@@ -72,13 +78,17 @@
                 protected void initChannel(Channel channel) {
                     channel.pipeline().addLast(new SocketReader(connections), new HttpServerCodec(),
                         new HttpObjectAggregator(MAX_REQUEST_BYTES, true),
-                        new RequestDeadline(connections, REQUEST_TIMEOUT_MS), new RequestHandler(ready, metrics));
+                        new RequestDeadline(connections, REQUEST_TIMEOUT_MS),
+                        new RequestHandler(ready, metrics));
                 }
             });
         listener = listen(bootstrap, address);
     }
 
-    /** An address in use is final; any other failure, such as no descriptor, may be over in a moment. */
+    /**
+     * Listens, retrying after failures that may pass, such as a lack of descriptors; an address in use is
+     * final.
+     */
     private static Channel listen(ServerBootstrap bootstrap, InetSocketAddress address)
         throws InterruptedException {
         for (int tries = MAX_LISTEN_TRIES;; tries--) {
@@ -86,11 +96,12 @@
             if (bound.isSuccess() || tries == 1 || bound.cause() instanceof BindException) {
                 return bound.sync().channel();
             }
-            LOG.warn("operators are not listened to yet, tried again: {}", bound.cause().toString());
+            LOG.warn("cannot listen for operators yet, retrying: {}", bound.cause().toString());
             TimeUnit.MILLISECONDS.sleep(LISTEN_RETRY_MS);
         }
     }
 
+    /** Returns the address that operators connect to. */
     InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
@@ -112,7 +123,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             if (!context.channel().isActive()) {
-                // What stood behind the one call that a connection carries.
+                // A further request behind the only one that a connection carries.
                 return;
             }
             String path = request.uri().split("\\?", 2)[0];
@@ -148,7 +159,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (!(cause instanceof IOException)) {
-                LOG.error("connection of an operator closed", cause);
+                LOG.error("operator connection closed after an error", cause);
             }
             context.close();
         }
--- a/src/main/java/wrenkeel/net/ControlDriver.java
+++ b/src/main/java/wrenkeel/net/ControlDriver.java
@@ -19,53 +19,71 @@
 import wrenkeel.Relay;
 
 /**
- * Drives the module: what happens on the sockets becomes events, what the module asks for is carried out in
- * order. It decides nothing. All of it runs on one event loop.
+ * Drives the decision module ({@link Control}). Whatever happens on the sockets, in the host list or in the
+ * journal is queued as an event. One turn passes the queued events to the module and performs the actions
+ * that it returns, in order. This class makes no decisions of its own. All methods run on one event loop.
  */
 final class ControlDriver {
     private static final Logger LOG = LoggerFactory.getLogger(ControlDriver.class);
-    /** us; told to a client that is turned away before the module has seen its message. */
+    /** Retry-After for a client whose message is refused before the module has seen it. */
     private static final long RETRY_AFTER_MICROS = 1_000_000;
+    /** Delay before the module's timer is raised again after a failed turn. */
     private static final long FAILED_TURN_RETRY_MICROS = 100_000;
-    /** Part of the folder's room that knowledge for the next process may take; the rest is the journal's. */
+    /** The handover snapshot may take 1/8 of the state folder's space; the rest belongs to the journal. */
     private static final int SNAPSHOT_DISK_DIVISOR = 8;
-    /** ms between looks at what stands rather than is counted, and at what the module may release. */
-    private static final long GAUGE_INTERVAL_MS = 100, RELEASE_INTERVAL_MS = 1_000;
-    /** ms past a message's deadline, which lies 300 ms before its client's, by which its end is due. */
+    /** Interval between updates of the gauges and measurements of the event loop's lag. */
+    private static final long GAUGE_INTERVAL_MS = 100;
+    /** Interval between requests to the module to release unused destinations. */
+    private static final long RELEASE_INTERVAL_MS = 1_000;
+    /**
+     * The platform must have acknowledged a message's end by this time after the message's deadline. That
+     * deadline lies 300 ms before the client's own.
+     */
     private static final long MAX_END_DELAY_MS = 650;
-    /** ms from the start; no end is overdue until 1.5 s after a start is ready. */
+    /**
+     * No end counts as overdue within this time of the process's start: an end is not due until 1.5 s after a
+     * starting process is ready.
+     */
     private static final long START_GRACE_MS = 3_000;
-    /** What becomes of each message, by its id; for staff who follow one through the log. */
+    /** Logs each step of each message with the message's id, so that operators can follow one message. */
     private static final Logger TRACE = LoggerFactory.getLogger("wrenkeel.trace");
 
     /**
-     * How a message handed in was met. A client that could not be told must be reported to {@link #withdraw}.
+     * Receives the immediate response to a client's message; exactly one method is called, once. If the
+     * client cannot be sent the response {@link #accepted}, the caller must report that to {@link #withdraw}.
      */
     interface AcceptanceCallback {
+        /** The message is in the journal and will be delivered or reported to the platform. */
         void accepted();
 
+        /** The message was not accepted; {@code retryAfter} is in microseconds, 0 for no advice. */
         void refused(long retryAfter);
 
+        /** The module failed the message in its first turn. */
         void failed();
     }
 
-    /** A message that the module holds, or that has calls out. */
+    /** A message that the module still holds, or that still has attempts in flight. */
     private static final class TrackedMessage {
         final Message message;
         final Relay.MessageClass messageClass;
+        /** By number of attempt; null for an attempt by an earlier process, or one that was not sent. */
         final List<HostPool.Part> callParts = new ArrayList<>();
+        /** Null until the message is in the journal. */
         Journal.Entry journalEntry;
+        /** The end is decided; attempts may still be in flight. */
         boolean ended;
-        /** Taken up without an attempt, and none made since. */
+        /** Recovered without any attempt, and not attempted since. */
         boolean untried;
+        /** Attempts whose outcome is outstanding. */
         int callsOut;
-        /** Clients that have been told that it is taken on, less those that are known not to have heard. */
+        /** Responses "accepted" sent to clients, less those that are known not to have arrived. */
         int acceptedAnswers;
 
-        TrackedMessage(Message message, Relay.MessageClass rules, Journal.Entry entry) {
+        TrackedMessage(Message message, Relay.MessageClass messageClass, Journal.Entry journalEntry) {
             this.message = message;
-            this.messageClass = rules;
-            this.journalEntry = entry;
+            this.messageClass = messageClass;
+            this.journalEntry = journalEntry;
         }
     }
 
@@ -78,38 +96,49 @@
     private final Discovery discovery;
     private final Metrics metrics;
     private final ProcessClock clock;
-    /** All classes that the module was told of, by the number that it knows them by. */
+    /**
+     * All message classes that the module knows, old settings' included; the module numbers them by index.
+     */
     private final List<Relay.MessageClass> knownClasses = new ArrayList<>();
-    /** Those in force. */
+    /** The message classes of the current settings, by name. */
     private Map<String, Relay.MessageClass> classesInForce = Map.of();
+    /** By message id. */
     private final Map<String, TrackedMessage> messages = new HashMap<>();
+    /** Events that the next turn passes to the module. */
     private List<Relay.Event> pendingEvents = new ArrayList<>();
+    /** Clients whose messages the next turn answers, by message id. */
     private final Map<String, AcceptanceCallback> unansweredClients = new LinkedHashMap<>();
-    /** What this turn sends and is not yet on its way, by host. */
+    /** Calls that the current turn is still filling, by host. */
     private final Map<HostList.Host, Bundle> batches = new LinkedHashMap<>();
     private final TakenUp recoverySummary = new TakenUp();
     private final EventLoopLag eventLoopLag = new EventLoopLag(GAUGE_INTERVAL_MS, System::nanoTime);
+    /** Zero of the module's clock, by {@link System#nanoTime}. */
     private final long startNanos = System.nanoTime();
-    /** Unix time, ms. */
+    /** When this driver was created, Unix time in ms. */
     private final long startMillis;
     private final long maxSnapshotBytes;
     private final JournalHealth journalHealth;
     private final SendGuard sendGuard = new SendGuard();
-    /** When the turn that is carried out was decided, by the journal's clock and the module's. */
-    private long turnMillis, turnMicros;
+    /** When the current turn was decided, by the journal's clock. */
+    private long turnMillis;
+    /** When the current turn was decided, by the module's clock. */
+    private long turnMicros;
     private boolean turnScheduled;
     private boolean stopped;
+    /** This process is handing its messages over to the next one. */
     private boolean handingOver;
+    /** Messages that other processes of this relay still have in flight, by destination. */
     private Map<Long, Integer> callsOutElsewhere = Map.of();
     private final EndpointHealthLog healthLog = new EndpointHealthLog();
-    /** Told by earlier processes, of hosts that the list has not named yet. */
+    /** Health recorded by earlier processes, by host, of hosts that are not in the list yet. */
     private final Map<String, Journal.EndpointHealth> unlistedHealth = new HashMap<>();
+    /** Number of messages whose end is not decided. */
     private int openMessages;
-    /** Destinations that the module has been told of and has not released. */
+    /** Number of destinations that the module knows: introduced to it, and not released. */
     private int introducedDestinations;
 
-    ControlDriver(EventLoop eventLoop, ProcessClock clock, Config config, HostList hosts, HostPool pool, Journal journal,
-         Metrics metrics, DiscoveryFactory agent) {
+    ControlDriver(EventLoop eventLoop, ProcessClock clock, Config config, HostList hosts, HostPool pool,
+                  Journal journal, Metrics metrics, DiscoveryFactory discoveryFactory) {
         this.eventLoop = eventLoop;
         this.clock = clock;
         this.startMillis = clock.millis();
@@ -121,19 +150,20 @@
         this.journal = journal;
         this.journalHealth = new JournalHealth(eventLoop, journal, ok -> enqueue(new Relay.Storage(ok)));
         this.metrics = metrics;
-        this.discovery = agent.create(this::listUpdated, this::endAcknowledged);
+        this.discovery = discoveryFactory.create(this::listUpdated, this::endAcknowledged);
         knownClasses.addAll(settings.classes());
         updateClassesInForce();
     }
 
     private void updateClassesInForce() {
-        classesInForce = settings.classes().stream().collect(Collectors.toMap(Relay.MessageClass::name, c -> c));
+        classesInForce = settings.classes().stream()
+            .collect(Collectors.toMap(Relay.MessageClass::name, c -> c));
         metrics.addClasses(classesInForce.keySet());
     }
 
-    /** Other settings, and perhaps another address of discovery, bind from the next request on. */
+    /** Applies new settings, and perhaps a new discovery address, from the next request on. */
     void reconfigure(Config next) {
-        // What has been read was handed in under the settings as they were.
+        // The requests read so far came in under the previous settings: they are processed first.
         runTurn();
         settings = next.settings();
         settings.classes().stream().filter(c -> !knownClasses.contains(c)).forEach(knownClasses::add);
@@ -144,7 +174,10 @@
             next.descriptors().hosts());
     }
 
-    /** The module's number for a class, which it is told of first if a message of before brings it. */
+    /**
+     * Returns the module's number for a message class. A recovered message may have a class that the module
+     * does not know: the class is added to the module's settings first.
+     */
     private int classIndex(Relay.MessageClass rules) {
         if (!knownClasses.contains(rules)) {
             knownClasses.add(rules);
@@ -153,33 +186,39 @@
         return knownClasses.indexOf(rules);
     }
 
-    /** Makes the link to discovery, given what it is to call. */
+    /** Creates the connection to discovery, given the callbacks for list updates and acknowledged ends. */
     interface DiscoveryFactory {
         Discovery create(Discovery.Listener whenListed, Consumer<Journal.Entry> whenNoticed);
     }
 
-    /** Takes in the list as last had, then begins to watch. One that cannot be read is told and left out. */
+    /**
+     * Loads the last known host list and starts watching discovery. If that list cannot be read, logs so and
+     * starts without it.
+     */
     void start(KnownList known) {
         if (!known.none()) {
             try (InputStream text = known.open()) {
                 hosts.take(text);
             } catch (IOException e) {
-                LOG.warn("the list of before cannot be taken in, begun without: {}", e.getMessage());
+                LOG.warn("last known host list not loaded, starting without it: {}", e.getMessage());
             }
         }
         enqueue(new Relay.ListAsked());
         runTurn();
         discovery.watch();
         eventLoop.scheduleWithFixedDelay(this::updateGauges, 0, GAUGE_INTERVAL_MS, TimeUnit.MILLISECONDS);
-        eventLoop.scheduleWithFixedDelay(this::requestRelease, RELEASE_INTERVAL_MS, RELEASE_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        eventLoop.scheduleWithFixedDelay(this::requestRelease, RELEASE_INTERVAL_MS, RELEASE_INTERVAL_MS,
+            TimeUnit.MILLISECONDS);
     }
 
-    /** Connections that are accepted now may have waited for so many nanoseconds. */
+    /** Records that connections accepted now may have waited this long because accepting had failed. */
     void recordAcceptDelay(long nanos) {
         eventLoopLag.recordDelay(nanos);
     }
 
-    /** Unix time, ms, since which what is read now may have waited in its socket. */
+    /**
+     * Returns the earliest time, Unix time in ms, at which a request read now may have arrived in its socket.
+     */
     long earliestArrivalMillis() {
         return clock.millis() - eventLoopLag.recentMillis();
     }
@@ -188,11 +227,11 @@
         eventLoopLag.tick();
         try {
             int unavailable = control.unavailable() + hosts.draining();
-            metrics.updateGauges(journal.size(), hosts.listed(), unavailable, hosts.version(), discovery.faults(),
-                journalHealth.failures(), eventLoopLag.maxMillis());
+            metrics.updateGauges(journal.size(), hosts.listed(), unavailable, hosts.version(),
+                discovery.faults(), journalHealth.failures(), eventLoopLag.maxMillis());
         } catch (RuntimeException e) {
-            // Guards the ticks: a periodic task that throws is never run again.
-            LOG.error("figures not brought up to date", e);
+            // A periodic task that throws is never run again, and the lag would no longer be measured.
+            LOG.error("metrics not updated", e);
         }
     }
 
@@ -202,7 +241,7 @@
         }
     }
 
-    /** Before the module hears of a destination, it is told of its endpoints. */
+    /** Gives the module the endpoints of a destination, as it needs before any other event about it. */
     private void introduce(long destination) {
         Relay.Listed listed = hosts.tell(destination);
         if (listed != null) {
@@ -211,7 +250,10 @@
         }
     }
 
-    /** The host of this name, introduced if need be; null if the list does not name it. */
+    /**
+     * Returns the host of this name, after introducing its destination to the module if necessary; null if
+     * neither the list nor the module has a host of this name.
+     */
     private HostList.Host introducedHost(String name) {
         Long destination = hosts.destination(name);
         if (destination != null) {
@@ -220,13 +262,17 @@
         return hosts.named(name);
     }
 
-    /** Goes on with what processes before this one have left, once they have ended or passed it on. */
+    /**
+     * Continues the work of this relay's earlier processes: their messages, once such a process has ended or
+     * has handed a message over; the waits that hosts asked them for; the endpoint health that they recorded;
+     * and the number of messages that they still have in flight to each destination.
+     */
     void adopt() throws IOException {
         journal.adopt(this::resume);
         journal.waits().forEach((host, until) -> {
-            HostList.Host told = introducedHost(host);
-            if (told != null) {
-                enqueue(Relay.Known.waiting(told.number, moduleTime(until)));
+            HostList.Host introduced = introducedHost(host);
+            if (introduced != null) {
+                enqueue(Relay.Known.waiting(introduced.number, moduleTime(until)));
             }
         });
         journal.inheritedHealth().forEach(this::restoreHealth);
@@ -242,21 +288,25 @@
         callsOutElsewhere = out;
     }
 
-    /** An earlier process was told of an outage, and so this relay was. */
-    private void restoreHealth(Journal.EndpointHealth told) {
-        HostList.Host host = introducedHost(told.host());
+    /** Restores the health of an endpoint: an outage that one process of a relay saw binds all of them. */
+    private void restoreHealth(Journal.EndpointHealth recorded) {
+        HostList.Host host = introducedHost(recorded.host());
         if (host == null) {
-            unlistedHealth.put(told.host(), told);
+            unlistedHealth.put(recorded.host(), recorded);
         } else {
-            enqueue(Relay.Known.health(host.number, told.health(), moduleTime(told.since()), told.carried()));
+            enqueue(Relay.Known.health(host.number, recorded.health(), moduleTime(recorded.since()),
+                recorded.carried()));
         }
     }
 
+    /**
+     * Resumes a message of an earlier process: posts its notice if its end is decided, else goes on with it.
+     */
     private void resume(Journal.Entry entry) {
         if (entry.end != null) {
             discovery.notice(entry);
         } else if (entry.rules == null && !classesInForce.containsKey(entry.message.messageClass())) {
-            LOG.warn("message {} given up: its class {} is gone", entry.message.id(),
+            LOG.warn("message {} failed: its class {} is no longer configured", entry.message.id(),
                 entry.message.messageClass());
             endMessage(entry, new Journal.End(false, 0));
         } else {
@@ -264,7 +314,10 @@
         }
     }
 
-    /** Passes on to the next process what is not out, and leaves what the module knows. */
+    /**
+     * Hands the messages that have no attempt in flight over to the next process, and leaves it a snapshot of
+     * what the module knows of the hosts. Fails if the journal or the snapshot cannot be written.
+     */
     void handOver() throws IOException {
         journal.beginPassing();
         handingOver = true;
@@ -274,51 +327,65 @@
         pool.closeAllIdle();
     }
 
-    /** Takes in what the process before this one has left. */
+    /** Passes the snapshot that the previous process has left to the module. */
     void restoreSnapshot(Journal.Left left) {
-        Knowledge.read(left.knowledge(), hosts, this::introducedHost, unixMillis -> moduleTime(unixMillis + left.shiftMillis()))
-            .forEach(this::enqueue);
+        Knowledge.read(left.knowledge(), hosts, this::introducedHost,
+            unixMillis -> moduleTime(unixMillis + left.shiftMillis())).forEach(this::enqueue);
     }
 
-    /** The deadline passes into the module's clock; earlier attempts keep their distance from now. */
+    /**
+     * Passes a message of an earlier process to the module. The deadline and the times of earlier attempts
+     * are converted to the module's clock.
+     */
     private void recover(Journal.Entry entry) {
         String name = entry.message.messageClass();
-        TrackedMessage tracked = new TrackedMessage(entry.message, entry.rules == null ? classesInForce.get(name) : entry.rules, entry);
+        TrackedMessage tracked = new TrackedMessage(entry.message,
+            entry.rules == null ? classesInForce.get(name) : entry.rules, entry);
         tracked.acceptedAnswers = 1;
         messages.put(tracked.message.id(), tracked);
         openMessages++;
         List<Relay.Earlier> earlier = new ArrayList<>();
-        for (Journal.Attempt a : entry.attempts) {
+        for (Journal.Attempt attempt : entry.attempts) {
             tracked.callParts.add(null);
-            earlier.add(new Relay.Earlier(moduleTime(a.sent), a.zone, a.mayHaveRun));
+            earlier.add(new Relay.Earlier(moduleTime(attempt.sent), attempt.zone, attempt.mayHaveRun));
         }
         if (earlier.isEmpty()) {
             tracked.untried = true;
             recoverySummary.untried();
         }
-        TRACE.debug("{} taken up, {} attempts, {} ms left", tracked.message.id(), earlier.size(),
+        TRACE.debug("{} recovered, {} attempts, {} ms left", tracked.message.id(), earlier.size(),
             tracked.message.deadline() - clock.millis());
         introduce(tracked.message.destination());
         enqueue(acceptedEvent(tracked, true, earlier));
     }
 
-    private Relay.Accepted acceptedEvent(TrackedMessage tracked, boolean takenUp, List<Relay.Earlier> earlier) {
-        Message m = tracked.message;
-        long reserve = EndReserve.millis(m.deadline() - clock.millis());
-        return new Relay.Accepted(m.id(), classIndex(tracked.messageClass), m.tenant(), m.routeKey(),
-            moduleTime(m.deadline() - reserve), TimeUnit.MILLISECONDS.toMicros(reserve), m.destination(),
-            takenUp, earlier);
+    /**
+     * Returns the module's event for a message. The module's deadline is earlier than the message's by the
+     * time that the notice of its end may need.
+     */
+    private Relay.Accepted acceptedEvent(TrackedMessage tracked, boolean recovered,
+                                         List<Relay.Earlier> earlier) {
+        Message message = tracked.message;
+        long reserve = EndReserve.millis(message.deadline() - clock.millis());
+        return new Relay.Accepted(message.id(), classIndex(tracked.messageClass), message.tenant(),
+            message.routeKey(), moduleTime(message.deadline() - reserve),
+            TimeUnit.MILLISECONDS.toMicros(reserve), message.destination(), recovered, earlier);
     }
 
+    /** True if the message class is configured and some list has named the destination. */
     boolean isKnown(String messageClass, long destination) {
         return classesInForce.containsKey(messageClass) && hosts.knows(destination);
     }
 
+    /** Returns the configured message class of this name; null if there is none. */
     Relay.MessageClass messageClass(String name) {
         return classesInForce.get(name);
     }
 
-    /** The tenant's number; one that the settings do not name stands past them and has no share. */
+    /**
+     * Returns the tenant's index in the settings. A tenant that they do not name gets the index after the
+     * last one, and has no share.
+     */
     int tenantIndex(String name) {
         for (int i = 0; i < settings.tenants().size(); i++) {
             if (settings.tenants().get(i).name().equals(name)) {
@@ -329,33 +396,36 @@
     }
 
     /**
-     * The process ends: nothing more is decided or written down, calls still out count as may have run. Who
-     * has handed a message in and who still does hears that it was not taken on.
+     * Stops for good: nothing more is decided or written to the journal, and calls still in flight count as
+     * possibly executed. Messages not yet answered, and all later ones, are refused.
      */
     void stop() {
         stopped = true;
         journalHealth.stop();
-        List.copyOf(unansweredClients.keySet()).forEach(id -> unansweredClients.remove(id).refused(RETRY_AFTER_MICROS));
+        List.copyOf(unansweredClients.keySet())
+            .forEach(id -> unansweredClients.remove(id).refused(RETRY_AFTER_MICROS));
     }
 
+    /** True if every message has ended and the platform has acknowledged every notice. */
     boolean isIdle() {
         return openMessages == 0 && !discovery.noticesLeft();
     }
 
     // ---- Clients --------------------------------------------------------------------------------
     /**
-     * A message is handed in; the turn that follows answers it. The turn waits until all sockets that are
-     * ready have been read: an answer among them may tell to wait, or that the message's host is full.
+     * Takes a message from a client; the next turn answers it through the callback. That turn runs after all
+     * ready sockets have been read, since a response among them may ask to wait, or may show that the
+     * message's host is full.
      */
-    void accept(Message message, AcceptanceCallback answer) {
+    void accept(Message message, AcceptanceCallback callback) {
         if (unansweredClients.containsKey(message.id())) {
             runTurn();
         }
         TrackedMessage known = messages.get(message.id());
         if (known != null && !known.ended) {
-            // A client sends a request once more when its connection closed as it wrote: it is held already.
+            // A client repeats its request if the connection closed while it wrote: the message is known.
             known.acceptedAnswers++;
-            answer.accepted();
+            callback.accepted();
             return;
         }
         Refusal refusal = refusal(known);
@@ -363,18 +433,19 @@
             metrics.countRejected(message.messageClass());
             metrics.countRefusal(refusal);
             TRACE.debug("{} refused: {}", message.id(), refusal);
-            answer.refused(RETRY_AFTER_MICROS);
+            callback.refused(RETRY_AFTER_MICROS);
             return;
         }
-        TrackedMessage tracked = new TrackedMessage(message, classesInForce.get(message.messageClass()), null);
+        TrackedMessage tracked = new TrackedMessage(message, classesInForce.get(message.messageClass()),
+            null);
         messages.put(message.id(), tracked);
         openMessages++;
-        unansweredClients.put(message.id(), answer);
+        unansweredClients.put(message.id(), callback);
         introduce(message.destination());
         enqueue(acceptedEvent(tracked, false, List.of()));
     }
 
-    /** Why a message cannot be taken on now; null if it can, as far as is known before the module's turn. */
+    /** Returns why a message must be refused before the module sees it; null if it need not be. */
     private Refusal refusal(TrackedMessage sameId) {
         if (sameId != null) {
             return Refusal.ID_IN_USE;
@@ -389,13 +460,13 @@
     }
 
     /**
-     * A client did not hear that its message was taken on: it hands it in anew, and this one counts for
-     * nothing, unless it was handed in twice and another client heard.
+     * Withdraws a message whose client could not be sent the response: the client will submit it again. A
+     * message that was submitted more than once is withdrawn only when none of the responses has arrived.
      */
     void withdraw(String id) {
         TrackedMessage tracked = messages.get(id);
         if (tracked != null && !tracked.ended && --tracked.acceptedAnswers == 0) {
-            LOG.info("message {} withdrawn, its client left before the answer", id);
+            LOG.info("message {} withdrawn: its client disconnected before the response was written", id);
             TRACE.debug("{} withdrawn", id);
             markEnded(tracked);
             closeEntry(tracked.journalEntry);
@@ -404,6 +475,7 @@
     }
 
     // ---- Turns ----------------------------------------------------------------------------------
+    /** Queues an event for the module and schedules a turn if none is scheduled. */
     private void enqueue(Relay.Event event) {
         pendingEvents.add(event);
         if (!turnScheduled && !stopped) {
@@ -412,31 +484,33 @@
         }
     }
 
+    /** Returns the time by the module's clock: microseconds since this driver was created. */
     private long moduleNow() {
         return (System.nanoTime() - startNanos) / 1_000;
     }
 
-    /** Unix time in ms to the module's clock, which may then be below 0. */
+    /** Converts Unix time in ms to the module's clock; a time before the driver's creation is negative. */
     private long moduleTime(long unixMillis) {
         return moduleNow() + (unixMillis - clock.millis()) * 1_000;
     }
 
-    /** The module's clock to Unix time in ms. */
+    /** Converts a time by the module's clock to Unix time in ms. */
     private long unixMillis(long time) {
         return clock.millis() + (time - moduleNow()) / 1_000;
     }
 
+    /** Passes all queued events to the module, answers clients and performs the module's actions. */
     private void runTurn() {
         turnScheduled = false;
         if (pendingEvents.isEmpty() || stopped) {
             return;
         }
-        List<Relay.Event> told = pendingEvents;
+        List<Relay.Event> turnEvents = pendingEvents;
         pendingEvents = new ArrayList<>();
         try {
             turnMillis = clock.millis();
             turnMicros = moduleNow();
-            List<Relay.Action> actions = control.turn(turnMicros, told);
+            List<Relay.Action> actions = control.turn(turnMicros, turnEvents);
             answerClients(actions);
             readInputBeforeSending(actions);
             for (Relay.Action action : actions) {
@@ -448,11 +522,12 @@
             }
             List.copyOf(batches.keySet()).forEach(this::startCall);
         } catch (RuntimeException e) {
-            LOG.error("turn failed on {}", told, e);
-            // Guards against standing still: the module's timer may have been lost with the turn.
-            eventLoop.schedule(() -> enqueue(new Relay.Due()), FAILED_TURN_RETRY_MICROS, TimeUnit.MICROSECONDS);
+            LOG.error("turn failed on {}", turnEvents, e);
+            // The module may have lost its timer with the failed turn: without this event it could stall.
+            eventLoop.schedule(() -> enqueue(new Relay.Due()), FAILED_TURN_RETRY_MICROS,
+                TimeUnit.MICROSECONDS);
         } finally {
-            // Guards clients against silence if the turn failed: nothing was written down for these.
+            // After a failed turn some clients are still unanswered: their messages are not in the journal.
             for (String id : List.copyOf(unansweredClients.keySet())) {
                 refuse(id, unansweredClients.get(id), Refusal.TURN_FAILED);
             }
@@ -460,30 +535,32 @@
     }
 
     /**
-     * Answers the clients of this turn's new messages. An end that the module decided at once is the answer
-     * itself; the others are written down, then answered, and only after that is anything sent.
+     * Answers the clients of this turn's new messages. A message that the module refuses or fails at once is
+     * answered so. Any other is written to the journal first and then answered; only after that is anything
+     * sent.
      */
     private void answerClients(List<Relay.Action> actions) {
         for (Relay.Action action : unansweredClients.isEmpty() ? List.<Relay.Action>of() : actions) {
-            if (action instanceof Relay.Refuse a && unansweredClients.containsKey(a.id())) {
-                TrackedMessage tracked = messages.get(a.id());
+            if (action instanceof Relay.Refuse refuse && unansweredClients.containsKey(refuse.id())) {
+                TrackedMessage tracked = messages.get(refuse.id());
                 markEnded(tracked);
                 metrics.countRejected(tracked.message.messageClass());
                 metrics.countRefusal(Refusal.BY_MODULE);
-                TRACE.debug("{} refused: {}", a.id(), Refusal.BY_MODULE);
-                unansweredClients.remove(a.id()).refused(a.retryAfter());
-            } else if (action instanceof Relay.Fail a && unansweredClients.containsKey(a.id())) {
-                TrackedMessage tracked = messages.get(a.id());
+                TRACE.debug("{} refused: {}", refuse.id(), Refusal.BY_MODULE);
+                unansweredClients.remove(refuse.id()).refused(refuse.retryAfter());
+            } else if (action instanceof Relay.Fail fail && unansweredClients.containsKey(fail.id())) {
+                TrackedMessage tracked = messages.get(fail.id());
                 markEnded(tracked);
                 metrics.countFailed(tracked.message.messageClass());
-                TRACE.debug("{} failed at once", a.id());
-                unansweredClients.remove(a.id()).failed();
+                TRACE.debug("{} failed at once", fail.id());
+                unansweredClients.remove(fail.id()).failed();
             }
         }
         for (String id : List.copyOf(unansweredClients.keySet())) {
             TrackedMessage tracked = messages.get(id);
             try {
-                tracked.journalEntry = journalHealth.isWritable() ? journal.take(tracked.message, tracked.messageClass) : null;
+                tracked.journalEntry = journalHealth.isWritable()
+                    ? journal.take(tracked.message, tracked.messageClass) : null;
             } catch (IOException e) {
                 journalHealth.failed("message " + id + " refused", e);
             }
@@ -492,15 +569,16 @@
                     journalHealth.isWritable() ? Refusal.FOLDER_FULL : Refusal.FOLDER_FAILS);
             } else {
                 tracked.acceptedAnswers++;
-                TRACE.debug("{} taken on, {} ms left", id, tracked.message.deadline() - clock.millis());
+                TRACE.debug("{} accepted, {} ms left", id, tracked.message.deadline() - clock.millis());
                 unansweredClients.remove(id).accepted();
             }
         }
     }
 
     /**
-     * Reads what has come from the agent and from the destinations that are about to be sent to. The thread
-     * may have been held up since it looked at its sockets, and what it has not read binds it all the same.
+     * Reads what has arrived from the agent and from the destinations to which this turn sends. The thread
+     * may have been delayed since it last read its sockets, and input that it has not read binds it all the
+     * same: a host may be draining, or may have asked to wait.
      */
     private void readInputBeforeSending(List<Relay.Action> actions) {
         Set<Long> destinations = new HashSet<>();
@@ -518,68 +596,76 @@
         }
     }
 
-    private void refuse(String id, AcceptanceCallback answer, Refusal why) {
-        metrics.countRefusal(why);
-        TRACE.debug("{} refused: {}", id, why);
+    /** Refuses a message whose event the module has already received, and withdraws it from the module. */
+    private void refuse(String id, AcceptanceCallback callback, Refusal reason) {
+        metrics.countRefusal(reason);
+        TRACE.debug("{} refused: {}", id, reason);
         unansweredClients.remove(id);
         TrackedMessage tracked = messages.get(id);
         markEnded(tracked);
         metrics.countRejected(tracked.message.messageClass());
         enqueue(new Relay.Withdrawn(id));
-        answer.refused(RETRY_AFTER_MICROS);
+        callback.refused(RETRY_AFTER_MICROS);
     }
 
     private void perform(Relay.Action action) {
-        if (action instanceof Relay.Send a) {
-            send(a);
-        } else if (action instanceof Relay.Refuse a) {
-            endMessage(a.id(), new Journal.End(true, a.retryAfter()));
-        } else if (action instanceof Relay.Fail a) {
-            endMessage(a.id(), new Journal.End(false, 0));
-        } else if (action instanceof Relay.Pass a) {
-            passToNextProcess(a.id());
-        } else if (action instanceof Relay.Cancel a) {
-            TrackedMessage tracked = messages.get(a.id());
-            HostPool.Part part = tracked == null ? null : tracked.callParts.get(a.attempt());
+        if (action instanceof Relay.Send send) {
+            send(send);
+        } else if (action instanceof Relay.Refuse refuse) {
+            endMessage(refuse.id(), new Journal.End(true, refuse.retryAfter()));
+        } else if (action instanceof Relay.Fail fail) {
+            endMessage(fail.id(), new Journal.End(false, 0));
+        } else if (action instanceof Relay.Pass pass) {
+            passToNextProcess(pass.id());
+        } else if (action instanceof Relay.Cancel cancel) {
+            TrackedMessage tracked = messages.get(cancel.id());
+            HostPool.Part part = tracked == null ? null : tracked.callParts.get(cancel.attempt());
             if (part != null) {
                 part.cancel();
             }
-        } else if (action instanceof Relay.Close a && hosts.host(a.endpoint()) != null) {
-            pool.closeIdle(hosts.host(a.endpoint()));
-        } else if (action instanceof Relay.Forgotten a) {
-            hosts.forget(a.endpoint());
-        } else if (action instanceof Relay.Released a) {
-            hosts.hostsOf(a.destination()).forEach(pool::closeIdle);
-            hosts.release(a.destination());
+        } else if (action instanceof Relay.Close close && hosts.host(close.endpoint()) != null) {
+            pool.closeIdle(hosts.host(close.endpoint()));
+        } else if (action instanceof Relay.Forgotten forgotten) {
+            hosts.forget(forgotten.endpoint());
+        } else if (action instanceof Relay.Released released) {
+            hosts.hostsOf(released.destination()).forEach(pool::closeIdle);
+            hosts.release(released.destination());
             introducedDestinations--;
-        } else if (action instanceof Relay.Wake a) {
-            eventLoop.schedule(() -> enqueue(new Relay.Due()), a.after(), TimeUnit.MICROSECONDS);
-        } else if (action instanceof Relay.HealthChanged a) {
-            healthChanged(a);
+        } else if (action instanceof Relay.Wake wake) {
+            eventLoop.schedule(() -> enqueue(new Relay.Due()), wake.after(), TimeUnit.MICROSECONDS);
+        } else if (action instanceof Relay.HealthChanged change) {
+            healthChanged(change);
         }
     }
 
-    /** Kept for the next process: a relay that was told of an outage stays told. */
-    private void healthChanged(Relay.HealthChanged a) {
-        HostList.Host host = hosts.host(a.endpoint());
-        metrics.countHealthChange(a.reason());
-        healthLog.logChange(a, host);
+    /**
+     * Counts, logs and records a change of an endpoint's health. The record is for the next process: the rule
+     * on cold destinations binds a relay by the outages that any of its processes has seen.
+     */
+    private void healthChanged(Relay.HealthChanged change) {
+        HostList.Host host = hosts.host(change.endpoint());
+        metrics.countHealthChange(change.reason());
+        healthLog.logChange(change, host);
         if (host == null) {
             return;
         }
         try {
-            journal.health(new Journal.EndpointHealth(host.name, a.health(), unixMillis(a.since()),
-                a.carried()));
+            journal.health(new Journal.EndpointHealth(host.name, change.health(), unixMillis(change.since()),
+                change.carried()));
         } catch (IOException e) {
-            journalHealth.failed("the health of " + host.name + " is not kept", e);
+            journalHealth.failed("health of " + host.name + " not recorded", e);
         }
     }
 
     // ---- Calls ----------------------------------------------------------------------------------
-    private void send(Relay.Send a) {
-        TrackedMessage tracked = messages.get(a.id());
-        HostList.Host listed = hosts.host(a.endpoint());
-        HostList.Host host = listed == null ? new HostList.Host(a.endpoint(), "unlisted") : listed;
+    /**
+     * Adds an attempt to a call, or reports it as not sent: if the message has ended, the rules forbid it,
+     * the journal cannot record it, or the host is not ready.
+     */
+    private void send(Relay.Send send) {
+        TrackedMessage tracked = messages.get(send.id());
+        HostList.Host listed = hosts.host(send.endpoint());
+        HostList.Host host = listed == null ? new HostList.Host(send.endpoint(), "unlisted") : listed;
         if (tracked == null) {
             return;
         }
@@ -606,8 +692,8 @@
             attemptEnded(tracked, attempt, host, unsentReply(Relay.Outcome.NOT_SENT, false));
             return;
         }
-        TRACE.debug("{} attempt {} to {}", a.id(), attempt, host.name);
-        HostPool.Part part = new HostPool.Part(tracked.message, a.timeout(),
+        TRACE.debug("{} attempt {} to {}", send.id(), attempt, host.name);
+        HostPool.Part part = new HostPool.Part(tracked.message, send.timeout(),
             reply -> attemptEnded(tracked, attempt, host, reply));
         tracked.callParts.set(attempt, part);
         if (!batches.computeIfAbsent(host, key -> new Bundle())
@@ -617,22 +703,31 @@
         batches.computeIfAbsent(host, key -> new Bundle()).add(part);
     }
 
+    /**
+     * True if a wait that one host of the destination asks for does not bind the destination's other hosts.
+     */
     private boolean hasSeparateEndpoints(HostList.Host host) {
         return settings.kinds().get(host.kind).apart();
     }
 
-    /** What the rules forbid does not go out, whatever was decided. */
+    /**
+     * Checks an attempt against the rules, independently of the module's decision; true if it may be made. An
+     * attempt that the module should not have decided is reported as a violation.
+     */
     private boolean checkPermitted(TrackedMessage tracked, HostList.Host host) {
-        boolean apart = hasSeparateEndpoints(host);
-        Violation violation = sendGuard.findViolation(tracked.journalEntry, tracked.messageClass, host, apart, turnMillis, turnMicros);
+        boolean separate = hasSeparateEndpoints(host);
+        Violation violation = sendGuard.findViolation(tracked.journalEntry, tracked.messageClass, host,
+            separate, turnMillis, turnMicros);
         if (violation != null) {
             reportViolation(violation, tracked.message.id());
         }
-        // What a pause since the decision has overtaken is nobody's fault, and does not go out either.
-        boolean permitted = violation == null && !sendGuard.mustWait(host, apart, moduleNow())
-            && sendGuard.findViolation(tracked.journalEntry, tracked.messageClass, host, apart, clock.millis(), moduleNow()) == null;
+        // A pause of the process since the decision may have made the attempt inadmissible. It is then not
+        // sent either, but the module is not at fault: that is no violation.
+        boolean permitted = violation == null && !sendGuard.mustWait(host, separate, moduleNow())
+            && sendGuard.findViolation(tracked.journalEntry, tracked.messageClass, host, separate,
+                clock.millis(), moduleNow()) == null;
         if (!permitted) {
-            // It keeps its number.
+            // The attempt keeps its number.
             journal.notMade(tracked.journalEntry, clock.millis(), host.zone);
         }
         return permitted;
@@ -643,11 +738,12 @@
         LOG.error("{}: message {}", rule, id);
     }
 
+    /** Returns the outcome of an attempt of which nothing was sent. */
     private static HostPool.Reply unsentReply(Relay.Outcome outcome, boolean over) {
         return new HostPool.Reply(outcome, over, 0, 0, -1, -1);
     }
 
-    /** Writes an attempt down before any byte of it goes out; false if it must not be made. */
+    /** Records an attempt in the journal, before any byte of it is sent; false if it must not be made. */
     private boolean journalAttempt(TrackedMessage tracked, HostList.Host host) {
         if (!journalHealth.isWritable()) {
             journal.notMade(tracked.journalEntry, clock.millis(), host.zone);
@@ -666,6 +762,7 @@
         pool.call(host, batches.remove(host).parts());
     }
 
+    /** Handles the outcome of an attempt: the message's end, a wait that the host asks for, the event. */
     private void attemptEnded(TrackedMessage tracked, int attempt, HostList.Host host, HostPool.Reply reply) {
         if (stopped) {
             return;
@@ -676,8 +773,9 @@
         if (reply.waitFor() > 0) {
             persistWait(host, reply.waitFor());
             sendGuard.recordWait(host, hasSeparateEndpoints(host), moduleNow(), reply.waitFor());
-            // Guards the rule on waits: calls there that still wait for their connection do not go out.
-            (hasSeparateEndpoints(host) ? List.of(host) : hosts.hostsOf(host.destination)).forEach(pool::takeBack);
+            // Calls that still wait for a connection to where the wait applies must not be sent.
+            (hasSeparateEndpoints(host) ? List.of(host) : hosts.hostsOf(host.destination))
+                .forEach(pool::takeBack);
         }
         boolean ended = tracked.ended || reply.over();
         if (!tracked.ended) {
@@ -687,29 +785,34 @@
                 if (reply.outcome() == Relay.Outcome.OK) {
                     metrics.countCompleted(tracked.message.messageClass());
                 } else {
-                    // Its time was up before the host heard of it.
+                    // The message's deadline passed before it reached the host.
                     metrics.countFailed(tracked.message.messageClass());
                 }
             } else if (reply.outcome().neverRan() && reply.outcome() != Relay.Outcome.NOT_JOURNALED) {
                 journalNotRun(tracked, attempt, reply.outcome() == Relay.Outcome.NO_SOCKET);
             }
         }
-        enqueue(new Relay.Ended(tracked.message.id(), attempt, host.number, reply.outcome(), ended, reply.waitFor(),
-            reply.latency(), reply.left(), reply.limit()));
+        enqueue(new Relay.Ended(tracked.message.id(), attempt, host.number, reply.outcome(), ended,
+            reply.waitFor(), reply.latency(), reply.left(), reply.limit()));
         removeWhenDone(tracked);
     }
 
-    /** Guards the rule on waits across a replacement: the next process must hear of this one too. */
+    /** Records a wait that a host asks for during the handover: it binds the next process too. */
     private void persistWait(HostList.Host host, long span) {
         if (handingOver) {
             try {
                 journal.waits(host.name, clock.millis() + span / 1_000 + 1);
             } catch (IOException e) {
-                journalHealth.failed("a wait for " + host.name + " is not passed on", e);
+                journalHealth.failed("Retry-After of " + host.name + " not passed on to the next process", e);
             }
         }
     }
 
+    /**
+     * Records that an attempt was not executed.
+     *
+     * @param unmade this machine had no socket for it, so it was not even made
+     */
     private void journalNotRun(TrackedMessage tracked, int attempt, boolean unmade) {
         try {
             if (unmade) {
@@ -718,12 +821,13 @@
                 journal.notRun(tracked.journalEntry, attempt);
             }
         } catch (IOException e) {
-            // The attempt then counts as one that may have run, which is safe.
-            journalHealth.failed("outcome of message " + tracked.message.id() + " is not kept", e);
+            // After a restart the attempt counts as possibly executed, which is safe.
+            journalHealth.failed("outcome of message " + tracked.message.id() + " not recorded", e);
         }
     }
 
     // ---- Ends -----------------------------------------------------------------------------------
+    /** Ends a message as the module has decided. */
     private void endMessage(String id, Journal.End end) {
         TrackedMessage tracked = messages.get(id);
         if (tracked != null && !tracked.ended) {
@@ -735,6 +839,7 @@
         }
     }
 
+    /** Hands a message over to the next process, which reads that from the journal. */
     private void passToNextProcess(String id) {
         TrackedMessage tracked = messages.get(id);
         if (tracked != null && !tracked.ended) {
@@ -745,11 +850,12 @@
             try {
                 journal.passed(tracked.journalEntry);
             } catch (IOException e) {
-                journalHealth.failed("message " + id + " is passed on at the end", e);
+                journalHealth.failed("message " + id + " is not handed over until this process ends", e);
             }
         }
     }
 
+    /** Records a message's end in the journal and posts the notice of it to the platform. */
     private void endMessage(Journal.Entry entry, Journal.End end) {
         TRACE.debug("{} end decided: {}, {} ms left", entry.message.id(), end,
             entry.message.deadline() - clock.millis());
@@ -759,11 +865,13 @@
         try {
             journal.ended(entry, end);
         } catch (IOException e) {
-            journalHealth.failed("end of message " + entry.message.id() + " is told all the same", e);
+            journalHealth.failed("end of message " + entry.message.id() + " not recorded, notice sent anyway",
+                e);
         }
         discovery.notice(entry);
     }
 
+    /** Marks a message as ended; it is forgotten once none of its attempts is outstanding. */
     private void markEnded(TrackedMessage tracked) {
         tracked.ended = true;
         openMessages--;
@@ -771,8 +879,9 @@
     }
 
     /**
-     * The module may name a message until the last of its calls has ended. One that is over while a turn
-     * is carried out is kept until that is done: it may hold a send of it, whose end the module must hear.
+     * Forgets a message, after the current turn, if it has ended and has no outstanding attempt. The module
+     * may name a message until its last attempt has ended; and the current turn may still contain a send of a
+     * message that ends in this turn, and the module must be notified of the end of that attempt.
      */
     private void removeWhenDone(TrackedMessage tracked) {
         eventLoop.execute(() -> {
@@ -782,7 +891,9 @@
         });
     }
 
-    /** The platform has the end of a message. */
+    /**
+     * The platform has acknowledged the notice of a message's end: counts it and closes the journal's entry.
+     */
     private void endAcknowledged(Journal.Entry entry) {
         long late = clock.millis() - entry.message.deadline();
         TRACE.debug("{} end acknowledged, {} ms left", entry.message.id(), -late);
@@ -797,15 +908,22 @@
         closeEntry(entry);
     }
 
+    /** Records that nothing more is to be done for a message. */
     private void closeEntry(Journal.Entry entry) {
         try {
             journal.closed(entry);
         } catch (IOException e) {
-            journalHealth.failed("message " + entry.message.id() + " would be taken up again", e);
+            journalHealth.failed(
+                "message " + entry.message.id() + " would be recovered again after a restart", e);
         }
     }
 
     // ---- List -----------------------------------------------------------------------------------
+    /**
+     * Passes a list update to the module, and the recorded health of hosts that the list names only now. For
+     * hosts that are not ready any more, takes back the calls still waiting for a connection and closes the
+     * idle connections.
+     */
     private void listUpdated(HostList.Change change) {
         enqueue(change.listed());
         if (!unlistedHealth.isEmpty()) {
--- a/src/main/java/wrenkeel/net/EndpointHealthLog.java
+++ b/src/main/java/wrenkeel/net/EndpointHealthLog.java
@@ -9,14 +9,16 @@
 import wrenkeel.Relay;
 
 /**
- * One line for each change of an endpoint's health, with its name, the reason, and what its slow start has
- * used and allows. Lines come at a limited rate, so that neither a flood of them fills the log nor an early
- * one keeps a later incident out; the next line tells how many were left out. One thread.
+ * Logs one line for each change of an endpoint's health, with its name, the reason, and the usage and limit
+ * of its slow start. A token bucket limits the rate of lines, so that many changes do not fill the log, and
+ * an early burst does not suppress a later incident; the next line says how many were suppressed. One thread.
  */
 final class EndpointHealthLog {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointHealthLog.class);
-    /** Lines at once, and lines a second after that. */
-    private static final double BURST_LINES = 60, LINES_PER_SECOND = 1;
+    /** Capacity of the token bucket. */
+    private static final double BURST_LINES = 60;
+    /** Refill rate of the token bucket. */
+    private static final double LINES_PER_SECOND = 1;
 
     private final LongSupplier nanoClock;
     private final Consumer<String> out;
@@ -34,7 +36,7 @@
         refilledAtNanos = nanoClock.getAsLong();
     }
 
-    /** {@code host}: null for one that the list does not name. */
+    /** Logs a change unless the rate is exceeded; {@code host} is null if the list does not name it. */
     void logChange(Relay.HealthChanged change, HostList.Host host) {
         long now = nanoClock.getAsLong();
         double seconds = (double) (now - refilledAtNanos) / TimeUnit.SECONDS.toNanos(1);
--- a/src/main/java/wrenkeel/net/EventLoopLag.java
+++ b/src/main/java/wrenkeel/net/EventLoopLag.java
@@ -6,15 +6,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How late the event loop has been of late, measured by a task that it runs at a fixed period. What is read
- * from a socket now may have waited there for that long. One thread.
+ * Measures the recent lag of an event loop by a task that the loop runs at a fixed period. Bytes read from a
+ * socket now may have waited there for that long. One thread.
  */
 final class EventLoopLag {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoopLag.class);
-    /** A lag is remembered for so long: connections accepted after a pause are read a few passes later. */
+    /**
+     * How long a lag counts as recent: connections accepted after a pause are read a few iterations later.
+     */
     private static final long RETENTION_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
-    /** A pause of that length or more is logged: it may cost a message its time. */
+    /** A lag above this is logged: a message may have missed its deadline for it. */
     private static final long LOG_THRESHOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
     private final LongSupplier nanoClock;
@@ -24,14 +26,14 @@
     private long recentMaxAtNanos;
     private long maxNanos;
 
-    /** {@code periodMillis}: between two calls of {@link #tick}. */
+    /** {@code periodMillis}: time between two calls of {@link #tick}. */
     EventLoopLag(long periodMillis, LongSupplier nanoClock) {
         this.nanoClock = nanoClock;
         this.periodNanos = TimeUnit.MILLISECONDS.toNanos(periodMillis);
         this.lastTickNanos = nanoClock.getAsLong();
     }
 
-    /** To be called by the event loop once in each period. */
+    /** Measures the lag; to be called by the event loop once in each period. */
     void tick() {
         long now = nanoClock.getAsLong();
         long late = overdueNanos(now);
@@ -39,16 +41,16 @@
         maxNanos = Math.max(maxNanos, late);
         lastTickNanos = now;
         if (late > LOG_THRESHOLD_NANOS) {
-            LOG.warn("event loop late by {} ms", TimeUnit.NANOSECONDS.toMillis(late));
+            LOG.warn("event loop lag of {} ms", TimeUnit.NANOSECONDS.toMillis(late));
         }
     }
 
-    /** The latest that the event loop has been since the start, ms. */
+    /** Returns the largest lag since the start, in ms. */
     long maxMillis() {
         return TimeUnit.NANOSECONDS.toMillis(maxNanos);
     }
 
-    /** What is read now may have waited for so many nanoseconds for another reason than a late event loop. */
+    /** Records that bytes read now may have waited this long for a reason other than a late event loop. */
     void recordDelay(long nanos) {
         remember(nanos, nanoClock.getAsLong());
     }
@@ -60,13 +62,14 @@
         }
     }
 
-    /** The worst lag of late in milliseconds, that of a pause not yet over included. */
+    /** Returns the largest recent lag in ms, including that of a pause which is not over yet. */
     long recentMillis() {
         long now = nanoClock.getAsLong();
         long remembered = now - recentMaxAtNanos > RETENTION_NANOS ? 0 : recentMaxNanos;
         return TimeUnit.NANOSECONDS.toMillis(Math.max(remembered, overdueNanos(now)));
     }
 
+    /** Returns how late the next tick is. */
     private long overdueNanos(long now) {
         return Math.max(0, now - lastTickNanos - periodNanos);
     }
--- a/src/main/java/wrenkeel/net/LingeringClose.java
+++ b/src/main/java/wrenkeel/net/LingeringClose.java
@@ -11,12 +11,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Closes a connection on which something has been written so that the peer can still read it: a close over
- * unread bytes would reset the connection, and the response with it. The output is shut down first; what the
- * peer still sends is discarded until it closes its side or the time is up. Comes before all that decodes.
+ * Closes a connection on which something has been written so that the peer can still read it. Closing a
+ * socket with unread input would reset the connection, and the peer could lose the response. So the output is
+ * shut down first; further input is discarded until the peer closes its side or the linger time is up. Must
+ * precede the decoders in the pipeline.
  */
 final class LingeringClose extends ChannelDuplexHandler {
-    /** Bytes that are read and discarded; what the peer sends beyond them stays unread. */
+    /** Input that is read and discarded at most; anything beyond stays unread. */
     private static final long MAX_DISCARDED_BYTES = 256 * 1024;
 
     private final ConnectionLimiter connections;
@@ -31,13 +32,13 @@
         this.lingerMillis = lingerMillis;
     }
 
-    /** Closes a connection at once, whatever its peer has not read. */
+    /** Closes a connection at once, even if its peer has not read everything. */
     static void closeNow(Channel channel) {
         ChannelHandlerContext context = channel.pipeline().context(LingeringClose.class);
         if (context == null) {
             channel.close();
         } else {
-            // Begins past this handler.
+            // Closing from this handler's context bypasses its own close method.
             context.close();
         }
     }
@@ -66,7 +67,7 @@
         connections.startedLingering(channel);
         timer = context.executor().schedule(() -> context.close(), lingerMillis, TimeUnit.MILLISECONDS);
         channel.shutdownOutput();
-        // Reading may be paused; without it the peer's own close would not be seen.
+        // Reading may be paused; the peer's close is only detected by reading.
         channel.config().setAutoRead(true);
     }
 
--- a/src/main/java/wrenkeel/net/ListOnlyRelay.java
+++ b/src/main/java/wrenkeel/net/ListOnlyRelay.java
@@ -11,9 +11,10 @@
 import wrenkeel.Wire;
 
 /**
- * A relay without a door, clients and calls: what is left is all that the fleet's size costs, by the code
- * that a real relay runs. It keeps the list, watches its agent, tells the module, takes reloads. For scale
- * runs, where one process holds hundreds of them; {@code serve} never loads it.
+ * A relay without a client listener, clients and calls. It keeps the host list, watches its agent, passes
+ * updates to the decision module and reloads its configuration, by the same code as a real relay: this is all
+ * of a relay's cost that depends on the size of the fleet. For scale runs, where one process holds hundreds
+ * of them; {@code serve} never loads this class.
  */
 public final class ListOnlyRelay {
     private final EventLoop eventLoop;
@@ -25,9 +26,12 @@
     private ControlDriver driver;
 
     /**
-     * {@code eventLoop} is this relay's alone; {@code env} holds the EDGE_* variables that a relay is started
-     * with; {@code whenApplied} is called on the loop with the version of each list or change, once the
-     * module has taken it in.
+     * Creates a relay that is not started.
+     *
+     * @param eventLoop used by this relay alone
+     * @param env the EDGE_* variables that a relay is started with
+     * @param whenApplied called on the event loop with the version of each list or update, once the module
+     * has processed it
      */
     public ListOnlyRelay(EventLoop eventLoop, Map<String, String> env, LongConsumer whenApplied) {
         this.eventLoop = eventLoop;
@@ -35,7 +39,7 @@
         this.whenApplied = whenApplied;
     }
 
-    /** Reads the configuration and begins to watch; fails if no relay could start so. */
+    /** Reads the configuration and starts watching; fails if a real relay could not start with it. */
     public Future<?> start() {
         return eventLoop.submit(() -> {
             createDriver();
@@ -53,14 +57,15 @@
         HostPool pool = new HostPool(eventLoop, calls, config.settings().allowed().connectTimeout(),
             config.settings().allowed().keepAlive(), config.descriptors().hosts(), metrics);
         journal = new Journal(config.state(), config.diskBytes(), clock, FileOperations.SYSTEM);
-        driver = new ControlDriver(eventLoop, clock, config, hosts, pool, journal, metrics, (whenListed, whenNoticed) ->
-            new Discovery(eventLoop, calls, config.discovery(), hosts, change -> {
-                whenListed.listed(change);
-                // Behind the module's turn, which stands in the loop's queue by now.
-                eventLoop.execute(() -> versionApplied(hosts.version()));
-            }, whenNoticed));
+        driver = new ControlDriver(eventLoop, clock, config, hosts, pool, journal, metrics,
+            (whenListed, whenNoticed) ->
+                new Discovery(eventLoop, calls, config.discovery(), hosts, change -> {
+                    whenListed.listed(change);
+                    // Runs after the module's turn, which is in the event loop's queue already.
+                    eventLoop.execute(() -> versionApplied(hosts.version()));
+                }, whenNoticed));
         driver.start(config.known());
-        // Nobody else shares the folder: what is there was left by one that has ended.
+        // No other process shares the state folder: what it holds was left by one that has ended.
         driver.adopt();
         journal.takenOver();
     }
@@ -70,12 +75,12 @@
         whenApplied.accept(appliedVersion);
     }
 
-    /** The version of the list in force; -1 before the first. Any thread may ask. */
+    /** Returns the version of the applied list; -1 before the first. Thread-safe. */
     public long version() {
         return version;
     }
 
-    /** Reads the configuration anew, as at SIGHUP; fails, and changes nothing, if it is of no use. */
+    /** Rereads the configuration, as at SIGHUP; fails, and changes nothing, if it is invalid. */
     public Future<?> reload() {
         return eventLoop.submit(() -> {
             Config next = config.reread(env);
@@ -86,8 +91,8 @@
     }
 
     /**
-     * The end as by SIGKILL: nothing more is decided or written down. What has been scheduled and the
-     * connection to the agent only end with the loop, which the owner shuts down next.
+     * Ends as SIGKILL would: nothing more is decided or written. Scheduled tasks and the connection to the
+     * agent end only with the event loop, which the owner shuts down next.
      */
     public Future<?> stop() {
         return eventLoop.submit(() -> {
--- a/src/main/java/wrenkeel/net/ListeningSockets.java
+++ b/src/main/java/wrenkeel/net/ListeningSockets.java
@@ -3,11 +3,11 @@
 import java.io.IOException;
 import java.nio.channels.ServerSocketChannel;
 
-/** Makes the sockets that clients connect to; fails for a while where the machine is short of them. */
+/** Opens listening sockets for clients; may fail for a while if the machine is short of descriptors. */
 interface ListeningSockets {
-    /** The real ones. */
+    /** Opens real sockets. */
     ListeningSockets SYSTEM = ServerSocketChannel::open;
 
-    /** A socket that is not bound yet. */
+    /** Opens a socket that is not bound yet. */
     ServerSocketChannel open() throws IOException;
 }
--- a/src/main/java/wrenkeel/net/Metrics.java
+++ b/src/main/java/wrenkeel/net/Metrics.java
@@ -13,20 +13,20 @@
 import java.util.function.Function;
 import wrenkeel.Relay;
 
-/** The operators' figures: counts since this process began. Any thread may read them. */
+/** The relay's metrics: counters since this process started, and gauges. Thread-safe. */
 final class Metrics {
     private static final JsonFactory JSON = new JsonFactory();
 
-    /** How the messages of one class ended. */
+    /** Numbers of messages of one class by how they ended. */
     private static final class EndCounts {
         final AtomicLong completed = new AtomicLong();
         final AtomicLong rejected = new AtomicLong();
         final AtomicLong failed = new AtomicLong();
     }
 
-    /** What stands at one moment, rather than being counted. */
-    private record Gauges(int pending, int listedEndpoints, int unavailableEndpoints, long listVersion, long listFaults,
-                            long journalFailures, long maxLagMillis) { }
+    /** Values at one moment; see {@link #updateGauges}. */
+    private record Gauges(int pending, int listedEndpoints, int unavailableEndpoints, long listVersion,
+                          long listFaults, long journalFailures, long maxLagMillis) { }
 
     private final Map<String, EndCounts> countsByClass = new ConcurrentSkipListMap<>();
     private final Map<Violation, AtomicLong> violations = zeroes(Violation.class);
@@ -37,7 +37,10 @@
     private final AtomicLong reloadErrors = new AtomicLong();
     private volatile Gauges gauges = new Gauges(0, 0, 0, -1, 0, 0, 0);
 
-    /** These classes are in force; those of earlier settings stay, for their messages may yet end. */
+    /**
+     * Adds counters for message classes. Classes of earlier settings stay, since their messages may still
+     * end.
+     */
     void addClasses(Collection<String> names) {
         names.forEach(this::countsOf);
     }
@@ -46,7 +49,7 @@
         return countsByClass.computeIfAbsent(messageClass, name -> new EndCounts());
     }
 
-    /** All keys are there from the start: any thread may count. */
+    /** Returns a map with all keys: it is never changed after that, so that any thread may count. */
     private static <E extends Enum<E>> Map<E, AtomicLong> zeroes(Class<E> names) {
         Map<E, AtomicLong> counts = new EnumMap<>(names);
         for (E name : names.getEnumConstants()) {
@@ -63,28 +66,31 @@
         return violations.get(rule).get();
     }
 
-    void countRefusal(Refusal why) {
-        refusals.get(why).incrementAndGet();
+    void countRefusal(Refusal reason) {
+        refusals.get(reason).incrementAndGet();
     }
 
-    /** The health of an endpoint has changed. */
-    void countHealthChange(Relay.HealthReason why) {
-        healthChanges.get(why).incrementAndGet();
+    /** Counts a change of an endpoint's health. */
+    void countHealthChange(Relay.HealthReason reason) {
+        healthChanges.get(reason).incrementAndGet();
     }
 
+    /** Counts a message that was delivered. */
     void countCompleted(String messageClass) {
         countsOf(messageClass).completed.incrementAndGet();
     }
 
+    /** Counts a message that was refused, or whose notice says that it is returned and safe to retry. */
     void countRejected(String messageClass) {
         countsOf(messageClass).rejected.incrementAndGet();
     }
 
+    /** Counts a message that failed: it may or may not have been delivered. */
     void countFailed(String messageClass) {
         countsOf(messageClass).failed.incrementAndGet();
     }
 
-    /** The last byte of a call with so many messages has been written. */
+    /** Counts the messages of a call, once its last byte is written. */
     void countUpstreamRequests(int messages) {
         upstreamRequests.addAndGet(messages);
     }
@@ -98,17 +104,23 @@
     }
 
     /**
-     * {@code pending}: taken and not ended; {@code members}: listed endpoints, and those avoided now;
-     * {@code version} of the list held, -1 before the first, and {@code faults}: lists that came and could
-     * not be taken in; {@code journalFailures}: writes of the journal that failed; {@code worstLagMillis}:
-     * the latest that the event loop has been since the start.
+     * Replaces the gauges.
+     *
+     * @param pending messages accepted and not ended
+     * @param listedEndpoints endpoints in the host list
+     * @param unavailableEndpoints listed endpoints that are avoided now
+     * @param listVersion version of the host list, -1 before the first
+     * @param listFaults lists that were received and could not be used, since the start
+     * @param journalFailures failed writes of the journal, since the start
+     * @param maxLagMillis largest lag of the event loop since the start
      */
-    void updateGauges(int pending, int listedEndpoints, int unavailableEndpoints, long listVersion, long listFaults, long journalFailures,
-                long maxLagMillis) {
-        gauges = new Gauges(pending, listedEndpoints, unavailableEndpoints, listVersion, listFaults, journalFailures,
-            maxLagMillis);
+    void updateGauges(int pending, int listedEndpoints, int unavailableEndpoints, long listVersion,
+                      long listFaults, long journalFailures, long maxLagMillis) {
+        gauges = new Gauges(pending, listedEndpoints, unavailableEndpoints, listVersion, listFaults,
+            journalFailures, maxLagMillis);
     }
 
+    /** Returns all metrics as a JSON object in UTF-8. */
     byte[] toJson() {
         Gauges now = gauges;
         ByteArrayOutputStream text = new ByteArrayOutputStream();
@@ -144,7 +156,7 @@
             out.writeNumberField("config_reload_errors", reloadErrors.get());
             out.writeEndObject();
         } catch (IOException e) {
-            throw new IllegalStateException("an array of bytes cannot fail to be written", e);
+            throw new IllegalStateException("writing to a byte array failed", e);
         }
         return text.toByteArray();
     }
--- a/src/main/java/wrenkeel/net/Node.java
+++ b/src/main/java/wrenkeel/net/Node.java
@@ -19,20 +19,31 @@
 import org.slf4j.LoggerFactory;
 import wrenkeel.Wire;
 
-/** One real relay: its parts put together, its start and its orderly end. */
+/**
+ * One relay process: creates its components, starts, takes over from an earlier process of the same relay,
+ * reloads the configuration and shuts down. The components run on one event loop; the public methods may be
+ * called from any other thread.
+ */
 public final class Node implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Node.class);
-    /**
-     * ms from SIGTERM: clients are served on for the first, all is over by the second (SIGKILL may come at
-     * 3.7 s).
-     */
-    private static final long SERVE_AFTER_SIGTERM_MS = 600, SHUTDOWN_TIMEOUT_MS = 3_300;
-    /** ns before the end by which a hand-over is written down or done without; ms between tries. */
-    private static final long HANDOVER_RESERVE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000), HANDOVER_RETRY_MS = 50;
-    /** ms between looks: for the end, at what the earlier process passes on, and after a fault. */
-    private static final long SHUTDOWN_POLL_MS = 20, TAKEOVER_POLL_MS = 10, TAKEOVER_RETRY_MS = 200;
-    /** ms between tries to use a lasting folder that fails: the first gap, doubled up to the longest. */
-    private static final long MIN_START_RETRY_MS = 50, MAX_START_RETRY_MS = 1_000;
+    /** After SIGTERM clients are served for this long, unless a standby process takes over. */
+    private static final long SERVE_AFTER_SIGTERM_MS = 600;
+    /** Time from SIGTERM by which the process ends; SIGKILL may come after 3.7 s. */
+    private static final long SHUTDOWN_TIMEOUT_MS = 3_300;
+    /** A handover that is not written this long before the shutdown's deadline is abandoned. */
+    private static final long HANDOVER_RESERVE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
+    /** Delay before the next try to write the handover. */
+    private static final long HANDOVER_RETRY_MS = 50;
+    /** Interval between checks whether a phase of the shutdown is complete. */
+    private static final long SHUTDOWN_POLL_MS = 20;
+    /** Interval between checks whether the earlier process hands over, or has handed over more. */
+    private static final long TAKEOVER_POLL_MS = 10;
+    /** Delay before the next try after a failed takeover. */
+    private static final long TAKEOVER_RETRY_MS = 200;
+    /** Delay after the first failed start; doubles with each further failure up to the maximum. */
+    private static final long MIN_START_RETRY_MS = 50;
+    /** Longest delay between two tries to start. */
+    private static final long MAX_START_RETRY_MS = 1_000;
 
     private final MultiThreadIoEventLoopGroup eventLoopGroup =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -41,21 +52,25 @@
     private final Metrics metrics = new Metrics();
     private final Console console;
     private final ProcessClock clock;
+    /** What the console reports as readiness. */
     private volatile boolean ready;
     private final Machine machine;
     private final ConnectionLimiter connections;
     private final Server server;
     private volatile Config config;
-    /** Null until the lasting folder can be written. */
+    /** Null until the state folder can be written. */
     private volatile Journal journal;
-    /** Null as long as the journal. */
+    /** Null until the journal is open. */
     private volatile ControlDriver driver;
     private ClientListener clientListener;
-    /** False while it stands by, or waits for the lasting folder. */
+    /** False while this process is a standby or waits for the state folder. */
     private boolean serving;
     private boolean shuttingDown;
 
-    /** Takes up what the lasting folder holds, and serves; or stands by while an earlier process serves. */
+    /**
+     * Recovers the messages in the state folder and serves; or stays on standby while an earlier process
+     * serves.
+     */
     Node(Config config) throws IOException, InterruptedException, ExecutionException {
         this(config, Machine.SYSTEM);
     }
@@ -77,8 +92,11 @@
     }
 
     /**
-     * Begins this process's journal and serves, or stands by. While the folder cannot be written, or the
-     * machine has no socket, it waits and tries again: what is owed is not given up for that.
+     * Opens this process's journal and serves, or goes on standby. While the state folder cannot be written
+     * or the machine has no free socket, waits and tries again, since accepted messages must not be lost for
+     * that. An unusable folder, an address in use and malformed input are thrown instead.
+     *
+     * @param delayMillis delay before the next try
      */
     private void start(long delayMillis) throws IOException, Wire.Malformed {
         try {
@@ -96,9 +114,10 @@
         } catch (UnusableFolder | BindException | Wire.Malformed e) {
             throw e;
         } catch (IOException e) {
-            LOG.warn("cannot serve yet, tried again in {} ms: {}", delayMillis, e.toString());
+            LOG.warn("cannot serve yet, retrying in {} ms: {}", delayMillis, e.toString());
             refuseUntilServing();
-            eventLoop.schedule(() -> retryStart(Math.min(MAX_START_RETRY_MS, 2 * delayMillis)), delayMillis, TimeUnit.MILLISECONDS);
+            eventLoop.schedule(() -> retryStart(Math.min(MAX_START_RETRY_MS, 2 * delayMillis)), delayMillis,
+                TimeUnit.MILLISECONDS);
         }
     }
 
@@ -109,43 +128,44 @@
         try {
             start(delayMillis);
         } catch (IOException | RuntimeException e) {
-            LOG.error("cannot start, tried again in {} ms", delayMillis, e);
+            LOG.error("cannot start, retrying in {} ms", delayMillis, e);
             eventLoop.schedule(() -> retryStart(delayMillis), delayMillis, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Clients hear that this relay does not serve yet, unless another process may be serving them. */
+    /** Refuses clients while this relay does not serve yet, unless another process may be serving them. */
     private void refuseUntilServing() throws BindException {
         if (clientListener != null || !isAlone()) {
             return;
         }
         try {
             server.refuseUntilServing();
-            clientListener = ClientListener.open(config.listen(), eventLoop, server, nanos -> { }, machine.sockets());
+            clientListener = ClientListener.open(config.listen(), eventLoop, server, nanos -> { },
+                machine.sockets());
             LOG.info("not serving yet on {}", address());
         } catch (BindException e) {
             throw e;
         } catch (IOException e) {
-            LOG.warn("clients find nobody at {} yet: {}", config.listen(), e.toString());
+            LOG.warn("cannot listen for clients at {} yet: {}", config.listen(), e.toString());
         }
     }
 
-    /** True if no earlier process can be serving at the address. */
+    /** True if no earlier process can be serving at the clients' address. */
     private boolean isAlone() {
         try {
             return journal == null ? !Tenure.anyLives(config.state(), machine.files())
                 : !journal.earlierServes();
         } catch (IOException e) {
-            LOG.warn("the lasting folder cannot be read: {}", e.toString());
+            LOG.warn("cannot read the state folder: {}", e.toString());
             return false;
         }
     }
 
-    /** Reserves the clients' address, and looks again and again whether the earlier process has left. */
+    /** Reserves the clients' address and polls until the earlier process hands over or has ended. */
     private void standBy() throws IOException {
         connections.setMaxConnections(config.descriptors().clients() / 2);
         clientListener = ClientListener.reserve(config.listen());
-        LOG.info("standing by for {}", config.listen());
+        LOG.info("on standby for {}", config.listen());
         ready = true;
         eventLoop.schedule(this::pollForTakeover, TAKEOVER_POLL_MS, TimeUnit.MILLISECONDS);
     }
@@ -161,12 +181,12 @@
                 serve();
             }
         } catch (IOException | RuntimeException e) {
-            LOG.error("cannot take over, tried again", e);
+            LOG.error("cannot take over, retrying", e);
             eventLoop.schedule(this::pollForTakeover, TAKEOVER_RETRY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Takes over what is left by earlier processes, and opens the door to clients. */
+    /** Takes over the work of earlier processes, and listens for clients. */
     private void serve() throws IOException {
         Journal.Left left = journal.knowledge();
         if (left != null) {
@@ -175,8 +195,8 @@
         driver.adopt();
         if (clientListener == null || !clientListener.isListening()) {
             ClientListener reserved = clientListener;
-            clientListener = ClientListener.open(config.listen(), eventLoop, server, nanos -> driver.recordAcceptDelay(nanos),
-                machine.sockets());
+            clientListener = ClientListener.open(config.listen(), eventLoop, server,
+                nanos -> driver.recordAcceptDelay(nanos), machine.sockets());
             if (reserved != null) {
                 reserved.close();
             }
@@ -185,18 +205,18 @@
         journal.takenOver();
         serving = true;
         ready = true;
-        LOG.info("serving on {}, {} messages taken up", address(), journal.size());
+        LOG.info("serving on {}, {} messages recovered", address(), journal.size());
         continueAdopting();
     }
 
-    /** What the process that leaves still passes on, until it has ended. */
+    /** Adopts what the earlier process still hands over, until that process has ended. */
     private void continueAdopting() {
         if (journal.hasLegacies()) {
             try {
                 driver.adopt();
             } catch (IOException | RuntimeException e) {
-                // Guards what is still passed on: without another look nobody would take it over.
-                LOG.error("cannot take over all, tried again", e);
+                // The polling must go on: otherwise nobody would adopt what is handed over later.
+                LOG.error("cannot adopt the earlier process's messages, retrying", e);
             }
             eventLoop.schedule(this::continueAdopting, TAKEOVER_POLL_MS, TimeUnit.MILLISECONDS);
         } else {
@@ -204,11 +224,16 @@
         }
     }
 
-    /** Serves until the process is told to end; 2 where the configuration is of no use. */
+    /**
+     * Runs a relay until the process is asked to end.
+     *
+     * @param env the EDGE_* variables
+     * @return the exit status: 0, or 2 if the relay cannot start with this configuration
+     */
     public static int serve(Map<String, String> env) {
         CompletableFuture<Node> started = new CompletableFuture<>();
         try {
-            // Before anybody can see that it is ready: a signal may come at that very moment.
+            // Handlers come first: a signal may arrive as soon as others can see that the relay is ready.
             HangupSignal.setHandler(() -> started.thenAccept(node -> node.reload(env)));
             Runtime.getRuntime().addShutdownHook(new Thread(() -> started.handle((node, fault) -> {
                 if (node != null) {
@@ -236,7 +261,7 @@
         return 2;
     }
 
-    /** Reads the configuration anew, whole; one that is of no use changes nothing. */
+    /** Rereads the whole configuration and applies it; one that is invalid changes nothing. */
     synchronized void reload(Map<String, String> env) {
         try {
             Config next = config.reread(env);
@@ -247,16 +272,16 @@
                 config = next;
             }).get();
             metrics.countReload();
-            LOG.info("configuration read anew, discovery is at {}", next.discovery());
+            LOG.info("configuration reloaded, discovery is at {}", next.discovery());
         } catch (Config.Unusable e) {
             metrics.countReloadError();
-            LOG.error("not reloaded: {}", e.getMessage());
+            LOG.error("configuration not reloaded: {}", e.getMessage());
         } catch (RejectedExecutionException e) {
             metrics.countReloadError();
-            LOG.warn("not reloaded: the relay has ended");
+            LOG.warn("configuration not reloaded: the relay has ended");
         } catch (ExecutionException e) {
             metrics.countReloadError();
-            LOG.error("not reloaded", e);
+            LOG.error("configuration not reloaded", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -269,37 +294,37 @@
         HostPool pool = new HostPool(eventLoop, calls, config.settings().allowed().connectTimeout(),
             config.settings().allowed().keepAlive(), config.descriptors().hosts(), metrics);
         driver = new ControlDriver(eventLoop, clock, config, hosts, pool, journal, metrics,
-            (whenListed, whenNoticed) -> new Discovery(eventLoop, calls, config.discovery(), hosts, whenListed,
-                whenNoticed));
+            (whenListed, whenNoticed) -> new Discovery(eventLoop, calls, config.discovery(), hosts,
+                whenListed, whenNoticed));
         driver.start(config.known());
     }
 
-    /** Waits until it serves; for a test. */
+    /** Waits until the relay serves; for tests. */
     void awaitServing() throws InterruptedException, ExecutionException {
         while (!eventLoop.submit(() -> serving).get()) {
             Thread.sleep(SHUTDOWN_POLL_MS);
         }
     }
 
-    /** The address that clients connect to. */
+    /** Returns the address that clients connect to. */
     InetSocketAddress address() {
         return clientListener.address();
     }
 
-    /** The address that operators connect to. */
+    /** Returns the address that operators connect to; only for a relay whose configuration has a console. */
     InetSocketAddress consoleAddress() {
         return console.address();
     }
 
-    /** True when nothing is owed any more. */
+    /** True when every message has ended and the platform has acknowledged every notice. */
     boolean isIdle() throws InterruptedException, ExecutionException {
         return eventLoop.submit(() -> driver == null || driver.isIdle()).get();
     }
 
     /**
-     * The orderly end: connections are served until clients have turned away, then what is held is worked
-     * off. What is left stays in the journal, as it does when the process is killed; where another process
-     * stands by, it takes over at once.
+     * Shuts down in an orderly way: hands over to a standby process at once if there is one, else serves
+     * clients until they have gone elsewhere, then works off the messages held. What is left at the deadline
+     * stays in the journal, as it does when the process is killed.
      */
     void shutDown() {
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SHUTDOWN_TIMEOUT_MS);
@@ -310,7 +335,7 @@
                 server.closeAfterResponses();
             }).get();
             if (!eventLoop.submit(() -> serving).get()) {
-                LOG.info("told to end before it served");
+                LOG.info("shutting down before serving");
             } else {
                 if (!isStandbyWaiting() || !handOver(deadlineNanos - HANDOVER_RESERVE_NANOS)) {
                     Thread.sleep(SERVE_AFTER_SIGTERM_MS);
@@ -321,27 +346,27 @@
                 Thread.sleep(SHUTDOWN_POLL_MS);
             }
         } catch (InterruptedException | ExecutionException e) {
-            LOG.error("left at once", e);
+            LOG.error("orderly shutdown failed, closing at once", e);
         }
         close();
     }
 
-    /** Whether another process stands by; where the folder cannot be read, as if none did. */
+    /** True if another process is on standby; false also if the state folder cannot be read. */
     private boolean isStandbyWaiting() throws InterruptedException, ExecutionException {
         return eventLoop.submit(() -> {
             try {
                 return journal.laterWaits();
             } catch (IOException e) {
-                LOG.warn("cannot tell whether another process stands by: {}", e.toString());
+                LOG.warn("cannot determine whether another process is on standby: {}", e.toString());
                 return false;
             }
         }).get();
     }
 
     /**
-     * What is not out is passed on, and the next process opens its door. False where that cannot be written
-     * down until then: the next process takes over once this one has ended, and clients are turned away as
-     * if there were none.
+     * Hands the messages without an attempt in flight over to the standby process, and waits until that one
+     * serves or the time is up. Returns false if the handover cannot be written in time: the standby process
+     * then takes over only when this one has ended, and this one shuts down as if there were no standby.
      */
     private boolean handOver(long untilNanos) throws InterruptedException, ExecutionException {
         while (!eventLoop.submit(this::tryWriteHandover).get()) {
@@ -362,14 +387,15 @@
             connections.setMaxConnections(config.descriptors().clients() / 2);
             return true;
         } catch (IOException e) {
-            LOG.warn("the hand-over cannot be written down, tried again: {}", e.toString());
+            LOG.warn("cannot write the handover, retrying: {}", e.toString());
             return false;
         }
     }
 
     /**
-     * The door closes behind those who wait there. Clients that hold connections are served, and each answer
-     * closes one, as does a silence: closing them now would cut off what is on its way.
+     * Stops listening after accepting the connections that are queued, and waits until all connections are
+     * closed. Each one is closed by its next response or by the request timeout: closing it now would cut off
+     * a request that is on its way.
      */
     private void drainClients(long deadlineNanos) throws InterruptedException, ExecutionException {
         eventLoop.submit(clientListener::drain).get();
@@ -378,7 +404,7 @@
         }
     }
 
-    /** The abrupt end: what is owed stays in the journal. */
+    /** Ends abruptly: messages that have not ended stay in the journal. */
     @Override
     public void close() {
         eventLoop.submit(() -> {
--- a/src/main/java/wrenkeel/net/Refusal.java
+++ b/src/main/java/wrenkeel/net/Refusal.java
@@ -2,24 +2,24 @@
 
 import java.util.Locale;
 
-/** Why a message that was handed in was not taken on. */
+/** Why a message of a client was not accepted. */
 enum Refusal {
-    /** The module turned it away: the hold is full, or its time is too short. */
+    /** The decision module refused it: it holds too many messages, or the message's time is too short. */
     BY_MODULE,
-    /** As many messages are held as the settings allow. */
+    /** The relay holds as many messages as the settings allow. */
     HOLD_FULL,
-    /** The lasting folder has no room for it. */
+    /** The state folder has no space for it. */
     FOLDER_FULL,
-    /** The lasting folder cannot be written. */
+    /** The state folder cannot be written. */
     FOLDER_FAILS,
-    /** A message of that id is over and still has calls out. */
+    /** A message with the same id has ended and still has attempts in flight. */
     ID_IN_USE,
-    /** The process ends. */
+    /** The process is ending. */
     ENDING,
-    /** The turn that should have taken it on failed. */
+    /** The module's turn that should have accepted it failed. */
     TURN_FAILED;
 
-    /** Its name among the operators' figures. */
+    /** Returns its name in the metrics. */
     String metricName() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/wrenkeel/net/RequestDeadline.java
+++ b/src/main/java/wrenkeel/net/RequestDeadline.java
@@ -9,9 +9,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Closes a caller's connection that has brought no whole request for a while, from connecting or from the
- * last answer, and tells the callers' register which connections owe a request. Bytes alone do not put the
- * end off: a peer that trickles holds a descriptor as a silent one does.
+ * Closes a connection that has sent no whole request within a timeout, counted from connecting or from the
+ * last response, and notifies the {@link ConnectionLimiter} of connections and requests. Single bytes do not
+ * extend the timeout: a peer that trickles bytes occupies a file descriptor just as a silent one does.
  */
 final class RequestDeadline extends ChannelDuplexHandler {
     private final ConnectionLimiter connections;
@@ -59,7 +59,7 @@
         connections.awaitingRequest(context.channel());
         RequestDecoder decoder = context.pipeline().get(RequestDecoder.class);
         if (decoder != null && decoder.isWithinRequest()) {
-            // Part of the next request came with the one before.
+            // Part of the next request has arrived together with the previous one.
             connections.bytesReceived(context.channel());
         }
         if (context.channel().isActive()) {
@@ -67,7 +67,10 @@
         }
     }
 
-    /** Reads what stands in the socket first: the request may have come while the thread was busy. */
+    /**
+     * Closes the connection if no whole request has arrived. Reads the socket first, since the request may
+     * have arrived while the thread was busy.
+     */
     void expire(ChannelHandlerContext context) {
         Future<?> expired = timer;
         SocketReader.readNow(context.channel());
--- a/src/main/java/wrenkeel/net/RequestDecoder.java
+++ b/src/main/java/wrenkeel/net/RequestDecoder.java
@@ -6,10 +6,11 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import java.util.List;
 
-/** Decodes requests, and knows whether the bytes so far end between two of them or within one. */
+/** Decodes requests, and tracks whether the bytes read so far end within a request or between two. */
 final class RequestDecoder extends HttpRequestDecoder {
     private boolean withinRequest;
 
+    /** True if part of a request has been read, but not the whole. */
     boolean isWithinRequest() {
         return withinRequest;
     }
--- a/src/main/java/wrenkeel/net/RequestSequencer.java
+++ b/src/main/java/wrenkeel/net/RequestSequencer.java
@@ -14,25 +14,31 @@
 import java.util.Deque;
 
 /**
- * Passes on the requests of one connection one at a time, so that responses leave in the order of their
- * requests. Further requests are held back, and reading pauses, until the response to the one before has been
+ * Passes on the requests of one connection one at a time, so that responses are written in the order of their
+ * requests. Further requests are held back, and reading pauses, until the response to the previous one is
  * written. After a response that closes the connection nothing is passed on, and no second response to the
  * same request is written.
  */
 final class RequestSequencer extends ChannelDuplexHandler {
+    /** Requests, or parts of them, that are held back. */
     private final Deque<Object> held = new ArrayDeque<>();
-    /** A whole request was passed on and its response has not been written. */
+    /** A whole request was passed on and its response is not written yet. */
     private boolean responseOwed;
+    /** Nothing more is passed on. */
     private boolean closing;
+    /** An I/O error has occurred on the connection. */
     private boolean connectionFailed;
     private final Runnable whenClosedUnanswered;
 
-    /** {@code whenClosedUnanswered}: run when this side closes the connection with a whole request on it unanswered. */
+    /**
+     * {@code whenClosedUnanswered}: run when this side closes the connection over an unanswered whole
+     * request.
+     */
     RequestSequencer(Runnable whenClosedUnanswered) {
         this.whenClosedUnanswered = whenClosedUnanswered;
     }
 
-    /** Whether further requests of this connection, or parts of one, have been read already. */
+    /** True if further requests of this connection, or parts of one, have been read and are held back. */
     boolean holdsRequests() {
         return !held.isEmpty();
     }
@@ -77,13 +83,13 @@
             ReferenceCountUtil.release(message);
             promise.tryFailure(new ClosedChannelException());
         } else {
-            // A response before the end of its request: where the next one would begin is not known.
+            // After a response before the end of its request, the start of the next request is unknown.
             boolean early = !responseOwed;
             responseOwed = false;
             if (early || !HttpUtil.isKeepAlive(response)) {
                 stopPassingOn();
             } else if (holdsRequests()) {
-                // Not at once: the response may be one of several that the relay writes in one turn.
+                // Deferred: the relay may write further responses in the same turn.
                 context.executor().execute(() -> passOnHeld(context));
             }
             context.write(message, promise);
--- a/src/main/java/wrenkeel/net/SendGuard.java
+++ b/src/main/java/wrenkeel/net/SendGuard.java
@@ -5,67 +5,79 @@
 import wrenkeel.Relay;
 
 /**
- * The last look at each send before it is written down: whatever was decided, what the rules forbid does not
- * go out. It goes by the journal's own record of earlier attempts and by the waits as they were heard, not by
- * what the module holds. One event loop.
+ * Checks each attempt against the rules just before it is recorded and sent, independently of the decision
+ * module. It uses the journal's record of earlier attempts and the waits as hosts sent them, not the module's
+ * state. One event loop.
  */
 final class SendGuard {
-    /** ms; the module's clock is finer than the record of attempts. */
+    /** Tolerance for rounding: the module's clock is finer than the journal's times of attempts. */
     private static final long CLOCK_ROUNDING_MS = 2;
-    /** us; calls that come so soon after the word to wait are let through. */
+    /** Attempts this soon after a wait was received are no violation of it. */
     private static final long WAIT_SLACK_MICROS = 100_000;
 
-    /** What a wait binds: a whole destination, or one host where routes are apart. */
+    /**
+     * What a wait applies to: a whole destination, or one host (else -1) if the destination's endpoints are
+     * limited separately.
+     */
     private record WaitScope(long destination, long host) { }
 
+    /** A wait that a host has asked for; microseconds. */
     private record Wait(long start, long until) { }
 
     private final Map<WaitScope, Wait> waits = new HashMap<>();
 
-    private static WaitScope scopeOf(HostList.Host host, boolean apart) {
-        return new WaitScope(host.destination, apart ? host.number : -1);
+    private static WaitScope scopeOf(HostList.Host host, boolean separate) {
+        return new WaitScope(host.destination, separate ? host.number : -1);
     }
 
-    /** A host has told to wait for so long from now on; times in microseconds. */
-    void recordWait(HostList.Host host, boolean apart, long now, long span) {
+    /**
+     * Records that a host has asked to wait.
+     *
+     * @param separate the destination's endpoints are limited separately
+     * @param now in microseconds
+     * @param span length of the wait from now, in microseconds
+     */
+    void recordWait(HostList.Host host, boolean separate, long now, long span) {
         waits.values().removeIf(wait -> wait.until <= now);
-        waits.merge(scopeOf(host, apart), new Wait(now, now + span),
+        waits.merge(scopeOf(host, separate), new Wait(now, now + span),
             (one, other) -> one.until > other.until ? one : other);
     }
 
     /**
-     * What a send of this message to this host would break; null if it may go out.
+     * Returns the rule that an attempt of this message at this host would break; null if it may be sent.
      *
+     * @param separate the destination's endpoints are limited separately
      * @param nowMillis by the clock of the journal's entry
      * @param nowMicros by the clock of the waits
      */
-    Violation findViolation(Journal.Entry entry, Relay.MessageClass rules, HostList.Host host, boolean apart,
-                    long nowMillis, long nowMicros) {
+    Violation findViolation(Journal.Entry entry, Relay.MessageClass messageClass, HostList.Host host,
+                            boolean separate, long nowMillis, long nowMicros) {
         if (nowMillis > entry.message.deadline()) {
             return Violation.SENT_AFTER_DEADLINE;
         }
         for (Journal.Attempt attempt : entry.attempts) {
-            if (attempt.mayHaveRun && !mayRepeat(attempt, rules, host, nowMillis)) {
+            if (attempt.mayHaveRun && !mayRepeat(attempt, messageClass, host, nowMillis)) {
                 return Violation.REPEATED_OUTSIDE_ALLOWANCE;
             }
         }
-        Wait wait = waits.get(scopeOf(host, apart));
+        Wait wait = waits.get(scopeOf(host, separate));
         boolean waits = wait != null && nowMicros < wait.until && nowMicros > wait.start + WAIT_SLACK_MICROS;
         return waits ? Violation.SENT_WITHIN_WAIT : null;
     }
 
-    /** True while a wait that has been heard is not over. */
-    boolean mustWait(HostList.Host host, boolean apart, long nowMicros) {
-        Wait wait = waits.get(scopeOf(host, apart));
+    /** True while a recorded wait applies to the host. */
+    boolean mustWait(HostList.Host host, boolean separate, long nowMicros) {
+        Wait wait = waits.get(scopeOf(host, separate));
         return wait != null && nowMicros < wait.until;
     }
 
-    private static boolean mayRepeat(Journal.Attempt before, Relay.MessageClass rules, HostList.Host host,
-                                     long nowMillis) {
-        return switch (rules.effect()) {
+    /** True if a message may be sent to this host although this earlier attempt may have been executed. */
+    private static boolean mayRepeat(Journal.Attempt earlier, Relay.MessageClass messageClass,
+                                     HostList.Host host, long nowMillis) {
+        return switch (messageClass.effect()) {
             case SAFE -> true;
-            case KEYED -> nowMillis - before.sent <= rules.window() / 1_000 + CLOCK_ROUNDING_MS
-                && (!rules.zoneGroup() || before.zone == host.zone);
+            case KEYED -> nowMillis - earlier.sent <= messageClass.window() / 1_000 + CLOCK_ROUNDING_MS
+                && (!messageClass.zoneGroup() || earlier.zone == host.zone);
             case UNSAFE -> false;
         };
     }
--- a/src/main/java/wrenkeel/net/Server.java
+++ b/src/main/java/wrenkeel/net/Server.java
@@ -29,25 +29,35 @@
 import org.slf4j.LoggerFactory;
 import wrenkeel.Relay;
 
-/** What clients see: takes messages in, answers at once, and says whether the relay serves. */
+/**
+ * The HTTP server for clients. It accepts messages by POST, answers each one at once (202 accepted, 503
+ * refused, 504 failed), and answers the health check. One event loop.
+ */
 final class Server extends ChannelInitializer<Channel> {
     private static final Logger LOG = LoggerFactory.getLogger(Server.class);
-    private static final int MAX_BODY_BYTES = 64 * 1024, MAX_ID_LENGTH = 128, MAX_KEY_LENGTH = 256;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
+    /** Longest message id, tenant and timeout header, in characters. */
+    private static final int MAX_ID_LENGTH = 128;
+    /** Longest idempotency key and route key, in characters. */
+    private static final int MAX_KEY_LENGTH = 256;
     /**
-     * ms; without a request a connection must be closed within 3 s. Some clients write theirs in 2 s, and
-     * a busy relay reads its last byte late.
+     * Time for a whole request. A connection without one must be closed within 3 s; some clients take 2 s to
+     * write theirs, and a busy relay reads its last byte late.
      */
     private static final long REQUEST_TIMEOUT_MS = 2_600;
     /**
-     * ms a connection may stay after its last response. Together with the time for a request it is below 3 s;
-     * at the orderly end the process waits for it.
+     * Time that a connection may stay open after its last response. Together with the request timeout it is
+     * below 3 s, and an orderly shutdown waits for it.
      */
     private static final long LINGER_MS = 300;
-    /** ms; a longer time for a message is taken for a mistake. */
+    /** Longest X-Timeout-Ms that is accepted: a longer one is assumed to be a mistake. */
     private static final long MAX_MESSAGE_TIMEOUT_MS = 3_600_000;
-    /** ms; a client hears of its message at most 400 ms after sending it, and an end may come 300 ms late. */
+    /**
+     * Taken off a message's time for its way from the client. The client is notified of the message's
+     * acceptance at most 400 ms after sending it, and the notice of its end may arrive 300 ms late.
+     */
     private static final long MAX_TRANSIT_MS = 300;
-    /** us; told to a client that comes before the relay serves. */
+    /** Retry-After for clients that send a message before the relay serves. */
     private static final long NOT_SERVING_RETRY_AFTER_MICROS = 1_000_000;
 
     private final ConnectionLimiter connections;
@@ -71,45 +81,48 @@
 
     @Override
     protected void initChannel(Channel channel) {
-        channel.pipeline().addLast(new SocketReader(connections), new LingeringClose(connections, lingerMillis),
-            new RequestDecoder(), new HttpResponseEncoder(), new RequestSequencer(this::reportClosedUnanswered),
-            new RequestAggregator(),
+        channel.pipeline().addLast(new SocketReader(connections),
+            new LingeringClose(connections, lingerMillis), new RequestDecoder(), new HttpResponseEncoder(),
+            new RequestSequencer(this::reportClosedUnanswered), new RequestAggregator(),
             new RequestDeadline(connections, REQUEST_TIMEOUT_MS), new RequestHandler());
     }
 
-    /** Until {@link #serve}, each message is refused, which harms nobody, and the health check says no. */
+    /** Until {@link #serve}, refuses each message, which is safe to retry, and fails the health check. */
     void refuseUntilServing() {
         notServingYet = true;
     }
 
-    /** From now on messages go to this relay's loop. */
+    /** From now on passes messages to the driver. */
     void serve(ControlDriver driver, Metrics metrics) {
-        driver = driver;
-        metrics = metrics;
+        this.driver = driver;
+        this.metrics = metrics;
         notServingYet = false;
     }
 
-    /** From now on each answer closes its connection. */
+    /**
+     * From now on each response closes its connection, unless more of a request has already been read, and
+     * the health check fails.
+     */
     void closeAfterResponses() {
         closingAfterResponses = true;
     }
 
-    /** A request that cannot be served as it stands. */
+    /** An invalid request, with the status of the response to it. */
     private static final class InvalidRequestException extends Exception {
         private static final long serialVersionUID = 1L;
         private final HttpResponseStatus status;
 
-        InvalidRequestException(HttpResponseStatus status, String fault) {
-            super(fault);
+        InvalidRequestException(HttpResponseStatus status, String reason) {
+            super(reason);
             this.status = status;
         }
 
-        InvalidRequestException(String fault) {
-            this(HttpResponseStatus.BAD_REQUEST, fault);
+        InvalidRequestException(String reason) {
+            this(HttpResponseStatus.BAD_REQUEST, reason);
         }
     }
 
-    /** Puts requests together; one that is too large is answered 413. */
+    /** Assembles whole requests; answers one that is too large with 413. */
     private final class RequestAggregator extends HttpObjectAggregator {
         RequestAggregator() {
             super(MAX_BODY_BYTES, true);
@@ -123,11 +136,12 @@
         }
     }
 
+    /** Answers health checks and passes valid messages to the driver. */
     private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             if (!context.channel().isActive()) {
-                // What stood behind a request that closed the connection.
+                // This request followed one whose response has closed the connection.
                 return;
             }
             boolean keepAlive = HttpUtil.isKeepAlive(request) && request.decoderResult().isSuccess();
@@ -140,16 +154,18 @@
                     boolean serves = !closingAfterResponses && !notServingYet;
                     respond(context, HttpResponseStatus.valueOf(serves ? 200 : 503), 0, keepAlive);
                 } else if (!request.method().equals(HttpMethod.POST)) {
-                    throw new InvalidRequestException(HttpResponseStatus.METHOD_NOT_ALLOWED, "only POST hands a message in");
+                    throw new InvalidRequestException(HttpResponseStatus.METHOD_NOT_ALLOWED,
+                        "messages must be sent by POST");
                 } else if (notServingYet) {
-                    respond(context, HttpResponseStatus.SERVICE_UNAVAILABLE, NOT_SERVING_RETRY_AFTER_MICROS, false);
+                    respond(context, HttpResponseStatus.SERVICE_UNAVAILABLE, NOT_SERVING_RETRY_AFTER_MICROS,
+                        false);
                 } else {
                     Message message = parseMessage(request, path);
                     driver.accept(message, new ClientResponder(context, message.id(), keepAlive));
                 }
             } catch (InvalidRequestException e) {
                 logInvalidRequest(context, e.status, e.getMessage());
-                // A peer that asks for what no client asks for may have much more to send.
+                // A peer that sends an invalid request may have much more to send: its connection is closed.
                 respond(context, e.status, 0, false);
             }
         }
@@ -157,16 +173,18 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (cause instanceof IOException || cause instanceof PrematureChannelClosureException) {
-                // A client that leaves, also in the middle of its request, is no fault.
+                // A client may disconnect at any time, also in the middle of its request: this is no error.
                 context.close();
             } else {
-                LOG.error("connection of a client closed", cause);
-                // Also for a message that the relay has yet to answer: it is withdrawn, as its answer fails.
+                LOG.error("client connection closed after an error", cause);
+                // A message whose response is still outstanding is withdrawn, since that response cannot be
+                // written any more.
                 respond(context, HttpResponseStatus.INTERNAL_SERVER_ERROR, 0, false);
             }
         }
     }
 
+    /** Counts and logs a connection that this process has closed over an unanswered request. */
     private void reportClosedUnanswered() {
         if (metrics != null) {
             metrics.countViolation(Violation.CLOSED_UNANSWERED);
@@ -174,46 +192,56 @@
         LOG.error("{}", Violation.CLOSED_UNANSWERED);
     }
 
-    private void logInvalidRequest(ChannelHandlerContext context, HttpResponseStatus status, String fault) {
-        invalidRequestLog.warn(context.executor(), "request turned away: " + status.code() + " " + fault);
+    private void logInvalidRequest(ChannelHandlerContext context, HttpResponseStatus status, String reason) {
+        invalidRequestLog.warn(context.executor(), "request rejected: " + status.code() + " " + reason);
     }
 
+    /** Parses and validates a message of a POST request. */
     private Message parseMessage(FullHttpRequest request, String path) throws InvalidRequestException {
         HttpHeaders headers = request.headers();
         String[] parts = path.split("/");
         String name = headers.get("X-Priority-Class", parts.length > 1 ? parts[1] : "");
         if (parts.length < 2 || !parts[1].equals(name)) {
-            throw new InvalidRequestException(HttpResponseStatus.NOT_FOUND, "path and class differ");
+            throw new InvalidRequestException(HttpResponseStatus.NOT_FOUND,
+                "path and X-Priority-Class differ");
         }
-        Relay.MessageClass kind = driver.messageClass(name);
-        if (kind == null) {
-            throw new InvalidRequestException(HttpResponseStatus.NOT_FOUND, "unknown class");
+        Relay.MessageClass messageClass = driver.messageClass(name);
+        if (messageClass == null) {
+            throw new InvalidRequestException(HttpResponseStatus.NOT_FOUND, "unknown message class");
         }
         long destination = parseDestination(headers.get("X-Envelope", ""));
         if (!driver.isKnown(name, destination)) {
-            throw new InvalidRequestException(HttpResponseStatus.NOT_FOUND, "unknown destination " + destination);
+            throw new InvalidRequestException(HttpResponseStatus.NOT_FOUND,
+                "unknown destination " + destination);
         }
-        String key = headerValue(headers, "Idempotency-Key", MAX_KEY_LENGTH, kind.effect() == Relay.Effect.KEYED);
-        long time = parseLong(headerValue(headers, "X-Timeout-Ms", MAX_ID_LENGTH, true), "X-Timeout-Ms");
-        if (time < 1 || time > MAX_MESSAGE_TIMEOUT_MS) {
-            throw new InvalidRequestException("X-Timeout-Ms is not within 1 to " + MAX_MESSAGE_TIMEOUT_MS);
+        String key = headerValue(headers, "Idempotency-Key", MAX_KEY_LENGTH,
+            messageClass.effect() == Relay.Effect.KEYED);
+        long timeout = parseLong(headerValue(headers, "X-Timeout-Ms", MAX_ID_LENGTH, true), "X-Timeout-Ms");
+        if (timeout < 1 || timeout > MAX_MESSAGE_TIMEOUT_MS) {
+            throw new InvalidRequestException("X-Timeout-Ms is not between 1 and " + MAX_MESSAGE_TIMEOUT_MS);
         }
         String tenant = headerValue(headers, "X-Tenant-Id", MAX_ID_LENGTH, false);
         return new Message(headerValue(headers, "X-Request-ID", MAX_ID_LENGTH, true), name,
-            tenant == null ? 0 : driver.tenantIndex(tenant), headerValue(headers, "X-Route-Key", MAX_KEY_LENGTH, false), key,
-            destination, deadline(driver.earliestArrivalMillis(), time),
+            tenant == null ? 0 : driver.tenantIndex(tenant),
+            headerValue(headers, "X-Route-Key", MAX_KEY_LENGTH, false), key,
+            destination, deadline(driver.earliestArrivalMillis(), timeout),
             ByteBufUtil.getBytes(request.content()));
     }
 
     /**
-     * When a message's time is up, in Unix time. Its client counts from when it sent the request, which may
-     * have waited for a busy relay to read it, so that is taken off; of a short time no more than a quarter.
+     * Returns a message's deadline, Unix time in ms. The client counts from when it sent the request, so an
+     * allowance for the request's way is taken off, but at most a quarter of the message's time.
+     *
+     * @param arrival earliest time at which the request may have arrived, Unix time in ms
+     * @param timeout the message's X-Timeout-Ms
      */
-    static long deadline(long readAt, long time) {
-        return readAt + time - Math.min(MAX_TRANSIT_MS, time / 4);
+    static long deadline(long arrival, long timeout) {
+        return arrival + timeout - Math.min(MAX_TRANSIT_MS, timeout / 4);
     }
 
-    private static String headerValue(HttpHeaders headers, String name, int maxLength, boolean required) throws InvalidRequestException {
+    /** Returns a header's value; null if it is missing and not required. */
+    private static String headerValue(HttpHeaders headers, String name, int maxLength, boolean required)
+        throws InvalidRequestException {
         String value = headers.get(name);
         if (value == null ? required : value.isEmpty() || value.length() > maxLength) {
             throw new InvalidRequestException(name + " is missing, empty or too long");
@@ -221,24 +249,25 @@
         return value;
     }
 
+    /** Returns the destination that an X-Envelope header names in its part "dest=". */
     private static long parseDestination(String envelope) throws InvalidRequestException {
         for (String pair : envelope.split("[,;]")) {
             if (pair.strip().toLowerCase(Locale.ROOT).startsWith("dest=")) {
                 return parseLong(pair.strip().substring(5), "dest");
             }
         }
-        throw new InvalidRequestException("X-Envelope names no dest");
+        throw new InvalidRequestException("X-Envelope has no dest");
     }
 
     private static long parseLong(String text, String name) throws InvalidRequestException {
         try {
             return Long.parseLong(text.strip());
         } catch (NumberFormatException e) {
-            throw new InvalidRequestException(name + " is not a whole number");
+            throw new InvalidRequestException(name + " is not an integer");
         }
     }
 
-    /** The answer to one client. */
+    /** Writes the response to one client's message. */
     private final class ClientResponder implements ControlDriver.AcceptanceCallback {
         private final ChannelHandlerContext context;
         private final String id;
@@ -270,6 +299,12 @@
         }
     }
 
+    /**
+     * Writes a response without a body.
+     *
+     * @param retryAfter microseconds; 0 for a response without the header
+     * @param keepAlive false if the connection is closed after the response
+     */
     private ChannelFuture respond(ChannelHandlerContext context, HttpResponseStatus status,
                                   long retryAfter, boolean keepAlive) {
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
@@ -290,7 +325,7 @@
         return written;
     }
 
-    /** Whether a connection has brought a further request, or part of one, that is still to be answered. */
+    /** True if a further request, or part of one, has been read from the connection and is unanswered. */
     private static boolean hasUnansweredInput(ChannelPipeline pipeline) {
         return pipeline.get(RequestSequencer.class).holdsRequests()
             || pipeline.get(RequestDecoder.class).isWithinRequest();
--- a/src/main/java/wrenkeel/net/SocketReader.java
+++ b/src/main/java/wrenkeel/net/SocketReader.java
@@ -7,8 +7,8 @@
 import io.netty.channel.nio.AbstractNioChannel;
 
 /**
- * Tells the register of connections which of them bring bytes, and reads on demand what stands unread in a
- * socket: a busy thread may have had no time for it. Comes first in the pipeline.
+ * Notifies the {@link ConnectionLimiter} of received bytes, and reads a socket on demand: a busy thread may
+ * have left bytes unread in it. Must be the first handler in the pipeline.
  */
 final class SocketReader extends ChannelInboundHandlerAdapter {
     private final ConnectionLimiter connections;
@@ -18,7 +18,7 @@
         this.connections = connections;
     }
 
-    /** Reads what has come on a connection, and passes it on as usual; false if nothing has. */
+    /** Reads the unread bytes of a connection through its pipeline; returns false if there were none. */
     static boolean readNow(Channel channel) {
         SocketReader reader = channel.pipeline().get(SocketReader.class);
         if (reader == null || !channel.isActive()
--- a/src/main/java/wrenkeel/net/ThrottledLog.java
+++ b/src/main/java/wrenkeel/net/ThrottledLog.java
@@ -5,8 +5,9 @@
 import org.slf4j.Logger;
 
 /**
- * Warnings that a flood of bad peers may cause: the first is logged at once, those within the next second are
- * counted and told in one line, with the last of them. Belongs to one executor.
+ * Logs warnings that misbehaving peers may cause in large numbers. The first one is logged at once; those
+ * within the next second are counted and summed up in one line with the text of the last. Belongs to one
+ * executor.
  */
 final class ThrottledLog {
     private static final long INTERVAL_MS = 1_000;
@@ -20,6 +21,7 @@
         this.log = log;
     }
 
+    /** Logs the event as a warning, now or in the summary of the current interval. */
     void warn(EventExecutor executor, String event) {
         if (throttling) {
             suppressed++;
--- a/src/main/java/wrenkeel/net/Violation.java
+++ b/src/main/java/wrenkeel/net/Violation.java
@@ -2,24 +2,27 @@
 
 import java.util.Locale;
 
-/** What this process must never do. Each is checked where it would happen, counted and logged. */
+/**
+ * Rules that this process must never break. Each is checked where it could be broken; breaches are counted
+ * and logged.
+ */
 enum Violation {
-    /** A send after the message's time was up. */
+    /** An attempt was sent after the message's deadline. */
     SENT_AFTER_DEADLINE,
-    /** A repeat that the message's class does not allow. */
+    /** An attempt was repeated although the message's class does not allow it. */
     REPEATED_OUTSIDE_ALLOWANCE,
-    /** A send to a destination that has told to wait. */
+    /** An attempt was sent to a destination that had asked to wait (Retry-After). */
     SENT_WITHIN_WAIT,
-    /** The first byte of a call to an endpoint that is draining or gone by the list. */
+    /** The first byte of a call was sent to an endpoint that the list has as draining or gone. */
     SENT_WHILE_DRAINING,
-    /** A second end of a message. */
+    /** A second end was decided for a message. */
     ENDED_TWICE,
-    /** An end that the platform had later than it is due. */
+    /** The platform received a message's end too late. */
     ENDED_LATE,
-    /** A connection closed by this process with a whole request on it unanswered. */
+    /** This process closed a connection over an unanswered whole request. */
     CLOSED_UNANSWERED;
 
-    /** Its name among the operators' figures. */
+    /** Returns its name in the metrics. */
     String metricName() {
         return name().toLowerCase(Locale.ROOT);
     }
