--- a/src/main/java/wrenkeel/net/AcceptRetry.java
+++ b/src/main/java/wrenkeel/net/AcceptRetry.java
@@ -19,7 +19,9 @@
 
     private final LongConsumer whenResumed;
     private final ThrottledLog failures = new ThrottledLog(LOG);
+    /** Accepting has failed, and no connection was accepted since. */
     private boolean failing;
+    /** Time of the first of these failures, by {@link System#nanoTime}. */
     private long failingSince;
 
     /**
--- a/src/main/java/wrenkeel/net/ClientListener.java
+++ b/src/main/java/wrenkeel/net/ClientListener.java
@@ -27,8 +27,8 @@
     /** Length of the queue of connections that wait to be accepted. */
     private static final int BACKLOG = 512;
     /**
-     * Time for which the selector may still hold a deregistered channel. A channel that it holds is not
-     * closed at once.
+     * Delay between deregistering the channel and closing it. The selector may still hold the channel for a
+     * moment, and a channel that it holds is closed late.
      */
     private static final long DEREGISTER_DELAY_MS = 20;
     /** Failed tries, half a second in all, after which {@link #drain} gives up on queued connections. */
@@ -45,7 +45,7 @@
     private final Acceptor acceptor;
 
     private ClientListener(NetworkChannel socket, EventLoop eventLoop, NioServerSocketChannel listener,
-                 Acceptor acceptor) {
+                           Acceptor acceptor) {
         this.socket = socket;
         this.eventLoop = eventLoop;
         this.listener = listener;
@@ -66,7 +66,7 @@
 
     /** Listens; each connection gets the handler {@code clients}. To be called on the event loop. */
     static ClientListener open(InetSocketAddress address, EventLoop eventLoop, ChannelHandler clients,
-                     LongConsumer whenResumed, ListeningSockets sockets) throws IOException {
+                               LongConsumer whenResumed, ListeningSockets sockets) throws IOException {
         return open(address, eventLoop, clients, whenResumed, sockets, ServerSocketChannel::accept);
     }
 
@@ -74,13 +74,13 @@
      * Listens at the address; to be called on the event loop.
      *
      * @param clients handler of each connection
-     * @param whenResumed receives, once accepting works again after failures, how long new connections may
-     * have waited, in nanoseconds
+     * @param whenResumed receives how long new connections may have waited, in nanoseconds, once accepting
+     *     works again after failures
      * @param sockets opens the listening socket
      * @param acceptor accepts connections for {@link #drain}
      */
     static ClientListener open(InetSocketAddress address, EventLoop eventLoop, ChannelHandler clients,
-                     LongConsumer whenResumed, ListeningSockets sockets, Acceptor acceptor)
+                               LongConsumer whenResumed, ListeningSockets sockets, Acceptor acceptor)
         throws IOException {
         ServerSocketChannel socket = sockets.open();
         try {
@@ -132,7 +132,10 @@
         return listener;
     }
 
-    /** Accepts all queued connections, then closes at once, so that none is queued in between. */
+    /**
+     * Stops listening: accepts all queued connections, then closes the socket at once, so that none is queued
+     * in between and lost.
+     */
     void drain() {
         listener.deregister().addListener(done ->
             eventLoop.schedule(() -> acceptPending(MAX_DRAIN_TRIES), DEREGISTER_DELAY_MS,
--- a/src/main/java/wrenkeel/net/Console.java
+++ b/src/main/java/wrenkeel/net/Console.java
@@ -48,6 +48,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(Console.class);
     /** Time within which a whole request must have arrived. */
     private static final long REQUEST_TIMEOUT_MS = 2_000;
+    /** Largest body of a request. */
     private static final int MAX_REQUEST_BYTES = 4_096;
 
     private final MultiThreadIoEventLoopGroup group =
@@ -111,6 +112,7 @@
         group.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS).awaitUninterruptibly();
     }
 
+    /** Answers one request on each connection, then closes it. */
     private static final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final BooleanSupplier ready;
         private final Metrics metrics;
--- a/src/main/java/wrenkeel/net/EventLoopLag.java
+++ b/src/main/java/wrenkeel/net/EventLoopLag.java
@@ -22,8 +22,10 @@
     private final LongSupplier nanoClock;
     private final long periodNanos;
     private long lastTickNanos;
+    /** Largest recent lag, and when it was measured. */
     private long recentMaxNanos;
     private long recentMaxAtNanos;
+    /** Largest lag since the start. */
     private long maxNanos;
 
     /** {@code periodMillis}: time between two calls of {@link #tick}. */
--- a/src/main/java/wrenkeel/net/LingeringClose.java
+++ b/src/main/java/wrenkeel/net/LingeringClose.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Closes a connection on which something has been written so that the peer can still read it. Closing a
+ * Closes a connection so that the peer can still read what has been written on it. Closing a
  * socket with unread input would reset the connection, and the peer could lose the response. So the output is
  * shut down first; further input is discarded until the peer closes its side or the linger time is up. Must
  * precede the decoders in the pipeline.
@@ -22,6 +22,7 @@
 
     private final ConnectionLimiter connections;
     private final long lingerMillis;
+    /** Something has been written on the connection. */
     private boolean written;
     private boolean lingering;
     private long discardedBytes;
--- a/src/main/java/wrenkeel/net/ListOnlyRelay.java
+++ b/src/main/java/wrenkeel/net/ListOnlyRelay.java
@@ -31,7 +31,7 @@
      * @param eventLoop used by this relay alone
      * @param env the EDGE_* variables that a relay is started with
      * @param whenApplied called on the event loop with the version of each list or update, once the module
-     * has processed it
+     *     has processed it
      */
     public ListOnlyRelay(EventLoop eventLoop, Map<String, String> env, LongConsumer whenApplied) {
         this.eventLoop = eventLoop;
--- a/src/main/java/wrenkeel/net/Node.java
+++ b/src/main/java/wrenkeel/net/Node.java
@@ -252,9 +252,9 @@
         } catch (ExecutionException e) {
             System.err.println("cannot start: " + e.getCause());
         } catch (InterruptedException e) {
-            System.err.println("interrupted at the start");
+            System.err.println("interrupted while starting");
         } catch (ReflectiveOperationException e) {
-            System.err.println("cannot listen for SIGHUP: " + e);
+            System.err.println("cannot install the SIGHUP handler: " + e);
         } finally {
             started.cancel(false);
         }
--- a/src/main/java/wrenkeel/net/RequestSequencer.java
+++ b/src/main/java/wrenkeel/net/RequestSequencer.java
@@ -31,8 +31,8 @@
     private final Runnable whenClosedUnanswered;
 
     /**
-     * {@code whenClosedUnanswered}: run when this side closes the connection over an unanswered whole
-     * request.
+     * {@code whenClosedUnanswered}: run when this side closes the connection while a whole request on it is
+     * unanswered.
      */
     RequestSequencer(Runnable whenClosedUnanswered) {
         this.whenClosedUnanswered = whenClosedUnanswered;
--- a/src/main/java/wrenkeel/net/SendGuard.java
+++ b/src/main/java/wrenkeel/net/SendGuard.java
@@ -21,11 +21,12 @@
      */
     private record WaitScope(long destination, long host) { }
 
-    /** A wait that a host has asked for; microseconds. */
+    /** A wait that a host has asked for: when that was received, and until when it binds; microseconds. */
     private record Wait(long start, long until) { }
 
     private final Map<WaitScope, Wait> waits = new HashMap<>();
 
+    /** Returns the scope of a wait that this host asks for. */
     private static WaitScope scopeOf(HostList.Host host, boolean separate) {
         return new WaitScope(host.destination, separate ? host.number : -1);
     }
--- a/src/main/java/wrenkeel/net/Server.java
+++ b/src/main/java/wrenkeel/net/Server.java
@@ -35,6 +35,7 @@
  */
 final class Server extends ChannelInitializer<Channel> {
     private static final Logger LOG = LoggerFactory.getLogger(Server.class);
+    /** Largest body of a message. */
     private static final int MAX_BODY_BYTES = 64 * 1024;
     /** Longest message id, tenant and timeout header, in characters. */
     private static final int MAX_ID_LENGTH = 128;
@@ -63,6 +64,7 @@
     private final ConnectionLimiter connections;
     /** Null until the relay serves. */
     private ControlDriver driver;
+    /** Messages are refused until {@link #serve}. */
     private boolean notServingYet;
     /** Null until the relay serves. */
     private Metrics metrics;
@@ -184,7 +186,7 @@
         }
     }
 
-    /** Counts and logs a connection that this process has closed over an unanswered request. */
+    /** Counts and logs that this process has closed a connection with an unanswered request on it. */
     private void reportClosedUnanswered() {
         if (metrics != null) {
             metrics.countViolation(Violation.CLOSED_UNANSWERED);
--- a/src/main/java/wrenkeel/net/Violation.java
+++ b/src/main/java/wrenkeel/net/Violation.java
@@ -13,13 +13,13 @@
     REPEATED_OUTSIDE_ALLOWANCE,
     /** An attempt was sent to a destination that had asked to wait (Retry-After). */
     SENT_WITHIN_WAIT,
-    /** The first byte of a call was sent to an endpoint that the list has as draining or gone. */
+    /** The first byte of a call was sent to an endpoint that is draining or gone by the host list. */
     SENT_WHILE_DRAINING,
     /** A second end was decided for a message. */
     ENDED_TWICE,
-    /** The platform received a message's end too late. */
+    /** The platform received the end of a message later than it was due. */
     ENDED_LATE,
-    /** This process closed a connection over an unanswered whole request. */
+    /** This process closed a connection while a whole request on it was unanswered. */
     CLOSED_UNANSWERED;
 
     /** Returns its name in the metrics. */
