--- a/src/main/java/wrenkeel/net/EndpointHealthLog.java
+++ b/src/main/java/wrenkeel/net/EndpointHealthLog.java
@@ -58,7 +58,7 @@
         String name = host == null ? "unlisted " + change.endpoint()
             : host.name + " of destination " + host.destination;
         String slowStart = String.format(Locale.ROOT,
-            "carried %.2f a second before, %d calls in the window, %.2f allowed",
+            "%.2f calls a second before the outage, %d calls in the slow start window, %.2f allowed",
             change.carried(), change.sentInWindow(), change.allowedInWindow());
         return "endpoint " + name + ": " + change.health() + ", " + change.reason() + "; " + slowStart;
     }
--- a/src/test/java/wrenkeel/net/EndpointHealthLogTest.java
+++ b/src/test/java/wrenkeel/net/EndpointHealthLogTest.java
@@ -23,8 +23,8 @@
     @Test
     void aLineNamesTheEndpointTheReasonAndTheBudget() {
         change(7);
-        assertEquals(List.of("endpoint s-7 of destination 0: OUT, TRIAL_FAILED; carried 1.50 a second before, "
-            + "2 calls in the window, 0.25 allowed"), lines);
+        assertEquals(List.of("endpoint s-7 of destination 0: OUT, TRIAL_FAILED; "
+            + "1.50 calls a second before the outage, 2 calls in the slow start window, 0.25 allowed"), lines);
     }
 
     @Test
