--- a/src/main/java/wrenkeel/net/AcceptRetry.java
+++ b/src/main/java/wrenkeel/net/AcceptRetry.java
@@ -15,14 +15,14 @@
 final class AcceptRetry extends ChannelInboundHandlerAdapter {
     private static final Logger LOG = LoggerFactory.getLogger(AcceptRetry.class);
     /** Delay before the next try: long enough not to spin while descriptors are short. */
-    static final long RETRY_GAP_MS = 10;
+    static final long RETRY_DELAY_MS = 10;
 
     private final LongConsumer whenResumed;
     private final ThrottledLog failures = new ThrottledLog(LOG);
     /** Accepting has failed, and no connection was accepted since. */
     private boolean failing;
     /** Time of the first of these failures, by {@link System#nanoTime}. */
-    private long failingSince;
+    private long failingSinceNanos;
 
     /**
      * {@code whenResumed} receives, at the first connection after failures, how long that connection may have
@@ -35,13 +35,13 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         failures.warn(context.executor(), "connection not accepted, retrying in "
-            + RETRY_GAP_MS + " ms: " + cause);
+            + RETRY_DELAY_MS + " ms: " + cause);
         if (!failing) {
             failing = true;
-            failingSince = System.nanoTime();
+            failingSinceNanos = System.nanoTime();
         }
         context.channel().config().setAutoRead(false);
-        context.executor().schedule(() -> resume(context), RETRY_GAP_MS, TimeUnit.MILLISECONDS);
+        context.executor().schedule(() -> resume(context), RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
     }
 
     private static void resume(ChannelHandlerContext context) {
@@ -54,7 +54,7 @@
     public void channelRead(ChannelHandlerContext context, Object connection) {
         if (failing) {
             failing = false;
-            whenResumed.accept(System.nanoTime() - failingSince);
+            whenResumed.accept(System.nanoTime() - failingSinceNanos);
         }
         context.fireChannelRead(connection);
     }
--- a/src/main/java/wrenkeel/net/ClientListener.java
+++ b/src/main/java/wrenkeel/net/ClientListener.java
@@ -153,7 +153,7 @@
         } catch (IOException e) {
             LOG.warn("queued connection not accepted while closing the listener: {}", e.toString());
             if (triesLeft > 1) {
-                eventLoop.schedule(() -> acceptPending(triesLeft - 1), AcceptRetry.RETRY_GAP_MS,
+                eventLoop.schedule(() -> acceptPending(triesLeft - 1), AcceptRetry.RETRY_DELAY_MS,
                     TimeUnit.MILLISECONDS);
                 return;
             }
--- a/src/main/java/wrenkeel/net/ConnectionLimiter.java
+++ b/src/main/java/wrenkeel/net/ConnectionLimiter.java
@@ -19,7 +19,7 @@
     /** All open connections. */
     private final Set<Channel> all = new HashSet<>();
     /** Connections that have sent at least one whole request. */
-    private final Set<Channel> completedRequest = new HashSet<>();
+    private final Set<Channel> withCompletedRequest = new HashSet<>();
     /** Connections that have sent nothing since they connected or were last answered, longest first. */
     private final Set<Channel> withoutBytes = new LinkedHashSet<>();
     /** Connections that have sent part of a request, the one without new bytes for the longest first. */
@@ -63,7 +63,7 @@
         }
         Channel evicted = firstWithoutUnreadBytes(withoutBytes, channel -> true);
         return evicted != null ? evicted
-            : firstWithoutUnreadBytes(withPartialRequest, channel -> !completedRequest.contains(channel));
+            : firstWithoutUnreadBytes(withPartialRequest, channel -> !withCompletedRequest.contains(channel));
     }
 
     /**
@@ -91,7 +91,7 @@
     /** A connection has ended. */
     void disconnected(Channel channel) {
         all.remove(channel);
-        completedRequest.remove(channel);
+        withCompletedRequest.remove(channel);
         removeState(channel);
     }
 
@@ -125,7 +125,7 @@
     void requestReceived(Channel channel) {
         removeState(channel);
         if (all.contains(channel)) {
-            completedRequest.add(channel);
+            withCompletedRequest.add(channel);
         }
     }
 
--- a/src/main/java/wrenkeel/net/Console.java
+++ b/src/main/java/wrenkeel/net/Console.java
@@ -51,7 +51,7 @@
     /** Largest body of a request. */
     private static final int MAX_REQUEST_BYTES = 4_096;
 
-    private final MultiThreadIoEventLoopGroup group =
+    private final MultiThreadIoEventLoopGroup eventLoopGroup =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     /** Tries to listen before the start fails: five seconds in all. */
     private static final int MAX_LISTEN_TRIES = 50;
@@ -70,7 +70,7 @@
     Console(InetSocketAddress address, BooleanSupplier ready, Metrics metrics,
             ChannelFactory<ServerChannel> sockets) throws InterruptedException {
         ConnectionLimiter connections = new ConnectionLimiter(MAX_CONNECTIONS);
-        ServerBootstrap bootstrap = new ServerBootstrap().group(group)
+        ServerBootstrap bootstrap = new ServerBootstrap().group(eventLoopGroup)
             .channelFactory(sockets).option(ChannelOption.SO_REUSEADDR, true)
             .handler(new AcceptRetry(waited -> { }))
             .childOption(ChannelOption.ALLOCATOR, new UnpooledByteBufAllocator(false))
@@ -109,7 +109,7 @@
 
     @Override
     public void close() {
-        group.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS).awaitUninterruptibly();
+        eventLoopGroup.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS).awaitUninterruptibly();
     }
 
     /** Answers one request on each connection, then closes it. */
--- a/src/main/java/wrenkeel/net/ControlDriver.java
+++ b/src/main/java/wrenkeel/net/ControlDriver.java
@@ -76,7 +76,7 @@
         /** Recovered without any attempt, and not attempted since. */
         boolean untried;
         /** Attempts whose outcome is outstanding. */
-        int callsOut;
+        int outstandingAttempts;
         /** Responses "accepted" sent to clients, less those that are known not to have arrived. */
         int acceptedAnswers;
 
@@ -128,7 +128,7 @@
     /** This process is handing its messages over to the next one. */
     private boolean handingOver;
     /** Messages that other processes of this relay still have in flight, by destination. */
-    private Map<Long, Integer> callsOutElsewhere = Map.of();
+    private Map<Long, Integer> inFlightElsewhere = Map.of();
     private final EndpointHealthLog healthLog = new EndpointHealthLog();
     /** Health recorded by earlier processes, by host, of hosts that are not in the list yet. */
     private final Map<String, Journal.EndpointHealth> unlistedHealth = new HashMap<>();
@@ -276,16 +276,16 @@
             }
         });
         journal.inheritedHealth().forEach(this::restoreHealth);
-        Map<Long, Integer> out = journal.outElsewhere();
-        Set<Long> changed = new HashSet<>(out.keySet());
-        changed.addAll(callsOutElsewhere.keySet());
+        Map<Long, Integer> inFlight = journal.outElsewhere();
+        Set<Long> changed = new HashSet<>(inFlight.keySet());
+        changed.addAll(inFlightElsewhere.keySet());
         for (long destination : changed) {
-            if (!out.getOrDefault(destination, 0).equals(callsOutElsewhere.getOrDefault(destination, 0))) {
+            if (!inFlight.getOrDefault(destination, 0).equals(inFlightElsewhere.getOrDefault(destination, 0))) {
                 introduce(destination);
-                enqueue(new Relay.Elsewhere(destination, out.getOrDefault(destination, 0)));
+                enqueue(new Relay.Elsewhere(destination, inFlight.getOrDefault(destination, 0)));
             }
         }
-        callsOutElsewhere = out;
+        inFlightElsewhere = inFlight;
     }
 
     /** Restores the health of an endpoint: an outage that one process of a relay saw binds all of them. */
@@ -671,7 +671,7 @@
         }
         int attempt = tracked.callParts.size();
         tracked.callParts.add(null);
-        tracked.callsOut++;
+        tracked.outstandingAttempts++;
         if (tracked.untried) {
             tracked.untried = false;
             recoverySummary.tried();
@@ -767,7 +767,7 @@
         if (stopped) {
             return;
         }
-        tracked.callsOut--;
+        tracked.outstandingAttempts--;
         TRACE.debug("{} attempt {} to {} ended: {} after {} us", tracked.message.id(), attempt, host.name,
             reply.outcome(), reply.latency());
         if (reply.waitFor() > 0) {
@@ -885,7 +885,7 @@
      */
     private void removeWhenDone(TrackedMessage tracked) {
         eventLoop.execute(() -> {
-            if (tracked.ended && tracked.callsOut == 0) {
+            if (tracked.ended && tracked.outstandingAttempts == 0) {
                 messages.remove(tracked.message.id(), tracked);
             }
         });
--- a/src/main/java/wrenkeel/net/RequestSequencer.java
+++ b/src/main/java/wrenkeel/net/RequestSequencer.java
@@ -21,9 +21,9 @@
  */
 final class RequestSequencer extends ChannelDuplexHandler {
     /** Requests, or parts of them, that are held back. */
-    private final Deque<Object> held = new ArrayDeque<>();
+    private final Deque<Object> heldBack = new ArrayDeque<>();
     /** A whole request was passed on and its response is not written yet. */
-    private boolean responseOwed;
+    private boolean responseOutstanding;
     /** Nothing more is passed on. */
     private boolean closing;
     /** An I/O error has occurred on the connection. */
@@ -40,15 +40,15 @@
 
     /** True if further requests of this connection, or parts of one, have been read and are held back. */
     boolean holdsRequests() {
-        return !held.isEmpty();
+        return !heldBack.isEmpty();
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         if (closing) {
             ReferenceCountUtil.release(message);
-        } else if (responseOwed || holdsRequests()) {
-            held.add(message);
+        } else if (responseOutstanding || holdsRequests()) {
+            heldBack.add(message);
             context.channel().config().setAutoRead(false);
         } else {
             passOn(context, message);
@@ -57,17 +57,17 @@
 
     private void passOn(ChannelHandlerContext context, Object message) {
         if (message instanceof LastHttpContent) {
-            responseOwed = true;
+            responseOutstanding = true;
         }
         context.fireChannelRead(message);
     }
 
     private void passOnHeld(ChannelHandlerContext context) {
-        if (!holdsRequests() || responseOwed) {
+        if (!holdsRequests() || responseOutstanding) {
             return;
         }
-        while (holdsRequests() && !responseOwed) {
-            passOn(context, held.poll());
+        while (holdsRequests() && !responseOutstanding) {
+            passOn(context, heldBack.poll());
         }
         context.fireChannelReadComplete();
         if (!holdsRequests() && !closing) {
@@ -79,13 +79,13 @@
     public void write(ChannelHandlerContext context, Object message, ChannelPromise promise) {
         if (!(message instanceof HttpResponse response) || isInterim(response)) {
             context.write(message, promise);
-        } else if (closing && !responseOwed) {
+        } else if (closing && !responseOutstanding) {
             ReferenceCountUtil.release(message);
             promise.tryFailure(new ClosedChannelException());
         } else {
             // After a response before the end of its request, the start of the next request is unknown.
-            boolean early = !responseOwed;
-            responseOwed = false;
+            boolean early = !responseOutstanding;
+            responseOutstanding = false;
             if (early || !HttpUtil.isKeepAlive(response)) {
                 stopPassingOn();
             } else if (holdsRequests()) {
@@ -102,7 +102,7 @@
 
     @Override
     public void close(ChannelHandlerContext context, ChannelPromise promise) {
-        if (responseOwed && !connectionFailed && context.channel().isActive()) {
+        if (responseOutstanding && !connectionFailed && context.channel().isActive()) {
             whenClosedUnanswered.run();
         }
         stopPassingOn();
@@ -124,7 +124,7 @@
     private void stopPassingOn() {
         closing = true;
         while (holdsRequests()) {
-            ReferenceCountUtil.release(held.poll());
+            ReferenceCountUtil.release(heldBack.poll());
         }
     }
 }
--- a/src/test/java/wrenkeel/net/DoorTest.java
+++ b/src/test/java/wrenkeel/net/DoorTest.java
@@ -81,7 +81,7 @@
         }
         thread.submit(door::close).get();
         assertEquals(1, waited.size(), "once for each run of failures");
-        assertTrue(waited.get(0) >= TimeUnit.MILLISECONDS.toNanos(AcceptRetry.RETRY_GAP_MS), waited.toString());
+        assertTrue(waited.get(0) >= TimeUnit.MILLISECONDS.toNanos(AcceptRetry.RETRY_DELAY_MS), waited.toString());
     }
 
     /** Guards those who wait as the door closes: each is let in, whatever the system call says in between. */
