--- a/src/main/java/wrenkeel/net/Server.java
+++ b/src/main/java/wrenkeel/net/Server.java
@@ -198,7 +198,10 @@
         invalidRequestLog.warn(context.executor(), "request rejected: " + status.code() + " " + reason);
     }
 
-    /** Parses and validates a message of a POST request. */
+    /**
+     * Parses and validates a message. The path begins with the name of its class; all else but the body is in
+     * headers. Throws if anything is missing, malformed or unknown to the relay.
+     */
     private Message parseMessage(FullHttpRequest request, String path) throws InvalidRequestException {
         HttpHeaders headers = request.headers();
         String[] parts = path.split("/");
@@ -261,6 +264,7 @@
         throw new InvalidRequestException("X-Envelope has no dest");
     }
 
+    /** Parses an integer; {@code name} is the header's, for the error text. */
     private static long parseLong(String text, String name) throws InvalidRequestException {
         try {
             return Long.parseLong(text.strip());
