--- a/src/main/java/wrenkeel/net/ControlDriver.java
+++ b/src/main/java/wrenkeel/net/ControlDriver.java
@@ -280,7 +280,8 @@
         Set<Long> changed = new HashSet<>(inFlight.keySet());
         changed.addAll(inFlightElsewhere.keySet());
         for (long destination : changed) {
-            if (!inFlight.getOrDefault(destination, 0).equals(inFlightElsewhere.getOrDefault(destination, 0))) {
+            if (!inFlight.getOrDefault(destination, 0)
+                    .equals(inFlightElsewhere.getOrDefault(destination, 0))) {
                 introduce(destination);
                 enqueue(new Relay.Elsewhere(destination, inFlight.getOrDefault(destination, 0)));
             }
