--- a/src/main/java/wrenkeel/net/DescriptorBudget.java
+++ b/src/main/java/wrenkeel/net/DescriptorBudget.java
@@ -11,7 +11,7 @@
     /** Connections to discovery, for the watch and for notices; during a reload also the previous ones. */
     static final int DISCOVERY_CONNECTIONS = 4;
     /** Operators' connections, and a new one for which another is about to be closed. */
-    static final int CONSOLE_CONNECTIONS = Console.CALLERS + 1;
+    static final int CONSOLE_CONNECTIONS = Console.MAX_CONNECTIONS + 1;
     /** Connections that are accepted and about to be closed, or closed and not yet released. */
     static final int CLOSING_CONNECTIONS = 16;
     /** Descriptors that are kept for the rest of the process. */
--- a/src/main/java/wrenkeel/net/EndpointHealthLog.java
+++ b/src/main/java/wrenkeel/net/EndpointHealthLog.java
@@ -9,20 +9,22 @@
 import wrenkeel.Relay;
 
 /**
- * One line for each change of an endpoint's health, with its name, the reason, and what its slow start has
- * used and allows. Lines come at a limited rate, so that neither a flood of them fills the log nor an early
- * one keeps a later incident out; the next line tells how many were left out. One thread.
+ * Logs one line for each change of an endpoint's health, with its name, the reason, and the usage and limit
+ * of its slow start. A token bucket limits the rate of lines, so that many changes do not fill the log, and
+ * an early burst does not suppress a later incident; the next line says how many were suppressed. One thread.
  */
 final class EndpointHealthLog {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointHealthLog.class);
-    /** Lines at once, and lines a second after that. */
-    private static final double BURST = 60, PER_SECOND = 1;
+    /** Capacity of the token bucket. */
+    private static final double BURST_LINES = 60;
+    /** Refill rate of the token bucket. */
+    private static final double LINES_PER_SECOND = 1;
 
     private final LongSupplier nanoClock;
     private final Consumer<String> out;
-    private double lines = BURST;
-    private long filledAt;
-    private long leftOut;
+    private double availableLines = BURST_LINES;
+    private long refilledAtNanos;
+    private long suppressed;
 
     EndpointHealthLog() {
         this(System::nanoTime, LOG::info);
@@ -31,32 +33,32 @@
     EndpointHealthLog(LongSupplier nanoClock, Consumer<String> out) {
         this.nanoClock = nanoClock;
         this.out = out;
-        filledAt = nanoClock.getAsLong();
+        refilledAtNanos = nanoClock.getAsLong();
     }
 
-    /** {@code host}: null for one that the list does not name. */
-    void changed(Relay.HealthChanged change, HostList.Host host) {
+    /** Logs a change unless the rate is exceeded; {@code host} is null if the list does not name it. */
+    void logChange(Relay.HealthChanged change, HostList.Host host) {
         long now = nanoClock.getAsLong();
-        double seconds = (double) (now - filledAt) / TimeUnit.SECONDS.toNanos(1);
-        lines = Math.min(BURST, lines + seconds * PER_SECOND);
-        filledAt = now;
-        if (lines < 1) {
-            leftOut++;
+        double seconds = (double) (now - refilledAtNanos) / TimeUnit.SECONDS.toNanos(1);
+        availableLines = Math.min(BURST_LINES, availableLines + seconds * LINES_PER_SECOND);
+        refilledAtNanos = now;
+        if (availableLines < 1) {
+            suppressed++;
             return;
         }
-        lines--;
+        availableLines--;
         out.accept(text(change, host));
-        if (leftOut > 0) {
-            out.accept(leftOut + " changes before that one were not logged");
+        if (suppressed > 0) {
+            out.accept(suppressed + " changes before that one were not logged");
         }
-        leftOut = 0;
+        suppressed = 0;
     }
 
     private static String text(Relay.HealthChanged change, HostList.Host host) {
         String name = host == null ? "unlisted " + change.endpoint()
             : host.name + " of destination " + host.destination;
         String slowStart = String.format(Locale.ROOT,
-            "carried %.2f a second before, %d calls in the window, %.2f allowed",
+            "%.2f calls a second before the outage, %d calls in the slow start window, %.2f allowed",
             change.carriedPerSecond(), change.sentInWindow(), change.allowedInWindow());
         return "endpoint " + name + ": " + change.health() + ", " + change.reason() + "; " + slowStart;
     }
--- a/src/main/java/wrenkeel/net/EventLoopLag.java
+++ b/src/main/java/wrenkeel/net/EventLoopLag.java
@@ -6,68 +6,73 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How late the event loop has been of late, measured by a task that it runs at a fixed period. What is read
- * from a socket now may have waited there for that long. One thread.
+ * Measures the recent lag of an event loop by a task that the loop runs at a fixed period. Bytes read from a
+ * socket now may have waited there for that long. One thread.
  */
 final class EventLoopLag {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoopLag.class);
-    /** A lag is remembered for so long: connections accepted after a pause are read a few passes later. */
-    private static final long REMEMBERED_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
+    /**
+     * How long a lag counts as recent: connections accepted after a pause are read a few iterations later.
+     */
+    private static final long RETENTION_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
-    /** A pause of that length or more is logged: it may cost a message its time. */
-    private static final long TOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
+    /** A lag above this is logged: a message may have missed its deadline for it. */
+    private static final long LOG_THRESHOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
     private final LongSupplier nanoClock;
     private final long periodNanos;
-    private long lastTick;
-    private long worst;
-    private long worstAt;
-    private long worstEver;
+    private long lastTickNanos;
+    /** Largest recent lag, and when it was measured. */
+    private long recentMaxNanos;
+    private long recentMaxAtNanos;
+    /** Largest lag since the start. */
+    private long maxNanos;
 
-    /** {@code periodMillis}: between two calls of {@link #tick}. */
+    /** {@code periodMillis}: time between two calls of {@link #tick}. */
     EventLoopLag(long periodMillis, LongSupplier nanoClock) {
         this.nanoClock = nanoClock;
         this.periodNanos = TimeUnit.MILLISECONDS.toNanos(periodMillis);
-        this.lastTick = nanoClock.getAsLong();
+        this.lastTickNanos = nanoClock.getAsLong();
     }
 
-    /** To be called by the event loop once in each period. */
+    /** Measures the lag; to be called by the event loop once in each period. */
     void tick() {
         long now = nanoClock.getAsLong();
-        long late = overdue(now);
+        long late = overdueNanos(now);
         remember(late, now);
-        worstEver = Math.max(worstEver, late);
-        lastTick = now;
-        if (late > TOLD_NANOS) {
-            LOG.warn("event loop late by {} ms", TimeUnit.NANOSECONDS.toMillis(late));
+        maxNanos = Math.max(maxNanos, late);
+        lastTickNanos = now;
+        if (late > LOG_THRESHOLD_NANOS) {
+            LOG.warn("event loop lag of {} ms", TimeUnit.NANOSECONDS.toMillis(late));
         }
     }
 
-    /** The latest that the event loop has been since the start, ms. */
-    long worstMillis() {
-        return TimeUnit.NANOSECONDS.toMillis(worstEver);
+    /** Returns the largest lag since the start, in ms. */
+    long maxMillis() {
+        return TimeUnit.NANOSECONDS.toMillis(maxNanos);
     }
 
-    /** What is read now may have waited for so many nanoseconds for another reason than a late event loop. */
-    void waited(long nanos) {
+    /** Records that bytes read now may have waited this long for a reason other than a late event loop. */
+    void recordDelay(long nanos) {
         remember(nanos, nanoClock.getAsLong());
     }
 
     private void remember(long late, long now) {
-        if (late >= worst || now - worstAt > REMEMBERED_NANOS) {
-            worst = late;
-            worstAt = now;
+        if (late >= recentMaxNanos || now - recentMaxAtNanos > RETENTION_NANOS) {
+            recentMaxNanos = late;
+            recentMaxAtNanos = now;
         }
     }
 
-    /** The worst lag of late in milliseconds, that of a pause not yet over included. */
-    long millis() {
+    /** Returns the largest recent lag in ms, including that of a pause which is not over yet. */
+    long recentMillis() {
         long now = nanoClock.getAsLong();
-        long remembered = now - worstAt > REMEMBERED_NANOS ? 0 : worst;
-        return TimeUnit.NANOSECONDS.toMillis(Math.max(remembered, overdue(now)));
+        long remembered = now - recentMaxAtNanos > RETENTION_NANOS ? 0 : recentMaxNanos;
+        return TimeUnit.NANOSECONDS.toMillis(Math.max(remembered, overdueNanos(now)));
     }
 
-    private long overdue(long now) {
-        return Math.max(0, now - lastTick - periodNanos);
+    /** Returns how late the next tick is. */
+    private long overdueNanos(long now) {
+        return Math.max(0, now - lastTickNanos - periodNanos);
     }
 }
--- a/src/main/java/wrenkeel/net/Node.java
+++ b/src/main/java/wrenkeel/net/Node.java
@@ -19,43 +19,58 @@
 import org.slf4j.LoggerFactory;
 import wrenkeel.Wire;
 
-/** One real relay: its parts put together, its start and its orderly end. */
+/**
+ * One relay process: creates its components, starts, takes over from an earlier process of the same relay,
+ * reloads the configuration and shuts down. The components run on one event loop; the public methods may be
+ * called from any other thread.
+ */
 public final class Node implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Node.class);
-    /**
-     * ms from SIGTERM: clients are served on for the first, all is over by the second (SIGKILL may come at
-     * 3.7 s).
-     */
-    private static final long SERVE_ON = 600, LEAVE_BY = 3_300;
-    /** ns before the end by which a hand-over is written down or done without; ms between tries. */
-    private static final long HAND_OVER_MOST = TimeUnit.MILLISECONDS.toNanos(1_000), HAND_OVER_GAP = 50;
-    /** ms between looks: for the end, at what the earlier process passes on, and after a fault. */
-    private static final long LOOK = 20, TURN_OVER = 10, AGAIN = 200;
-    /** ms between tries to use a lasting folder that fails: the first gap, doubled up to the longest. */
-    private static final long FOLDER_GAP_FIRST = 50, FOLDER_GAP_MOST = 1_000;
+    /** After SIGTERM clients are served for this long, unless a standby process takes over. */
+    private static final long SERVE_AFTER_SIGTERM_MS = 600;
+    /** Time from SIGTERM by which the process ends; SIGKILL may come after 3.7 s. */
+    private static final long SHUTDOWN_TIMEOUT_MS = 3_300;
+    /** A handover that is not written this long before the shutdown's deadline is abandoned. */
+    private static final long HANDOVER_RESERVE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
+    /** Delay before the next try to write the handover. */
+    private static final long HANDOVER_RETRY_MS = 50;
+    /** Interval between checks whether a phase of the shutdown is complete. */
+    private static final long SHUTDOWN_POLL_MS = 20;
+    /** Interval between checks whether the earlier process hands over, or has handed over more. */
+    private static final long TAKEOVER_POLL_MS = 10;
+    /** Delay before the next try after a failed takeover. */
+    private static final long TAKEOVER_RETRY_MS = 200;
+    /** Delay after the first failed start; doubles with each further failure up to the maximum. */
+    private static final long MIN_START_RETRY_MS = 50;
+    /** Longest delay between two tries to start. */
+    private static final long MAX_START_RETRY_MS = 1_000;
 
-    private final MultiThreadIoEventLoopGroup group =
+    private final MultiThreadIoEventLoopGroup eventLoopGroup =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final EventLoop thread = group.next();
-    private final CountDownLatch left = new CountDownLatch(1);
-    private final Figures figures = new Figures();
+    private final EventLoop eventLoop = eventLoopGroup.next();
+    private final CountDownLatch closed = new CountDownLatch(1);
+    private final Metrics metrics = new Metrics();
     private final Console console;
     private final ProcessClock clock;
+    /** What the console reports as readiness. */
     private volatile boolean ready;
     private final Machine machine;
-    private final Callers clients;
+    private final ConnectionLimiter connections;
     private final Server server;
     private volatile Config config;
-    /** Null until the lasting folder can be written. */
+    /** Null until the state folder can be written. */
     private volatile Journal journal;
-    /** Null as long as the journal. */
-    private volatile Loop loop;
-    private Door door;
-    /** False while it stands by, or waits for the lasting folder. */
+    /** Null until the journal is open. */
+    private volatile ControlDriver driver;
+    private ClientListener clientListener;
+    /** False while this process is a standby or waits for the state folder. */
     private boolean serving;
-    private boolean ending;
+    private boolean shuttingDown;
 
-    /** Takes up what the lasting folder holds, and serves; or stands by while an earlier process serves. */
+    /**
+     * Recovers the messages in the state folder and serves; or stays on standby while an earlier process
+     * serves.
+     */
     Node(Config config) throws IOException, InterruptedException, ExecutionException {
         this(config, Machine.SYSTEM);
     }
@@ -63,30 +78,33 @@
     Node(Config config, Machine machine) throws IOException, InterruptedException, ExecutionException {
         this.config = config;
         this.machine = machine;
-        clients = new Callers(config.descriptorBudget().clientConnections());
-        server = new Server(clients);
+        connections = new ConnectionLimiter(config.descriptorBudget().clientConnections());
+        server = new Server(connections);
         clock = new ProcessClock(machine.clock());
-        console = config.consoleAddress() == null ? null : new Console(config.consoleAddress(), () -> ready, figures);
+        console = config.consoleAddress() == null ? null : new Console(config.consoleAddress(), () -> ready, metrics);
         if (console != null) {
             LOG.info("operators at {}", consoleAddress());
         }
-        thread.submit(() -> {
-            start(FOLDER_GAP_FIRST);
+        eventLoop.submit(() -> {
+            start(MIN_START_RETRY_MS);
             return null;
         }).get();
     }
 
     /**
-     * Begins this process's journal and serves, or stands by. While the folder cannot be written, or the
-     * machine has no socket, it waits and tries again: what is owed is not given up for that.
+     * Opens this process's journal and serves, or goes on standby. While the state folder cannot be written
+     * or the machine has no free socket, waits and tries again, since accepted messages must not be lost for
+     * that. An unusable folder, an address in use and malformed input are thrown instead.
+     *
+     * @param delayMillis delay before the next try
      */
-    private void start(long gap) throws IOException, Wire.MalformedException {
+    private void start(long delayMillis) throws IOException, Wire.MalformedException {
         try {
             if (journal == null) {
                 journal = new Journal(config.stateFolder(), config.diskLimitBytes(), clock, machine.files());
             }
-            if (loop == null) {
-                begin();
+            if (driver == null) {
+                createDriver();
             }
             if (journal.isPredecessorServing()) {
                 standBy();
@@ -96,129 +114,136 @@
         } catch (UnusableStateFolderException | BindException | Wire.MalformedException e) {
             throw e;
         } catch (IOException e) {
-            LOG.warn("cannot serve yet, tried again in {} ms: {}", gap, e.toString());
-            turnAwayUntilServing();
-            thread.schedule(() -> startAgain(Math.min(FOLDER_GAP_MOST, 2 * gap)), gap, TimeUnit.MILLISECONDS);
+            LOG.warn("cannot serve yet, retrying in {} ms: {}", delayMillis, e.toString());
+            refuseUntilServing();
+            eventLoop.schedule(() -> retryStart(Math.min(MAX_START_RETRY_MS, 2 * delayMillis)), delayMillis,
+                TimeUnit.MILLISECONDS);
         }
     }
 
-    private void startAgain(long gap) {
-        if (ending) {
+    private void retryStart(long delayMillis) {
+        if (shuttingDown) {
             return;
         }
         try {
-            start(gap);
+            start(delayMillis);
         } catch (IOException | RuntimeException e) {
-            LOG.error("cannot start, tried again in {} ms", gap, e);
-            thread.schedule(() -> startAgain(gap), gap, TimeUnit.MILLISECONDS);
+            LOG.error("cannot start, retrying in {} ms", delayMillis, e);
+            eventLoop.schedule(() -> retryStart(delayMillis), delayMillis, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Clients hear that this relay does not serve yet, unless another process may be serving them. */
-    private void turnAwayUntilServing() throws BindException {
-        if (door != null || !alone()) {
+    /** Refuses clients while this relay does not serve yet, unless another process may be serving them. */
+    private void refuseUntilServing() throws BindException {
+        if (clientListener != null || !isAlone()) {
             return;
         }
         try {
-            server.turnAwayUntilServing();
-            door = Door.open(config.listenAddress(), thread, server, nanos -> { }, machine.sockets());
+            server.refuseUntilServing();
+            clientListener = ClientListener.open(config.listenAddress(), eventLoop, server, nanos -> { },
+                machine.sockets());
             LOG.info("not serving yet on {}", address());
         } catch (BindException e) {
             throw e;
         } catch (IOException e) {
-            LOG.warn("clients find nobody at {} yet: {}", config.listenAddress(), e.toString());
+            LOG.warn("cannot listen for clients at {} yet: {}", config.listenAddress(), e.toString());
         }
     }
 
-    /** True if no earlier process can be serving at the address. */
-    private boolean alone() {
+    /** True if no earlier process can be serving at the clients' address. */
+    private boolean isAlone() {
         try {
             return journal == null ? !ProcessLease.isAnyProcessAlive(config.stateFolder(), machine.files())
                 : !journal.isPredecessorServing();
         } catch (IOException e) {
-            LOG.warn("the lasting folder cannot be read: {}", e.toString());
+            LOG.warn("cannot read the state folder: {}", e.toString());
             return false;
         }
     }
 
-    /** Reserves the clients' address, and looks again and again whether the earlier process has left. */
+    /** Reserves the clients' address and polls until the earlier process hands over or has ended. */
     private void standBy() throws IOException {
-        clients.allow(config.descriptorBudget().clientConnections() / 2);
-        door = Door.reserve(config.listenAddress());
-        LOG.info("standing by for {}", config.listenAddress());
+        connections.setMaxConnections(config.descriptorBudget().clientConnections() / 2);
+        clientListener = ClientListener.reserve(config.listenAddress());
+        LOG.info("on standby for {}", config.listenAddress());
         ready = true;
-        thread.schedule(this::await, TURN_OVER, TimeUnit.MILLISECONDS);
+        eventLoop.schedule(this::pollForTakeover, TAKEOVER_POLL_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void await() {
-        if (ending) {
+    private void pollForTakeover() {
+        if (shuttingDown) {
             return;
         }
         try {
             if (journal.isPredecessorServing()) {
-                thread.schedule(this::await, TURN_OVER, TimeUnit.MILLISECONDS);
+                eventLoop.schedule(this::pollForTakeover, TAKEOVER_POLL_MS, TimeUnit.MILLISECONDS);
             } else {
                 serve();
             }
         } catch (IOException | RuntimeException e) {
-            LOG.error("cannot take over, tried again", e);
-            thread.schedule(this::await, AGAIN, TimeUnit.MILLISECONDS);
+            LOG.error("cannot take over, retrying", e);
+            eventLoop.schedule(this::pollForTakeover, TAKEOVER_RETRY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Takes over what is left by earlier processes, and opens the door to clients. */
+    /** Takes over the work of earlier processes, and listens for clients. */
     private void serve() throws IOException {
         Journal.InheritedSnapshot left = journal.predecessorSnapshot();
         if (left != null) {
-            loop.learn(left);
+            driver.restoreSnapshot(left);
         }
-        loop.adopt();
-        if (door == null || !door.listens()) {
-            Door reserved = door;
-            door = Door.open(config.listenAddress(), thread, server, nanos -> loop.acceptedLate(nanos),
-                machine.sockets());
+        driver.adopt();
+        if (clientListener == null || !clientListener.isListening()) {
+            ClientListener reserved = clientListener;
+            clientListener = ClientListener.open(config.listenAddress(), eventLoop, server,
+                nanos -> driver.recordAcceptDelay(nanos), machine.sockets());
             if (reserved != null) {
                 reserved.close();
             }
         }
-        server.serve(loop, figures);
+        server.serve(driver, metrics);
         journal.confirmTakeover();
         serving = true;
         ready = true;
-        LOG.info("serving on {}, {} messages taken up", address(), journal.openCount());
-        adoptOn();
+        LOG.info("serving on {}, {} messages recovered", address(), journal.openCount());
+        continueAdopting();
     }
 
-    /** What the process that leaves still passes on, until it has ended. */
-    private void adoptOn() {
+    /** Adopts what the earlier process still hands over, until that process has ended. */
+    private void continueAdopting() {
         if (journal.hasPredecessors()) {
             try {
-                loop.adopt();
+                driver.adopt();
             } catch (IOException | RuntimeException e) {
-                // Guards what is still passed on: without another look nobody would take it over.
-                LOG.error("cannot take over all, tried again", e);
+                // The polling must go on: otherwise nobody would adopt what is handed over later.
+                LOG.error("cannot adopt the earlier process's messages, retrying", e);
             }
-            thread.schedule(this::adoptOn, TURN_OVER, TimeUnit.MILLISECONDS);
+            eventLoop.schedule(this::continueAdopting, TAKEOVER_POLL_MS, TimeUnit.MILLISECONDS);
         } else {
-            clients.allow(config.descriptorBudget().clientConnections());
+            connections.setMaxConnections(config.descriptorBudget().clientConnections());
         }
     }
 
-    /** Serves until the process is told to end; 2 where the configuration is of no use. */
+    /**
+     * Runs a relay until the process is asked to end.
+     *
+     * @param env the EDGE_* variables
+     * @return the exit status: 0, or 2 if the relay cannot start with this configuration
+     */
     public static int serve(Map<String, String> env) {
         CompletableFuture<Node> started = new CompletableFuture<>();
         try {
-            // Before anybody can see that it is ready: a signal may come at that very moment.
-            Hangup.whenHeard(() -> started.thenAccept(node -> node.reload(env)));
+            // Handlers come first: a signal may arrive as soon as others can see that the relay is ready.
+            HangupSignal.setHandler(() -> started.thenAccept(node -> node.reload(env)));
             Runtime.getRuntime().addShutdownHook(new Thread(() -> started.handle((node, fault) -> {
                 if (node != null) {
-                    node.leave();
+                    node.shutDown();
                 }
                 return null;
             }).join(), "leave"));
             Node node = new Node(Config.read(env));
             started.complete(node);
-            node.left.await();
+            node.closed.await();
             return 0;
         } catch (Config.InvalidConfigException e) {
             System.err.println(e.getMessage());
@@ -227,170 +252,171 @@
         } catch (ExecutionException e) {
             System.err.println("cannot start: " + e.getCause());
         } catch (InterruptedException e) {
-            System.err.println("interrupted at the start");
+            System.err.println("interrupted while starting");
         } catch (ReflectiveOperationException e) {
-            System.err.println("cannot listen for SIGHUP: " + e);
+            System.err.println("cannot install the SIGHUP handler: " + e);
         } finally {
             started.cancel(false);
         }
         return 2;
     }
 
-    /** Reads the configuration anew, whole; one that is of no use changes nothing. */
+    /** Rereads the whole configuration and applies it; one that is invalid changes nothing. */
     synchronized void reload(Map<String, String> env) {
         try {
             Config next = config.reload(env);
-            thread.submit(() -> {
-                if (loop != null) {
-                    loop.retune(next);
+            eventLoop.submit(() -> {
+                if (driver != null) {
+                    driver.reconfigure(next);
                 }
                 config = next;
             }).get();
-            figures.reloaded();
-            LOG.info("configuration read anew, discovery is at {}", next.discoveryAddress());
+            metrics.countReload();
+            LOG.info("configuration reloaded, discovery is at {}", next.discoveryAddress());
         } catch (Config.InvalidConfigException e) {
-            figures.reloadFailed();
-            LOG.error("not reloaded: {}", e.getMessage());
+            metrics.countReloadError();
+            LOG.error("configuration not reloaded: {}", e.getMessage());
         } catch (RejectedExecutionException e) {
-            figures.reloadFailed();
-            LOG.warn("not reloaded: the relay has ended");
+            metrics.countReloadError();
+            LOG.warn("configuration not reloaded: the relay has ended");
         } catch (ExecutionException e) {
-            figures.reloadFailed();
-            LOG.error("not reloaded", e);
+            metrics.countReloadError();
+            LOG.error("configuration not reloaded", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void begin() throws Wire.MalformedException {
-        Bootstrap calls = new Bootstrap().group(thread)
+    private void createDriver() throws Wire.MalformedException {
+        Bootstrap calls = new Bootstrap().group(eventLoop)
             .option(ChannelOption.ALLOCATOR, new UnpooledByteBufAllocator(false));
         HostList hosts = new HostList(config.zones(), config.kinds());
-        HostPool pool = new HostPool(thread, calls, config.settings().limits().connectTimeout(),
-            config.settings().limits().keepAlive(), config.descriptorBudget().hostConnections(), figures);
-        loop = new Loop(thread, clock, config, hosts, pool, journal, figures,
-            (whenListed, whenNoticed) -> new Discovery(thread, calls, config.discoveryAddress(), hosts, whenListed,
-                whenNoticed));
-        loop.start(config.savedList());
+        HostPool pool = new HostPool(eventLoop, calls, config.settings().limits().connectTimeout(),
+            config.settings().limits().keepAlive(), config.descriptorBudget().hostConnections(), metrics);
+        driver = new ControlDriver(eventLoop, clock, config, hosts, pool, journal, metrics,
+            (whenListed, whenNoticed) -> new Discovery(eventLoop, calls, config.discoveryAddress(), hosts,
+                whenListed, whenNoticed));
+        driver.start(config.savedList());
     }
 
-    /** Waits until it serves; for a test. */
+    /** Waits until the relay serves; for tests. */
     void awaitServing() throws InterruptedException, ExecutionException {
-        while (!thread.submit(() -> serving).get()) {
-            Thread.sleep(LOOK);
+        while (!eventLoop.submit(() -> serving).get()) {
+            Thread.sleep(SHUTDOWN_POLL_MS);
         }
     }
 
-    /** The address that clients connect to. */
+    /** Returns the address that clients connect to. */
     InetSocketAddress address() {
-        return door.address();
+        return clientListener.address();
     }
 
-    /** The address that operators connect to. */
+    /** Returns the address that operators connect to; only for a relay whose configuration has a console. */
     InetSocketAddress consoleAddress() {
         return console.address();
     }
 
-    /** True when nothing is owed any more. */
-    boolean idle() throws InterruptedException, ExecutionException {
-        return thread.submit(() -> loop == null || loop.idle()).get();
+    /** True when every message has ended and the platform has acknowledged every notice. */
+    boolean isIdle() throws InterruptedException, ExecutionException {
+        return eventLoop.submit(() -> driver == null || driver.isIdle()).get();
     }
 
     /**
-     * The orderly end: connections are served until clients have turned away, then what is held is worked
-     * off. What is left stays in the journal, as it does when the process is killed; where another process
-     * stands by, it takes over at once.
+     * Shuts down in an orderly way: hands over to a standby process at once if there is one, else serves
+     * clients until they have gone elsewhere, then works off the messages held. What is left at the deadline
+     * stays in the journal, as it does when the process is killed.
      */
-    void leave() {
-        long by = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LEAVE_BY);
+    void shutDown() {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SHUTDOWN_TIMEOUT_MS);
         ready = false;
         try {
-            thread.submit(() -> {
-                ending = true;
-                server.leave();
+            eventLoop.submit(() -> {
+                shuttingDown = true;
+                server.closeAfterResponses();
             }).get();
-            if (!thread.submit(() -> serving).get()) {
-                LOG.info("told to end before it served");
+            if (!eventLoop.submit(() -> serving).get()) {
+                LOG.info("shutting down before serving");
             } else {
-                if (!laterWaits() || !passOn(by - HAND_OVER_MOST)) {
-                    Thread.sleep(SERVE_ON);
+                if (!isStandbyWaiting() || !handOver(deadlineNanos - HANDOVER_RESERVE_NANOS)) {
+                    Thread.sleep(SERVE_AFTER_SIGTERM_MS);
                 }
-                turnAway(by);
+                drainClients(deadlineNanos);
             }
-            while (System.nanoTime() < by && !idle()) {
-                Thread.sleep(LOOK);
+            while (System.nanoTime() < deadlineNanos && !isIdle()) {
+                Thread.sleep(SHUTDOWN_POLL_MS);
             }
         } catch (InterruptedException | ExecutionException e) {
-            LOG.error("left at once", e);
+            LOG.error("orderly shutdown failed, closing at once", e);
         }
         close();
     }
 
-    /** Whether another process stands by; where the folder cannot be read, as if none did. */
-    private boolean laterWaits() throws InterruptedException, ExecutionException {
-        return thread.submit(() -> {
+    /** True if another process is on standby; false also if the state folder cannot be read. */
+    private boolean isStandbyWaiting() throws InterruptedException, ExecutionException {
+        return eventLoop.submit(() -> {
             try {
                 return journal.hasStandby();
             } catch (IOException e) {
-                LOG.warn("cannot tell whether another process stands by: {}", e.toString());
+                LOG.warn("cannot determine whether another process is on standby: {}", e.toString());
                 return false;
             }
         }).get();
     }
 
     /**
-     * What is not out is passed on, and the next process opens its door. False where that cannot be written
-     * down until then: the next process takes over once this one has ended, and clients are turned away as
-     * if there were none.
+     * Hands the messages without an attempt in flight over to the standby process, and waits until that one
+     * serves or the time is up. Returns false if the handover cannot be written in time: the standby process
+     * then takes over only when this one has ended, and this one shuts down as if there were no standby.
      */
-    private boolean passOn(long until) throws InterruptedException, ExecutionException {
-        while (!thread.submit(this::writeHandOver).get()) {
-            if (System.nanoTime() >= until) {
+    private boolean handOver(long untilNanos) throws InterruptedException, ExecutionException {
+        while (!eventLoop.submit(this::tryWriteHandover).get()) {
+            if (System.nanoTime() >= untilNanos) {
                 return false;
             }
-            Thread.sleep(HAND_OVER_GAP);
+            Thread.sleep(HANDOVER_RETRY_MS);
         }
-        while (System.nanoTime() < until && !journal.isTakenOver() && laterWaits()) {
-            Thread.sleep(LOOK);
+        while (System.nanoTime() < untilNanos && !journal.isTakenOver() && isStandbyWaiting()) {
+            Thread.sleep(SHUTDOWN_POLL_MS);
         }
         return true;
     }
 
-    private boolean writeHandOver() {
+    private boolean tryWriteHandover() {
         try {
-            loop.leave();
-            clients.allow(config.descriptorBudget().clientConnections() / 2);
+            driver.handOver();
+            connections.setMaxConnections(config.descriptorBudget().clientConnections() / 2);
             return true;
         } catch (IOException e) {
-            LOG.warn("the hand-over cannot be written down, tried again: {}", e.toString());
+            LOG.warn("cannot write the handover, retrying: {}", e.toString());
             return false;
         }
     }
 
     /**
-     * The door closes behind those who wait there. Clients that hold connections are served, and each answer
-     * closes one, as does a silence: closing them now would cut off what is on its way.
+     * Stops listening after accepting the connections that are queued, and waits until all connections are
+     * closed. Each one is closed by its next response or by the request timeout: closing it now would cut off
+     * a request that is on its way.
      */
-    private void turnAway(long by) throws InterruptedException, ExecutionException {
-        thread.submit(door::drain).get();
-        while (System.nanoTime() < by && thread.submit(clients::size).get() > 0) {
-            Thread.sleep(LOOK);
+    private void drainClients(long deadlineNanos) throws InterruptedException, ExecutionException {
+        eventLoop.submit(clientListener::drain).get();
+        while (System.nanoTime() < deadlineNanos && eventLoop.submit(connections::size).get() > 0) {
+            Thread.sleep(SHUTDOWN_POLL_MS);
         }
     }
 
-    /** The abrupt end: what is owed stays in the journal. */
+    /** Ends abruptly: messages that have not ended stay in the journal. */
     @Override
     public void close() {
-        thread.submit(() -> {
-            ending = true;
-            if (loop != null) {
-                loop.stop();
+        eventLoop.submit(() -> {
+            shuttingDown = true;
+            if (driver != null) {
+                driver.stop();
             }
-            if (door != null) {
-                door.close();
+            if (clientListener != null) {
+                clientListener.close();
             }
         }).awaitUninterruptibly();
-        group.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS).awaitUninterruptibly();
+        eventLoopGroup.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS).awaitUninterruptibly();
         try {
             if (journal != null) {
                 journal.close();
@@ -401,6 +427,6 @@
         if (console != null) {
             console.close();
         }
-        left.countDown();
+        closed.countDown();
     }
 }
--- a/src/main/java/wrenkeel/net/RequestDeadline.java
+++ b/src/main/java/wrenkeel/net/RequestDeadline.java
@@ -9,32 +9,32 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Closes a caller's connection that has brought no whole request for a while, from connecting or from the
- * last answer, and tells the callers' register which connections owe a request. Bytes alone do not put the
- * end off: a peer that trickles holds a descriptor as a silent one does.
+ * Closes a connection that has sent no whole request within a timeout, counted from connecting or from the
+ * last response, and notifies the {@link ConnectionLimiter} of connections and requests. Single bytes do not
+ * extend the timeout: a peer that trickles bytes occupies a file descriptor just as a silent one does.
  */
 final class RequestDeadline extends ChannelDuplexHandler {
-    private final Callers callers;
-    private final long millis;
+    private final ConnectionLimiter connections;
+    private final long timeoutMillis;
     private Future<?> timer;
 
-    RequestDeadline(Callers callers, long millis) {
-        this.callers = callers;
-        this.millis = millis;
+    RequestDeadline(ConnectionLimiter connections, long timeoutMillis) {
+        this.connections = connections;
+        this.timeoutMillis = timeoutMillis;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-        callers.connected(context.channel());
-        start(context);
+        connections.connected(context.channel());
+        startTimer(context);
         context.fireChannelActive();
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         if (message instanceof FullHttpRequest) {
-            stop();
-            callers.asked(context.channel());
+            stopTimer();
+            connections.requestReceived(context.channel());
         }
         context.fireChannelRead(message);
     }
@@ -42,32 +42,35 @@
     @Override
     public void write(ChannelHandlerContext context, Object message, ChannelPromise promise) {
         if (message instanceof LastHttpContent) {
-            start(context);
+            startTimer(context);
         }
         context.write(message, promise);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        stop();
-        callers.gone(context.channel());
+        stopTimer();
+        connections.disconnected(context.channel());
         context.fireChannelInactive();
     }
 
-    private void start(ChannelHandlerContext context) {
-        stop();
-        callers.awaited(context.channel());
+    private void startTimer(ChannelHandlerContext context) {
+        stopTimer();
+        connections.awaitingRequest(context.channel());
         RequestDecoder decoder = context.pipeline().get(RequestDecoder.class);
         if (decoder != null && decoder.isWithinRequest()) {
-            // Part of the next request came with the one before.
-            callers.heard(context.channel());
+            // Part of the next request has arrived together with the previous one.
+            connections.bytesReceived(context.channel());
         }
         if (context.channel().isActive()) {
-            timer = context.executor().schedule(() -> expire(context), millis, TimeUnit.MILLISECONDS);
+            timer = context.executor().schedule(() -> expire(context), timeoutMillis, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Reads what stands in the socket first: the request may have come while the thread was busy. */
+    /**
+     * Closes the connection if no whole request has arrived. Reads the socket first, since the request may
+     * have arrived while the thread was busy.
+     */
     void expire(ChannelHandlerContext context) {
         Future<?> expired = timer;
         SocketReader.readNow(context.channel());
@@ -76,7 +79,7 @@
         }
     }
 
-    private void stop() {
+    private void stopTimer() {
         if (timer != null) {
             timer.cancel(false);
             timer = null;
--- a/src/main/java/wrenkeel/net/RequestSequencer.java
+++ b/src/main/java/wrenkeel/net/RequestSequencer.java
@@ -14,35 +14,41 @@
 import java.util.Deque;
 
 /**
- * Passes on the requests of one connection one at a time, so that responses leave in the order of their
- * requests. Further requests are held back, and reading pauses, until the response to the one before has been
+ * Passes on the requests of one connection one at a time, so that responses are written in the order of their
+ * requests. Further requests are held back, and reading pauses, until the response to the previous one is
  * written. After a response that closes the connection nothing is passed on, and no second response to the
  * same request is written.
  */
 final class RequestSequencer extends ChannelDuplexHandler {
-    private final Deque<Object> held = new ArrayDeque<>();
-    /** A whole request was passed on and its response has not been written. */
-    private boolean responseOwed;
+    /** Requests, or parts of them, that are held back. */
+    private final Deque<Object> heldBack = new ArrayDeque<>();
+    /** A whole request was passed on and its response is not written yet. */
+    private boolean responseOutstanding;
+    /** Nothing more is passed on. */
     private boolean closing;
-    private boolean peerGone;
-    private final Runnable whenCutOff;
+    /** An I/O error has occurred on the connection. */
+    private boolean connectionFailed;
+    private final Runnable whenClosedUnanswered;
 
-    /** {@code whenCutOff}: run when this side closes the connection with a whole request on it unanswered. */
-    RequestSequencer(Runnable whenCutOff) {
-        this.whenCutOff = whenCutOff;
+    /**
+     * {@code whenClosedUnanswered}: run when this side closes the connection while a whole request on it is
+     * unanswered.
+     */
+    RequestSequencer(Runnable whenClosedUnanswered) {
+        this.whenClosedUnanswered = whenClosedUnanswered;
     }
 
-    /** Whether further requests of this connection, or parts of one, have been read already. */
+    /** True if further requests of this connection, or parts of one, have been read and are held back. */
     boolean holdsRequests() {
-        return !held.isEmpty();
+        return !heldBack.isEmpty();
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         if (closing) {
             ReferenceCountUtil.release(message);
-        } else if (responseOwed || holdsRequests()) {
-            held.add(message);
+        } else if (responseOutstanding || holdsRequests()) {
+            heldBack.add(message);
             context.channel().config().setAutoRead(false);
         } else {
             passOn(context, message);
@@ -51,17 +57,17 @@
 
     private void passOn(ChannelHandlerContext context, Object message) {
         if (message instanceof LastHttpContent) {
-            responseOwed = true;
+            responseOutstanding = true;
         }
         context.fireChannelRead(message);
     }
 
     private void passOnHeld(ChannelHandlerContext context) {
-        if (!holdsRequests() || responseOwed) {
+        if (!holdsRequests() || responseOutstanding) {
             return;
         }
-        while (holdsRequests() && !responseOwed) {
-            passOn(context, held.poll());
+        while (holdsRequests() && !responseOutstanding) {
+            passOn(context, heldBack.poll());
         }
         context.fireChannelReadComplete();
         if (!holdsRequests() && !closing) {
@@ -73,17 +79,17 @@
     public void write(ChannelHandlerContext context, Object message, ChannelPromise promise) {
         if (!(message instanceof HttpResponse response) || isInterim(response)) {
             context.write(message, promise);
-        } else if (closing && !responseOwed) {
+        } else if (closing && !responseOutstanding) {
             ReferenceCountUtil.release(message);
             promise.tryFailure(new ClosedChannelException());
         } else {
-            // A response before the end of its request: where the next one would begin is not known.
-            boolean early = !responseOwed;
-            responseOwed = false;
+            // After a response before the end of its request, the start of the next request is unknown.
+            boolean early = !responseOutstanding;
+            responseOutstanding = false;
             if (early || !HttpUtil.isKeepAlive(response)) {
                 stopPassingOn();
             } else if (holdsRequests()) {
-                // Not at once: the response may be one of several that the relay writes in one turn.
+                // Deferred: the relay may write further responses in the same turn.
                 context.executor().execute(() -> passOnHeld(context));
             }
             context.write(message, promise);
@@ -96,8 +102,8 @@
 
     @Override
     public void close(ChannelHandlerContext context, ChannelPromise promise) {
-        if (responseOwed && !peerGone && context.channel().isActive()) {
-            whenCutOff.run();
+        if (responseOutstanding && !connectionFailed && context.channel().isActive()) {
+            whenClosedUnanswered.run();
         }
         stopPassingOn();
         context.close(promise);
@@ -105,7 +111,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        peerGone |= cause instanceof IOException;
+        connectionFailed |= cause instanceof IOException;
         context.fireExceptionCaught(cause);
     }
 
@@ -118,7 +124,7 @@
     private void stopPassingOn() {
         closing = true;
         while (holdsRequests()) {
-            ReferenceCountUtil.release(held.poll());
+            ReferenceCountUtil.release(heldBack.poll());
         }
     }
 }
--- a/src/test/java/wrenkeel/net/ConsoleTest.java
+++ b/src/test/java/wrenkeel/net/ConsoleTest.java
@@ -79,7 +79,7 @@
             assertTrue(call(relay.consoleAddress(), "GET /api/ready HTTP/1.1").startsWith("HTTP/1.1 200 "));
             assertEquals("HTTP/1.1 202 Accepted", client.post("a", "bill", 7, 16_000).get(0));
             Host.Call out = host.call();
-            Thread end = new Thread(relay::leave);
+            Thread end = new Thread(relay::shutDown);
             end.start();
             while (!call(relay.consoleAddress(), "GET /api/ready HTTP/1.1").startsWith("HTTP/1.1 503 ")) {
                 Thread.sleep(5);
@@ -156,7 +156,7 @@
         List<Socket> hanging = new ArrayList<>();
         try (Node relay = relay()) {
             InetSocketAddress console = relay.consoleAddress();
-            for (int i = 0; i < 3 * Console.CALLERS; i++) {
+            for (int i = 0; i < 3 * Console.MAX_CONNECTIONS; i++) {
                 Socket socket = new Socket(console.getAddress(), console.getPort());
                 if (i % 2 == 0) {
                     socket.getOutputStream().write("GET /api/re".getBytes(StandardCharsets.UTF_8));
@@ -205,7 +205,7 @@
     void aConsoleWithoutASocketForAMomentTriesAgain() throws Exception {
         AtomicInteger failures = new AtomicInteger(3);
         InetSocketAddress any = new InetSocketAddress(Platform.LOOPBACK, 0);
-        try (Console console = new Console(any, () -> true, new Figures(), () -> {
+        try (Console console = new Console(any, () -> true, new Metrics(), () -> {
             if (failures.getAndDecrement() > 0) {
                 throw new ChannelException("too many open files");
             }
--- a/src/test/java/wrenkeel/net/LingeringCloseTest.java
+++ b/src/test/java/wrenkeel/net/LingeringCloseTest.java
@@ -31,7 +31,7 @@
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop thread = group.next();
-    private final Callers callers = new Callers(10);
+    private final ConnectionLimiter callers = new ConnectionLimiter(10);
     /** What came through to the handlers behind. */
     private final BlockingQueue<String> read = new LinkedBlockingQueue<>();
 
@@ -141,7 +141,7 @@
 
     @Test
     void aLingeringConnectionHoldsAPlaceAndIsTheFirstToGiveWay() throws Exception {
-        Callers three = new Callers(3);
+        ConnectionLimiter three = new ConnectionLimiter(3);
         try (SocketPair quiet = new SocketPair(); SocketPair lingers = new SocketPair(new LingeringClose(three, ENDLESS));
              SocketPair newcomer = new SocketPair()) {
             for (SocketPair pair : new SocketPair[] {quiet, lingers, newcomer}) {
@@ -149,14 +149,14 @@
             }
             thread.submit(() -> {
                 three.connected(quiet.channel);
-                three.awaited(quiet.channel);
+                three.awaitingRequest(quiet.channel);
                 three.connected(lingers.channel);
-                three.awaited(lingers.channel);
+                three.awaitingRequest(lingers.channel);
                 lingers.channel.writeAndFlush(lingers.channel.alloc().buffer().writeByte('a'));
                 lingers.channel.close();
                 assertTrue(lingers.channel.isOpen());
                 assertEquals(2, three.size());
-                three.allow(2);
+                three.setMaxConnections(2);
                 three.connected(newcomer.channel);
                 assertFalse(lingers.channel.isOpen());
                 assertTrue(quiet.channel.isOpen());
--- a/src/test/java/wrenkeel/net/ServerConnectionTest.java
+++ b/src/test/java/wrenkeel/net/ServerConnectionTest.java
@@ -38,7 +38,7 @@
     private Platform platform;
     private Host host;
     private Journal journal;
-    private Loop loop;
+    private ControlDriver loop;
     private Server server;
 
     @BeforeEach
@@ -48,15 +48,15 @@
         Config config = platform.config(Platform.host("s-1", host.port(), 7, "ready"));
         journal = new Journal(config.stateFolder(), config.diskLimitBytes());
         Bootstrap calls = new Bootstrap().group(thread);
-        Figures figures = new Figures();
+        Metrics figures = new Metrics();
         onThread(() -> {
             HostList hosts = new HostList(config.zones(), config.kinds());
             HostPool pool = new HostPool(thread, calls, 1_000_000, 15_000_000, 100, figures);
-            loop = new Loop(thread, ProcessClock.system(), config, hosts, pool, journal, figures,
+            loop = new ControlDriver(thread, ProcessClock.system(), config, hosts, pool, journal, figures,
                 (whenListed, whenNoticed) -> new Discovery(thread, calls, config.discoveryAddress(), hosts, whenListed,
                     whenNoticed));
             loop.start(config.savedList());
-            server = new Server(new Callers(10));
+            server = new Server(new ConnectionLimiter(10));
             server.serve(loop, figures);
         });
     }
@@ -126,7 +126,7 @@
     /** Guards against a lost message: at the orderly end what has been read is answered, the last with the close. */
     @Test
     void atTheOrderlyEndAllThatHasBeenReadIsAnswered() throws Exception {
-        onThread(server::leave);
+        onThread(server::closeAfterResponses);
         try (var pair = connected(post("a") + HEALTH + post("b"))) {
             assertEquals(List.of("202", "503", "202"), pair.statuses(3));
             assertTrue(pair.ends());
@@ -136,7 +136,7 @@
     /** Guards against a lost message: at the orderly end a request that is half read is awaited and answered. */
     @Test
     void atTheOrderlyEndARequestThatIsHalfReadIsAnswered() throws Exception {
-        onThread(server::leave);
+        onThread(server::closeAfterResponses);
         String second = post("b");
         String half = second.substring(0, second.length() / 2);
         try (var pair = connected(post("a") + half)) {
@@ -179,7 +179,7 @@
             assertTrue(pair.ends());
         }
         assertEquals(0, owed());
-        onThread(() -> assertTrue(loop.idle()));
+        onThread(() -> assertTrue(loop.isIdle()));
     }
 
     private static final class FailsOnSecondRequest extends ChannelInboundHandlerAdapter {
@@ -208,7 +208,7 @@
             pair.channel.closeFuture().sync();
         }
         assertEquals(0, owed());
-        onThread(() -> assertTrue(loop.idle()));
+        onThread(() -> assertTrue(loop.isIdle()));
     }
 
     /** How many messages the journal owes, once what has been read is decided. */
--- a/src/test/java/wrenkeel/net/UnwritableStateFolderTest.java
+++ b/src/test/java/wrenkeel/net/UnwritableStateFolderTest.java
@@ -101,7 +101,7 @@
     void aWaitingStartCanBeStopped() throws Exception {
         Node relay = relay(new FailingFiles(NO_SPACE));
         InetSocketAddress address = relay.address();
-        relay.leave();
+        relay.shutDown();
         assertThrows(IOException.class, () -> new Platform.Client(address).close());
     }
 
@@ -122,7 +122,7 @@
                     + "\r\nContent-Length: 4\r\n\r\n";
                 client.write(head + "ha");
                 files.failure = NO_SPACE;
-                Thread end = new Thread(old::leave);
+                Thread end = new Thread(old::shutDown);
                 end.start();
                 while (!REFUSED.equals(health(old))) {
                     Thread.onSpinWait();
