--- a/src/test/java/wrenkeel/net/AgentConnectionTest.java
+++ b/src/test/java/wrenkeel/net/AgentConnectionTest.java
@@ -44,7 +44,7 @@
                 onThread.add(thread.inEventLoop());
                 statuses.add(answer.status);
             })).get();
-            assertEquals(0, statuses.poll(Platform.PATIENCE_S, TimeUnit.SECONDS));
+            assertEquals(0, statuses.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS));
             assertTrue(onThread.take());
         }
     }
--- a/src/test/java/wrenkeel/net/DoorTest.java
+++ b/src/test/java/wrenkeel/net/ClientListenerTest.java
@@ -30,7 +30,7 @@
 
 /** Accepting connections while the system call fails for a moment. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
-class DoorTest {
+class ClientListenerTest {
     /** Netty's acceptor does not accept for so long after any failure, ms. */
     private static final long NETTY_PAUSE = 1_000;
     private static final InetSocketAddress ANY = new InetSocketAddress(Platform.LOOPBACK, 0);
@@ -76,8 +76,8 @@
         thread.submit(() -> door.listener().pipeline().fireExceptionCaught(noBuffers())).get();
         try (Socket first = new Socket(Platform.LOOPBACK, door.address().getPort());
                 Socket second = new Socket(Platform.LOOPBACK, door.address().getPort())) {
-            assertNotNull(accepted.poll(Platform.PATIENCE_S, TimeUnit.SECONDS), first.toString());
-            assertNotNull(accepted.poll(Platform.PATIENCE_S, TimeUnit.SECONDS), second.toString());
+            assertNotNull(accepted.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS), first.toString());
+            assertNotNull(accepted.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS), second.toString());
         }
         thread.submit(door::close).get();
         assertEquals(1, waited.size(), "once for each run of failures");
@@ -105,7 +105,7 @@
         }
         thread.submit(door::drain).get();
         for (int i = 0; i < waiting.size(); i++) {
-            assertNotNull(accepted.poll(Platform.PATIENCE_S, TimeUnit.SECONDS), "let in: " + i);
+            assertNotNull(accepted.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS), "let in: " + i);
         }
         for (Socket socket : waiting) {
             socket.close();
--- a/src/test/java/wrenkeel/net/ClockStepTest.java
+++ b/src/test/java/wrenkeel/net/ClockStepTest.java
@@ -19,12 +19,12 @@
     @TempDir
     Path folder;
     private Platform platform;
-    private Host host;
+    private StubHost host;
 
     @BeforeEach
     void begin() throws Exception {
         platform = new Platform(folder);
-        host = new Host();
+        host = new StubHost();
     }
 
     @AfterEach
@@ -34,14 +34,14 @@
     }
 
     private Node relay(long step) throws Exception {
-        return new Node(platform.config(Platform.host("s-1", host.port(), 7, "ready")), new Machine(SteppedClock.stepped(step), FileOperations.SYSTEM, ListeningSockets.SYSTEM));
+        return new Node(platform.writeConfig(Platform.hostJson("s-1", host.port(), 7, "ready")), new Machine(SteppedClock.stepped(step), FileOperations.SYSTEM, ListeningSockets.SYSTEM));
     }
 
     /** Takes a message on and ends without a word of it, as at SIGKILL; its first call stays unanswered. */
     private void takenBefore(String id, String messageClass, long time) throws Exception {
         try (Node relay = relay(0); var client = new Platform.Client(relay)) {
             assertEquals(TAKEN, client.post(id, messageClass, 7, time).get(0));
-            assertEquals(id, host.call().header("X-Request-ID"));
+            assertEquals(id, host.nextCall().header("X-Request-ID"));
         }
     }
 
@@ -49,11 +49,11 @@
     void aClockStepForwardDoesNotUseUpAMessagesTime() throws Exception {
         takenBefore("a", "bill", 16_000);
         try (Node relay = relay(HOUR)) {
-            Host.Call repeat = host.call();
+            StubHost.Call repeat = host.nextCall();
             assertNotNull(repeat, "notices: " + platform.notices);
             assertEquals("a", repeat.header("X-Request-ID"));
             assertTrue(Long.parseLong(repeat.header("X-Timeout-Ms")) <= 16_000);
-            repeat.answer(Host.OK);
+            repeat.respond(StubHost.OK);
         }
         assertTrue(platform.notices.isEmpty(), platform.notices.toString());
     }
@@ -62,7 +62,7 @@
     void aClockStepBackDoesNotProlongAMessagesTime() throws Exception {
         takenBefore("a", "bill", 4_000);
         try (Node relay = relay(-HOUR)) {
-            String notice = platform.notice();
+            String notice = platform.nextNotice();
             assertNotNull(notice, "no end was told");
             assertTrue(notice.contains("\"a\""), notice);
         }
--- a/src/test/java/wrenkeel/net/ConfigTest.java
+++ b/src/test/java/wrenkeel/net/ConfigTest.java
@@ -34,8 +34,8 @@
     @BeforeEach
     void begin() throws Exception {
         platform = new Platform(folder);
-        platform.config();
-        file = Path.of(platform.env().get("EDGE_CONFIG"));
+        platform.writeConfig();
+        file = Path.of(platform.environment().get("EDGE_CONFIG"));
     }
 
     @AfterEach
@@ -50,7 +50,7 @@
     }
 
     private void assertTurnedDown() {
-        String fault = assertThrows(Config.Unusable.class, () -> Config.read(platform.env())).getMessage();
+        String fault = assertThrows(Config.Unusable.class, () -> Config.read(platform.environment())).getMessage();
         assertEquals(1, fault.lines().count(), fault);
     }
 
@@ -65,7 +65,7 @@
     @Test
     void theSmallestLimitOfSocketsLeavesAConnectionToEitherSide() throws Exception {
         replace("\"sockets\":1024", "\"sockets\":" + Descriptors.LIMIT_LEAST);
-        Descriptors shares = Config.read(platform.env()).descriptors();
+        Descriptors shares = Config.read(platform.environment()).descriptors();
         assertTrue(shares.clients() > 0 && shares.hosts() > 0, shares.toString());
     }
 
@@ -125,7 +125,7 @@
     /** What a start would end with that is no plain line; null if it would not. */
     private String faultOfStart() {
         try {
-            Config config = Config.read(platform.env());
+            Config config = Config.read(platform.environment());
             config.descriptors();
             new HostList(config.zones(), config.kinds());
             new Control(config.seed(), config.settings());
@@ -155,7 +155,7 @@
     /** A file of another form is no end of the start: each way is one plain line and a status of its own. */
     @Test
     void aStartThatCannotReadOrWriteIsOnePlainLineAndNotAStatusOfZero() throws IOException {
-        Map<String, String> env = new HashMap<>(platform.env());
+        Map<String, String> env = new HashMap<>(platform.environment());
         Path file = Files.createFile(folder.resolve("a-file"));
         for (Map<String, String> other : List.of(Map.of("EDGE_STATE", file.toString()),
                 Map.of("EDGE_STATE", folder.resolve("absent").toString()), Map.of("EDGE_STATE", ""),
--- a/src/test/java/wrenkeel/net/CallersTest.java
+++ b/src/test/java/wrenkeel/net/ConnectionLimiterTest.java
@@ -21,7 +21,7 @@
 
 /** Who gives way when all places are taken. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
-class CallersTest {
+class ConnectionLimiterTest {
     private static final String HALF = "GET /healthz HTTP/1.1\r\nHos", HEALTH = HALF + "t: a\r\n\r\n";
 
     private final ConnectionLimiter callers = new ConnectionLimiter(3);
@@ -124,7 +124,7 @@
             assertEquals("o-o", openOf(first, second, third));
         });
         first.client.getOutputStream().write(HEALTH.substring(unread.length()).getBytes(StandardCharsets.US_ASCII));
-        assertEquals("200", first.status());
+        assertEquals("200", first.readStatus());
     }
 
     /** Guards against lost messages: when every connection has brought a request, the newcomer leaves. */
@@ -167,7 +167,7 @@
     void oneWithinALaterRequestIsNotClosed() throws Exception {
         SocketPair first = client(true);
         first.send(HEALTH);
-        assertEquals("200", first.status());
+        assertEquals("200", first.readStatus());
         onThread(() -> {
             first.send(HALF);
             callers.setMaxConnections(0);
@@ -187,9 +187,9 @@
             assertEquals("o", openOf(first));
         });
         first.client.getOutputStream().write(HEALTH.substring(part.length()).getBytes(StandardCharsets.US_ASCII));
-        assertEquals(List.of("200", "200"), first.statuses(2));
+        assertEquals(List.of("200", "200"), first.readStatuses(2));
         onThread(() -> callers.setMaxConnections(0));
-        assertTrue(first.ends());
+        assertTrue(first.readsEndOfStream());
     }
 
     /** Guards the descriptors at a replacement, and against lost messages: the others may leave, if read dry. */
--- a/src/test/java/wrenkeel/net/ConsoleTest.java
+++ b/src/test/java/wrenkeel/net/ConsoleTest.java
@@ -1,7 +1,7 @@
 package wrenkeel.net;
 
 import static org.junit.jupiter.api.Assertions.*;
-import static wrenkeel.net.Platform.host;
+import static wrenkeel.net.Platform.hostJson;
 
 import io.netty.channel.ChannelException;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
@@ -29,12 +29,12 @@
     @TempDir
     Path folder;
     private Platform platform;
-    private Host host;
+    private StubHost host;
 
     @BeforeEach
     void begin() throws IOException {
         platform = new Platform(folder);
-        host = new Host();
+        host = new StubHost();
     }
 
     @AfterEach
@@ -44,30 +44,30 @@
     }
 
     private Node relay() throws Exception {
-        return platform.relay(host("s-1", host.port(), 7, "ready"));
+        return platform.startRelay(hostJson("s-1", host.port(), 7, "ready"));
     }
 
     /** The whole answer to one call, which ends with its connection. */
-    private static String call(InetSocketAddress console, String call) throws IOException {
+    private static String request(InetSocketAddress console, String call) throws IOException {
         try (Socket socket = new Socket(console.getAddress(), console.getPort())) {
-            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Platform.PATIENCE_S));
+            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Platform.TIMEOUT_SECONDS));
             socket.getOutputStream().write((call + "\r\nHost: c\r\n\r\n").getBytes(StandardCharsets.UTF_8));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         }
     }
 
-    static boolean ready(Node relay) throws IOException {
-        return call(relay.consoleAddress(), "GET /api/ready HTTP/1.1").startsWith("HTTP/1.1 200 ");
+    static boolean isReady(Node relay) throws IOException {
+        return request(relay.consoleAddress(), "GET /api/ready HTTP/1.1").startsWith("HTTP/1.1 200 ");
     }
 
-    static Wire.Fields figures(Node relay) throws IOException {
-        String answer = call(relay.consoleAddress(), "GET /api/telemetry HTTP/1.1");
+    static Wire.Fields metrics(Node relay) throws IOException {
+        String answer = request(relay.consoleAddress(), "GET /api/telemetry HTTP/1.1");
         assertTrue(answer.startsWith("HTTP/1.1 200 "), answer);
         return Wire.decode(answer.substring(answer.indexOf("\r\n\r\n") + 4));
     }
 
-    private static void await(Node relay, String name, String messageClass, long count) throws Exception {
-        while (figures(relay).object(name).whole(messageClass) != count) {
+    private static void awaitCount(Node relay, String name, String messageClass, long count) throws Exception {
+        while (metrics(relay).object(name).whole(messageClass) != count) {
             Thread.sleep(20);
         }
     }
@@ -76,15 +76,15 @@
     void aRelayThatServesIsReadyAndOneThatLeavesIsNot() throws Exception {
         Node relay = relay();
         try (var client = new Platform.Client(relay)) {
-            assertTrue(call(relay.consoleAddress(), "GET /api/ready HTTP/1.1").startsWith("HTTP/1.1 200 "));
+            assertTrue(request(relay.consoleAddress(), "GET /api/ready HTTP/1.1").startsWith("HTTP/1.1 200 "));
             assertEquals("HTTP/1.1 202 Accepted", client.post("a", "bill", 7, 16_000).get(0));
-            Host.Call out = host.call();
+            StubHost.Call out = host.nextCall();
             Thread end = new Thread(relay::shutDown);
             end.start();
-            while (!call(relay.consoleAddress(), "GET /api/ready HTTP/1.1").startsWith("HTTP/1.1 503 ")) {
+            while (!request(relay.consoleAddress(), "GET /api/ready HTTP/1.1").startsWith("HTTP/1.1 503 ")) {
                 Thread.sleep(5);
             }
-            out.answer(Host.OK);
+            out.respond(StubHost.OK);
             end.join();
         }
     }
@@ -92,20 +92,20 @@
     @Test
     void eachMessageIsCountedOnceWhereItEnds() throws Exception {
         try (Node relay = relay(); var client = new Platform.Client(relay)) {
-            Wire.Fields first = figures(relay);
+            Wire.Fields first = metrics(relay);
             for (String name : List.of("completed", "rejected", "failed")) {
                 assertEquals(Map.of("bill", 0, "pay", 0), first.object(name).values());
             }
             client.post("a", "bill", 7, 16_000);
-            host.call().answer(Host.OK);
-            await(relay, "completed", "bill", 1);
+            host.nextCall().respond(StubHost.OK);
+            awaitCount(relay, "completed", "bill", 1);
             client.post("b", "pay", 7, 16_000);
-            host.call().answer("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
-            await(relay, "failed", "pay", 1);
-            while (figures(relay).whole("pending") != 0) {
+            host.nextCall().respond("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
+            awaitCount(relay, "failed", "pay", 1);
+            while (metrics(relay).whole("pending") != 0) {
                 Thread.sleep(20);
             }
-            Wire.Fields last = figures(relay);
+            Wire.Fields last = metrics(relay);
             assertEquals(2, last.whole("upstream_requests"));
             assertEquals(1, last.whole("members"));
             assertEquals(1, last.object("completed").whole("bill"));
@@ -117,16 +117,16 @@
     @Test
     void anEndpointThatIsAvoidedIsCounted() throws Exception {
         try (Node relay = relay(); var client = new Platform.Client(relay)) {
-            while (figures(relay).whole("members") != 1) {
+            while (metrics(relay).whole("members") != 1) {
                 Thread.sleep(20);
             }
-            assertEquals(0, figures(relay).whole("members_unavailable"));
+            assertEquals(0, metrics(relay).whole("members_unavailable"));
             client.post("a", "bill", 7, 60_000);
-            host.call().answer("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 50.5\r\nContent-Length: 0\r\n\r\n");
-            while (figures(relay).whole("members_unavailable") != 1) {
+            host.nextCall().respond("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 50.5\r\nContent-Length: 0\r\n\r\n");
+            while (metrics(relay).whole("members_unavailable") != 1) {
                 Thread.sleep(20);
             }
-            assertEquals(1, figures(relay).whole("pending"));
+            assertEquals(1, metrics(relay).whole("pending"));
         }
     }
 
@@ -135,18 +135,18 @@
         Path bad = Files.writeString(folder.resolve("bad.json"), "{\"discovery\":\"nowhere\"}");
         try (Node relay = relay()) {
             relay.reload(Map.of("EDGE_CONFIG", bad.toString()));
-            relay.reload(platform.env());
-            assertEquals(1, figures(relay).whole("config_reloads"));
-            assertEquals(1, figures(relay).whole("config_reload_errors"));
+            relay.reload(platform.environment());
+            assertEquals(1, metrics(relay).whole("config_reloads"));
+            assertEquals(1, metrics(relay).whole("config_reload_errors"));
         }
     }
 
     @Test
     void whatIsNoCallOfTheConsoleIsAnError() throws Exception {
         try (Node relay = relay()) {
-            assertTrue(call(relay.consoleAddress(), "GET /api/wobble HTTP/1.1").startsWith("HTTP/1.1 404 "));
-            assertTrue(call(relay.consoleAddress(), "PUT /api/ready HTTP/1.1").startsWith("HTTP/1.1 405 "));
-            assertTrue(call(relay.consoleAddress(), "nonsense").startsWith("HTTP/1.1 400 "));
+            assertTrue(request(relay.consoleAddress(), "GET /api/wobble HTTP/1.1").startsWith("HTTP/1.1 404 "));
+            assertTrue(request(relay.consoleAddress(), "PUT /api/ready HTTP/1.1").startsWith("HTTP/1.1 405 "));
+            assertTrue(request(relay.consoleAddress(), "nonsense").startsWith("HTTP/1.1 400 "));
         }
     }
 
@@ -163,7 +163,7 @@
                 }
                 hanging.add(socket);
             }
-            assertTrue(call(console, "GET /api/ready HTTP/1.1").startsWith("HTTP/1.1 200 "));
+            assertTrue(request(console, "GET /api/ready HTTP/1.1").startsWith("HTTP/1.1 200 "));
         } finally {
             for (Socket socket : hanging) {
                 socket.close();
@@ -191,11 +191,11 @@
 
     @Test
     void withoutAnAddressForItThereIsNoConsole() throws Exception {
-        platform.config(host("s-1", host.port(), 7, "ready"));
+        platform.writeConfig(hostJson("s-1", host.port(), 7, "ready"));
         Path file = folder.resolve("config.json");
         Files.writeString(file, Files.readString(file).replace("\"console\":\"127.0.0.1:0\",", ""));
-        assertNull(Config.read(platform.env()).console());
-        try (Node relay = new Node(Config.read(platform.env())); var client = new Platform.Client(relay)) {
+        assertNull(Config.read(platform.environment()).console());
+        try (Node relay = new Node(Config.read(platform.environment())); var client = new Platform.Client(relay)) {
             assertEquals("HTTP/1.1 202 Accepted", client.post("a", "bill", 7, 16_000).get(0));
         }
     }
@@ -211,7 +211,7 @@
             }
             return new NioServerSocketChannel();
         })) {
-            assertTrue(call(console.address(), "GET /api/ready HTTP/1.1").startsWith("HTTP/1.1 200 "));
+            assertTrue(request(console.address(), "GET /api/ready HTTP/1.1").startsWith("HTTP/1.1 200 "));
         }
     }
 }
--- a/src/test/java/wrenkeel/net/LoopTest.java
+++ b/src/test/java/wrenkeel/net/ControlDriverTest.java
@@ -22,14 +22,14 @@
 
 /** What drives the module, with a host and clients that the test plays. What one task does, one pass of the loop has read. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
-class LoopTest {
+class ControlDriverTest {
     @TempDir
     Path folder;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop thread = group.next();
     private final List<String> answers = new ArrayList<>();
     private Platform platform;
-    private Host host;
+    private StubHost host;
     private Journal journal;
     private ControlDriver loop;
     private final Metrics figures = new Metrics();
@@ -37,8 +37,8 @@
     @BeforeEach
     void begin() throws Exception {
         platform = new Platform(folder);
-        host = new Host();
-        Config config = platform.config(Platform.host("s-1", host.port(), 7, "ready"));
+        host = new StubHost();
+        Config config = platform.writeConfig(Platform.hostJson("s-1", host.port(), 7, "ready"));
         journal = new Journal(config.state(), config.diskBytes());
         Bootstrap calls = new Bootstrap().group(thread);
         inOnePass(() -> {
@@ -160,8 +160,8 @@
             settle();
         }
         inOnePass(() -> loop.accept(message("a"), client("stays")));
-        assertEquals("a", host.call().header("X-Request-ID"));
-        assertTrue(host.quiet());
+        assertEquals("a", host.nextCall().header("X-Request-ID"));
+        assertTrue(host.hasNoCalls());
     }
 
     /** Delivers so many messages one after the other, so that more than one call may be out. */
@@ -169,7 +169,7 @@
         for (int i = 0; i < messages; i++) {
             String id = "warm-" + i;
             inOnePass(() -> loop.accept(message(id), client(id)));
-            host.call().answer(Host.OK);
+            host.nextCall().respond(StubHost.OK);
             while (journal.size() > 0) {
                 settle();
             }
@@ -194,24 +194,24 @@
             loop.accept(message("x"), client("x"));
             loop.accept(message("y"), client("y"));
         });
-        Host.Call x = host.call(), y = host.call();
-        x.answer(Host.OK);
-        y.answer(Host.OK);
+        StubHost.Call x = host.nextCall(), y = host.nextCall();
+        x.respond(StubHost.OK);
+        y.respond(StubHost.OK);
         while (journal.size() > 0) {
             settle();
         }
         inOnePass(() -> loop.accept(message("a"), client("a")));
-        Host.Call first = host.call();
+        StubHost.Call first = host.nextCall();
         inOnePass(() -> {
             loop.accept(message("b"), client("b"));
-            first.answer("HTTP/1.1 429 No\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n");
+            first.respond("HTTP/1.1 429 No\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n");
         });
         settle();
         assertFalse(sent("b"));
     }
 
     private static void answer(Socket watch, String list) throws IOException {
-        Host.head(watch.getInputStream());
+        StubHost.readHead(watch.getInputStream());
         write(watch, list);
     }
 
@@ -225,15 +225,15 @@
     void aDrainThatCameDuringAPauseBindsTheSendsAfterIt() throws Exception {
         warmUp(4);
         try (ServerSocket agent = new ServerSocket(0, 8, Platform.LOOPBACK)) {
-            Config moved = platform.configAt(agent.getLocalPort());
+            Config moved = platform.configWithDiscoveryAt(agent.getLocalPort());
             inOnePass(() -> loop.reconfigure(moved));
             Socket watch = agent.accept();
-            answer(watch, Platform.list(2, false));
+            answer(watch, Platform.listJson(2, false));
             // The next call waits, and its answer comes while the thread is held up.
-            Host.head(watch.getInputStream());
+            StubHost.readHead(watch.getInputStream());
             inOnePass(() -> {
                 loop.accept(message("b"), client("b"));
-                write(watch, Platform.list(3, false, Platform.host("s-1", host.port(), 7, "draining")));
+                write(watch, Platform.listJson(3, false, Platform.hostJson("s-1", host.port(), 7, "draining")));
             });
             settle();
             assertFalse(sent("b"));
--- a/src/test/java/wrenkeel/net/DiscoveryTest.java
+++ b/src/test/java/wrenkeel/net/DiscoveryTest.java
@@ -23,8 +23,8 @@
 
 /** The watch against an agent whose every byte the test writes. */
 class DiscoveryTest {
-    private static final String FIRST = Platform.list(1, true, Platform.host("s-1", 80, 7, "ready")),
-        SECOND = Platform.list(2, false, Platform.host("s-1", 80, 7, "draining"));
+    private static final String FIRST = Platform.listJson(1, true, Platform.hostJson("s-1", 80, 7, "ready")),
+        SECOND = Platform.listJson(2, false, Platform.hostJson("s-1", 80, 7, "draining"));
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop thread = group.next();
@@ -37,10 +37,10 @@
     @BeforeEach
     void begin() throws Exception {
         agent = new ServerSocket(0, 8, Platform.LOOPBACK);
-        agent.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Platform.PATIENCE_S));
+        agent.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Platform.TIMEOUT_SECONDS));
         discovery = new Discovery(thread, new Bootstrap().group(group),
             new InetSocketAddress(Platform.LOOPBACK, agent.getLocalPort()), hosts, change -> told.add(change.listed()),
-            entry -> { }, TimeUnit.SECONDS.toMillis(Platform.PATIENCE_S));
+            entry -> { }, TimeUnit.SECONDS.toMillis(Platform.TIMEOUT_SECONDS));
         thread.submit(() -> {
             hosts.tell(7);
             discovery.watch();
@@ -57,8 +57,8 @@
 
     /** The next request on the connection that is open; its first line. */
     private String asked() throws IOException {
-        line.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Platform.PATIENCE_S));
-        return Host.head(line.getInputStream()).get(0);
+        line.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Platform.TIMEOUT_SECONDS));
+        return StubHost.readHead(line.getInputStream()).get(0);
     }
 
     private void write(String text) throws IOException {
@@ -71,7 +71,7 @@
     }
 
     private Relay.Listed told() throws InterruptedException {
-        Relay.Listed listed = told.poll(Platform.PATIENCE_S, TimeUnit.SECONDS);
+        Relay.Listed listed = told.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertNotNull(listed);
         return listed;
     }
@@ -108,7 +108,7 @@
         write(answer(FIRST));
         told();
         asked();
-        String whole = answer(Platform.list(2, true, Platform.host("s-2", 80, 7, "ready")));
+        String whole = answer(Platform.listJson(2, true, Platform.hostJson("s-2", 80, 7, "ready")));
         write(whole.substring(0, whole.length() - 1));
         line.shutdownOutput();
         reconnected();
@@ -178,7 +178,7 @@
         asked();
         write(answer("[]"));
         try (ServerSocket other = new ServerSocket(0, 8, Platform.LOOPBACK)) {
-            other.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Platform.PATIENCE_S));
+            other.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Platform.TIMEOUT_SECONDS));
             // In the task that sees the gap, before any later one: what is due now has been begun.
             Callable<Boolean> movedInGap = () -> {
                 if (discovery.isAsking()) {
@@ -188,7 +188,7 @@
                 assertTrue(discovery.isAsking(), "the call for the list waits for the gap");
                 return true;
             };
-            long by = System.nanoTime() + TimeUnit.SECONDS.toNanos(Platform.PATIENCE_S);
+            long by = System.nanoTime() + TimeUnit.SECONDS.toNanos(Platform.TIMEOUT_SECONDS);
             while (!thread.submit(movedInGap).get()) {
                 assertTrue(System.nanoTime() < by, "no gap seen");
             }
--- a/src/test/java/wrenkeel/net/FleetSizeTest.java
+++ b/src/test/java/wrenkeel/net/FleetSizeTest.java
@@ -30,23 +30,23 @@
     private static String listed(int number, int port) {
         int destination = number < OF_ONE_DESTINATION ? LARGE
             : SMALL + (number - OF_ONE_DESTINATION) / SMALL_SIZE;
-        return Platform.host("s-" + number, port, destination, "ready").replace("\"share\":50",
+        return Platform.hostJson("s-" + number, port, destination, "ready").replace("\"share\":50",
             "\"share\":5000");
     }
 
     private Config config(Platform platform, String[] hosts) throws Exception {
-        platform.config(hosts);
-        Path file = Path.of(platform.env().get("EDGE_CONFIG"));
+        platform.writeConfig(hosts);
+        Path file = Path.of(platform.environment().get("EDGE_CONFIG"));
         String text = Files.readString(file);
         assertTrue(text.contains("\"balancers\":1,") && text.contains("\"sockets\":1024"));
         Files.writeString(file, text.replace("\"balancers\":1,", "\"balancers\":" + MANY + ",")
             .replace("\"sockets\":1024", "\"sockets\":256"));
-        return Config.read(platform.env());
+        return Config.read(platform.environment());
     }
 
     @Test
     void aListOfManyEndpointsIsHeldAndEachDestinationServed() throws Exception {
-        try (Platform platform = new Platform(folder); Host host = new Host()) {
+        try (Platform platform = new Platform(folder); StubHost host = new StubHost()) {
             String[] hosts = new String[MANY];
             for (int i = 0; i < MANY; i++) {
                 hosts[i] = listed(i, host.port());
@@ -56,15 +56,15 @@
                     String id = "to-" + destination;
                     assertEquals("HTTP/1.1 202 Accepted",
                         client.post(id, "bill", destination, 60_000).get(0));
-                    Host.Call call = host.call();
+                    StubHost.Call call = host.nextCall();
                     assertNotNull(call, id);
                     assertEquals(id, call.header("X-Request-ID"));
-                    call.answer(Host.OK);
+                    call.respond(StubHost.OK);
                 }
-                while (!relay.isIdle() || ConsoleTest.figures(relay).whole("members") < MANY) {
+                while (!relay.isIdle() || ConsoleTest.metrics(relay).whole("members") < MANY) {
                     Thread.sleep(5);
                 }
-                assertEquals(MANY, ConsoleTest.figures(relay).whole("members"));
+                assertEquals(MANY, ConsoleTest.metrics(relay).whole("members"));
             }
             assertTrue(platform.notices.isEmpty(), "all were delivered");
         }
@@ -76,7 +76,7 @@
         int share = 20;
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         BlockingQueue<HostPool.Reply> replies = new LinkedBlockingQueue<>();
-        try (Host endpoint = new Host()) {
+        try (StubHost endpoint = new StubHost()) {
             HostPool pool = new HostPool(group.next(), new Bootstrap().group(group), LONG, LONG, share,
                 new Metrics());
             Message message = new Message("a", "bill", 0, null, null, LARGE, 0, new byte[1]);
@@ -85,7 +85,7 @@
                 host.dial = new InetSocketAddress(Platform.LOOPBACK, endpoint.port());
                 group.next().submit(() -> pool.call(host,
                     List.of(new HostPool.Part(message, LONG, replies::add)))).get();
-                endpoint.call().answer(Host.OK);
+                endpoint.nextCall().respond(StubHost.OK);
                 assertEquals(Outcome.OK, replies.take().outcome());
                 int held = group.next().submit(pool::held).get();
                 assertTrue(held <= share, held + " connections held");
--- a/src/test/java/wrenkeel/net/FullFolderTest.java
+++ b/src/test/java/wrenkeel/net/FullFolderTest.java
@@ -22,12 +22,12 @@
     @TempDir
     Path folder;
     private Platform platform;
-    private Host host;
+    private StubHost host;
 
     @BeforeEach
     void begin() throws Exception {
         platform = new Platform(folder);
-        host = new Host();
+        host = new StubHost();
     }
 
     @AfterEach
@@ -37,20 +37,20 @@
     }
 
     private Node relay(FileOperations files) throws Exception {
-        return new Node(platform.config(Platform.host("s-1", host.port(), 7, "ready")),
+        return new Node(platform.writeConfig(Platform.hostJson("s-1", host.port(), 7, "ready")),
             new Machine(MachineClock.SYSTEM, files, ListeningSockets.SYSTEM));
     }
 
     private static String health(Node relay) throws IOException {
         try (var client = new Platform.Client(relay)) {
-            return client.raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]).get(0);
+            return client.exchange("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]).get(0);
         }
     }
 
     /** A message that the folder holds, with no attempt made. */
     private void owed(String id) throws Exception {
-        platform.config();
-        try (Journal journal = platform.leftBehind()) {
+        platform.writeConfig();
+        try (Journal journal = platform.openJournal()) {
             journal.take(new Message(id, "bill", 0, null, "key-" + id, 7, System.currentTimeMillis() + 60_000,
                 new byte[3]), null);
         }
@@ -66,11 +66,11 @@
             try (var client = new Platform.Client(relay)) {
                 assertEquals(REFUSED, client.post("b", "bill", 7, 16_000).get(0));
             }
-            assertTrue(host.quiet(), "nothing is sent that cannot be written down");
+            assertTrue(host.hasNoCalls(), "nothing is sent that cannot be written down");
             files.failure = null;
-            Host.Call call = host.call();
+            StubHost.Call call = host.nextCall();
             assertEquals("a", call.header("X-Request-ID"));
-            call.answer(Host.OK);
+            call.respond(StubHost.OK);
             assertEquals("HTTP/1.1 200 OK", health(relay));
         }
         assertEquals(List.of(), List.copyOf(platform.notices));
@@ -82,16 +82,16 @@
         FailingFiles files = new FailingFiles(null);
         try (Node relay = relay(files); var client = new Platform.Client(relay)) {
             assertEquals(TAKEN, client.post("a", "bill", 7, 60_000).get(0));
-            Host.Call first = host.call();
+            StubHost.Call first = host.nextCall();
             files.failure = FULL;
-            first.answer("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
+            first.respond("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
             // Its eleven further attempts with their outcomes, and its end.
             files.failedWrites.acquire(2 * 11 + 1);
             files.failure = null;
-            Host.Call second = host.call();
+            StubHost.Call second = host.nextCall();
             assertNotNull(second, "ended without another call: " + platform.notices);
             assertEquals("a", second.header("X-Request-ID"));
-            second.answer(Host.OK);
+            second.respond(StubHost.OK);
         }
         assertEquals(List.of(), List.copyOf(platform.notices));
     }
@@ -108,8 +108,8 @@
     /** Guards who is served as the process is to be replaced: a folder that fails then cuts nobody off. */
     @Test
     void aHandOverThatCannotBeWrittenDownCutsNoClientOff() throws Exception {
-        Config config = platform.config("127.0.0.1:" + platform.freePort(),
-            new String[] {Platform.host("s-1", host.port(), 7, "ready")});
+        Config config = platform.writeConfig("127.0.0.1:" + platform.freePort(),
+            new String[] {Platform.hostJson("s-1", host.port(), 7, "ready")});
         FailingFiles files = new FailingFiles(null);
         Node old = new Node(config, new Machine(MachineClock.SYSTEM, files, ListeningSockets.SYSTEM));
         try (var half = new Platform.Client(old)) {
@@ -124,9 +124,9 @@
                 while (!REFUSED.equals(health(old))) {
                     Thread.onSpinWait();
                 }
-                assertTrue(files.failedWrites.tryAcquire(3, Platform.PATIENCE_S, TimeUnit.SECONDS), "tried again");
+                assertTrue(files.failedWrites.tryAcquire(3, Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS), "tried again");
                 half.write("lf");
-                assertEquals(REFUSED, half.answer().get(0));
+                assertEquals(REFUSED, half.readResponseHead().get(0));
                 end.join();
                 assertNotNull(next.consoleAddress());
             }
--- a/src/test/java/wrenkeel/net/HangupTest.java
+++ b/src/test/java/wrenkeel/net/HangupSignalTest.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-class HangupTest {
+class HangupSignalTest {
     /** Guards against an end at SIGHUP, which would be a crash: without a handler this test's process dies too. */
     @Test
     void aHangupIsHeardEachTime() throws Exception {
@@ -15,7 +15,7 @@
         Class<?> signal = Class.forName("sun.misc.Signal");
         for (int i = 0; i < 2; i++) {
             signal.getMethod("raise", signal).invoke(null, signal.getConstructor(String.class).newInstance("HUP"));
-            assertTrue(heard.tryAcquire(Platform.PATIENCE_S, TimeUnit.SECONDS));
+            assertTrue(heard.tryAcquire(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
     }
 }
--- a/src/test/java/wrenkeel/net/HostListComparisonTest.java
+++ b/src/test/java/wrenkeel/net/HostListComparisonTest.java
@@ -119,7 +119,7 @@
             boolean whole = step.what == What.WHOLE || step.what == What.TELL_MIDWAY && step.at % 2 == 0;
             long seq = list.version() + 2;
             String text = step.piece % 2 == 0
-                ? Platform.list((int) seq, whole, step.entries.toArray(String[]::new))
+                ? Platform.listJson((int) seq, whole, step.entries.toArray(String[]::new))
                 : "{\n \"hosts\": [\n  " + String.join(",\n  ", step.entries) + "\n ],\n \"whole\": " + whole
                     + ", \"seq\": " + seq + "}";
             byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
--- a/src/test/java/wrenkeel/net/HostListTest.java
+++ b/src/test/java/wrenkeel/net/HostListTest.java
@@ -16,7 +16,7 @@
 
 /** Discovery's list, as the module is told it. */
 class HostListTest {
-    private static final String NAMED = Platform.host("s-1", 80, 7, "ready");
+    private static final String NAMED = Platform.hostJson("s-1", 80, 7, "ready");
 
     private static HostList list(long... told) {
         HostList list = new HostList(List.of("a", "b"), List.of("m1", "m2"));
@@ -39,7 +39,7 @@
     }
 
     private static HostList.Change change(HostList list, String... hosts) throws IOException {
-        return take(list, Platform.list((int) list.version() + 1, false, hosts));
+        return take(list, Platform.listJson((int) list.version() + 1, false, hosts));
     }
 
     /** As NAME@DESTINATION LISTING. */
@@ -57,9 +57,9 @@
     /** Guards decisions that relays must take alike: a host's number is the same whatever came before it. */
     @Test
     void aHostHasOneNumberAtEveryRelay() throws IOException {
-        String two = Platform.host("s-2", 80, 7, "ready");
-        Relay.Listed listed = update(list(7), Platform.list(1, true, NAMED, two));
-        Relay.Listed other = update(list(7), Platform.list(1, true, two, NAMED));
+        String two = Platform.hostJson("s-2", 80, 7, "ready");
+        Relay.Listed listed = update(list(7), Platform.listJson(1, true, NAMED, two));
+        Relay.Listed other = update(list(7), Platform.listJson(1, true, two, NAMED));
         assertEquals(listed.endpoints().get(0), other.endpoints().get(1));
         assertEquals(listed.endpoints().get(1), other.endpoints().get(0));
         assertEquals(new Relay.Endpoint(listed.endpoints().get(0).id(), 0, 1, 7, Listing.READY, 50),
@@ -70,7 +70,7 @@
     /** Lists may come indented: white space between the tokens changes nothing. */
     @Test
     void anIndentedListIsThatList() throws IOException {
-        String list = Platform.list(4, true, NAMED, Platform.host("s-2", 81, 7, "draining"));
+        String list = Platform.listJson(4, true, NAMED, Platform.hostJson("s-2", 81, 7, "draining"));
         String indented = list.replace("{", "{\n  ").replace("}", "\r\n}").replace("[", "[\n\t").replace("]", "\n ]")
             .replace(",", " ,\n    ").replace("\":", "\" :  ");
         HostList plain = list(7);
@@ -84,9 +84,9 @@
     @Test
     void namesThatCollideGetNumbersOfTheirOwn() throws IOException {
         HostList list = list(7);
-        String plumless = Platform.host("plumless", 80, 7, "ready");
-        String buckeroo = Platform.host("buckeroo", 81, 7, "ready");
-        Relay.Listed listed = update(list, Platform.list(1, true, plumless, buckeroo));
+        String plumless = Platform.hostJson("plumless", 80, 7, "ready");
+        String buckeroo = Platform.hostJson("buckeroo", 81, 7, "ready");
+        Relay.Listed listed = update(list, Platform.listJson(1, true, plumless, buckeroo));
         assertNotEquals(listed.endpoints().get(0).id(), listed.endpoints().get(1).id());
         HostList.Host first = list.named("plumless");
         HostList.Host second = list.named("buckeroo");
@@ -114,17 +114,17 @@
     @Test
     void aWholeListLeavesOutWhatIsGoneAndABadEntrySpoilsNoOther() throws IOException {
         HostList list = list(7);
-        long gone = update(list, Platform.list(1, true, NAMED)).endpoints().get(0).id();
-        Relay.Listed next = update(list, Platform.list(2, true, Platform.host("s-2", 80, 7, "ready"),
-            Platform.host("s-3", 80, 7, "ready").replace("\"m2\"", "\"m9\""),
-            Platform.host("s-4", 80, 7, "ready").replace("\"ready\"", "\"well\""),
-            Platform.host("s-5", 80, 8, "ready").replace("127.0.0.1", "here")));
+        long gone = update(list, Platform.listJson(1, true, NAMED)).endpoints().get(0).id();
+        Relay.Listed next = update(list, Platform.listJson(2, true, Platform.hostJson("s-2", 80, 7, "ready"),
+            Platform.hostJson("s-3", 80, 7, "ready").replace("\"m2\"", "\"m9\""),
+            Platform.hostJson("s-4", 80, 7, "ready").replace("\"ready\"", "\"well\""),
+            Platform.hostJson("s-5", 80, 8, "ready").replace("127.0.0.1", "here")));
         assertEquals(1, next.endpoints().size());
         assertFalse(list.host(gone).ready);
         assertTrue(list.knows(7), "a destination stays known while its hosts are gone");
         assertTrue(list.knows(8), "one whose only host cannot be reached has been named");
         assertEquals(2, list.version());
-        change(list, Platform.host("s-2", 80, 7, "gone"));
+        change(list, Platform.hostJson("s-2", 80, 7, "gone"));
         assertTrue(list.knows(7));
         assertFalse(list.knows(9));
     }
@@ -132,13 +132,13 @@
     /** A fleet may reach into sites that the settings do not name: their hosts are used, and told apart by site. */
     @Test
     void aHostOfASiteWithoutANameIsListedAsOfASiteOfItsOwn() throws IOException {
-        String far = Platform.host("s-2", 80, 7, "ready").replace("\"site\":\"a\"", "\"site\":\"far\"");
-        String farther = Platform.host("s-3", 80, 7, "ready").replace("\"site\":\"a\"", "\"site\":\"farther\"");
-        List<Integer> zones = update(list(7), Platform.list(1, true, NAMED, far, farther)).endpoints().stream()
+        String far = Platform.hostJson("s-2", 80, 7, "ready").replace("\"site\":\"a\"", "\"site\":\"far\"");
+        String farther = Platform.hostJson("s-3", 80, 7, "ready").replace("\"site\":\"a\"", "\"site\":\"farther\"");
+        List<Integer> zones = update(list(7), Platform.listJson(1, true, NAMED, far, farther)).endpoints().stream()
             .map(Relay.Endpoint::zone).toList();
         assertEquals(3, zones.stream().distinct().count());
         assertEquals(0, zones.get(0));
-        assertEquals(zones.get(1), update(list(7), Platform.list(1, true, far)).endpoints().get(0).zone(),
+        assertEquals(zones.get(1), update(list(7), Platform.listJson(1, true, far)).endpoints().get(0).zone(),
             "the number is the same after a restart");
     }
 
@@ -149,7 +149,7 @@
             + " \"[::1]:80\", \"host\": \"s-\\u00e4\u00f6\u20ac\"},\n" + NAMED
             + "],\n \"whole\": true, \"seq\": 9}");
         HostList list = list(7);
-        change(list, Platform.host("s-0", 80, 7, "ready"));
+        change(list, Platform.hostJson("s-0", 80, 7, "ready"));
         for (int cut = 0; cut < text.length; cut++) {
             HostList.Reading reading = list.read();
             reading.feed(text, 0, cut);
@@ -170,7 +170,7 @@
 
     @Test
     void aListWithAFaultLeavesTheLastGoodOneAsItWas() throws IOException {
-        String good = Platform.list(5, true, Platform.host("s-2", 80, 8, "ready"), NAMED.replace(":80", ":81"));
+        String good = Platform.listJson(5, true, Platform.hostJson("s-2", 80, 8, "ready"), NAMED.replace(":80", ":81"));
         List<String> faults = List.of(good + "{}", good + "]", "[" + good + "]", "41", "", "{\"seq\":5}",
             "{\"seq\":5,\"hosts\":{}}", "{\"seq\":5,\"hosts\":[1]}", good.replace("\"seq\":5,", ""),
             good.replace("5,", "5.5,"), good.replace("5,", "\"5\","), good.replace("5,", "5,\"seq\":6,"),
@@ -194,12 +194,12 @@
     @Test
     void aListOfMoreHostsThanThereIsRoomForIsRefused() throws IOException {
         HostList list = new HostList(List.of("a"), List.of("m2"), 3);
-        String[] hosts = IntStream.range(0, 4).mapToObj(i -> Platform.host("s-" + i, 80, i, "ready"))
+        String[] hosts = IntStream.range(0, 4).mapToObj(i -> Platform.hostJson("s-" + i, 80, i, "ready"))
             .toArray(String[]::new);
-        assertThrows(Wire.Malformed.class, () -> take(list, Platform.list(1, true, hosts)));
+        assertThrows(Wire.Malformed.class, () -> take(list, Platform.listJson(1, true, hosts)));
         assertEquals(0, list.rows());
-        take(list, Platform.list(1, true, hosts[0], hosts[1], hosts[2]));
-        take(list, Platform.list(2, true, hosts[0], hosts[1], hosts[2]));
+        take(list, Platform.listJson(1, true, hosts[0], hosts[1], hosts[2]));
+        take(list, Platform.listJson(2, true, hosts[0], hosts[1], hosts[2]));
         assertThrows(Wire.Malformed.class, () -> change(list, hosts[3]));
         assertEquals(List.of(2L, 3, 3), List.of(list.version(), list.listed(), list.rows()));
     }
@@ -207,15 +207,15 @@
     @Test
     void theModuleHearsOfTheDestinationsThatItHasBeenToldOf() throws IOException {
         HostList list = list();
-        String drains = Platform.host("s-2", 80, 7, "draining");
-        assertEquals(List.of(), update(list, Platform.list(1, true, NAMED, drains,
-            Platform.host("s-3", 80, 8, "ready"))).endpoints());
+        String drains = Platform.hostJson("s-2", 80, 7, "draining");
+        assertEquals(List.of(), update(list, Platform.listJson(1, true, NAMED, drains,
+            Platform.hostJson("s-3", 80, 8, "ready"))).endpoints());
         assertEquals(List.of(3, 1), List.of(list.listed(), list.draining()));
         assertNull(list.named("s-1"));
         assertEquals(7, list.destination("s-1"));
         assertEquals(List.of("s-1@7 READY", "s-2@7 DRAINING"), events(list, list.tell(7)));
         assertNull(list.tell(7));
-        HostList.Change change = change(list, Platform.host("s-3", 80, 8, "draining"), drains,
+        HostList.Change change = change(list, Platform.hostJson("s-3", 80, 8, "draining"), drains,
             NAMED.replace("ready", "gone"));
         assertEquals(List.of("s-2@7 DRAINING", "s-1@7 GONE"), events(list, change.listed()));
         assertEquals(List.of("s-2", "s-1"), names(change.unready()));
@@ -232,22 +232,22 @@
     @Test
     void aHostMovesFromOneDestinationToAnother() throws IOException {
         HostList list = list(7, 8);
-        update(list, Platform.list(1, true, NAMED));
+        update(list, Platform.listJson(1, true, NAMED));
         HostList.Host host = list.named("s-1");
-        HostList.Change told = change(list, Platform.host("s-1", 80, 8, "ready"));
+        HostList.Change told = change(list, Platform.hostJson("s-1", 80, 8, "ready"));
         assertEquals(List.of("s-1@8 READY"), events(list, told.listed()));
         assertEquals(List.of(host), told.unready(), "no call that waits may go there for the other destination");
         assertEquals(List.of(), names(list.hostsOf(7)));
         assertEquals(List.of("s-1"), names(list.hostsOf(8)));
-        HostList.Change away = change(list, Platform.host("s-1", 80, 9, "ready"));
+        HostList.Change away = change(list, Platform.hostJson("s-1", 80, 9, "ready"));
         assertEquals(List.of("s-1@8 GONE"), events(list, away.listed()));
         assertEquals(List.of(host), away.unready());
         assertFalse(host.ready);
         assertEquals(9, list.destination("s-1"));
-        assertEquals(List.of(), change(list, Platform.host("s-1", 80, 9, "gone")).listed().endpoints());
+        assertEquals(List.of(), change(list, Platform.hostJson("s-1", 80, 9, "gone")).listed().endpoints());
         assertEquals(List.of("s-1@7 READY"), events(list, change(list, NAMED).listed()));
         assertSame(host, list.named("s-1"));
-        change(list, Platform.host("s-1", 80, 9, "ready"));
+        change(list, Platform.hostJson("s-1", 80, 9, "ready"));
         assertEquals(List.of("s-1@9 READY"), events(list, list.tell(9)));
         assertEquals(List.of(host), List.copyOf(list.hostsOf(9)));
         assertTrue(list.knows(7) && list.knows(8));
@@ -268,10 +268,10 @@
     @Test
     void aWholeListThatDropsMostHostsKeepsNoneOfThem() throws IOException {
         HostList list = list(7, 8);
-        String[] hosts = IntStream.range(0, 5_000).mapToObj(i -> Platform.host("s-" + i, 80, 7 + i % 50, "ready"))
+        String[] hosts = IntStream.range(0, 5_000).mapToObj(i -> Platform.hostJson("s-" + i, 80, 7 + i % 50, "ready"))
             .toArray(String[]::new);
-        update(list, Platform.list(1, true, hosts));
-        HostList.Change most = take(list, Platform.list(2, true, hosts[49], hosts[50]));
+        update(list, Platform.listJson(1, true, hosts));
+        HostList.Change most = take(list, Platform.listJson(2, true, hosts[49], hosts[50]));
         assertEquals(List.of("s-50@7 READY"), events(list, most.listed()));
         assertEquals(199, most.unready().size());
         assertTrue(most.unready().stream().noneMatch(host -> host.ready || host.listed));
@@ -279,7 +279,7 @@
         assertTrue(IntStream.range(7, 57).allMatch(list::knows));
         list.hostsOf(7).forEach(host -> list.forget(host.number));
         assertEquals(List.of("s-50"), names(list.hostsOf(7)));
-        update(list, Platform.list(3, true, hosts));
+        update(list, Platform.listJson(3, true, hosts));
         assertEquals(List.of(5_000, 5_000, 5_001), List.of(list.listed(), list.rows(), list.room()));
     }
 
@@ -288,8 +288,8 @@
     void aDrainWhileAListIsReadHoldsUntilALaterListNamesTheHost() throws IOException {
         for (String port : List.of(":80", ":81")) {
             HostList list = list(7);
-            update(list, Platform.list(1, true, NAMED));
-            byte[] text = bytes(Platform.list(2, true, NAMED.replace(":80", port)));
+            update(list, Platform.listJson(1, true, NAMED));
+            byte[] text = bytes(Platform.listJson(2, true, NAMED.replace(":80", port)));
             for (int cut : new int[] {0, text.length}) {
                 HostList.Reading reading = list.read();
                 reading.feed(text, 0, cut);
@@ -307,8 +307,8 @@
     @Test
     void aDestinationToldOfWhileAWholeListIsReadIsInIt() throws IOException {
         HostList list = list();
-        update(list, Platform.list(1, true, NAMED));
-        byte[] text = bytes(Platform.list(2, true, NAMED));
+        update(list, Platform.listJson(1, true, NAMED));
+        byte[] text = bytes(Platform.listJson(2, true, NAMED));
         HostList.Reading reading = list.read();
         reading.feed(text, 0, text.length);
         list.tell(7);
@@ -319,7 +319,7 @@
     void theLastListBegunIsTheOneThatCounts() throws IOException {
         HostList list = list();
         HostList.Reading old = list.read();
-        byte[] text = bytes(Platform.list(1, true, NAMED));
+        byte[] text = bytes(Platform.listJson(1, true, NAMED));
         old.feed(text, 0, text.length);
         HostList.Reading fresh = list.read();
         assertThrows(Wire.Malformed.class, old::end);
@@ -337,7 +337,7 @@
         String last = "";
         for (int i = 0; i < 5_000; i++) {
             String next = i + "-" + "n".repeat(990);
-            change(list, Platform.host(last, 80, i - 1, "gone"), Platform.host(next, 80, i, "ready"));
+            change(list, Platform.hostJson(last, 80, i - 1, "gone"), Platform.hostJson(next, 80, i, "ready"));
             last = next;
         }
         assertEquals(List.of(1, 1, 3), List.of(list.listed(), list.rows(), list.room()));
--- a/src/test/java/wrenkeel/net/HostPoolTest.java
+++ b/src/test/java/wrenkeel/net/HostPoolTest.java
@@ -64,7 +64,7 @@
     }
 
     private HostPool.Reply reply() throws InterruptedException {
-        return replies.poll(Platform.PATIENCE_S, TimeUnit.SECONDS);
+        return replies.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     @ParameterizedTest
@@ -73,9 +73,9 @@
         "504, , NOT_SENT, false, 0", "410, , NOT_SENT, true, 0", "418, , ERROR, false, 0"})
     void anAnswerMeansWhatTheTableSays(int status, String header, Outcome outcome, boolean over, long wait)
             throws Exception {
-        try (Host host = new Host()) {
+        try (StubHost host = new StubHost()) {
             call(pool(KEEP_ALIVE), host.port(), LONG, 10);
-            host.call().answer("HTTP/1.1 " + status + " x\r\nX-Server-Load: x0=0.4,x1=25\r\n"
+            host.nextCall().respond("HTTP/1.1 " + status + " x\r\nX-Server-Load: x0=0.4,x1=25\r\n"
                 + (header == null ? "" : header + "\r\n") + "Content-Length: 0\r\n\r\n");
             HostPool.Reply reply = reply();
             assertEquals(outcome, reply.outcome());
@@ -89,17 +89,17 @@
     /** Guards the descriptors: a connection that carries nothing gives way to one that is needed elsewhere. */
     @Test
     void anIdleConnectionIsClosedForOneMoreThanAllowed() throws Exception {
-        try (Host first = new Host(); Host second = new Host()) {
+        try (StubHost first = new StubHost(); StubHost second = new StubHost()) {
             HostPool pool = new HostPool(group.next(), new Bootstrap().group(group), LONG, KEEP_ALIVE, 1, new Metrics());
             call(pool, first.port(), LONG, 10);
-            Host.Call idle = first.call();
-            idle.answer(Host.OK);
+            StubHost.Call idle = first.nextCall();
+            idle.respond(StubHost.OK);
             assertEquals(Outcome.OK, reply().outcome());
             HostList.Host other = new HostList.Host(2, "s-2");
             other.dial = new InetSocketAddress(Platform.LOOPBACK, second.port());
             group.next().submit(() -> pool.call(other, List.of(part("b", null, LONG, 10)))).get();
-            assertTrue(first.ended(idle));
-            second.call().answer(Host.OK);
+            assertTrue(first.awaitClosed(idle));
+            second.nextCall().respond(StubHost.OK);
             assertEquals(Outcome.OK, reply().outcome());
         }
     }
@@ -109,7 +109,7 @@
             new Metrics());
     }
 
-    private void callOther(HostPool pool, int number, Host host, HostPool.Part part) throws Exception {
+    private void callOther(HostPool pool, int number, StubHost host, HostPool.Part part) throws Exception {
         HostList.Host other = new HostList.Host(number, "s-" + number);
         other.dial = new InetSocketAddress(Platform.LOOPBACK, host.port());
         other.ready = true;
@@ -123,19 +123,19 @@
     /** Guards the descriptors: where each connection carries a call, one more call waits for one of them. */
     @Test
     void aCallOverTheShareWaitsUntilAConnectionIsFree() throws Exception {
-        try (Host first = new Host(); Host second = new Host(); Host third = new Host()) {
+        try (StubHost first = new StubHost(); StubHost second = new StubHost(); StubHost third = new StubHost()) {
             HostPool pool = narrow(2);
             callOther(pool, 1, first, part("a", null, LONG, 10));
             callOther(pool, 2, second, part("b", null, LONG, 10));
             callOther(pool, 3, third, part("c", null, LONG, 10));
             callOther(pool, 3, third, part("d", null, LONG, 10));
             assertEquals(2, held(pool));
-            first.call().answer(Host.OK);
-            Host.Call next = third.call();
+            first.nextCall().respond(StubHost.OK);
+            StubHost.Call next = third.nextCall();
             assertEquals("c", next.header("X-Request-ID"));
             assertEquals(2, held(pool));
-            next.answer(Host.OK);
-            Host.Call last = third.call();
+            next.respond(StubHost.OK);
+            StubHost.Call last = third.nextCall();
             assertEquals("d", last.header("X-Request-ID"));
             assertSame(next.socket(), last.socket(), "the free connection leads where it wants to go");
         }
@@ -144,10 +144,10 @@
     /** Guards the message: a call that waits for a connection has not begun, and ends once. */
     @Test
     void aCallThatWaitsForAFreeConnectionIsGivenUpOrTakenBackUnsent() throws Exception {
-        try (Host first = new Host(); Host second = new Host()) {
+        try (StubHost first = new StubHost(); StubHost second = new StubHost()) {
             HostPool pool = narrow(1);
             callOther(pool, 1, first, part("a", null, LONG, 10));
-            Host.Call out = first.call();
+            StubHost.Call out = first.nextCall();
             HostPool.Part late = part("late", null, LONG, 10);
             callOther(pool, 2, second, late);
             group.next().submit(late::giveUp).get();
@@ -156,9 +156,9 @@
             group.next().submit(() -> pool.takeBack(listed)).get();
             assertEquals(Outcome.NOT_SENT, reply().outcome());
             callOther(pool, 2, second, part("goes", null, LONG, 10));
-            out.answer(Host.OK);
+            out.respond(StubHost.OK);
             assertEquals(Outcome.OK, reply().outcome());
-            assertEquals("goes", second.call().header("X-Request-ID"));
+            assertEquals("goes", second.nextCall().header("X-Request-ID"));
             assertEquals(1, held(pool));
             assertTrue(replies.isEmpty());
         }
@@ -167,16 +167,16 @@
     /** Guards calls against answers that never end: once its call is over, such a connection gives way. */
     @Test
     void aConnectionWhoseCallIsOverGivesWayThoughItsAnswerIsNotAtItsEnd() throws Exception {
-        try (Host first = new Host(); Host second = new Host()) {
+        try (StubHost first = new StubHost(); StubHost second = new StubHost()) {
             HostPool pool = narrow(1);
             callOther(pool, 1, first, part("a", null, LONG, 10));
-            Host.Call slow = first.call();
+            StubHost.Call slow = first.nextCall();
             callOther(pool, 2, second, part("b", null, LONG, 10));
-            slow.answer("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhi");
+            slow.respond("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhi");
             assertEquals(Outcome.OK, reply().outcome());
-            assertEquals("b", second.call().header("X-Request-ID"));
+            assertEquals("b", second.nextCall().header("X-Request-ID"));
             assertEquals(1, held(pool));
-            assertTrue(first.ended(slow));
+            assertTrue(first.awaitClosed(slow));
         }
     }
 
@@ -203,7 +203,7 @@
     @Test
     void aRefusedConnectionNeverRan() throws Exception {
         int port;
-        try (Host host = new Host()) {
+        try (StubHost host = new StubHost()) {
             port = host.port();
         }
         call(pool(KEEP_ALIVE), port, LONG, 10);
@@ -212,9 +212,9 @@
 
     @Test
     void aConnectionThatBreaksAfterTheLastByteMayHaveRun() throws Exception {
-        try (Host host = new Host()) {
+        try (StubHost host = new StubHost()) {
             call(pool(KEEP_ALIVE), host.port(), LONG, 10);
-            host.call().socket().close();
+            host.nextCall().socket().close();
             assertEquals(Outcome.RESET, reply().outcome());
         }
     }
@@ -236,18 +236,18 @@
 
     @Test
     void timeOutAndCancelCloseTheConnection() throws Exception {
-        try (Host host = new Host()) {
+        try (StubHost host = new StubHost()) {
             HostPool pool = pool(KEEP_ALIVE);
             call(pool, host.port(), 200_000, 10);
-            Host.Call late = host.call();
+            StubHost.Call late = host.nextCall();
             assertEquals(Outcome.TIMEOUT, reply().outcome());
             HostPool.Part call = call(pool, host.port(), LONG, 10);
-            Host.Call second = host.call();
+            StubHost.Call second = host.nextCall();
             assertNotSame(late.socket(), second.socket());
             group.next().submit(call::cancel).get();
             assertEquals(Outcome.CANCELLED, reply().outcome());
             call(pool, host.port(), LONG, 10);
-            Host.Call third = host.call();
+            StubHost.Call third = host.nextCall();
             assertNotSame(second.socket(), third.socket());
         }
     }
@@ -280,42 +280,42 @@
     /** Guards against a request that crosses the host's own close: an old connection is not used again. */
     @Test
     void idleConnectionsAreClosedBeforeTheHostMay() throws Exception {
-        try (Host host = new Host()) {
+        try (StubHost host = new StubHost()) {
             HostPool pool = pool(1_000_000);
             call(pool, host.port(), LONG, 10);
-            Host.Call first = host.call();
-            first.answer(Host.OK);
+            StubHost.Call first = host.nextCall();
+            first.respond(StubHost.OK);
             reply();
             while (group.next().submit(() -> pool.idle(listed)).get() > 0) {
                 Thread.sleep(20);
             }
             call(pool, host.port(), LONG, 10);
-            assertNotSame(first.socket(), host.call().socket());
+            assertNotSame(first.socket(), host.nextCall().socket());
         }
     }
 
     /** Guards the descriptors: the call is over at the answer's head, and the connection must not be held for ever. */
     @Test
     void anAnswerThatNeverEndsIsNotWaitedFor() throws Exception {
-        try (Host host = new Host()) {
+        try (StubHost host = new StubHost()) {
             call(pool(KEEP_ALIVE), host.port(), LONG, 10);
-            Host.Call call = host.call();
-            call.answer("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhi");
+            StubHost.Call call = host.nextCall();
+            call.respond("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhi");
             assertEquals(Outcome.OK, reply().outcome());
-            assertTrue(host.ended(call));
+            assertTrue(host.awaitClosed(call));
         }
     }
 
     @Test
     void aHostThatEndsTheConnectionWithItsAnswerIsNotAskedOnItAgain() throws Exception {
-        try (Host host = new Host()) {
+        try (StubHost host = new StubHost()) {
             HostPool pool = pool(KEEP_ALIVE);
             call(pool, host.port(), LONG, 10);
-            Host.Call first = host.call();
-            first.answer("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+            StubHost.Call first = host.nextCall();
+            first.respond("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
             assertEquals(Outcome.OK, reply().outcome());
             call(pool, host.port(), LONG, 10);
-            assertNotSame(first.socket(), host.call().socket());
+            assertNotSame(first.socket(), host.nextCall().socket());
         }
     }
 
@@ -324,10 +324,10 @@
     @ValueSource(strings = {"", "Content-Length: 2\r\nno colon here \0\r\n\r\nok", "Content-Length: wobble\r\n\r\n",
         "X-Server-Load: x0"})
     void aFirstLineWith200DeliversThoughTheRestIsSpoiltOrBreaksOff(String rest) throws Exception {
-        try (Host host = new Host()) {
+        try (StubHost host = new StubHost()) {
             call(pool(KEEP_ALIVE), host.port(), LONG, 10);
-            Host.Call call = host.call();
-            call.answer("HTTP/1.1 200 OK\r\n" + rest);
+            StubHost.Call call = host.nextCall();
+            call.respond("HTTP/1.1 200 OK\r\n" + rest);
             call.socket().close();
             HostPool.Reply reply = reply();
             assertEquals(Outcome.OK, reply.outcome());
@@ -337,9 +337,9 @@
 
     @Test
     void aFirstLineWith200DeliversThoughItsHeadersNeverEnd() throws Exception {
-        try (Host host = new Host()) {
+        try (StubHost host = new StubHost()) {
             call(pool(KEEP_ALIVE), host.port(), 2_000_000, 10);
-            host.call().answer("HTTP/1.1 200 OK\r\nX-Server-Load: x0=0.4\r\n");
+            host.nextCall().respond("HTTP/1.1 200 OK\r\nX-Server-Load: x0=0.4\r\n");
             assertEquals(Outcome.OK, reply().outcome());
         }
     }
@@ -347,10 +347,10 @@
     /** What a bundle's messages came to stands in the body only. */
     @Test
     void aFirstLineWith200SettlesNothingForABundle() throws Exception {
-        try (Host host = new Host()) {
+        try (StubHost host = new StubHost()) {
             call(pool(KEEP_ALIVE), host.port(), part("a", null, LONG, 1), part("b", null, LONG, 1));
-            Host.Call call = host.call();
-            call.answer("HTTP/1.1 200 OK\r\n");
+            StubHost.Call call = host.nextCall();
+            call.respond("HTTP/1.1 200 OK\r\n");
             call.socket().close();
             assertEquals(Outcome.RESET, reply().outcome());
             assertEquals(Outcome.RESET, reply().outcome());
@@ -371,14 +371,14 @@
         "HTTP/1.1 0200 OK\r\nContent-Length: %d\r\n\r\n%s",
         "HTTP/1.1 +200 OK\r\nContent-Length: %d\r\n\r\n%s"})
     void anUnreadableAnswerDeliversNothingOfABundle(String answer) throws Exception {
-        try (Host host = new Host()) {
+        try (StubHost host = new StubHost()) {
             call(pool(KEEP_ALIVE), host.port(), part("a", null, LONG, 1), part("b", null, LONG, 1));
-            Host.Call call = host.call();
+            StubHost.Call call = host.nextCall();
             String states = "[{\"id\":\"a\",\"state\":\"accepted\"},{\"id\":\"b\",\"state\":\"accepted\"}]";
-            call.answer(answer.formatted(states.length(), states));
+            call.respond(answer.formatted(states.length(), states));
             assertEquals(Outcome.RESET, reply().outcome());
             assertEquals(Outcome.RESET, reply().outcome());
-            assertTrue(host.ended(call));
+            assertTrue(host.awaitClosed(call));
         }
     }
 
@@ -389,9 +389,9 @@
         "[{\"id\":\"a\",\"state\":\"fault\",\"state\":\"accepted\"},{\"id\":\"b\",\"state\":\"accepted\"}]",
         "[{\"id\":\"a\",\"state\":\"accepted\"},{\"id\":\"b\",\"state\":\"accepted\"}] x"})
     void aBodyThatIsNotWhollyReadableDeliversNothingOfABundle(String states) throws Exception {
-        try (Host host = new Host()) {
+        try (StubHost host = new StubHost()) {
             call(pool(KEEP_ALIVE), host.port(), part("a", null, LONG, 1), part("b", null, LONG, 1));
-            host.call().answer("HTTP/1.1 200 OK\r\nContent-Length: " + states.length() + "\r\n\r\n" + states);
+            host.nextCall().respond("HTTP/1.1 200 OK\r\nContent-Length: " + states.length() + "\r\n\r\n" + states);
             assertEquals(Outcome.ERROR, reply().outcome());
             assertEquals(Outcome.ERROR, reply().outcome());
         }
@@ -401,16 +401,16 @@
     @ParameterizedTest
     @ValueSource(strings = {"surplus", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 200 OK\r\nContent"})
     void aConnectionWithMoreThanItsAnswerIsNotUsedAgain(String surplus) throws Exception {
-        try (Host host = new Host()) {
+        try (StubHost host = new StubHost()) {
             HostPool pool = pool(KEEP_ALIVE);
             call(pool, host.port(), LONG, 10);
-            Host.Call first = host.call();
-            first.answer(Host.OK + surplus);
+            StubHost.Call first = host.nextCall();
+            first.respond(StubHost.OK + surplus);
             assertEquals(Outcome.OK, reply().outcome());
             call(pool, host.port(), LONG, 10);
-            Host.Call second = host.call();
+            StubHost.Call second = host.nextCall();
             assertNotSame(first.socket(), second.socket());
-            second.answer("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
+            second.respond("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
             assertEquals(Outcome.ERROR, reply().outcome());
         }
     }
@@ -422,15 +422,15 @@
     /** The bounds on an answer's bytes are those of one answer, not of its connection. */
     @Test
     void aConnectionWithManyLongAnswersIsUsedOn() throws Exception {
-        try (Host host = new Host()) {
+        try (StubHost host = new StubHost()) {
             HostPool pool = pool(KEEP_ALIVE);
             Socket first = null;
             for (int i = 0; i < 6; i++) {
                 call(pool, host.port(), LONG, 10);
-                Host.Call call = host.call();
+                StubHost.Call call = host.nextCall();
                 first = first == null ? call.socket() : first;
                 assertSame(first, call.socket());
-                call.answer(answer("200 OK", "", "x".repeat(AnswerDecoder.BODY_BYTES_MAX)));
+                call.respond(answer("200 OK", "", "x".repeat(AnswerDecoder.BODY_BYTES_MAX)));
                 assertEquals(Outcome.OK, reply().outcome());
                 while (group.next().submit(() -> pool.idle(listed)).get() == 0) {
                     Thread.onSpinWait();
@@ -443,28 +443,28 @@
     @ParameterizedTest
     @CsvSource({"200, OK", "500, ERROR"})
     void aConnectionWhoseAnswerIsTooLongIsClosed(int status, Outcome outcome) throws Exception {
-        try (Host host = new Host()) {
+        try (StubHost host = new StubHost()) {
             call(pool(KEEP_ALIVE), host.port(), LONG, 10);
-            Host.Call call = host.call();
-            call.answer("HTTP/1.1 " + status + " x\r\nContent-Length: 100000\r\n\r\n"
+            StubHost.Call call = host.nextCall();
+            call.respond("HTTP/1.1 " + status + " x\r\nContent-Length: 100000\r\n\r\n"
                 + "x".repeat(AnswerDecoder.BODY_BYTES_MAX + 1));
             assertEquals(outcome, reply().outcome());
-            assertTrue(host.ended(call));
+            assertTrue(host.awaitClosed(call));
         }
     }
 
     /** A destination that counts calls takes several messages in one; each has a fate of its own. */
     @Test
     void aBundleIsOneCallWhoseAnswerTellsEachFate() throws Exception {
-        try (Host host = new Host()) {
+        try (StubHost host = new StubHost()) {
             HostPool pool = pool(KEEP_ALIVE);
             call(pool, host.port(), part("a", "k\"", LONG, 2), part("b", null, LONG, 3), part("c", null, LONG, 0),
                 part("d", null, LONG, 1), part("e", null, LONG, 1), part("f", null, LONG, 1));
-            Host.Call call = host.call();
+            StubHost.Call call = host.nextCall();
             assertEquals("POST /v1/messages:batch HTTP/1.1", call.head().get(0));
             assertTrue(call.body().startsWith("[{\"id\":\"a\",\"key\":\"k\\\"\",\"body\":\"AAA=\"},"
                 + "{\"id\":\"b\",\"body\":\"AAAA\"},{\"id\":\"c\",\"body\":\"\"},"), call.body());
-            call.answer(answer("200 OK", "Retry-After: 0.5\r\n", "[{\"id\":\"b\",\"state\":\"fault\"},"
+            call.respond(answer("200 OK", "Retry-After: 0.5\r\n", "[{\"id\":\"b\",\"state\":\"fault\"},"
                 + "{\"id\":\"a\",\"state\":\"accepted\"},{\"id\":\"c\",\"state\":\"deferred\"},"
                 + "{\"id\":\"d\",\"state\":\"expired\"},{\"id\":\"e\",\"state\":\"no_more\"}]"));
             List<Outcome> outcomes = List.of(Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.NOT_SENT,
@@ -477,7 +477,7 @@
                 assertEquals(500_000, reply.waitFor());
             }
             call(pool, host.port(), LONG, 10);
-            assertSame(call.socket(), host.call().socket());
+            assertSame(call.socket(), host.nextCall().socket());
         }
     }
 
@@ -485,9 +485,9 @@
     @ParameterizedTest
     @ValueSource(strings = {"deferred", "expired", "no_more", "accepted"})
     void aMessageThatABundlesAnswerNamesTwiceDifferentlyMayHaveRun(String other) throws Exception {
-        try (Host host = new Host()) {
+        try (StubHost host = new StubHost()) {
             call(pool(KEEP_ALIVE), host.port(), part("a", null, LONG, 2), part("b", null, LONG, 2));
-            host.call().answer(answer("200 OK", "", "[{\"id\":\"a\",\"state\":\"fault\"},"
+            host.nextCall().respond(answer("200 OK", "", "[{\"id\":\"a\",\"state\":\"fault\"},"
                 + "{\"id\":\"b\",\"state\":\"accepted\"},{\"id\":\"a\",\"state\":\"" + other + "\"}]"));
             assertEquals(Outcome.ERROR, reply().outcome());
             assertEquals(Outcome.OK, reply().outcome());
@@ -497,18 +497,18 @@
     /** Guards the slot: whatever has come of a bundle's answer, each message is given up in its time, once. */
     @Test
     void aBundleWhoseAnswerNeverEndsIsGivenUpAndItsConnectionClosed() throws Exception {
-        try (Host host = new Host()) {
+        try (StubHost host = new StubHost()) {
             HostPool pool = pool(KEEP_ALIVE);
             HostPool.Part first = part("a", null, LONG, 2), second = part("b", null, LONG, 2);
             call(pool, host.port(), first, second);
-            Host.Call call = host.call();
-            call.answer("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n[{\"id\":\"a\",\"state\":\"accepted\"},");
+            StubHost.Call call = host.nextCall();
+            call.respond("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n[{\"id\":\"a\",\"state\":\"accepted\"},");
             group.next().submit(first::giveUp).get();
             assertEquals(Outcome.TIMEOUT, reply().outcome());
             group.next().submit(second::giveUp).get();
             assertEquals(Outcome.TIMEOUT, reply().outcome());
             assertEquals(0, held(pool));
-            assertTrue(host.ended(call));
+            assertTrue(host.awaitClosed(call));
             assertTrue(replies.isEmpty());
         }
     }
@@ -517,9 +517,9 @@
     @CsvSource({"429 Too Many Requests, '', FULL", "500 Internal Server Error, '', ERROR", "200 OK, nonsense, ERROR",
         "200 OK, '{}', ERROR", "200 OK, '[{\"id\":\"a\"}]', ERROR"})
     void aBundleSharesTheFateOfItsCall(String status, String body, Outcome outcome) throws Exception {
-        try (Host host = new Host()) {
+        try (StubHost host = new StubHost()) {
             call(pool(KEEP_ALIVE), host.port(), part("a", null, LONG, 2), part("b", null, LONG, 2));
-            host.call().answer(answer(status, "", body));
+            host.nextCall().respond(answer(status, "", body));
             assertEquals(outcome, reply().outcome());
             assertEquals(outcome, reply().outcome());
         }
@@ -528,10 +528,10 @@
     /** Guards against a fate that was never told: the head alone says nothing of a bundle's messages. */
     @Test
     void aBundleWhoseAnswerBreaksOffMayHaveRun() throws Exception {
-        try (Host host = new Host()) {
+        try (StubHost host = new StubHost()) {
             call(pool(KEEP_ALIVE), host.port(), part("a", null, LONG, 2), part("b", null, LONG, 2));
-            Host.Call call = host.call();
-            call.answer("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n[{\"id\":\"a\",");
+            StubHost.Call call = host.nextCall();
+            call.respond("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n[{\"id\":\"a\",");
             call.socket().close();
             assertEquals(Outcome.RESET, reply().outcome());
             assertEquals(Outcome.RESET, reply().outcome());
@@ -541,7 +541,7 @@
     /** Guards against a message that goes out after it was given up, with what shared its connection. */
     @Test
     void aMessageGivenUpBeforeItsConnectionIsUpDoesNotGoOut() throws Exception {
-        try (Host host = new Host()) {
+        try (StubHost host = new StubHost()) {
             HostPool pool = pool(KEEP_ALIVE);
             HostPool.Part first = part("a", null, LONG, 2);
             listed.dial = new InetSocketAddress(Platform.LOOPBACK, host.port());
@@ -549,11 +549,11 @@
                 pool.call(listed, List.of(first, part("b", null, LONG, 2)));
                 first.cancel();
             }).get();
-            Host.Call call = host.call();
+            StubHost.Call call = host.nextCall();
             assertEquals("POST /v1/messages HTTP/1.1", call.head().get(0));
             assertEquals("b", call.header("X-Request-ID"));
             assertEquals(Outcome.CANCELLED, reply().outcome());
-            call.answer(Host.OK);
+            call.respond(StubHost.OK);
             assertEquals(Outcome.OK, reply().outcome());
         }
     }
@@ -579,11 +579,11 @@
             assertTrue(socket.getInputStream().read() >= 0, "a byte of it is out");
             group.next().submit(first::giveUp).get();
             assertEquals(Outcome.TIMEOUT, reply().outcome());
-            String head = String.join("\n", Host.head(socket.getInputStream()));
+            String head = String.join("\n", StubHost.readHead(socket.getInputStream()));
             int length = Integer.parseInt(head.replaceAll("(?s).*content-length: (\\d+).*", "$1"));
             String body = new String(socket.getInputStream().readNBytes(length), StandardCharsets.ISO_8859_1);
             assertTrue(body.contains("given-up") && body.endsWith("]"), "it reached the endpoint");
-            socket.getOutputStream().write(Host.OK.getBytes(StandardCharsets.ISO_8859_1));
+            socket.getOutputStream().write(StubHost.OK.getBytes(StandardCharsets.ISO_8859_1));
             assertEquals(Outcome.ERROR, reply().outcome());
         }
     }
@@ -596,7 +596,7 @@
             HostPool.Part only = part("a", null, LONG, bytes);
             call(pool(KEEP_ALIVE), listener.getLocalPort(), only);
             Socket socket = listener.accept();
-            Host.head(socket.getInputStream());
+            StubHost.readHead(socket.getInputStream());
             group.next().submit(only::giveUp).get();
             assertEquals(Outcome.CONNECT_FAILED, reply().outcome());
             assertTrue(socket.getInputStream().readAllBytes().length < bytes);
@@ -610,7 +610,7 @@
             HostPool.Part first = part("a", null, LONG, 16 << 20), last = part("b", null, LONG, 1);
             call(pool(KEEP_ALIVE), listener.getLocalPort(), first, last);
             Socket socket = listener.accept();
-            Host.head(socket.getInputStream());
+            StubHost.readHead(socket.getInputStream());
             group.next().submit(first::giveUp).get();
             group.next().submit(last::giveUp).get();
             assertEquals(Outcome.TIMEOUT, reply().outcome());
@@ -660,21 +660,21 @@
     /** Guards the connection against a fault in what hears of the end. */
     @Test
     void aConnectionIsClosedThoughTheReplyCannotBeTold() throws Exception {
-        try (Host host = new Host()) {
+        try (StubHost host = new StubHost()) {
             HostPool.Part part = new HostPool.Part(part("a", null, LONG, 1).message(), LONG, reply -> {
                 throw new IllegalStateException("forced by the test");
             });
             call(pool(KEEP_ALIVE), host.port(), part);
-            Host.Call call = host.call();
+            StubHost.Call call = host.nextCall();
             assertThrows(ExecutionException.class, () -> group.next().submit(part::giveUp).get());
-            assertTrue(host.ended(call));
+            assertTrue(host.awaitClosed(call));
         }
     }
 
     /** Guards against an empty request, and against an end that is never told. */
     @Test
     void aMessageCalledOffBeforeItsCallIsMadeDoesNotGoOut() throws Exception {
-        try (Host host = new Host()) {
+        try (StubHost host = new StubHost()) {
             HostPool pool = pool(KEEP_ALIVE);
             HostPool.Part alone = part("alone", null, LONG, 1), first = part("first", null, LONG, 1);
             group.next().submit(alone::cancel).get();
@@ -684,9 +684,9 @@
             call(pool, host.port(), alone);
             assertEquals(0, held(pool));
             call(pool, host.port(), first, part("second", null, LONG, 1));
-            Host.Call call = host.call();
+            StubHost.Call call = host.nextCall();
             assertEquals("second", call.header("X-Request-ID"));
-            call.answer(Host.OK);
+            call.respond(StubHost.OK);
             assertEquals(Outcome.OK, reply().outcome());
             assertTrue(replies.isEmpty());
         }
@@ -695,13 +695,13 @@
     /** Guards the others in a bundle: giving up one message must not give up their call. */
     @Test
     void oneMessageOfABundleIsCalledOffAlone() throws Exception {
-        try (Host host = new Host()) {
+        try (StubHost host = new StubHost()) {
             HostPool.Part first = part("a", null, LONG, 2);
             call(pool(KEEP_ALIVE), host.port(), first, part("b", null, LONG, 2));
-            Host.Call call = host.call();
+            StubHost.Call call = host.nextCall();
             group.next().submit(first::cancel).get();
             assertEquals(Outcome.CANCELLED, reply().outcome());
-            call.answer(answer("200 OK", "", "[{\"id\":\"a\",\"state\":\"accepted\"},"
+            call.respond(answer("200 OK", "", "[{\"id\":\"a\",\"state\":\"accepted\"},"
                 + "{\"id\":\"b\",\"state\":\"accepted\"}]"));
             assertEquals(Outcome.OK, reply().outcome());
             assertTrue(replies.isEmpty());
--- a/src/test/java/wrenkeel/net/JournalTest.java
+++ b/src/test/java/wrenkeel/net/JournalTest.java
@@ -125,12 +125,12 @@
         }
         long whole;
         try (Journal journal = open()) {
-            whole = Files.size(Platform.journal(folder));
+            whole = Files.size(Platform.journalFile(folder));
             journal.take(message("b", 100), RULES);
         }
-        byte[] both = Files.readAllBytes(Platform.journal(folder));
+        byte[] both = Files.readAllBytes(Platform.journalFile(folder));
         for (int length = (int) whole; length < both.length; length++) {
-            Files.write(Platform.journal(folder), java.util.Arrays.copyOf(both, length));
+            Files.write(Platform.journalFile(folder), java.util.Arrays.copyOf(both, length));
             try (Journal journal = open()) {
                 assertEquals("a", only(journal).message.id());
                 journal.take(message("c", 100), RULES);
@@ -174,16 +174,16 @@
         long end;
         try (Journal journal = open()) {
             journal.take(message("a", 100), RULES);
-            middle = Files.size(Platform.journal(folder));
+            middle = Files.size(Platform.journalFile(folder));
             journal.take(message("b", 100), RULES);
-            end = Files.size(Platform.journal(folder));
+            end = Files.size(Platform.journalFile(folder));
             journal.take(message("c", 100), RULES);
         }
-        byte[] whole = Files.readAllBytes(Platform.journal(folder));
+        byte[] whole = Files.readAllBytes(Platform.journalFile(folder));
         for (long at = middle; at < end; at++) {
             byte[] damaged = whole.clone();
             damaged[(int) at] ^= 0x55;
-            Files.write(Platform.journal(folder), damaged, StandardOpenOption.TRUNCATE_EXISTING);
+            Files.write(Platform.journalFile(folder), damaged, StandardOpenOption.TRUNCATE_EXISTING);
             try (Journal journal = open()) {
                 assertTrue(mayHaveRun(owed(journal, "a")), "damaged at " + at);
                 assertNull(owed(journal, "b"));
@@ -214,7 +214,7 @@
             journal.take(message("a", 100), RULES);
             journal.take(message("b", 100), RULES);
         }
-        Path file = Platform.journal(folder);
+        Path file = Platform.journalFile(folder);
         // An unknown sort, the outcome of an attempt never made, and messages that end too soon.
         for (byte[] strange : List.of(record(77, 1, new byte[3]), record(3, 1, new byte[] {0, 9}), record(1, 9, new byte[2]),
                 record(10, 9, new byte[40]))) {
@@ -273,7 +273,7 @@
         try (Journal journal = open()) {
             journal.sent(journal.take(message("a", 100), null), 1_000, 0);
         }
-        Files.move(Platform.journal(folder), folder.resolve("journal"));
+        Files.move(Platform.journalFile(folder), folder.resolve("journal"));
         Files.writeString(folder.resolve("journal.new"), "cut off");
         try (Journal journal = open()) {
             assertEquals(1, only(journal).attempts.size());
@@ -452,7 +452,7 @@
             journal.health(health("s-1", Relay.Health.OUT));
             journal.health(health("s-1", Relay.Health.RETURNING));
         }
-        Path file = Platform.journal(folder);
+        Path file = Platform.journalFile(folder);
         try (var channel = java.nio.channels.FileChannel.open(file, StandardOpenOption.WRITE)) {
             channel.truncate(channel.size() - 3);
         }
--- a/src/test/java/wrenkeel/net/KnowledgeTest.java
+++ b/src/test/java/wrenkeel/net/KnowledgeTest.java
@@ -19,10 +19,10 @@
     /** Guards the folder's limit, beyond which the relay has crashed, and the rule on waits inside it. */
     @Test
     void ofVeryManyPlacesTheWaitsAreLeftFirstAndTheTextStaysSmall(@TempDir Path folder) throws Exception {
-        String[] names = IntStream.range(0, HOSTS).mapToObj(i -> Platform.host("s-" + i, 80, i, "ready"))
+        String[] names = IntStream.range(0, HOSTS).mapToObj(i -> Platform.hostJson("s-" + i, 80, i, "ready"))
             .toArray(String[]::new);
         try (Platform platform = new Platform(folder)) {
-            Config config = platform.config(names);
+            Config config = platform.writeConfig(names);
             HostList hosts = new HostList(config.zones(), config.kinds());
             hosts.take(config.known().open());
             Control control = new Control(1, config.settings());
--- a/src/test/java/wrenkeel/net/LingeringCloseTest.java
+++ b/src/test/java/wrenkeel/net/LingeringCloseTest.java
@@ -66,8 +66,8 @@
         try (SocketPair pair = new SocketPair(new Server(callers, ENDLESS))) {
             pair.send(request + MUCH);
             pair.register(thread);
-            assertNotNull(pair.status());
-            assertTrue(pair.ends());
+            assertNotNull(pair.readStatus());
+            assertTrue(pair.readsEndOfStream());
             pair.awaitRelease(thread);
             for (int i = 0; i < 3; i++) {
                 pair.client.getOutputStream().write(new byte[10_000]);
@@ -83,17 +83,17 @@
         try (SocketPair pair = new SocketPair(new Server(callers, ENDLESS))) {
             pair.send(HEALTH);
             pair.register(thread);
-            assertEquals("200", pair.status());
+            assertEquals("200", pair.readStatus());
             ChannelHandlerContext deadline = pair.channel.pipeline().context(RequestDeadline.class);
             thread.submit(() -> ((RequestDeadline) deadline.handler()).expire(deadline)).get();
-            assertTrue(pair.ends());
+            assertTrue(pair.readsEndOfStream());
             pair.awaitRelease(thread);
             for (int i = 0; i < 3; i++) {
                 pair.client.getOutputStream().write(HEALTH.getBytes(StandardCharsets.US_ASCII));
             }
             pair.client.shutdownOutput();
             pair.channel.closeFuture().sync();
-            assertTrue(pair.ends());
+            assertTrue(pair.readsEndOfStream());
         }
     }
 
@@ -105,7 +105,7 @@
             pair.send("a");
             assertEquals('o', pair.client.getInputStream().read());
             assertEquals('k', pair.client.getInputStream().read());
-            assertTrue(pair.ends());
+            assertTrue(pair.readsEndOfStream());
             pair.client.getOutputStream().write(MUCH.getBytes(StandardCharsets.US_ASCII));
             pair.client.shutdownOutput();
             // The peer's end is read behind the bytes.
@@ -135,7 +135,7 @@
         try (SocketPair pair = lingering(ENDLESS)) {
             pair.register(thread);
             pair.channel.close().sync();
-            assertTrue(pair.ends());
+            assertTrue(pair.readsEndOfStream());
         }
     }
 
@@ -171,8 +171,8 @@
         try (SocketPair pair = new SocketPair(new Server(callers))) {
             pair.send(HEALTH.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
             pair.register(thread);
-            assertEquals("200", pair.status());
-            assertTrue(pair.ends());
+            assertEquals("200", pair.readStatus());
+            assertTrue(pair.readsEndOfStream());
             pair.channel.closeFuture().sync();
             while (size() > 0) {
                 Thread.onSpinWait();
--- a/src/test/java/wrenkeel/net/HollowRelayTest.java
+++ b/src/test/java/wrenkeel/net/ListOnlyRelayTest.java
@@ -1,8 +1,8 @@
 package wrenkeel.net;
 
 import static org.junit.jupiter.api.Assertions.*;
-import static wrenkeel.net.Platform.host;
-import static wrenkeel.net.Platform.list;
+import static wrenkeel.net.Platform.hostJson;
+import static wrenkeel.net.Platform.listJson;
 
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
-class HollowRelayTest {
+class ListOnlyRelayTest {
     @TempDir
     Path folder;
     private final BlockingQueue<Long> inForce = new LinkedBlockingQueue<>();
@@ -29,7 +29,7 @@
     @BeforeEach
     void begin() throws Exception {
         platform = new Platform(folder);
-        platform.config();
+        platform.writeConfig();
     }
 
     @AfterEach
@@ -39,48 +39,48 @@
     }
 
     private ListOnlyRelay relay() {
-        return new ListOnlyRelay(threads.next(), platform.env(), inForce::add);
+        return new ListOnlyRelay(threads.next(), platform.environment(), inForce::add);
     }
 
     /** Waits for a version; those before it may come too. */
     private void awaitInForce(long version) throws InterruptedException {
         Long next;
         do {
-            next = inForce.poll(Platform.PATIENCE_S, TimeUnit.SECONDS);
+            next = inForce.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS);
             assertNotNull(next, "version " + version + " never in force");
         } while (next < version);
         assertEquals(version, next);
     }
 
     private void answerAtOnce(String list) {
-        platform.atOnce.clear();
-        platform.atOnce.add(list);
+        platform.immediateResponses.clear();
+        platform.immediateResponses.add(list);
     }
 
     @Test
     void aListAndThenItsChangeComeIntoForce() throws Exception {
-        answerAtOnce(list(41, true, host("s-1", 9, 7, "ready")));
+        answerAtOnce(listJson(41, true, hostJson("s-1", 9, 7, "ready")));
         ListOnlyRelay relay = relay();
         relay.start().get();
         awaitInForce(41);
-        platform.changes.add(list(43, false, host("s-1", 9, 7, "draining")));
+        platform.watchResponses.add(listJson(43, false, hostJson("s-1", 9, 7, "draining")));
         awaitInForce(43);
         assertEquals(43, relay.version());
     }
 
     @Test
     void afterItsEndAnotherOneBeginsInItsFolderWithNothing() throws Exception {
-        answerAtOnce(list(41, true));
+        answerAtOnce(listJson(41, true));
         ListOnlyRelay first = relay();
         first.start().get();
         awaitInForce(41);
         first.stop().get();
-        platform.asked.clear();
+        platform.listQueries.clear();
         ListOnlyRelay second = relay();
         second.start().get();
         awaitInForce(41);
-        assertTrue(platform.asked.contains("after=1&wait_ms=1"), "it goes on from its configuration's list");
-        assertEquals("journal.2", Platform.journal(folder.resolve("state")).getFileName().toString());
+        assertTrue(platform.listQueries.contains("after=1&wait_ms=1"), "it goes on from its configuration's list");
+        assertEquals("journal.2", Platform.journalFile(folder.resolve("state")).getFileName().toString());
         assertFalse(Files.exists(folder.resolve("state/journal.1")), "taken over, so that the folder cannot fill");
     }
 
--- a/src/test/java/wrenkeel/net/NoSocketAtStartTest.java
+++ b/src/test/java/wrenkeel/net/NoSocketAtStartTest.java
@@ -19,12 +19,12 @@
     @TempDir
     Path folder;
     private Platform platform;
-    private Host host;
+    private StubHost host;
 
     @BeforeEach
     void begin() throws Exception {
         platform = new Platform(folder);
-        host = new Host();
+        host = new StubHost();
     }
 
     @AfterEach
@@ -36,8 +36,8 @@
     /** Guards against a refused start, and with it what the folder holds. */
     @Test
     void aStartTriesAgainToListen() throws Exception {
-        Config config = platform.config(Platform.host("s-1", host.port(), 7, "ready"));
-        try (Journal journal = platform.leftBehind()) {
+        Config config = platform.writeConfig(Platform.hostJson("s-1", host.port(), 7, "ready"));
+        try (Journal journal = platform.openJournal()) {
             journal.take(new Message("a", "bill", 0, null, "key-a", 7, System.currentTimeMillis() + 60_000,
                 new byte[3]), null);
         }
@@ -49,13 +49,13 @@
             return ServerSocketChannel.open();
         };
         try (Node relay = new Node(config, new Machine(MachineClock.SYSTEM, FileOperations.SYSTEM, sockets))) {
-            Host.Call call = host.call();
+            StubHost.Call call = host.nextCall();
             assertEquals("a", call.header("X-Request-ID"));
-            call.answer(Host.OK);
+            call.respond(StubHost.OK);
             relay.awaitServing();
             try (var client = new Platform.Client(relay)) {
                 assertEquals("HTTP/1.1 200 OK",
-                    client.raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]).get(0));
+                    client.exchange("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]).get(0));
             }
         }
     }
--- a/src/test/java/wrenkeel/net/NodeTest.java
+++ b/src/test/java/wrenkeel/net/NodeTest.java
@@ -1,8 +1,8 @@
 package wrenkeel.net;
 
 import static org.junit.jupiter.api.Assertions.*;
-import static wrenkeel.net.Platform.host;
-import static wrenkeel.net.Platform.list;
+import static wrenkeel.net.Platform.hostJson;
+import static wrenkeel.net.Platform.listJson;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -24,12 +24,12 @@
     @TempDir
     Path folder;
     private Platform platform;
-    private Host host;
+    private StubHost host;
 
     @BeforeEach
     void begin() throws IOException {
         platform = new Platform(folder);
-        host = new Host();
+        host = new StubHost();
     }
 
     @AfterEach
@@ -39,7 +39,7 @@
     }
 
     private Node relay() throws Exception {
-        return platform.relay(host("s-1", host.port(), 7, "ready"));
+        return platform.startRelay(hostJson("s-1", host.port(), 7, "ready"));
     }
 
     private void awaitClosedJournal(Node relay) throws Exception {
@@ -52,39 +52,39 @@
     void aMessageGoesOnUnchangedOverAKeptConnection() throws Exception {
         try (Node relay = relay(); var client = new Platform.Client(relay)) {
             assertEquals(TAKEN, client.post("a", "bill", 7, 16_000).get(0));
-            Host.Call first = host.call();
+            StubHost.Call first = host.nextCall();
             assertEquals("POST /v1/messages HTTP/1.1", first.head().get(0));
             assertEquals("a", first.header("X-Request-ID"));
             assertEquals("key-a", first.header("Idempotency-Key"));
             assertEquals("bill \u00e4\0 of a", first.body());
             assertTrue(Long.parseLong(first.header("X-Timeout-Ms")) > 0);
-            first.answer(Host.OK);
+            first.respond(StubHost.OK);
             awaitClosedJournal(relay);
             assertEquals(TAKEN, client.post("b", "bill", 7, 16_000).get(0));
             // Guards against a handshake for each message.
-            assertSame(first.socket(), host.call().socket());
+            assertSame(first.socket(), host.nextCall().socket());
         }
     }
 
     /** Guards destinations that count calls: what one turn sends to a host of such a kind travels as one. */
     @Test
     void messagesThatWaitedGoOutTogetherWhereTheKindTakesBundles() throws Exception {
-        try (Node relay = platform.relay(host("s-1", "m3", host.port(), 7, "ready"));
+        try (Node relay = platform.startRelay(hostJson("s-1", "m3", host.port(), 7, "ready"));
                 var client = new Platform.Client(relay)) {
             for (String id : List.of("a", "b", "c")) {
                 assertEquals(TAKEN, client.post(id, "bill", 7, 16_000).get(0));
             }
-            Host.Call first = host.call();
+            StubHost.Call first = host.nextCall();
             assertEquals("a", first.header("X-Request-ID"));
-            first.answer(Host.OK);
-            Host.Call bundle = host.call();
+            first.respond(StubHost.OK);
+            StubHost.Call bundle = host.nextCall();
             assertEquals("POST /v1/messages:batch HTTP/1.1", bundle.head().get(0));
             assertTrue(bundle.body().contains("\"id\":\"b\",\"key\":\"key-b\""), bundle.body());
             assertTrue(bundle.body().contains("\"id\":\"c\",\"key\":\"key-c\""), bundle.body());
             String states = "[{\"id\":\"b\",\"state\":\"accepted\"},{\"id\":\"c\",\"state\":\"accepted\"}]";
-            bundle.answer("HTTP/1.1 200 OK\r\nContent-Length: " + states.length() + "\r\n\r\n" + states);
+            bundle.respond("HTTP/1.1 200 OK\r\nContent-Length: " + states.length() + "\r\n\r\n" + states);
             awaitClosedJournal(relay);
-            assertTrue(host.quiet());
+            assertTrue(host.hasNoCalls());
         }
         assertTrue(platform.notices.isEmpty(), "delivered, so no notice");
     }
@@ -92,14 +92,14 @@
     /** Guards messages of several lives in one call: it must not be over with the first of them. */
     @Test
     void aBundleBeginsWithTheMessageThatHasMostTimeLeft() throws Exception {
-        try (Node relay = platform.relay(host("s-1", "m3", host.port(), 7, "ready"));
+        try (Node relay = platform.startRelay(hostJson("s-1", "m3", host.port(), 7, "ready"));
                 var client = new Platform.Client(relay)) {
             assertEquals(TAKEN, client.post("a", "bill", 7, 16_000).get(0));
-            Host.Call first = host.call();
+            StubHost.Call first = host.nextCall();
             assertEquals(TAKEN, client.post("short", "bill", 7, 15_500).get(0));
             assertEquals(TAKEN, client.post("long", "bill", 7, 16_000).get(0));
-            first.answer(Host.OK);
-            String bundle = host.call().body();
+            first.respond(StubHost.OK);
+            String bundle = host.nextCall().body();
             assertTrue(bundle.startsWith("[{\"id\":\"long\"") && bundle.contains("\"id\":\"short\""), bundle);
         }
     }
@@ -107,10 +107,10 @@
     @Test
     void healthIsToldAndBadRequestsAreTurnedAwayAndNotWrittenDown() throws Exception {
         try (Node relay = relay()) {
-            long before = Files.size(platform.journal());
+            long before = Files.size(platform.journalFile());
             List<String> good = Platform.Client.headers("x", "bill", 7, 900);
             try (var client = new Platform.Client(relay)) {
-                assertEquals("HTTP/1.1 200 OK", client.raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]).get(0));
+                assertEquals("HTTP/1.1 200 OK", client.exchange("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]).get(0));
             }
             assertStatus(404, relay, client -> client.post("x", "wobble", 7, 900));
             assertStatus(404, relay, client -> client.post("x", "bill", 8, 900));
@@ -123,10 +123,10 @@
                     assertStatus(400, relay, client -> client.post("/bill", headers, ""));
                 }
             }
-            assertStatus(405, relay, client -> client.raw("GET /bill HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]));
+            assertStatus(405, relay, client -> client.exchange("GET /bill HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]));
             assertStatus(413, relay, client -> client.post("/bill", good, "x".repeat(64 * 1024 + 1)));
-            assertStatus(400, relay, client -> client.raw("nonsense\r\n\r\n", new byte[0]));
-            assertEquals(before, Files.size(platform.journal()));
+            assertStatus(400, relay, client -> client.exchange("nonsense\r\n\r\n", new byte[0]));
+            assertEquals(before, Files.size(platform.journalFile()));
         }
     }
 
@@ -139,7 +139,7 @@
         try (var client = new Platform.Client(relay)) {
             List<String> head = request.send(client);
             assertTrue(head.get(0).startsWith("HTTP/1.1 " + status), head.get(0));
-            assertTrue(client.closed());
+            assertTrue(client.isClosed());
         }
     }
 
@@ -166,14 +166,14 @@
         platform.noticeStatuses.add(503);
         try (Node relay = relay(); var client = new Platform.Client(relay)) {
             assertEquals(TAKEN, client.post("a", "bill", 7, 300).get(0));
-            assertNotNull(host.call());
+            assertNotNull(host.nextCall());
             String notice = "{\"message\":\"a\",\"outcome\":\"given_up\"}";
             for (int i = 0; i < 3; i++) {
-                assertEquals(notice, platform.notice());
+                assertEquals(notice, platform.nextNotice());
             }
             awaitClosedJournal(relay);
         }
-        try (Journal journal = platform.leftBehind()) {
+        try (Journal journal = platform.openJournal()) {
             assertTrue(journal.owed().isEmpty());
         }
     }
@@ -181,17 +181,17 @@
     /** Guards the ends of all messages against one whose notice the platform cannot read. */
     @Test
     void aNoticeThatCannotBeReadHoldsUpNoOther() throws Exception {
-        platform.unreadable = "\"bad\"";
+        platform.rejectedText = "\"bad\"";
         try (Node relay = relay(); var client = new Platform.Client(relay)) {
             assertEquals(TAKEN, client.post("bad", "bill", 7, 300).get(0));
-            assertEquals("{\"message\":\"bad\",\"outcome\":\"given_up\"}", platform.notice());
+            assertEquals("{\"message\":\"bad\",\"outcome\":\"given_up\"}", platform.nextNotice());
             assertEquals(TAKEN, client.post("good", "bill", 7, 300).get(0));
-            long by = System.nanoTime() + TimeUnit.SECONDS.toNanos(Platform.PATIENCE_S);
-            while (ConsoleTest.figures(relay).object("failed").whole("bill") == 0 && System.nanoTime() < by) {
+            long by = System.nanoTime() + TimeUnit.SECONDS.toNanos(Platform.TIMEOUT_SECONDS);
+            while (ConsoleTest.metrics(relay).object("failed").whole("bill") == 0 && System.nanoTime() < by) {
                 Thread.sleep(5);
             }
         }
-        try (Journal journal = platform.leftBehind()) {
+        try (Journal journal = platform.openJournal()) {
             assertEquals(List.of("bad"), journal.owed().stream().map(entry -> entry.message.id()).toList());
         }
     }
@@ -199,17 +199,17 @@
     /** Guards what is owed against a kill: keyed messages go out again, with the same id, key and body. */
     @Test
     void aKeyedMessageThatWasOutIsSentAgainAfterARestart() throws Exception {
-        Host.Call before;
+        StubHost.Call before;
         try (Node relay = relay(); var client = new Platform.Client(relay)) {
             assertEquals(TAKEN, client.post("a", "bill", 7, 16_000).get(0));
-            before = host.call();
+            before = host.nextCall();
         }
         try (Node relay = relay()) {
-            Host.Call after = host.call();
+            StubHost.Call after = host.nextCall();
             assertEquals("a", after.header("X-Request-ID"));
             assertEquals("key-a", after.header("Idempotency-Key"));
             assertEquals(before.body(), after.body());
-            after.answer(Host.OK);
+            after.respond(StubHost.OK);
             awaitClosedJournal(relay);
         }
         assertTrue(platform.notices.isEmpty(), "delivered, so no notice");
@@ -220,12 +220,12 @@
     void anUnsafeMessageThatWasOutIsGivenUpAfterARestart() throws Exception {
         try (Node relay = relay(); var client = new Platform.Client(relay)) {
             assertEquals(TAKEN, client.post("a", "pay", 7, 16_000).get(0));
-            assertNotNull(host.call());
+            assertNotNull(host.nextCall());
         }
         try (Node relay = relay()) {
-            assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", platform.notice());
+            assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", platform.nextNotice());
             awaitClosedJournal(relay);
-            assertTrue(host.quiet());
+            assertTrue(host.hasNoCalls());
         }
     }
 
@@ -234,16 +234,16 @@
     void anUnsafeMessageThatNeverRanIsSentAfterARestart() throws Exception {
         try (Node relay = relay(); var client = new Platform.Client(relay)) {
             assertEquals(TAKEN, client.post("a", "pay", 7, 60_000).get(0));
-            Host.Call call = host.call();
-            long before = Files.size(platform.journal());
-            call.answer("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 50.5\r\nContent-Length: 0\r\n\r\n");
-            while (Files.size(platform.journal()) == before) {
+            StubHost.Call call = host.nextCall();
+            long before = Files.size(platform.journalFile());
+            call.respond("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 50.5\r\nContent-Length: 0\r\n\r\n");
+            while (Files.size(platform.journalFile()) == before) {
                 Thread.sleep(5);
             }
         }
         try (Node relay = relay()) {
             assertFalse(relay.isIdle());
-            assertEquals("a", host.call().header("X-Request-ID"));
+            assertEquals("a", host.nextCall().header("X-Request-ID"));
         }
     }
 
@@ -251,11 +251,11 @@
     void aMessageWhoseTimePassedWhileTheRelayWasDownStillGetsItsNotice() throws Exception {
         try (Node relay = relay(); var client = new Platform.Client(relay)) {
             assertEquals(TAKEN, client.post("a", "bill", 7, 400).get(0));
-            assertNotNull(host.call());
+            assertNotNull(host.nextCall());
         }
         Thread.sleep(400);
         try (Node relay = relay()) {
-            assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", platform.notice());
+            assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", platform.nextNotice());
             awaitClosedJournal(relay);
         }
     }
@@ -263,20 +263,20 @@
     /** Guards the rule on drains: a host that the watch calls draining gets nothing new. */
     @Test
     void aDrainingHostGetsNothingNewAndItsReplacementDoes() throws Exception {
-        try (Host other = new Host(); Node relay = relay(); var client = new Platform.Client(relay)) {
-            platform.changes.add(list(2, false, host("s-1", host.port(), 7, "draining"),
-                host("s-2", other.port(), 7, "ready")));
+        try (StubHost other = new StubHost(); Node relay = relay(); var client = new Platform.Client(relay)) {
+            platform.watchResponses.add(listJson(2, false, hostJson("s-1", host.port(), 7, "draining"),
+                hostJson("s-2", other.port(), 7, "ready")));
             // The third watch is only asked for once the second list has been taken in.
-            platform.changes.add(list(3, false));
-            while (!platform.changes.isEmpty()) {
+            platform.watchResponses.add(listJson(3, false));
+            while (!platform.watchResponses.isEmpty()) {
                 Thread.sleep(5);
             }
             for (int i = 0; i < 3; i++) {
                 assertEquals(TAKEN, client.post("m" + i, "bill", 7, 16_000).get(0));
-                other.call().answer(Host.OK);
+                other.nextCall().respond(StubHost.OK);
                 awaitClosedJournal(relay);
             }
-            assertTrue(host.quiet());
+            assertTrue(host.hasNoCalls());
         }
     }
 
@@ -285,18 +285,18 @@
     void aProcessThatStartsSendsNothingByAnOldListWhileANewerOneIsOnItsWay() throws Exception {
         try (Node relay = relay(); var client = new Platform.Client(relay)) {
             assertEquals(TAKEN, client.post("a", "bill", 7, 60_000).get(0));
-            assertNotNull(host.call());
+            assertNotNull(host.nextCall());
         }
-        platform.atOnce.clear();
-        try (Host other = new Host()) {
-            platform.atOnce.add(list(2, false, host("s-1", host.port(), 7, "draining"),
-                host("s-2", other.port(), 7, "ready")));
+        platform.immediateResponses.clear();
+        try (StubHost other = new StubHost()) {
+            platform.immediateResponses.add(listJson(2, false, hostJson("s-1", host.port(), 7, "draining"),
+                hostJson("s-2", other.port(), 7, "ready")));
             try (Node relay = relay()) {
-                Host.Call call = other.call();
+                StubHost.Call call = other.nextCall();
                 assertNotNull(call, "sent by the list of before");
-                call.answer(Host.OK);
+                call.respond(StubHost.OK);
                 awaitClosedJournal(relay);
-                assertTrue(host.quiet());
+                assertTrue(host.hasNoCalls());
             }
         }
     }
@@ -304,10 +304,10 @@
     /** Guards service against a discovery that is down at the start. */
     @Test
     void aSilentAgentDelaysTheFirstCallForAShortTimeOnly() throws Exception {
-        platform.atOnce.clear();
+        platform.immediateResponses.clear();
         try (Node relay = relay(); var client = new Platform.Client(relay)) {
             assertEquals(TAKEN, client.post("a", "bill", 7, 60_000).get(0));
-            assertNotNull(host.call());
+            assertNotNull(host.nextCall());
         }
     }
 
@@ -318,25 +318,25 @@
         assertTrue(Discovery.WAIT + Discovery.WAIT_SLACK + toAskAndToStop <= countsAsTold);
         try (Node relay = relay()) {
             assertNotNull(relay.address());
-            assertEquals("after=1&wait_ms=1", platform.asked.take());
-            assertEquals("after=1&wait_ms=" + Discovery.WAIT, platform.asked.take());
-            assertEquals("after=1&wait_ms=1", platform.asked.poll(Platform.PATIENCE_S, TimeUnit.SECONDS));
+            assertEquals("after=1&wait_ms=1", platform.listQueries.take());
+            assertEquals("after=1&wait_ms=" + Discovery.WAIT, platform.listQueries.take());
+            assertEquals("after=1&wait_ms=1", platform.listQueries.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
     }
 
     /** Guards the watch against standing still, and against asking without a pause, after a list it cannot read. */
     @Test
     void theWatchGoesOnAfterAListThatCannotBeRead() throws Exception {
-        try (Host other = new Host(); Node relay = relay(); var client = new Platform.Client(relay)) {
-            platform.changes.add("{\"seq\":2,\"whole\":true,\"hosts\":[{}]}");
-            platform.changes.add("nonsense");
-            platform.changes.add(list(3, true, host("s-2", other.port(), 8, "ready")));
-            platform.changes.add(list(4, false));
-            while (!platform.changes.isEmpty()) {
+        try (StubHost other = new StubHost(); Node relay = relay(); var client = new Platform.Client(relay)) {
+            platform.watchResponses.add("{\"seq\":2,\"whole\":true,\"hosts\":[{}]}");
+            platform.watchResponses.add("nonsense");
+            platform.watchResponses.add(listJson(3, true, hostJson("s-2", other.port(), 8, "ready")));
+            platform.watchResponses.add(listJson(4, false));
+            while (!platform.watchResponses.isEmpty()) {
                 Thread.sleep(5);
             }
             assertEquals(TAKEN, client.post("a", "bill", 8, 16_000).get(0));
-            assertEquals("a", other.call().header("X-Request-ID"));
+            assertEquals("a", other.nextCall().header("X-Request-ID"));
         }
     }
 
@@ -344,18 +344,18 @@
     @Test
     void afterAReloadTheNewAddressTellsTheListAndGetsTheNotices() throws Exception {
         Path elsewhere = Files.createDirectories(folder.resolve("elsewhere"));
-        try (Host other = new Host(); Platform next = new Platform(elsewhere); Node relay = relay();
+        try (StubHost other = new StubHost(); Platform next = new Platform(elsewhere); Node relay = relay();
                 var client = new Platform.Client(relay)) {
-            next.config(host("s-1", host.port(), 7, "ready"));
-            next.changes.add(list(2, false, host("s-1", host.port(), 7, "gone"), host("s-2", other.port(), 7, "ready")));
-            next.changes.add(list(3, false));
-            relay.reload(next.env());
-            while (!next.changes.isEmpty()) {
+            next.writeConfig(hostJson("s-1", host.port(), 7, "ready"));
+            next.watchResponses.add(listJson(2, false, hostJson("s-1", host.port(), 7, "gone"), hostJson("s-2", other.port(), 7, "ready")));
+            next.watchResponses.add(listJson(3, false));
+            relay.reload(next.environment());
+            while (!next.watchResponses.isEmpty()) {
                 Thread.sleep(5);
             }
             assertEquals(TAKEN, client.post("a", "bill", 7, 600).get(0));
-            assertEquals("a", other.call().header("X-Request-ID"));
-            assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", next.notice());
+            assertEquals("a", other.nextCall().header("X-Request-ID"));
+            assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", next.nextNotice());
             awaitClosedJournal(relay);
         }
         assertTrue(platform.notices.isEmpty());
@@ -368,7 +368,7 @@
             relay.reload(Map.of("EDGE_CONFIG", bad.toString()));
             relay.reload(Map.of("EDGE_CONFIG", folder.resolve("absent").toString()));
             assertEquals(TAKEN, client.post("a", "bill", 7, 300).get(0));
-            assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", platform.notice());
+            assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", platform.nextNotice());
         }
     }
 
@@ -381,8 +381,8 @@
         var handle = signal.getMethod("handle", signal, handler);
         handle.invoke(null, hangup, byDefault);
         try (var taken = new java.net.ServerSocket(0, 1, Platform.LOOPBACK)) {
-            platform.config("127.0.0.1:" + taken.getLocalPort(), new String[0]);
-            assertEquals(2, Node.serve(platform.env()), "the door could not be opened");
+            platform.writeConfig("127.0.0.1:" + taken.getLocalPort(), new String[0]);
+            assertEquals(2, Node.serve(platform.environment()), "the door could not be opened");
         }
         assertNotSame(byDefault, handle.invoke(null, hangup, byDefault));
     }
@@ -392,7 +392,7 @@
     void aReloadAfterTheEndIsTurnedDown() throws Exception {
         Node relay = relay();
         relay.close();
-        assertDoesNotThrow(() -> relay.reload(platform.env()));
+        assertDoesNotThrow(() -> relay.reload(platform.environment()));
     }
 
     /** Guards the orderly end: clients are answered and turned away, and what is out is finished first. */
@@ -406,18 +406,18 @@
             List<String> health;
             do {
                 try (var probe = new Platform.Client(relay)) {
-                    health = probe.raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]);
+                    health = probe.exchange("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]);
                 }
             } while (health.get(0).contains("200"));
             List<String> answer = client.post("b", "bill", 7, 16_000);
             assertEquals(TAKEN, answer.get(0));
             assertTrue(answer.stream().anyMatch("connection: close"::equalsIgnoreCase), answer.toString());
-            assertTrue(client.closed());
-            host.call().answer(Host.OK);
-            host.call().answer(Host.OK);
+            assertTrue(client.isClosed());
+            host.nextCall().respond(StubHost.OK);
+            host.nextCall().respond(StubHost.OK);
             end.join();
         }
-        try (Journal journal = platform.leftBehind()) {
+        try (Journal journal = platform.openJournal()) {
             assertTrue(journal.owed().isEmpty(), "both were delivered before the end");
         }
     }
@@ -430,7 +430,7 @@
         try (var half = new Platform.Client(relay); var client = new Platform.Client(relay)) {
             half.write("POST /bill HTTP/1.1\r\nHost: api.internal\r\n");
             // Answered by the same thread after it has read the half request.
-            assertEquals("HTTP/1.1 200 OK", client.raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]).get(0));
+            assertEquals("HTTP/1.1 200 OK", client.exchange("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]).get(0));
             Thread end = new Thread(relay::shutDown);
             end.start();
             while (!refused(address)) {
@@ -438,9 +438,9 @@
             }
             half.write(String.join("\r\n", Platform.Client.headers("a", "bill", 7, 16_000))
                 + "\r\nContent-Length: 0\r\n\r\n");
-            assertEquals(TAKEN, half.answer().get(0));
-            assertTrue(half.closed());
-            host.call().answer(Host.OK);
+            assertEquals(TAKEN, half.readResponseHead().get(0));
+            assertTrue(half.isClosed());
+            host.nextCall().respond(StubHost.OK);
             end.join();
         }
     }
@@ -448,7 +448,7 @@
     /** True once nobody listens there; a connection that still comes up is left to the relay to close. */
     private static boolean refused(java.net.InetSocketAddress address) throws IOException {
         try (var probe = new Platform.Client(address)) {
-            probe.raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]);
+            probe.exchange("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]);
             return false;
         } catch (java.net.ConnectException e) {
             return true;
@@ -476,11 +476,11 @@
     }
 
     private Config shared(int port) throws Exception {
-        return platform.config("127.0.0.1:" + port, new String[] {host("s-1", host.port(), 7, "ready")});
+        return platform.writeConfig("127.0.0.1:" + port, new String[] {hostJson("s-1", host.port(), 7, "ready")});
     }
 
     private static void awaitReady(Node relay) throws Exception {
-        while (!ConsoleTest.ready(relay)) {
+        while (!ConsoleTest.isReady(relay)) {
             Thread.sleep(5);
         }
     }
@@ -493,23 +493,23 @@
         Node old = new Node(config);
         try (var client = new Platform.Client(old)) {
             assertEquals(TAKEN, client.post("a", "bill", 7, 60_000).get(0));
-            Host.Call out = host.call();
+            StubHost.Call out = host.nextCall();
             assertEquals(TAKEN, client.post("b", "bill", 7, 60_000).get(0));
             try (Node next = new Node(config)) {
                 awaitReady(next);
-                assertTrue(host.quiet(), "one process decides");
+                assertTrue(host.hasNoCalls(), "one process decides");
                 Thread end = new Thread(old::shutDown);
                 end.start();
                 try (var late = new Platform.Client(new java.net.InetSocketAddress(Platform.LOOPBACK, port))) {
                     assertEquals(TAKEN, late.post("c", "bill", 7, 60_000).get(0));
                 }
                 // The old process's call counts against the window, so the new one sends after it.
-                out.answer(Host.OK);
+                out.respond(StubHost.OK);
                 List<String> sent = new java.util.ArrayList<>();
                 for (int i = 0; i < 2; i++) {
-                    Host.Call passed = host.call();
+                    StubHost.Call passed = host.nextCall();
                     sent.add(passed.header("X-Request-ID"));
-                    passed.answer(Host.OK);
+                    passed.respond(StubHost.OK);
                 }
                 assertEquals(List.of("b", "c"), sent.stream().sorted().toList());
                 end.join();
@@ -517,7 +517,7 @@
             }
         }
         assertTrue(platform.notices.isEmpty(), "all were delivered");
-        assertTrue(host.quiet(), "and once only");
+        assertTrue(host.hasNoCalls(), "and once only");
     }
 
     /** Guards what is owed when the old process is killed before it was told to leave. */
@@ -527,14 +527,14 @@
         Node old = new Node(config);
         try (var client = new Platform.Client(old)) {
             assertEquals(TAKEN, client.post("a", "bill", 7, 60_000).get(0));
-            assertNotNull(host.call());
+            assertNotNull(host.nextCall());
         }
         try (Node next = new Node(config)) {
             awaitReady(next);
             old.close();
-            Host.Call again = host.call();
+            StubHost.Call again = host.nextCall();
             assertEquals("a", again.header("X-Request-ID"));
-            again.answer(Host.OK);
+            again.respond(StubHost.OK);
             awaitClosedJournal(next);
         }
     }
@@ -552,7 +552,7 @@
                 // It had nothing to pass on, and must not have told anybody to take over.
                 assertFalse(Files.exists(folder.resolve("state").resolve("leaving.2")));
                 assertEquals(TAKEN, client.post("a", "bill", 7, 60_000).get(0));
-                host.call().answer(Host.OK);
+                host.nextCall().respond(StubHost.OK);
                 awaitClosedJournal(old);
             }
         }
@@ -565,11 +565,11 @@
         Node old = new Node(config);
         try (var client = new Platform.Client(old); Node next = new Node(config)) {
             assertEquals(TAKEN, client.post("a", "bill", 7, 60_000).get(0));
-            host.call().answer("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 3.5\r\nContent-Length: 0\r\n\r\n");
+            host.nextCall().respond("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 3.5\r\nContent-Length: 0\r\n\r\n");
             long told = System.nanoTime();
             awaitReady(next);
             old.shutDown();
-            assertEquals("a", host.call().header("X-Request-ID"));
+            assertEquals("a", host.nextCall().header("X-Request-ID"));
             assertTrue(System.nanoTime() - told >= TimeUnit.MILLISECONDS.toNanos(3_400));
         }
     }
@@ -592,12 +592,12 @@
         Node relay = relay();
         try (var client = new Platform.Client(relay)) {
             assertEquals(TAKEN, client.post("before", "pay", 7, 60_000).get(0));
-            host.call().answer("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 50\r\nContent-Length: 0\r\n\r\n");
+            host.nextCall().respond("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 50\r\nContent-Length: 0\r\n\r\n");
             // The unsafe class goes, one of its name that may be repeated comes, and a further one.
             rewrite(PAY + ",\"aim\":2000,\"hard-limit\":16000,\"semantics\":\"fragile\"}",
                 "{\"name\":\"rush\",\"aim\":500,\"hard-limit\":900,\"semantics\":\"retryable\"}");
-            relay.reload(platform.env());
-            assertTrue(ConsoleTest.figures(relay).object("completed").values().containsKey("rush"));
+            relay.reload(platform.environment());
+            assertTrue(ConsoleTest.metrics(relay).object("completed").values().containsKey("rush"));
             assertEquals(TAKEN, client.post("after", "rush", 7, 900).get(0));
         }
         try (var client = new Platform.Client(relay)) {
@@ -606,12 +606,12 @@
         relay.close();
         // The class of the first is in no configuration any more: it is known from the journal.
         try (Node next = relay()) {
-            next.reload(platform.env());
+            next.reload(platform.environment());
             List<String> sent = new java.util.ArrayList<>();
             while (!sent.contains("before")) {
-                Host.Call call = host.call();
+                StubHost.Call call = host.nextCall();
                 sent.add(call.header("X-Request-ID"));
-                call.answer(Host.OK);
+                call.respond(StubHost.OK);
             }
             awaitClosedJournal(next);
         }
@@ -637,15 +637,15 @@
                 moved.replace("[\"m1\",\"m2\",\"m3\"]", "[\"m1\"]"));
             for (String text : broken) {
                 Files.writeString(file, text);
-                relay.reload(platform.env());
+                relay.reload(platform.environment());
             }
-            assertEquals(broken.size(), ConsoleTest.figures(relay).whole("config_reload_errors"));
-            assertEquals(0, ConsoleTest.figures(relay).whole("config_reloads"));
+            assertEquals(broken.size(), ConsoleTest.metrics(relay).whole("config_reload_errors"));
+            assertEquals(0, ConsoleTest.metrics(relay).whole("config_reloads"));
             assertEquals(TAKEN, client.post("a", "pay", 7, 300).get(0));
-            assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", platform.notice(), "told where it was");
+            assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", platform.nextNotice(), "told where it was");
             Files.writeString(file, good);
-            relay.reload(platform.env());
-            assertEquals(1, ConsoleTest.figures(relay).whole("config_reloads"));
+            relay.reload(platform.environment());
+            assertEquals(1, ConsoleTest.metrics(relay).whole("config_reloads"));
         }
     }
 
@@ -653,14 +653,14 @@
     @Test
     void aReloadMayNameFurtherSitesButNotMixUpThoseInForce() throws Exception {
         try (Node relay = relay()) {
-            Path file = Path.of(platform.env().get("EDGE_CONFIG"));
+            Path file = Path.of(platform.environment().get("EDGE_CONFIG"));
             String named = Files.readString(file);
             Files.writeString(file, named.replace("[\"a\",\"b\"]", "[\"a\",\"b\",\"c\"]"));
-            relay.reload(platform.env());
-            assertEquals(1, ConsoleTest.figures(relay).whole("config_reloads"));
+            relay.reload(platform.environment());
+            assertEquals(1, ConsoleTest.metrics(relay).whole("config_reloads"));
             Files.writeString(file, named.replace("[\"a\",\"b\"]", "[\"b\",\"a\"]"));
-            relay.reload(platform.env());
-            assertEquals(1, ConsoleTest.figures(relay).whole("config_reload_errors"));
+            relay.reload(platform.environment());
+            assertEquals(1, ConsoleTest.metrics(relay).whole("config_reload_errors"));
         }
     }
 }
--- a/src/test/java/wrenkeel/net/Platform.java
+++ b/src/test/java/wrenkeel/net/Platform.java
@@ -22,19 +22,19 @@
 /** What a relay needs round it, on loopback: an agent of discovery and its configuration; scripted by the test. */
 final class Platform implements AutoCloseable {
     static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
-    static final long PATIENCE_S = 30;
+    static final long TIMEOUT_SECONDS = 30;
 
     final BlockingQueue<String> notices = new LinkedBlockingQueue<>();
     /** Statuses for the next notices; 204 when none is left. */
     final BlockingQueue<Integer> noticeStatuses = new LinkedBlockingQueue<>();
     /** Notices that hold this text are answered 400. */
-    volatile String unreadable = "\0";
+    volatile String rejectedText = "\0";
     /** Answers to the next watches that wait. */
-    final BlockingQueue<String> changes = new LinkedBlockingQueue<>();
+    final BlockingQueue<String> watchResponses = new LinkedBlockingQueue<>();
     /** The answer to calls for the list that do not wait, each time; the agent is silent while there is none. */
-    final BlockingQueue<String> atOnce = new LinkedBlockingQueue<>(List.of(list(1, false)));
+    final BlockingQueue<String> immediateResponses = new LinkedBlockingQueue<>(List.of(listJson(1, false)));
     /** The queries of all calls for the list. */
-    final BlockingQueue<String> asked = new LinkedBlockingQueue<>();
+    final BlockingQueue<String> listQueries = new LinkedBlockingQueue<>();
     private final HttpServer agent;
     private final Path folder;
 
@@ -48,7 +48,7 @@
         }));
         agent.createContext("/reports", exchange -> {
             String body = new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.UTF_8);
-            Integer status = body.contains(unreadable) ? (Integer) 400 : noticeStatuses.poll();
+            Integer status = body.contains(rejectedText) ? (Integer) 400 : noticeStatuses.poll();
             exchange.sendResponseHeaders(status == null ? 204 : status, -1);
             exchange.close();
             body.lines().forEach(notices::add);
@@ -56,11 +56,11 @@
         agent.createContext("/v1/servers", exchange -> {
             try {
                 String query = String.valueOf(exchange.getRequestURI().getQuery());
-                asked.add(query);
+                listQueries.add(query);
                 boolean waits = query.contains("wait_ms=") && !query.endsWith("wait_ms=1");
-                byte[] list = (waits ? changes.take() : atOnce.take()).getBytes(StandardCharsets.UTF_8);
+                byte[] list = (waits ? watchResponses.take() : immediateResponses.take()).getBytes(StandardCharsets.UTF_8);
                 if (!waits) {
-                    atOnce.add(new String(list, StandardCharsets.UTF_8));
+                    immediateResponses.add(new String(list, StandardCharsets.UTF_8));
                 }
                 exchange.sendResponseHeaders(200, list.length);
                 exchange.getResponseBody().write(list);
@@ -72,22 +72,22 @@
         agent.start();
     }
 
-    static String host(String name, int port, int block, String health) {
-        return host(name, "m2", port, block, health);
+    static String hostJson(String name, int port, int block, String health) {
+        return hostJson(name, "m2", port, block, health);
     }
 
-    static String host(String name, String kind, int port, int block, String health) {
+    static String hostJson(String name, String kind, int port, int block, String health) {
         return "{\"host\":\"" + name + "\",\"dial\":\"127.0.0.1:" + port + "\",\"site\":\"a\",\"class\":\"" + kind
             + "\",\"block\":" + block + ",\"health\":\"" + health + "\",\"share\":50,\"born_ms\":0}";
     }
 
-    static String list(int version, boolean whole, String... hosts) {
+    static String listJson(int version, boolean whole, String... hosts) {
         return "{\"seq\":" + version + ",\"whole\":" + whole + ",\"hosts\":[" + String.join(",", hosts) + "]}";
     }
 
     /** Starts a relay that knows these hosts; classes: bill (keyed), pay (unsafe); m3 takes two messages a call. */
-    Node relay(String... hosts) throws Exception {
-        return new Node(config(hosts));
+    Node startRelay(String... hosts) throws Exception {
+        return new Node(writeConfig(hosts));
     }
 
     /** A port that nobody uses now; several relays are to share it. */
@@ -97,11 +97,11 @@
         }
     }
 
-    Config config(String... hosts) throws Exception {
-        return config("127.0.0.1:0", hosts);
+    Config writeConfig(String... hosts) throws Exception {
+        return writeConfig("127.0.0.1:0", hosts);
     }
 
-    Config config(String listen, String[] hosts) throws Exception {
+    Config writeConfig(String listen, String[] hosts) throws Exception {
         Path file = folder.resolve("config.json");
         Files.createDirectories(folder.resolve("state"));
         Files.writeString(file, """
@@ -115,29 +115,29 @@
               "rules":{"stop-sending-within":250,"fall-multiple":2,"tip-after":3000,"cold-from":0.2,"cold":12000},
               "profiles":[{"name":"bill","aim":2000,"hard-limit":16000,"semantics":"dedup","window":15000},
                {"name":"pay","aim":2000,"hard-limit":16000,"semantics":"fragile"}]}}
-            """.formatted(listen, agent.getAddress().getPort(), list(1, true, hosts)));
-        return Config.read(env());
+            """.formatted(listen, agent.getAddress().getPort(), listJson(1, true, hosts)));
+        return Config.read(environment());
     }
 
     /** The latest configuration, with another address of discovery. */
-    Config configAt(int discovery) throws Exception {
+    Config configWithDiscoveryAt(int discovery) throws Exception {
         Path file = folder.resolve("config.json");
         Files.writeString(file, Files.readString(file).replace("127.0.0.1:" + agent.getAddress().getPort(),
             "127.0.0.1:" + discovery));
-        return Config.read(env());
+        return Config.read(environment());
     }
 
-    Map<String, String> env() {
+    Map<String, String> environment() {
         return Map.of("EDGE_CONFIG", folder.resolve("config.json").toString(),
             "EDGE_STATE", folder.resolve("state").toString());
     }
 
     /** The file that the latest process writes. */
-    Path journal() throws IOException {
-        return journal(folder.resolve("state"));
+    Path journalFile() throws IOException {
+        return journalFile(folder.resolve("state"));
     }
 
-    static Path journal(Path state) throws IOException {
+    static Path journalFile(Path state) throws IOException {
         try (Stream<Path> files = Files.list(state)) {
             return files.filter(file -> file.getFileName().toString().matches("journal\\.[0-9]+"))
                 .max(Comparator.comparingInt(file -> Integer.parseInt(file.getFileName().toString().substring(8))))
@@ -146,14 +146,14 @@
     }
 
     /** What a relay that has ended left behind. */
-    Journal leftBehind() throws IOException {
+    Journal openJournal() throws IOException {
         Journal journal = new Journal(folder.resolve("state"), 3_000_000);
         journal.adopt(entry -> { });
         return journal;
     }
 
-    String notice() throws InterruptedException {
-        return notices.poll(PATIENCE_S, TimeUnit.SECONDS);
+    String nextNotice() throws InterruptedException {
+        return notices.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     @Override
@@ -171,7 +171,7 @@
 
         Client(InetSocketAddress address) throws IOException {
             socket = new Socket(address.getAddress(), address.getPort());
-            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_S));
+            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
         }
 
         static List<String> headers(String id, String messageClass, int destination, long time) {
@@ -186,14 +186,14 @@
 
         List<String> post(String path, List<String> headers, String text) throws IOException {
             byte[] body = text.getBytes(StandardCharsets.UTF_8);
-            return raw("POST " + path + " HTTP/1.1\r\nHost: api.internal\r\n" + String.join("\r\n", headers)
+            return exchange("POST " + path + " HTTP/1.1\r\nHost: api.internal\r\n" + String.join("\r\n", headers)
                 + "\r\nContent-Length: " + body.length + "\r\n\r\n", body);
         }
 
-        List<String> raw(String head, byte[] body) throws IOException {
+        List<String> exchange(String head, byte[] body) throws IOException {
             write(head);
             socket.getOutputStream().write(body);
-            return answer();
+            return readResponseHead();
         }
 
         /** Part of a request. */
@@ -202,12 +202,12 @@
         }
 
         /** The head of the next answer. */
-        List<String> answer() throws IOException {
-            return Host.head(socket.getInputStream());
+        List<String> readResponseHead() throws IOException {
+            return StubHost.readHead(socket.getInputStream());
         }
 
         /** True once the relay has closed the connection. */
-        boolean closed() throws IOException {
+        boolean isClosed() throws IOException {
             try {
                 return socket.getInputStream().read() < 0;
             } catch (SocketException e) {
--- a/src/test/java/wrenkeel/net/RequestDeadlineTest.java
+++ b/src/test/java/wrenkeel/net/RequestDeadlineTest.java
@@ -107,9 +107,9 @@
                 expire(half);
                 return null;
             }).get();
-            assertEquals("200", late.status());
+            assertEquals("200", late.readStatus());
             assertTrue(late.channel.isOpen());
-            assertTrue(half.ends());
+            assertTrue(half.readsEndOfStream());
         } finally {
             group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
         }
--- a/src/test/java/wrenkeel/net/ServerConnectionTest.java
+++ b/src/test/java/wrenkeel/net/ServerConnectionTest.java
@@ -36,7 +36,7 @@
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop thread = group.next();
     private Platform platform;
-    private Host host;
+    private StubHost host;
     private Journal journal;
     private ControlDriver loop;
     private Server server;
@@ -44,8 +44,8 @@
     @BeforeEach
     void begin() throws Exception {
         platform = new Platform(folder);
-        host = new Host();
-        Config config = platform.config(Platform.host("s-1", host.port(), 7, "ready"));
+        host = new StubHost();
+        Config config = platform.writeConfig(Platform.hostJson("s-1", host.port(), 7, "ready"));
         journal = new Journal(config.state(), config.diskBytes());
         Bootstrap calls = new Bootstrap().group(thread);
         Metrics figures = new Metrics();
@@ -96,7 +96,7 @@
     @Test
     void aHealthCheckBehindAMessageIsAnsweredAfterIt() throws Exception {
         try (var pair = connected(post("a") + HEALTH + post("b") + HEALTH)) {
-            assertEquals(List.of("202", "200", "202", "200"), pair.statuses(4));
+            assertEquals(List.of("202", "200", "202", "200"), pair.readStatuses(4));
         }
     }
 
@@ -107,9 +107,9 @@
         "POST /bill HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 70000\r\n\r\n"})
     void aMessageIsAnsweredBeforeTheErrorThatClosesItsConnection(String bad) throws Exception {
         try (var pair = connected(post("a") + bad + HEALTH)) {
-            assertEquals("202", pair.status());
-            assertTrue(pair.status().startsWith("4"));
-            assertTrue(pair.ends(), "nothing behind the error is served");
+            assertEquals("202", pair.readStatus());
+            assertTrue(pair.readStatus().startsWith("4"));
+            assertTrue(pair.readsEndOfStream(), "nothing behind the error is served");
         }
         assertEquals(1, owed());
     }
@@ -117,8 +117,8 @@
     @Test
     void nothingBehindARequestThatClosesTheConnectionIsServed() throws Exception {
         try (var pair = connected(post("a", "Connection: close\r\n") + post("b"))) {
-            assertEquals("202", pair.status());
-            assertTrue(pair.ends());
+            assertEquals("202", pair.readStatus());
+            assertTrue(pair.readsEndOfStream());
         }
         assertEquals(1, owed());
     }
@@ -128,8 +128,8 @@
     void atTheOrderlyEndAllThatHasBeenReadIsAnswered() throws Exception {
         onThread(server::closeAfterResponses);
         try (var pair = connected(post("a") + HEALTH + post("b"))) {
-            assertEquals(List.of("202", "503", "202"), pair.statuses(3));
-            assertTrue(pair.ends());
+            assertEquals(List.of("202", "503", "202"), pair.readStatuses(3));
+            assertTrue(pair.readsEndOfStream());
         }
     }
 
@@ -140,10 +140,10 @@
         String second = post("b");
         String half = second.substring(0, second.length() / 2);
         try (var pair = connected(post("a") + half)) {
-            assertEquals("202", pair.status());
+            assertEquals("202", pair.readStatus());
             pair.client.getOutputStream().write(second.substring(half.length()).getBytes(StandardCharsets.US_ASCII));
-            assertEquals("202", pair.status());
-            assertTrue(pair.ends());
+            assertEquals("202", pair.readStatus());
+            assertTrue(pair.readsEndOfStream());
         }
     }
 
@@ -158,7 +158,7 @@
             assertTrue(SocketReader.readNow(pair.channel));
             loop.stop();
         });
-        assertEquals(List.of("503", "503"), pair.statuses(2));
+        assertEquals(List.of("503", "503"), pair.readStatuses(2));
         assertEquals(0, owed());
         pair.close();
     }
@@ -175,8 +175,8 @@
         })) {
             pair.send(post("a") + post("b"));
             pair.register(thread);
-            assertEquals("500", pair.status());
-            assertTrue(pair.ends());
+            assertEquals("500", pair.readStatus());
+            assertTrue(pair.readsEndOfStream());
         }
         assertEquals(0, owed());
         onThread(() -> assertTrue(loop.isIdle()));
--- a/src/test/java/wrenkeel/net/SocketPair.java
+++ b/src/test/java/wrenkeel/net/SocketPair.java
@@ -20,16 +20,16 @@
 final class SocketPair implements AutoCloseable {
     final Socket client;
     final NioSocketChannel channel;
-    private final SocketChannel accepted;
+    private final SocketChannel serverSocket;
 
     SocketPair(ChannelHandler... handlers) throws IOException {
         try (ServerSocketChannel listener = ServerSocketChannel.open()) {
             listener.bind(new InetSocketAddress(Platform.LOOPBACK, 0));
             client = new Socket(Platform.LOOPBACK, ((InetSocketAddress) listener.getLocalAddress()).getPort());
-            client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Platform.PATIENCE_S));
-            accepted = listener.accept();
+            client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Platform.TIMEOUT_SECONDS));
+            serverSocket = listener.accept();
         }
-        channel = new NioSocketChannel(accepted);
+        channel = new NioSocketChannel(serverSocket);
         channel.pipeline().addLast(handlers);
     }
 
@@ -40,41 +40,41 @@
 
     /** Writes as the client, and returns once all of it stands unread in the server's socket. */
     void send(String text) throws IOException {
-        int before = unread();
+        int before = unreadBytes();
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
         client.getOutputStream().write(bytes);
-        while (unread() < before + bytes.length) {
+        while (unreadBytes() < before + bytes.length) {
             Thread.onSpinWait();
         }
     }
 
-    private int unread() throws IOException {
-        return accepted.socket().getInputStream().available();
+    private int unreadBytes() throws IOException {
+        return serverSocket.socket().getInputStream().available();
     }
 
     /** If the server has closed its socket, waits until the selector has let go of it: only then is it reset. */
     void awaitRelease(EventLoop loop) throws Exception {
-        while (!accepted.isOpen() && accepted.isRegistered()) {
+        while (!serverSocket.isOpen() && serverSocket.isRegistered()) {
             loop.submit(() -> { }).get();
         }
         loop.submit(() -> { }).get();
     }
 
     /** The status of the next response, which must be whole. */
-    String status() throws IOException {
-        return Host.head(client.getInputStream()).get(0).substring("HTTP/1.1 ".length(), "HTTP/1.1 200".length());
+    String readStatus() throws IOException {
+        return StubHost.readHead(client.getInputStream()).get(0).substring("HTTP/1.1 ".length(), "HTTP/1.1 200".length());
     }
 
-    List<String> statuses(int count) throws IOException {
+    List<String> readStatuses(int count) throws IOException {
         List<String> statuses = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            statuses.add(status());
+            statuses.add(readStatus());
         }
         return statuses;
     }
 
     /** True if the server ends the connection now, in order and with nothing more; a reset is an exception. */
-    boolean ends() throws IOException {
+    boolean readsEndOfStream() throws IOException {
         return client.getInputStream().read() < 0;
     }
 
--- a/src/test/java/wrenkeel/net/StateFolderTest.java
+++ b/src/test/java/wrenkeel/net/StateFolderTest.java
@@ -33,7 +33,7 @@
     @BeforeEach
     void begin() throws Exception {
         platform = new Platform(folder);
-        platform.config();
+        platform.writeConfig();
         state = folder.resolve("state");
     }
 
@@ -52,7 +52,7 @@
     }
 
     private List<String> owed() throws IOException {
-        try (Journal journal = platform.leftBehind()) {
+        try (Journal journal = platform.openJournal()) {
             return journal.owed().stream().map(entry -> entry.message.id()).toList();
         }
     }
@@ -63,7 +63,7 @@
         System.setErr(new PrintStream(written, true, StandardCharsets.UTF_8));
         int status;
         try {
-            status = Node.serve(platform.env());
+            status = Node.serve(platform.environment());
         } finally {
             System.setErr(before);
         }
@@ -78,7 +78,7 @@
     @Test
     void aFolderNamedLikeTheJournalOfAReleaseBeforeIsLeftAlone() throws Exception {
         obstruct("journal");
-        try (Node relay = platform.relay()) {
+        try (Node relay = platform.startRelay()) {
             assertNotNull(relay.address());
         }
         assertTrue(Files.isDirectory(state.resolve("journal")));
@@ -97,7 +97,7 @@
             journal.take(message("a"), RULES);
         }
         obstruct("leaving.1");
-        try (Node relay = platform.relay()) {
+        try (Node relay = platform.startRelay()) {
             assertNotNull(relay.address());
         }
         assertEquals(List.of("a"), owed());
@@ -113,7 +113,7 @@
             journal.take(message("a"), RULES);
         }
         obstruct("journal.new.1");
-        try (Journal journal = platform.leftBehind()) {
+        try (Journal journal = platform.openJournal()) {
             assertEquals(1, journal.size());
             journal.closed(journal.owed().iterator().next());
             // The file is written anew.
--- a/src/test/java/wrenkeel/net/Host.java
+++ b/src/test/java/wrenkeel/net/StubHost.java
@@ -13,12 +13,12 @@
 import java.util.concurrent.TimeUnit;
 
 /** A host whose answers the test gives one by one: each call is handed over with its connection. */
-final class Host implements AutoCloseable {
+final class StubHost implements AutoCloseable {
     static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
     /** One call as it came. */
     record Call(Socket socket, List<String> head, String body) {
-        void answer(String text) throws IOException {
+        void respond(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         }
 
@@ -31,27 +31,27 @@
     private final ServerSocket listener = new ServerSocket(0, 50, Platform.LOOPBACK);
     private final BlockingQueue<Call> calls = new LinkedBlockingQueue<>();
     /** Connections that the relay has closed. */
-    private final BlockingQueue<Socket> over = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Socket> closedByRelay = new LinkedBlockingQueue<>();
 
-    Host() throws IOException {
-        start(() -> {
+    StubHost() throws IOException {
+        startThread(() -> {
             while (true) {
                 Socket socket = listener.accept();
-                start(() -> {
+                startThread(() -> {
                     try {
                         while (true) {
-                            calls.add(read(socket));
+                            calls.add(readCall(socket));
                         }
                     } finally {
-                        over.add(socket);
+                        closedByRelay.add(socket);
                     }
                 });
             }
         });
     }
 
-    private static Call read(Socket socket) throws IOException {
-        List<String> head = head(socket.getInputStream());
+    private static Call readCall(Socket socket) throws IOException {
+        List<String> head = readHead(socket.getInputStream());
         int length = Integer.parseInt(new Call(socket, head, "").header("Content-Length"));
         return new Call(socket, head,
             new String(socket.getInputStream().readNBytes(length), StandardCharsets.UTF_8));
@@ -62,14 +62,14 @@
     }
 
     /** The next call; null if none comes in a long time. */
-    Call call() throws InterruptedException {
-        return calls.poll(Platform.PATIENCE_S, TimeUnit.SECONDS);
+    Call nextCall() throws InterruptedException {
+        return calls.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     /** Waits until the relay has closed the connection of a call; false if it has not in a long time. */
-    boolean ended(Call call) throws InterruptedException {
-        for (Socket socket = over.poll(Platform.PATIENCE_S, TimeUnit.SECONDS); socket != null;
-                socket = over.poll(Platform.PATIENCE_S, TimeUnit.SECONDS)) {
+    boolean awaitClosed(Call call) throws InterruptedException {
+        for (Socket socket = closedByRelay.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS); socket != null;
+                socket = closedByRelay.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
             if (socket == call.socket()) {
                 return true;
             }
@@ -77,12 +77,12 @@
         return false;
     }
 
-    boolean quiet() {
+    boolean hasNoCalls() {
         return calls.isEmpty();
     }
 
     /** Reads lines up to the empty one. */
-    static List<String> head(InputStream in) throws IOException {
+    static List<String> readHead(InputStream in) throws IOException {
         ByteArrayOutputStream text = new ByteArrayOutputStream();
         while (!text.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
             int next = in.read();
@@ -94,11 +94,11 @@
         return text.toString(StandardCharsets.ISO_8859_1).lines().filter(line -> !line.isEmpty()).toList();
     }
 
-    private interface Task {
+    private interface IoTask {
         void run() throws IOException;
     }
 
-    private static void start(Task task) {
+    private static void startThread(IoTask task) {
         Thread thread = new Thread(() -> {
             try {
                 task.run();
