--- a/src/test/java/wrenkeel/net/ClientListenerTest.java
+++ b/src/test/java/wrenkeel/net/ClientListenerTest.java
@@ -32,14 +32,14 @@
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class ClientListenerTest {
     /** Netty's acceptor does not accept for so long after any failure, ms. */
-    private static final long NETTY_PAUSE = 1_000;
-    private static final InetSocketAddress ANY = new InetSocketAddress(Platform.LOOPBACK, 0);
+    private static final long NETTY_PAUSE_MS = 1_000;
+    private static final InetSocketAddress ANY_LOOPBACK_PORT = new InetSocketAddress(Platform.LOOPBACK, 0);
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final EventLoop thread = group.next();
+    private final EventLoop eventLoop = group.next();
     private final BlockingQueue<Channel> accepted = new LinkedBlockingQueue<>();
-    private final List<Long> waited = new ArrayList<>();
-    private final ChannelInitializer<Channel> clients = new ChannelInitializer<>() {
+    private final List<Long> acceptDelays = new ArrayList<>();
+    private final ChannelInitializer<Channel> clientHandler = new ChannelInitializer<>() {
         @Override
         protected void initChannel(Channel channel) {
             accepted.add(channel);
@@ -47,63 +47,63 @@
     };
 
     @AfterEach
-    void end() throws InterruptedException {
+    void tearDown() throws InterruptedException {
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).sync();
     }
 
-    private static IOException noBuffers() {
+    private static IOException acceptFailure() {
         return new IOException("No buffer space available");
     }
 
     /** Fails accepting as the listening channel does; the look comes before Netty's acceptor would go on. */
     @Test
-    void afterAFailedAcceptTheNextIsTriedSoon() throws Exception {
-        ClientListener door = thread.submit(() -> ClientListener.open(ANY, thread, clients, waited::add, ListeningSockets.SYSTEM)).get();
+    void acceptsAgainSoonAfterAFailedAccept() throws Exception {
+        ClientListener listener = eventLoop.submit(() -> ClientListener.open(ANY_LOOPBACK_PORT, eventLoop, clientHandler, acceptDelays::add, ListeningSockets.SYSTEM)).get();
         CompletableFuture<Boolean> accepts = new CompletableFuture<>();
-        thread.submit(() -> {
-            thread.schedule(() -> accepts.complete(door.listener().config().isAutoRead()), NETTY_PAUSE - 100,
+        eventLoop.submit(() -> {
+            eventLoop.schedule(() -> accepts.complete(listener.listener().config().isAutoRead()), NETTY_PAUSE_MS - 100,
                 TimeUnit.MILLISECONDS);
-            door.listener().pipeline().fireExceptionCaught(noBuffers());
+            listener.listener().pipeline().fireExceptionCaught(acceptFailure());
         }).get();
         assertTrue(accepts.get(), "it still does not accept");
-        thread.submit(door::close).get();
+        eventLoop.submit(listener::close).get();
     }
 
     /** Guards a message's time: its client has counted from when it connected. */
     @Test
-    void whoCouldNotBeAcceptedIsToldToHaveWaited() throws Exception {
-        ClientListener door = thread.submit(() -> ClientListener.open(ANY, thread, clients, waited::add, ListeningSockets.SYSTEM)).get();
-        thread.submit(() -> door.listener().pipeline().fireExceptionCaught(noBuffers())).get();
-        try (Socket first = new Socket(Platform.LOOPBACK, door.address().getPort());
-                Socket second = new Socket(Platform.LOOPBACK, door.address().getPort())) {
+    void reportsOnceHowLongConnectionsMayHaveWaited() throws Exception {
+        ClientListener listener = eventLoop.submit(() -> ClientListener.open(ANY_LOOPBACK_PORT, eventLoop, clientHandler, acceptDelays::add, ListeningSockets.SYSTEM)).get();
+        eventLoop.submit(() -> listener.listener().pipeline().fireExceptionCaught(acceptFailure())).get();
+        try (Socket first = new Socket(Platform.LOOPBACK, listener.address().getPort());
+                Socket second = new Socket(Platform.LOOPBACK, listener.address().getPort())) {
             assertNotNull(accepted.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS), first.toString());
             assertNotNull(accepted.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS), second.toString());
         }
-        thread.submit(door::close).get();
-        assertEquals(1, waited.size(), "once for each run of failures");
-        assertTrue(waited.get(0) >= TimeUnit.MILLISECONDS.toNanos(AcceptRetry.RETRY_DELAY_MS), waited.toString());
+        eventLoop.submit(listener::close).get();
+        assertEquals(1, acceptDelays.size(), "once for each run of failures");
+        assertTrue(acceptDelays.get(0) >= TimeUnit.MILLISECONDS.toNanos(AcceptRetry.RETRY_DELAY_MS), acceptDelays.toString());
     }
 
     /** Guards those who wait as the door closes: each is let in, whatever the system call says in between. */
     @Test
-    void drainingGoesOnAfterAFailedAccept() throws Exception {
+    void drainContinuesAfterAFailedAccept() throws Exception {
         List<String> tries = new ArrayList<>();
         ClientListener.Acceptor failsOnce = (ServerSocketChannel from) -> {
             SocketChannel next = tries.size() == 1 ? null : from.accept();
             tries.add("try");
             if (tries.size() == 2) {
-                throw noBuffers();
+                throw acceptFailure();
             }
             return next;
         };
-        ClientListener door = thread.submit(() -> ClientListener.open(ANY, thread, clients, waited::add, ListeningSockets.SYSTEM, failsOnce)).get();
+        ClientListener listener = eventLoop.submit(() -> ClientListener.open(ANY_LOOPBACK_PORT, eventLoop, clientHandler, acceptDelays::add, ListeningSockets.SYSTEM, failsOnce)).get();
         // Nobody is accepted by the selector from here on: all wait in the queue.
-        thread.submit(() -> door.listener().config().setAutoRead(false)).get();
+        eventLoop.submit(() -> listener.listener().config().setAutoRead(false)).get();
         List<Socket> waiting = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            waiting.add(new Socket(Platform.LOOPBACK, door.address().getPort()));
+            waiting.add(new Socket(Platform.LOOPBACK, listener.address().getPort()));
         }
-        thread.submit(door::drain).get();
+        eventLoop.submit(listener::drain).get();
         for (int i = 0; i < waiting.size(); i++) {
             assertNotNull(accepted.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS), "let in: " + i);
         }
@@ -114,14 +114,14 @@
 
     /** A socket as the runtime makes it once its one look for SO_REUSEPORT has met a machine without sockets. */
     private static final class WithoutReusePort implements NetworkChannel {
-        private final Set<SocketOption<?>> set = new HashSet<>();
+        private final Set<SocketOption<?>> enabledOptions = new HashSet<>();
 
         @Override
         public <T> NetworkChannel setOption(SocketOption<T> name, T value) {
             if (!supportedOptions().contains(name)) {
                 throw new UnsupportedOperationException(name + " not supported");
             }
-            set.add(name);
+            enabledOptions.add(name);
             return this;
         }
 
@@ -158,9 +158,9 @@
 
     /** Guards the start: the runtime looks once, and a process that looked at the wrong moment must serve. */
     @Test
-    void aRuntimeThatCannotShareAnAddressServesWithoutThat() throws IOException {
+    void servesWithoutSharingWhenReusePortIsUnsupported() throws IOException {
         WithoutReusePort socket = new WithoutReusePort();
         assertSame(socket, ClientListener.allowSharing(socket));
-        assertEquals(Set.of(StandardSocketOptions.SO_REUSEADDR), socket.set);
+        assertEquals(Set.of(StandardSocketOptions.SO_REUSEADDR), socket.enabledOptions);
     }
 }
--- a/src/test/java/wrenkeel/net/ConnectionLimiterTest.java
+++ b/src/test/java/wrenkeel/net/ConnectionLimiterTest.java
@@ -22,55 +22,55 @@
 /** Who gives way when all places are taken. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class ConnectionLimiterTest {
-    private static final String HALF = "GET /healthz HTTP/1.1\r\nHos", HEALTH = HALF + "t: a\r\n\r\n";
+    private static final String HALF_REQUEST = "GET /healthz HTTP/1.1\r\nHos", HEALTH_REQUEST = HALF_REQUEST + "t: a\r\n\r\n";
 
-    private final ConnectionLimiter callers = new ConnectionLimiter(3);
+    private final ConnectionLimiter limiter = new ConnectionLimiter(3);
     private final List<EmbeddedChannel> channels = IntStream.range(0, 6).mapToObj(i -> new EmbeddedChannel()).toList();
 
     private EmbeddedChannel connect(int i) {
-        callers.connected(channels.get(i));
-        callers.awaitingRequest(channels.get(i));
+        limiter.connected(channels.get(i));
+        limiter.awaitingRequest(channels.get(i));
         return channels.get(i);
     }
 
-    private String open() {
+    private String openChannels() {
         return String.join("", channels.stream().map(c -> c.isOpen() ? "o" : "-").toList());
     }
 
     /** Guards the descriptors: of a crowd that comes at once, each must push out another one. */
     @Test
-    void eachNewcomerTakesThePlaceOfAnother() {
+    void eachNewConnectionAtTheLimitEvictsADifferentOne() {
         IntStream.range(0, 6).forEach(this::connect);
-        assertEquals("---ooo", open());
-        assertEquals(3, callers.size());
+        assertEquals("---ooo", openChannels());
+        assertEquals(3, limiter.size());
     }
 
     @Test
-    void theOneThatSpokeLastStaysLongest() {
+    void connectionWithPartOfARequestIsEvictedAfterThoseWithoutBytes() {
         IntStream.range(0, 3).forEach(this::connect);
-        callers.bytesReceived(channels.get(0));
+        limiter.bytesReceived(channels.get(0));
         connect(3);
-        assertEquals("o-oooo", open());
+        assertEquals("o-oooo", openChannels());
     }
 
     /** Guards against a lost message: a whole request must have its answer. */
     @Test
-    void oneThatAwaitsItsAnswerIsNotClosed() {
+    void connectionThatAwaitsItsResponseIsNotEvicted() {
         IntStream.range(0, 3).forEach(this::connect);
-        IntStream.range(0, 3).forEach(i -> callers.requestReceived(channels.get(i)));
+        IntStream.range(0, 3).forEach(i -> limiter.requestReceived(channels.get(i)));
         connect(3);
-        assertEquals("ooo-oo", open());
-        callers.awaitingRequest(channels.get(1));
+        assertEquals("ooo-oo", openChannels());
+        limiter.awaitingRequest(channels.get(1));
         connect(4);
-        assertEquals("o-o-oo", open());
+        assertEquals("o-o-oo", openChannels());
     }
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final EventLoop thread = group.next();
+    private final EventLoop eventLoop = group.next();
     private final List<SocketPair> pairs = new ArrayList<>();
 
     @AfterEach
-    void end() throws IOException {
+    void tearDown() throws IOException {
         for (SocketPair pair : pairs) {
             pair.close();
         }
@@ -79,9 +79,9 @@
 
     /** A client of the relay's server; if it answers nothing, each whole request stays open. */
     private SocketPair client(boolean answers) throws Exception {
-        SocketPair pair = new SocketPair(new Server(callers));
+        SocketPair pair = new SocketPair(new Server(limiter));
         pairs.add(pair);
-        pair.register(thread);
+        pair.register(eventLoop);
         if (!answers) {
             pair.channel.pipeline().removeLast();
         }
@@ -94,114 +94,114 @@
 
     /** While the task runs, nothing is read but by it. */
     private void onThread(Task task) throws Exception {
-        thread.submit(() -> {
+        eventLoop.submit(() -> {
             task.run();
             return null;
         }).get();
     }
 
-    private void newcomer() throws IOException {
+    private void connectAnother() throws IOException {
         SocketPair pair = new SocketPair();
         pairs.add(pair);
-        thread.register(pair.channel);
-        callers.connected(pair.channel);
+        eventLoop.register(pair.channel);
+        limiter.connected(pair.channel);
     }
 
-    private static String openOf(SocketPair... pairs) {
+    private static String openPairs(SocketPair... pairs) {
         return String.join("", Stream.of(pairs).map(pair -> pair.channel.isOpen() ? "o" : "-").toList());
     }
 
     /** Guards against a lost message: a busy relay has not read yet what the quietest connection has brought. */
     @ParameterizedTest
-    @ValueSource(strings = {HEALTH, HALF})
-    void oneWhoseRequestIsUnreadIsNotClosed(String unread) throws Exception {
+    @ValueSource(strings = {HEALTH_REQUEST, HALF_REQUEST})
+    void connectionWithUnreadBytesIsNotEvicted(String unread) throws Exception {
         SocketPair first = client(true);
         SocketPair second = client(true);
         SocketPair third = client(true);
         onThread(() -> {
             first.send(unread);
-            newcomer();
-            assertEquals("o-o", openOf(first, second, third));
+            connectAnother();
+            assertEquals("o-o", openPairs(first, second, third));
         });
-        first.client.getOutputStream().write(HEALTH.substring(unread.length()).getBytes(StandardCharsets.US_ASCII));
+        first.client.getOutputStream().write(HEALTH_REQUEST.substring(unread.length()).getBytes(StandardCharsets.US_ASCII));
         assertEquals("200", first.readStatus());
     }
 
     /** Guards against lost messages: when every connection has brought a request, the newcomer leaves. */
     @Test
-    void whenAllHaveBroughtARequestTheNewcomerLeaves() throws Exception {
+    void newConnectionIsClosedWhenAllOthersHaveSentARequest() throws Exception {
         SocketPair first = client(false);
         SocketPair second = client(false);
         SocketPair third = client(false);
         onThread(() -> {
             for (SocketPair pair : List.of(first, second, third)) {
-                pair.send(HEALTH);
+                pair.send(HEALTH_REQUEST);
             }
-            newcomer();
-            assertEquals("ooo-", openOf(pairs.toArray(SocketPair[]::new)));
-            assertEquals(3, callers.size());
+            connectAnother();
+            assertEquals("ooo-", openPairs(pairs.toArray(SocketPair[]::new)));
+            assertEquals(3, limiter.size());
         });
     }
 
     /** Guards slow writers: one within its first request goes after all that are silent, however lately they were heard. */
     @Test
-    void oneWithinItsFirstRequestIsTheLastToGiveWay() throws Exception {
+    void connectionWithPartOfItsFirstRequestIsEvictedLast() throws Exception {
         SocketPair first = client(true);
         onThread(() -> {
-            first.send(HALF);
+            first.send(HALF_REQUEST);
             assertTrue(SocketReader.readNow(first.channel));
         });
         SocketPair second = client(true);
         SocketPair third = client(true);
         onThread(() -> {
-            newcomer();
-            newcomer();
-            assertEquals("o--", openOf(first, second, third));
-            newcomer();
-            assertEquals("---", openOf(first, second, third));
+            connectAnother();
+            connectAnother();
+            assertEquals("o--", openPairs(first, second, third));
+            connectAnother();
+            assertEquals("---", openPairs(first, second, third));
         });
     }
 
     /** Guards against a lost message: the last byte of a later request may be on its way. */
     @Test
-    void oneWithinALaterRequestIsNotClosed() throws Exception {
+    void connectionWithPartOfALaterRequestIsNotEvicted() throws Exception {
         SocketPair first = client(true);
-        first.send(HEALTH);
+        first.send(HEALTH_REQUEST);
         assertEquals("200", first.readStatus());
         onThread(() -> {
-            first.send(HALF);
-            callers.setMaxConnections(0);
-            assertEquals("o", openOf(first));
+            first.send(HALF_REQUEST);
+            limiter.setMaxConnections(0);
+            assertEquals("o", openPairs(first));
         });
     }
 
     /** Guards against a lost message: the first bytes of the next request came in one read with the one before. */
     @ParameterizedTest
-    @ValueSource(strings = {"G", "GET /healthz HTTP/1.1\r\n", HALF})
-    void oneThatBroughtPartOfTheNextRequestAtOnceIsNotClosed(String part) throws Exception {
+    @ValueSource(strings = {"G", "GET /healthz HTTP/1.1\r\n", HALF_REQUEST})
+    void connectionThatSentPartOfTheNextRequestInTheSameReadIsNotEvicted(String part) throws Exception {
         SocketPair first = client(true);
         onThread(() -> {
-            first.send(HEALTH + part);
+            first.send(HEALTH_REQUEST + part);
             assertTrue(SocketReader.readNow(first.channel));
-            callers.setMaxConnections(0);
-            assertEquals("o", openOf(first));
+            limiter.setMaxConnections(0);
+            assertEquals("o", openPairs(first));
         });
-        first.client.getOutputStream().write(HEALTH.substring(part.length()).getBytes(StandardCharsets.US_ASCII));
+        first.client.getOutputStream().write(HEALTH_REQUEST.substring(part.length()).getBytes(StandardCharsets.US_ASCII));
         assertEquals(List.of("200", "200"), first.readStatuses(2));
-        onThread(() -> callers.setMaxConnections(0));
+        onThread(() -> limiter.setMaxConnections(0));
         assertTrue(first.readsEndOfStream());
     }
 
     /** Guards the descriptors at a replacement, and against lost messages: the others may leave, if read dry. */
     @Test
-    void fewerPlacesCloseOnlyWhatIsReadDry() throws Exception {
+    void lowerLimitClosesOnlyConnectionsWithoutUnreadBytes() throws Exception {
         SocketPair first = client(false);
         SocketPair second = client(false);
         SocketPair third = client(false);
         onThread(() -> {
-            second.send(HEALTH);
-            callers.setMaxConnections(1);
-            assertEquals("-o-", openOf(first, second, third));
+            second.send(HEALTH_REQUEST);
+            limiter.setMaxConnections(1);
+            assertEquals("-o-", openPairs(first, second, third));
         });
     }
 }
--- a/src/test/java/wrenkeel/net/ConsoleTest.java
+++ b/src/test/java/wrenkeel/net/ConsoleTest.java
@@ -32,18 +32,18 @@
     private StubHost host;
 
     @BeforeEach
-    void begin() throws IOException {
+    void setUp() throws IOException {
         platform = new Platform(folder);
         host = new StubHost();
     }
 
     @AfterEach
-    void end() throws IOException {
+    void tearDown() throws IOException {
         host.close();
         platform.close();
     }
 
-    private Node relay() throws Exception {
+    private Node startRelay() throws Exception {
         return platform.startRelay(hostJson("s-1", host.port(), 7, "ready"));
     }
 
@@ -73,8 +73,8 @@
     }
 
     @Test
-    void aRelayThatServesIsReadyAndOneThatLeavesIsNot() throws Exception {
-        Node relay = relay();
+    void aRelayIsReadyWhileItServesAndNotWhileItShutsDown() throws Exception {
+        Node relay = startRelay();
         try (var client = new Platform.Client(relay)) {
             assertTrue(request(relay.consoleAddress(), "GET /api/ready HTTP/1.1").startsWith("HTTP/1.1 200 "));
             assertEquals("HTTP/1.1 202 Accepted", client.post("a", "bill", 7, 16_000).get(0));
@@ -90,8 +90,8 @@
     }
 
     @Test
-    void eachMessageIsCountedOnceWhereItEnds() throws Exception {
-        try (Node relay = relay(); var client = new Platform.Client(relay)) {
+    void eachMessageIsCountedOnceByItsOutcome() throws Exception {
+        try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
             Wire.Fields first = metrics(relay);
             for (String name : List.of("completed", "rejected", "failed")) {
                 assertEquals(Map.of("bill", 0, "pay", 0), first.object(name).values());
@@ -115,8 +115,8 @@
     }
 
     @Test
-    void anEndpointThatIsAvoidedIsCounted() throws Exception {
-        try (Node relay = relay(); var client = new Platform.Client(relay)) {
+    void anUnavailableEndpointIsCounted() throws Exception {
+        try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
             while (metrics(relay).whole("members") != 1) {
                 Thread.sleep(20);
             }
@@ -131,9 +131,9 @@
     }
 
     @Test
-    void reloadsAreCounted() throws Exception {
+    void reloadsAndReloadErrorsAreCounted() throws Exception {
         Path bad = Files.writeString(folder.resolve("bad.json"), "{\"discovery\":\"nowhere\"}");
-        try (Node relay = relay()) {
+        try (Node relay = startRelay()) {
             relay.reload(Map.of("EDGE_CONFIG", bad.toString()));
             relay.reload(platform.environment());
             assertEquals(1, metrics(relay).whole("config_reloads"));
@@ -142,8 +142,8 @@
     }
 
     @Test
-    void whatIsNoCallOfTheConsoleIsAnError() throws Exception {
-        try (Node relay = relay()) {
+    void unknownPathsMethodsAndInvalidRequestsGetAnError() throws Exception {
+        try (Node relay = startRelay()) {
             assertTrue(request(relay.consoleAddress(), "GET /api/wobble HTTP/1.1").startsWith("HTTP/1.1 404 "));
             assertTrue(request(relay.consoleAddress(), "PUT /api/ready HTTP/1.1").startsWith("HTTP/1.1 405 "));
             assertTrue(request(relay.consoleAddress(), "nonsense").startsWith("HTTP/1.1 400 "));
@@ -152,9 +152,9 @@
 
     /** Guards operators against callers that hold every connection and say nothing, or half a call. */
     @Test
-    void callersThatHangDoNotKeepAnOperatorOut() throws Exception {
+    void idleConnectionsToTheConsoleDoNotBlockAnOperator() throws Exception {
         List<Socket> hanging = new ArrayList<>();
-        try (Node relay = relay()) {
+        try (Node relay = startRelay()) {
             InetSocketAddress console = relay.consoleAddress();
             for (int i = 0; i < 3 * Console.MAX_CONNECTIONS; i++) {
                 Socket socket = new Socket(console.getAddress(), console.getPort());
@@ -173,9 +173,9 @@
 
     /** Guards the clients' door: a crowd that holds all places gives way to a client with a message. */
     @Test
-    void aCrowdThatHoldsItsConnectionsDoesNotKeepAClientOut() throws Exception {
+    void idleClientConnectionsDoNotBlockAClientWithAMessage() throws Exception {
         List<Socket> crowd = new ArrayList<>();
-        try (Node relay = relay()) {
+        try (Node relay = startRelay()) {
             for (int i = 0; i < 1024 / 3 + 50; i++) {
                 crowd.add(new Socket(relay.address().getAddress(), relay.address().getPort()));
             }
@@ -190,7 +190,7 @@
     }
 
     @Test
-    void withoutAnAddressForItThereIsNoConsole() throws Exception {
+    void withoutAConsoleAddressTheRelayServesWithoutAConsole() throws Exception {
         platform.writeConfig(hostJson("s-1", host.port(), 7, "ready"));
         Path file = folder.resolve("config.json");
         Files.writeString(file, Files.readString(file).replace("\"console\":\"127.0.0.1:0\",", ""));
@@ -202,7 +202,7 @@
 
     /** Guards the start: a console that cannot listen for a moment is no reason to end it. */
     @Test
-    void aConsoleWithoutASocketForAMomentTriesAgain() throws Exception {
+    void aConsoleThatCannotOpenASocketAtFirstRetries() throws Exception {
         AtomicInteger failures = new AtomicInteger(3);
         InetSocketAddress any = new InetSocketAddress(Platform.LOOPBACK, 0);
         try (Console console = new Console(any, () -> true, new Metrics(), () -> {
--- a/src/test/java/wrenkeel/net/ControlDriverTest.java
+++ b/src/test/java/wrenkeel/net/ControlDriverTest.java
@@ -26,32 +26,32 @@
     @TempDir
     Path folder;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final EventLoop thread = group.next();
-    private final List<String> answers = new ArrayList<>();
+    private final EventLoop eventLoop = group.next();
+    private final List<String> clientResponses = new ArrayList<>();
     private Platform platform;
     private StubHost host;
     private Journal journal;
-    private ControlDriver loop;
-    private final Metrics figures = new Metrics();
+    private ControlDriver driver;
+    private final Metrics metrics = new Metrics();
 
     @BeforeEach
-    void begin() throws Exception {
+    void setUp() throws Exception {
         platform = new Platform(folder);
         host = new StubHost();
         Config config = platform.writeConfig(Platform.hostJson("s-1", host.port(), 7, "ready"));
         journal = new Journal(config.state(), config.diskBytes());
-        Bootstrap calls = new Bootstrap().group(thread);
-        inOnePass(() -> {
+        Bootstrap calls = new Bootstrap().group(eventLoop);
+        inOneIteration(() -> {
             HostList hosts = new HostList(config.zones(), config.kinds());
-            loop = new ControlDriver(thread, ProcessClock.system(), config, hosts, new HostPool(thread, calls, 1_000_000, 15_000_000, 100, figures), journal, figures,
-                (whenListed, whenNoticed) -> new Discovery(thread, calls, config.discovery(), hosts, whenListed,
+            driver = new ControlDriver(eventLoop, ProcessClock.system(), config, hosts, new HostPool(eventLoop, calls, 1_000_000, 15_000_000, 100, metrics), journal, metrics,
+                (whenListed, whenNoticed) -> new Discovery(eventLoop, calls, config.discovery(), hosts, whenListed,
                     whenNoticed));
-            loop.start(config.known());
+            driver.start(config.known());
         });
     }
 
     @AfterEach
-    void end() throws Exception {
+    void tearDown() throws Exception {
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).sync();
         journal.close();
         host.close();
@@ -62,123 +62,123 @@
         void run() throws Exception;
     }
 
-    private void inOnePass(Task task) throws Exception {
-        thread.submit(() -> {
+    private void inOneIteration(Task task) throws Exception {
+        eventLoop.submit(() -> {
             task.run();
             return null;
         }).get();
     }
 
     /** Waits until all that the passes so far have asked for is done. */
-    private void settle() throws Exception {
-        inOnePass(() -> { });
+    private void awaitQueuedTasks() throws Exception {
+        inOneIteration(() -> { });
     }
 
     private static Message message(String id) {
         return new Message(id, "bill", 0, null, "key-" + id, 7, System.currentTimeMillis() + 60_000, new byte[3]);
     }
 
-    private ControlDriver.AcceptanceCallback client(String name, Runnable whenTaken) {
+    private ControlDriver.AcceptanceCallback callback(String name, Runnable whenAccepted) {
         return new ControlDriver.AcceptanceCallback() {
             @Override
             public void accepted() {
-                answers.add(name + " taken");
-                whenTaken.run();
+                clientResponses.add(name + " taken");
+                whenAccepted.run();
             }
 
             @Override
             public void refused(long retryAfter) {
-                answers.add(name + " refused");
+                clientResponses.add(name + " refused");
             }
 
             @Override
             public void failed() {
-                answers.add(name + " failed");
+                clientResponses.add(name + " failed");
             }
         };
     }
 
-    private ControlDriver.AcceptanceCallback client(String name) {
-        return client(name, () -> { });
+    private ControlDriver.AcceptanceCallback callback(String name) {
+        return callback(name, () -> { });
     }
 
     /** Guards the rule on waits: an answer that stands unread in another socket is heard before anything is sent. */
     @Test
-    void nothingIsDecidedBeforeAllThatIsReadyHasBeenRead() throws Exception {
-        inOnePass(() -> {
-            loop.accept(message("a"), client("first"));
-            loop.accept(message("b"), client("second"));
-            assertEquals(List.of(), answers);
+    void nothingIsDecidedBeforeAllReadySocketsHaveBeenRead() throws Exception {
+        inOneIteration(() -> {
+            driver.accept(message("a"), callback("first"));
+            driver.accept(message("b"), callback("second"));
+            assertEquals(List.of(), clientResponses);
         });
-        settle();
-        assertEquals(List.of("first taken", "second taken"), answers);
+        awaitQueuedTasks();
+        assertEquals(List.of("first taken", "second taken"), clientResponses);
     }
 
     /** Guards against a lost request: what was read in the last instant, and what is read after it, is answered. */
     @Test
-    void whoHandsInAMessageAsTheProcessEndsHearsThatItWasNotTakenOn() throws Exception {
-        inOnePass(() -> {
-            loop.accept(message("a"), client("first"));
-            loop.stop();
-            loop.accept(message("b"), client("second"));
+    void messagesThatArriveAroundStopAreRefused() throws Exception {
+        inOneIteration(() -> {
+            driver.accept(message("a"), callback("first"));
+            driver.stop();
+            driver.accept(message("b"), callback("second"));
         });
-        settle();
-        assertEquals(List.of("first refused", "second refused"), answers);
+        awaitQueuedTasks();
+        assertEquals(List.of("first refused", "second refused"), clientResponses);
         assertEquals(0, journal.owed().size());
     }
 
     @Test
-    void aMessageHandedInTwiceIsTakenOnOnce() throws Exception {
-        inOnePass(() -> {
-            loop.accept(message("a"), client("first"));
-            loop.accept(message("a"), client("second"));
+    void aMessageSubmittedTwiceIsAcceptedOnce() throws Exception {
+        inOneIteration(() -> {
+            driver.accept(message("a"), callback("first"));
+            driver.accept(message("a"), callback("second"));
         });
-        settle();
-        assertEquals(List.of("first taken", "second taken"), answers);
+        awaitQueuedTasks();
+        assertEquals(List.of("first taken", "second taken"), clientResponses);
         assertEquals(1, journal.owed().size());
     }
 
     /** Guards against a lost message: whoever names its id again and leaves must not take it from its client. */
     @Test
-    void aMessageThatOneClientHeardOfIsNotWithdrawnByAnother() throws Exception {
-        inOnePass(() -> {
-            loop.accept(message("a"), client("first"));
-            loop.accept(message("a"), client("second", () -> loop.withdraw("a")));
+    void aMessageStaysWhileAnyClientHasReceivedAccepted() throws Exception {
+        inOneIteration(() -> {
+            driver.accept(message("a"), callback("first"));
+            driver.accept(message("a"), callback("second", () -> driver.withdraw("a")));
         });
-        settle();
+        awaitQueuedTasks();
         assertEquals(1, journal.owed().size());
-        inOnePass(() -> loop.withdraw("a"));
+        inOneIteration(() -> driver.withdraw("a"));
         assertEquals(0, journal.owed().size(), "in the end nobody heard");
     }
 
     /** Guards the slots: the module has sent a message in the very turn in which its client turns out to have left. */
     @Test
-    void aClientThatLeftDoesNotCostASlot() throws Exception {
+    void aClientThatDisconnectedDoesNotOccupyASlot() throws Exception {
         for (int i = 0; i < 20; i++) {
             String id = "left-" + i;
-            inOnePass(() -> loop.accept(message(id), client(id, () -> loop.withdraw(id))));
-            settle();
+            inOneIteration(() -> driver.accept(message(id), callback(id, () -> driver.withdraw(id))));
+            awaitQueuedTasks();
         }
-        inOnePass(() -> loop.accept(message("a"), client("stays")));
+        inOneIteration(() -> driver.accept(message("a"), callback("stays")));
         assertEquals("a", host.nextCall().header("X-Request-ID"));
         assertTrue(host.hasNoCalls());
     }
 
     /** Delivers so many messages one after the other, so that more than one call may be out. */
-    private void warmUp(int messages) throws Exception {
+    private void deliverInSequence(int messages) throws Exception {
         for (int i = 0; i < messages; i++) {
             String id = "warm-" + i;
-            inOnePass(() -> loop.accept(message(id), client(id)));
+            inOneIteration(() -> driver.accept(message(id), callback(id)));
             host.nextCall().respond(StubHost.OK);
             while (journal.size() > 0) {
-                settle();
+                awaitQueuedTasks();
             }
         }
     }
 
     /** Whether a message's first byte may have left, by what was written down before it would. */
-    private boolean sent(String id) throws Exception {
-        return thread.submit(() -> journal.owed().stream().filter(entry -> entry.message.id().equals(id))
+    private boolean isRecordedAsSent(String id) throws Exception {
+        return eventLoop.submit(() -> journal.owed().stream().filter(entry -> entry.message.id().equals(id))
             .anyMatch(entry -> entry.attempts.stream().anyMatch(attempt -> attempt.mayHaveRun))).get();
     }
 
@@ -187,56 +187,56 @@
      * comes just then. What is decided after that must not go by what was read before.
      */
     @Test
-    void aWaitThatCameDuringAPauseBindsTheSendsAfterIt() throws Exception {
-        warmUp(4);
+    void retryAfterThatArrivesDuringAPauseIsReadBeforeSending() throws Exception {
+        deliverInSequence(4);
         // Two connections are left idle, so that neither call has to wait for one.
-        inOnePass(() -> {
-            loop.accept(message("x"), client("x"));
-            loop.accept(message("y"), client("y"));
+        inOneIteration(() -> {
+            driver.accept(message("x"), callback("x"));
+            driver.accept(message("y"), callback("y"));
         });
         StubHost.Call x = host.nextCall(), y = host.nextCall();
         x.respond(StubHost.OK);
         y.respond(StubHost.OK);
         while (journal.size() > 0) {
-            settle();
+            awaitQueuedTasks();
         }
-        inOnePass(() -> loop.accept(message("a"), client("a")));
+        inOneIteration(() -> driver.accept(message("a"), callback("a")));
         StubHost.Call first = host.nextCall();
-        inOnePass(() -> {
-            loop.accept(message("b"), client("b"));
+        inOneIteration(() -> {
+            driver.accept(message("b"), callback("b"));
             first.respond("HTTP/1.1 429 No\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n");
         });
-        settle();
-        assertFalse(sent("b"));
+        awaitQueuedTasks();
+        assertFalse(isRecordedAsSent("b"));
     }
 
-    private static void answer(Socket watch, String list) throws IOException {
+    private static void respondToNextRequest(Socket watch, String list) throws IOException {
         StubHost.readHead(watch.getInputStream());
-        write(watch, list);
+        writeResponse(watch, list);
     }
 
-    private static void write(Socket watch, String list) throws IOException {
+    private static void writeResponse(Socket watch, String list) throws IOException {
         watch.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
             .getBytes(StandardCharsets.UTF_8));
     }
 
     /** Guards the rule on drains in the same way: the list stands unread in the agent's socket. */
     @Test
-    void aDrainThatCameDuringAPauseBindsTheSendsAfterIt() throws Exception {
-        warmUp(4);
+    void drainingThatArrivesDuringAPauseIsReadBeforeSending() throws Exception {
+        deliverInSequence(4);
         try (ServerSocket agent = new ServerSocket(0, 8, Platform.LOOPBACK)) {
             Config moved = platform.configWithDiscoveryAt(agent.getLocalPort());
-            inOnePass(() -> loop.reconfigure(moved));
+            inOneIteration(() -> driver.reconfigure(moved));
             Socket watch = agent.accept();
-            answer(watch, Platform.listJson(2, false));
+            respondToNextRequest(watch, Platform.listJson(2, false));
             // The next call waits, and its answer comes while the thread is held up.
             StubHost.readHead(watch.getInputStream());
-            inOnePass(() -> {
-                loop.accept(message("b"), client("b"));
-                write(watch, Platform.listJson(3, false, Platform.hostJson("s-1", host.port(), 7, "draining")));
+            inOneIteration(() -> {
+                driver.accept(message("b"), callback("b"));
+                writeResponse(watch, Platform.listJson(3, false, Platform.hostJson("s-1", host.port(), 7, "draining")));
             });
-            settle();
-            assertFalse(sent("b"));
+            awaitQueuedTasks();
+            assertFalse(isRecordedAsSent("b"));
             watch.close();
         }
     }
--- a/src/test/java/wrenkeel/net/EndpointHealthLogTest.java
+++ b/src/test/java/wrenkeel/net/EndpointHealthLogTest.java
@@ -21,14 +21,14 @@
     }
 
     @Test
-    void aLineNamesTheEndpointTheReasonAndTheBudget() {
+    void aLineHasTheEndpointTheReasonAndTheSlowStartBudget() {
         change(7);
         assertEquals(List.of("endpoint s-7 of destination 0: OUT, TRIAL_FAILED; "
             + "1.50 calls a second before the outage, 2 calls in the slow start window, 0.25 allowed"), lines);
     }
 
     @Test
-    void aFloodDoesNotHideWhatHappensLater() {
+    void aFloodIsLimitedAndDoesNotHideLaterChanges() {
         for (int i = 0; i < 1_000; i++) {
             change(i);
         }
--- a/src/test/java/wrenkeel/net/EventLoopLagTest.java
+++ b/src/test/java/wrenkeel/net/EventLoopLagTest.java
@@ -6,19 +6,19 @@
 import org.junit.jupiter.api.Test;
 
 class EventLoopLagTest {
-    private static final long PERIOD = 100;
+    private static final long PERIOD_MS = 100;
 
     private long nanos = 7;
-    private final EventLoopLag lag = new EventLoopLag(PERIOD, () -> nanos);
+    private final EventLoopLag lag = new EventLoopLag(PERIOD_MS, () -> nanos);
 
-    private void pass(long millis) {
+    private void advance(long millis) {
         nanos += TimeUnit.MILLISECONDS.toNanos(millis);
     }
 
     @Test
     void aPunctualLoopHasNoLag() {
         for (int i = 0; i < 20; i++) {
-            pass(PERIOD);
+            advance(PERIOD_MS);
             assertEquals(0, lag.recentMillis());
             lag.tick();
         }
@@ -26,41 +26,41 @@
 
     /** Sockets are read before the tasks that are due: the lag must show before the late tick has run. */
     @Test
-    void aPauseShowsBeforeItsTickHasRun() {
-        pass(PERIOD + 340);
+    void aPauseCountsBeforeTheLateTickHasRun() {
+        advance(PERIOD_MS + 340);
         assertEquals(340, lag.recentMillis());
     }
 
     @Test
-    void aPauseIsRememberedUntilWhatItHeldUpHasBeenRead() {
-        pass(PERIOD + 340);
+    void aPauseStaysRecentForAFewPeriods() {
+        advance(PERIOD_MS + 340);
         lag.tick();
         for (int i = 0; i < 3; i++) {
-            pass(PERIOD);
+            advance(PERIOD_MS);
             assertEquals(340, lag.recentMillis());
             lag.tick();
         }
-        pass(PERIOD);
+        advance(PERIOD_MS);
         assertEquals(0, lag.recentMillis());
     }
 
     @Test
-    void aWaitForAnotherReasonCountsAsAPauseDoes() {
+    void aRecordedDelayCountsLikeAPause() {
         lag.recordDelay(TimeUnit.MILLISECONDS.toNanos(250));
         assertEquals(250, lag.recentMillis());
-        pass(PERIOD);
+        advance(PERIOD_MS);
         lag.tick();
         assertEquals(250, lag.recentMillis());
     }
 
     @Test
-    void theWorstPauseCounts() {
-        pass(PERIOD + 340);
+    void theLongestRecentPauseCounts() {
+        advance(PERIOD_MS + 340);
         lag.tick();
-        pass(PERIOD + 20);
+        advance(PERIOD_MS + 20);
         lag.tick();
         assertEquals(340, lag.recentMillis());
-        pass(PERIOD + 900);
+        advance(PERIOD_MS + 900);
         assertEquals(900, lag.recentMillis());
     }
 }
--- a/src/test/java/wrenkeel/net/HangupSignalTest.java
+++ b/src/test/java/wrenkeel/net/HangupSignalTest.java
@@ -9,13 +9,13 @@
 class HangupSignalTest {
     /** Guards against an end at SIGHUP, which would be a crash: without a handler this test's process dies too. */
     @Test
-    void aHangupIsHeardEachTime() throws Exception {
-        Semaphore heard = new Semaphore(0);
-        HangupSignal.setHandler(heard::release);
+    void theHandlerRunsOnEachHangup() throws Exception {
+        Semaphore received = new Semaphore(0);
+        HangupSignal.setHandler(received::release);
         Class<?> signal = Class.forName("sun.misc.Signal");
         for (int i = 0; i < 2; i++) {
             signal.getMethod("raise", signal).invoke(null, signal.getConstructor(String.class).newInstance("HUP"));
-            assertTrue(heard.tryAcquire(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS));
+            assertTrue(received.tryAcquire(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
     }
 }
--- a/src/test/java/wrenkeel/net/LingeringCloseTest.java
+++ b/src/test/java/wrenkeel/net/LingeringCloseTest.java
@@ -24,51 +24,51 @@
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class LingeringCloseTest {
     /** ms; longer than the test, so that nothing ends by time. */
-    private static final long ENDLESS = 3_600_000;
+    private static final long LONGER_THAN_TEST_MS = 3_600_000;
     /** More than one read takes: bytes are unread as the error is answered. */
-    private static final String MUCH = "x".repeat(60_000);
-    private static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n";
+    private static final String MORE_THAN_ONE_READ = "x".repeat(60_000);
+    private static final String HEALTH_REQUEST = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n";
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final EventLoop thread = group.next();
-    private final ConnectionLimiter callers = new ConnectionLimiter(10);
+    private final EventLoop eventLoop = group.next();
+    private final ConnectionLimiter limiter = new ConnectionLimiter(10);
     /** What came through to the handlers behind. */
-    private final BlockingQueue<String> read = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> receivedTexts = new LinkedBlockingQueue<>();
 
     @AfterEach
-    void end() {
+    void tearDown() {
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
 
     /** Answers each read with "ok" and closes. */
-    private final class Answerer extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class RespondAndClose extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf bytes) {
-            read.add(bytes.toString(StandardCharsets.US_ASCII));
+            receivedTexts.add(bytes.toString(StandardCharsets.US_ASCII));
             context.writeAndFlush(context.alloc().buffer().writeBytes(new byte[] {'o', 'k'}));
             context.channel().close();
         }
     }
 
-    private SocketPair lingering(long millis) throws IOException {
-        return new SocketPair(new LingeringClose(callers, millis), new Answerer());
+    private SocketPair lingeringPair(long millis) throws IOException {
+        return new SocketPair(new LingeringClose(limiter, millis), new RespondAndClose());
     }
 
-    private int size() throws Exception {
-        return thread.submit(callers::size).get();
+    private int connectionCount() throws Exception {
+        return eventLoop.submit(limiter::size).get();
     }
 
     /** Guards the response: a close over unread bytes resets the connection under a peer that still sends. */
     @ParameterizedTest
     @ValueSource(strings = {"nonsense\r\n\r\n", "POST /bill HTTP/1.1\r\nContent-Length: 70000\r\n\r\n",
         "GET /bill HTTP/1.1\r\nHost: a\r\n\r\n", "GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"})
-    void aPeerThatStillSendsIsNotReset(String request) throws Exception {
-        try (SocketPair pair = new SocketPair(new Server(callers, ENDLESS))) {
-            pair.send(request + MUCH);
-            pair.register(thread);
+    void aPeerThatIsStillSendingIsNotReset(String request) throws Exception {
+        try (SocketPair pair = new SocketPair(new Server(limiter, LONGER_THAN_TEST_MS))) {
+            pair.send(request + MORE_THAN_ONE_READ);
+            pair.register(eventLoop);
             assertNotNull(pair.readStatus());
             assertTrue(pair.readsEndOfStream());
-            pair.awaitRelease(thread);
+            pair.awaitRelease(eventLoop);
             for (int i = 0; i < 3; i++) {
                 pair.client.getOutputStream().write(new byte[10_000]);
             }
@@ -79,17 +79,17 @@
 
     /** Guards against a lost message: a request that crosses the idle time-out is neither served nor reset. */
     @Test
-    void aRequestThatCrossesTheIdleTimeOutIsDiscarded() throws Exception {
-        try (SocketPair pair = new SocketPair(new Server(callers, ENDLESS))) {
-            pair.send(HEALTH);
-            pair.register(thread);
+    void aRequestSentAfterTheIdleTimeoutIsDiscarded() throws Exception {
+        try (SocketPair pair = new SocketPair(new Server(limiter, LONGER_THAN_TEST_MS))) {
+            pair.send(HEALTH_REQUEST);
+            pair.register(eventLoop);
             assertEquals("200", pair.readStatus());
             ChannelHandlerContext deadline = pair.channel.pipeline().context(RequestDeadline.class);
-            thread.submit(() -> ((RequestDeadline) deadline.handler()).expire(deadline)).get();
+            eventLoop.submit(() -> ((RequestDeadline) deadline.handler()).expire(deadline)).get();
             assertTrue(pair.readsEndOfStream());
-            pair.awaitRelease(thread);
+            pair.awaitRelease(eventLoop);
             for (int i = 0; i < 3; i++) {
-                pair.client.getOutputStream().write(HEALTH.getBytes(StandardCharsets.US_ASCII));
+                pair.client.getOutputStream().write(HEALTH_REQUEST.getBytes(StandardCharsets.US_ASCII));
             }
             pair.client.shutdownOutput();
             pair.channel.closeFuture().sync();
@@ -99,30 +99,30 @@
 
     /** Guards against a lost message: what comes after the shutdown is not passed on. */
     @Test
-    void whatComesAfterTheShutdownIsDiscarded() throws Exception {
-        try (SocketPair pair = lingering(ENDLESS)) {
-            pair.register(thread);
+    void inputAfterTheOutputShutdownIsDiscarded() throws Exception {
+        try (SocketPair pair = lingeringPair(LONGER_THAN_TEST_MS)) {
+            pair.register(eventLoop);
             pair.send("a");
             assertEquals('o', pair.client.getInputStream().read());
             assertEquals('k', pair.client.getInputStream().read());
             assertTrue(pair.readsEndOfStream());
-            pair.client.getOutputStream().write(MUCH.getBytes(StandardCharsets.US_ASCII));
+            pair.client.getOutputStream().write(MORE_THAN_ONE_READ.getBytes(StandardCharsets.US_ASCII));
             pair.client.shutdownOutput();
             // The peer's end is read behind the bytes.
             pair.channel.closeFuture().sync();
         }
-        assertEquals("a", read.take());
-        assertTrue(read.isEmpty());
+        assertEquals("a", receivedTexts.take());
+        assertTrue(receivedTexts.isEmpty());
     }
 
     /** Guards the CPU and the descriptors: a peer that goes on sending is neither heard out nor kept. */
     @Test
-    void aPeerThatGoesOnSendingIsReset() throws Exception {
-        try (SocketPair pair = lingering(200)) {
-            pair.register(thread);
+    void aPeerThatKeepsSendingIsReset() throws Exception {
+        try (SocketPair pair = lingeringPair(200)) {
+            pair.register(eventLoop);
             assertThrows(SocketException.class, () -> {
                 while (true) {
-                    pair.client.getOutputStream().write(MUCH.getBytes(StandardCharsets.US_ASCII));
+                    pair.client.getOutputStream().write(MORE_THAN_ONE_READ.getBytes(StandardCharsets.US_ASCII));
                 }
             });
             pair.channel.closeFuture().sync();
@@ -132,34 +132,34 @@
     /** Guards the silent peer's deadline and the places: nothing was written, so there is nothing to wait for. */
     @Test
     void aConnectionWithoutAResponseIsClosedAtOnce() throws Exception {
-        try (SocketPair pair = lingering(ENDLESS)) {
-            pair.register(thread);
+        try (SocketPair pair = lingeringPair(LONGER_THAN_TEST_MS)) {
+            pair.register(eventLoop);
             pair.channel.close().sync();
             assertTrue(pair.readsEndOfStream());
         }
     }
 
     @Test
-    void aLingeringConnectionHoldsAPlaceAndIsTheFirstToGiveWay() throws Exception {
-        ConnectionLimiter three = new ConnectionLimiter(3);
-        try (SocketPair quiet = new SocketPair(); SocketPair lingers = new SocketPair(new LingeringClose(three, ENDLESS));
+    void aLingeringConnectionCountsAsOpenAndIsEvictedFirst() throws Exception {
+        ConnectionLimiter limitOfThree = new ConnectionLimiter(3);
+        try (SocketPair silent = new SocketPair(); SocketPair lingering = new SocketPair(new LingeringClose(limitOfThree, LONGER_THAN_TEST_MS));
              SocketPair newcomer = new SocketPair()) {
-            for (SocketPair pair : new SocketPair[] {quiet, lingers, newcomer}) {
-                pair.register(thread);
+            for (SocketPair pair : new SocketPair[] {silent, lingering, newcomer}) {
+                pair.register(eventLoop);
             }
-            thread.submit(() -> {
-                three.connected(quiet.channel);
-                three.awaitingRequest(quiet.channel);
-                three.connected(lingers.channel);
-                three.awaitingRequest(lingers.channel);
-                lingers.channel.writeAndFlush(lingers.channel.alloc().buffer().writeByte('a'));
-                lingers.channel.close();
-                assertTrue(lingers.channel.isOpen());
-                assertEquals(2, three.size());
-                three.setMaxConnections(2);
-                three.connected(newcomer.channel);
-                assertFalse(lingers.channel.isOpen());
-                assertTrue(quiet.channel.isOpen());
+            eventLoop.submit(() -> {
+                limitOfThree.connected(silent.channel);
+                limitOfThree.awaitingRequest(silent.channel);
+                limitOfThree.connected(lingering.channel);
+                limitOfThree.awaitingRequest(lingering.channel);
+                lingering.channel.writeAndFlush(lingering.channel.alloc().buffer().writeByte('a'));
+                lingering.channel.close();
+                assertTrue(lingering.channel.isOpen());
+                assertEquals(2, limitOfThree.size());
+                limitOfThree.setMaxConnections(2);
+                limitOfThree.connected(newcomer.channel);
+                assertFalse(lingering.channel.isOpen());
+                assertTrue(silent.channel.isOpen());
                 assertTrue(newcomer.channel.isOpen());
             }).get();
         }
@@ -167,14 +167,14 @@
 
     /** Guards the orderly end, which waits until no connection is left. */
     @Test
-    void aPeerThatKeepsItsSideOpenDoesNotHoldItsPlaceForLong() throws Exception {
-        try (SocketPair pair = new SocketPair(new Server(callers))) {
-            pair.send(HEALTH.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
-            pair.register(thread);
+    void aPeerThatKeepsItsSideOpenIsRemovedAfterTheLingerTime() throws Exception {
+        try (SocketPair pair = new SocketPair(new Server(limiter))) {
+            pair.send(HEALTH_REQUEST.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
+            pair.register(eventLoop);
             assertEquals("200", pair.readStatus());
             assertTrue(pair.readsEndOfStream());
             pair.channel.closeFuture().sync();
-            while (size() > 0) {
+            while (connectionCount() > 0) {
                 Thread.onSpinWait();
             }
         }
--- a/src/test/java/wrenkeel/net/ListOnlyRelayTest.java
+++ b/src/test/java/wrenkeel/net/ListOnlyRelayTest.java
@@ -22,71 +22,71 @@
 class ListOnlyRelayTest {
     @TempDir
     Path folder;
-    private final BlockingQueue<Long> inForce = new LinkedBlockingQueue<>();
-    private final MultiThreadIoEventLoopGroup threads = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+    private final BlockingQueue<Long> loadedVersions = new LinkedBlockingQueue<>();
+    private final MultiThreadIoEventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     private Platform platform;
 
     @BeforeEach
-    void begin() throws Exception {
+    void setUp() throws Exception {
         platform = new Platform(folder);
         platform.writeConfig();
     }
 
     @AfterEach
-    void end() {
-        threads.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
+    void tearDown() {
+        eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
         platform.close();
     }
 
-    private ListOnlyRelay relay() {
-        return new ListOnlyRelay(threads.next(), platform.environment(), inForce::add);
+    private ListOnlyRelay newRelay() {
+        return new ListOnlyRelay(eventLoops.next(), platform.environment(), loadedVersions::add);
     }
 
     /** Waits for a version; those before it may come too. */
-    private void awaitInForce(long version) throws InterruptedException {
+    private void awaitVersion(long version) throws InterruptedException {
         Long next;
         do {
-            next = inForce.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            next = loadedVersions.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS);
             assertNotNull(next, "version " + version + " never in force");
         } while (next < version);
         assertEquals(version, next);
     }
 
-    private void answerAtOnce(String list) {
+    private void setImmediateResponse(String list) {
         platform.immediateResponses.clear();
         platform.immediateResponses.add(list);
     }
 
     @Test
-    void aListAndThenItsChangeComeIntoForce() throws Exception {
-        answerAtOnce(listJson(41, true, hostJson("s-1", 9, 7, "ready")));
-        ListOnlyRelay relay = relay();
+    void aListAndThenItsChangeAreApplied() throws Exception {
+        setImmediateResponse(listJson(41, true, hostJson("s-1", 9, 7, "ready")));
+        ListOnlyRelay relay = newRelay();
         relay.start().get();
-        awaitInForce(41);
+        awaitVersion(41);
         platform.watchResponses.add(listJson(43, false, hostJson("s-1", 9, 7, "draining")));
-        awaitInForce(43);
+        awaitVersion(43);
         assertEquals(43, relay.version());
     }
 
     @Test
-    void afterItsEndAnotherOneBeginsInItsFolderWithNothing() throws Exception {
-        answerAtOnce(listJson(41, true));
-        ListOnlyRelay first = relay();
+    void aSuccessorInTheSameFolderStartsFromTheConfiguredList() throws Exception {
+        setImmediateResponse(listJson(41, true));
+        ListOnlyRelay first = newRelay();
         first.start().get();
-        awaitInForce(41);
+        awaitVersion(41);
         first.stop().get();
         platform.listQueries.clear();
-        ListOnlyRelay second = relay();
+        ListOnlyRelay second = newRelay();
         second.start().get();
-        awaitInForce(41);
+        awaitVersion(41);
         assertTrue(platform.listQueries.contains("after=1&wait_ms=1"), "it goes on from its configuration's list");
         assertEquals("journal.2", Platform.journalFile(folder.resolve("state")).getFileName().toString());
         assertFalse(Files.exists(folder.resolve("state/journal.1")), "taken over, so that the folder cannot fill");
     }
 
     @Test
-    void aReloadIsTakenWholeOrNotAtAll() throws Exception {
-        ListOnlyRelay relay = relay();
+    void aReloadIsAppliedWholeOrNotAtAll() throws Exception {
+        ListOnlyRelay relay = newRelay();
         relay.start().get();
         relay.reload().get();
         Files.writeString(folder.resolve("config.json"), "{");
--- a/src/test/java/wrenkeel/net/NoSocketAtStartTest.java
+++ b/src/test/java/wrenkeel/net/NoSocketAtStartTest.java
@@ -22,20 +22,20 @@
     private StubHost host;
 
     @BeforeEach
-    void begin() throws Exception {
+    void setUp() throws Exception {
         platform = new Platform(folder);
         host = new StubHost();
     }
 
     @AfterEach
-    void end() throws Exception {
+    void tearDown() throws Exception {
         host.close();
         platform.close();
     }
 
     /** Guards against a refused start, and with it what the folder holds. */
     @Test
-    void aStartTriesAgainToListen() throws Exception {
+    void aStartRetriesToListenUntilASocketOpens() throws Exception {
         Config config = platform.writeConfig(Platform.hostJson("s-1", host.port(), 7, "ready"));
         try (Journal journal = platform.openJournal()) {
             journal.take(new Message("a", "bill", 0, null, "key-a", 7, System.currentTimeMillis() + 60_000,
--- a/src/test/java/wrenkeel/net/NodeTest.java
+++ b/src/test/java/wrenkeel/net/NodeTest.java
@@ -19,7 +19,7 @@
 /** The whole relay over loopback sockets: one test for each way in which it could go wrong. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class NodeTest {
-    private static final String TAKEN = "HTTP/1.1 202 Accepted";
+    private static final String ACCEPTED = "HTTP/1.1 202 Accepted";
 
     @TempDir
     Path folder;
@@ -27,31 +27,31 @@
     private StubHost host;
 
     @BeforeEach
-    void begin() throws IOException {
+    void setUp() throws IOException {
         platform = new Platform(folder);
         host = new StubHost();
     }
 
     @AfterEach
-    void end() throws IOException {
+    void tearDown() throws IOException {
         host.close();
         platform.close();
     }
 
-    private Node relay() throws Exception {
+    private Node startRelay() throws Exception {
         return platform.startRelay(hostJson("s-1", host.port(), 7, "ready"));
     }
 
-    private void awaitClosedJournal(Node relay) throws Exception {
+    private void awaitIdle(Node relay) throws Exception {
         while (!relay.isIdle()) {
             Thread.sleep(5);
         }
     }
 
     @Test
-    void aMessageGoesOnUnchangedOverAKeptConnection() throws Exception {
-        try (Node relay = relay(); var client = new Platform.Client(relay)) {
-            assertEquals(TAKEN, client.post("a", "bill", 7, 16_000).get(0));
+    void aMessageIsForwardedUnchangedAndItsConnectionIsReused() throws Exception {
+        try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
+            assertEquals(ACCEPTED, client.post("a", "bill", 7, 16_000).get(0));
             StubHost.Call first = host.nextCall();
             assertEquals("POST /v1/messages HTTP/1.1", first.head().get(0));
             assertEquals("a", first.header("X-Request-ID"));
@@ -59,8 +59,8 @@
             assertEquals("bill \u00e4\0 of a", first.body());
             assertTrue(Long.parseLong(first.header("X-Timeout-Ms")) > 0);
             first.respond(StubHost.OK);
-            awaitClosedJournal(relay);
-            assertEquals(TAKEN, client.post("b", "bill", 7, 16_000).get(0));
+            awaitIdle(relay);
+            assertEquals(ACCEPTED, client.post("b", "bill", 7, 16_000).get(0));
             // Guards against a handshake for each message.
             assertSame(first.socket(), host.nextCall().socket());
         }
@@ -68,22 +68,22 @@
 
     /** Guards destinations that count calls: what one turn sends to a host of such a kind travels as one. */
     @Test
-    void messagesThatWaitedGoOutTogetherWhereTheKindTakesBundles() throws Exception {
+    void queuedMessagesAreSentInOneCallToAHostKindThatTakesBatches() throws Exception {
         try (Node relay = platform.startRelay(hostJson("s-1", "m3", host.port(), 7, "ready"));
                 var client = new Platform.Client(relay)) {
             for (String id : List.of("a", "b", "c")) {
-                assertEquals(TAKEN, client.post(id, "bill", 7, 16_000).get(0));
+                assertEquals(ACCEPTED, client.post(id, "bill", 7, 16_000).get(0));
             }
             StubHost.Call first = host.nextCall();
             assertEquals("a", first.header("X-Request-ID"));
             first.respond(StubHost.OK);
-            StubHost.Call bundle = host.nextCall();
-            assertEquals("POST /v1/messages:batch HTTP/1.1", bundle.head().get(0));
-            assertTrue(bundle.body().contains("\"id\":\"b\",\"key\":\"key-b\""), bundle.body());
-            assertTrue(bundle.body().contains("\"id\":\"c\",\"key\":\"key-c\""), bundle.body());
+            StubHost.Call batch = host.nextCall();
+            assertEquals("POST /v1/messages:batch HTTP/1.1", batch.head().get(0));
+            assertTrue(batch.body().contains("\"id\":\"b\",\"key\":\"key-b\""), batch.body());
+            assertTrue(batch.body().contains("\"id\":\"c\",\"key\":\"key-c\""), batch.body());
             String states = "[{\"id\":\"b\",\"state\":\"accepted\"},{\"id\":\"c\",\"state\":\"accepted\"}]";
-            bundle.respond("HTTP/1.1 200 OK\r\nContent-Length: " + states.length() + "\r\n\r\n" + states);
-            awaitClosedJournal(relay);
+            batch.respond("HTTP/1.1 200 OK\r\nContent-Length: " + states.length() + "\r\n\r\n" + states);
+            awaitIdle(relay);
             assertTrue(host.hasNoCalls());
         }
         assertTrue(platform.notices.isEmpty(), "delivered, so no notice");
@@ -91,22 +91,22 @@
 
     /** Guards messages of several lives in one call: it must not be over with the first of them. */
     @Test
-    void aBundleBeginsWithTheMessageThatHasMostTimeLeft() throws Exception {
+    void aBatchBeginsWithTheMessageWithTheLatestDeadline() throws Exception {
         try (Node relay = platform.startRelay(hostJson("s-1", "m3", host.port(), 7, "ready"));
                 var client = new Platform.Client(relay)) {
-            assertEquals(TAKEN, client.post("a", "bill", 7, 16_000).get(0));
+            assertEquals(ACCEPTED, client.post("a", "bill", 7, 16_000).get(0));
             StubHost.Call first = host.nextCall();
-            assertEquals(TAKEN, client.post("short", "bill", 7, 15_500).get(0));
-            assertEquals(TAKEN, client.post("long", "bill", 7, 16_000).get(0));
+            assertEquals(ACCEPTED, client.post("short", "bill", 7, 15_500).get(0));
+            assertEquals(ACCEPTED, client.post("long", "bill", 7, 16_000).get(0));
             first.respond(StubHost.OK);
-            String bundle = host.nextCall().body();
-            assertTrue(bundle.startsWith("[{\"id\":\"long\"") && bundle.contains("\"id\":\"short\""), bundle);
+            String batch = host.nextCall().body();
+            assertTrue(batch.startsWith("[{\"id\":\"long\"") && batch.contains("\"id\":\"short\""), batch);
         }
     }
 
     @Test
-    void healthIsToldAndBadRequestsAreTurnedAwayAndNotWrittenDown() throws Exception {
-        try (Node relay = relay()) {
+    void healthChecksAreAnsweredAndInvalidRequestsRejectedWithoutJournaling() throws Exception {
+        try (Node relay = startRelay()) {
             long before = Files.size(platform.journalFile());
             List<String> good = Platform.Client.headers("x", "bill", 7, 900);
             try (var client = new Platform.Client(relay)) {
@@ -145,33 +145,33 @@
 
     /** Guards the cap on messages held: the client is told to come back, not left waiting. */
     @Test
-    void aboveTheOpenCapAMessageIsRefusedWithATimeToComeBack() throws Exception {
-        try (Node relay = relay(); var client = new Platform.Client(relay)) {
+    void aMessageAboveTheLimitOfOpenMessagesIsRefused() throws Exception {
+        try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
             // The module gives back one that it may when the cap is reached, so unsafe ones that are out hold it.
-            int taken = 0;
+            int acceptedCount = 0;
             List<String> answer = client.post("m0", "pay", 7, 16_000);
-            while (answer.get(0).equals(TAKEN) && taken < 20) {
-                taken++;
-                answer = client.post("m" + taken, "pay", 7, 16_000);
+            while (answer.get(0).equals(ACCEPTED) && acceptedCount < 20) {
+                acceptedCount++;
+                answer = client.post("m" + acceptedCount, "pay", 7, 16_000);
             }
-            assertTrue(taken >= 3 && taken <= 4, taken + " were taken");
+            assertTrue(acceptedCount >= 3 && acceptedCount <= 4, acceptedCount + " were taken");
             assertTrue(answer.get(0).startsWith("HTTP/1.1 503 "), answer.get(0));
         }
     }
 
     /** Guards against a lost end: the notice is posted until the platform acknowledges it. */
     @Test
-    void aMessageThatIsGivenUpEndsByANoticeThatIsRepeatedUntilItIsAcknowledged() throws Exception {
+    void theNoticeOfAFailedMessageIsRepeatedUntilAcknowledged() throws Exception {
         platform.noticeStatuses.add(500);
         platform.noticeStatuses.add(503);
-        try (Node relay = relay(); var client = new Platform.Client(relay)) {
-            assertEquals(TAKEN, client.post("a", "bill", 7, 300).get(0));
+        try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
+            assertEquals(ACCEPTED, client.post("a", "bill", 7, 300).get(0));
             assertNotNull(host.nextCall());
             String notice = "{\"message\":\"a\",\"outcome\":\"given_up\"}";
             for (int i = 0; i < 3; i++) {
                 assertEquals(notice, platform.nextNotice());
             }
-            awaitClosedJournal(relay);
+            awaitIdle(relay);
         }
         try (Journal journal = platform.openJournal()) {
             assertTrue(journal.owed().isEmpty());
@@ -180,12 +180,12 @@
 
     /** Guards the ends of all messages against one whose notice the platform cannot read. */
     @Test
-    void aNoticeThatCannotBeReadHoldsUpNoOther() throws Exception {
+    void aNoticeThatThePlatformRejectsDoesNotBlockOthers() throws Exception {
         platform.rejectedText = "\"bad\"";
-        try (Node relay = relay(); var client = new Platform.Client(relay)) {
-            assertEquals(TAKEN, client.post("bad", "bill", 7, 300).get(0));
+        try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
+            assertEquals(ACCEPTED, client.post("bad", "bill", 7, 300).get(0));
             assertEquals("{\"message\":\"bad\",\"outcome\":\"given_up\"}", platform.nextNotice());
-            assertEquals(TAKEN, client.post("good", "bill", 7, 300).get(0));
+            assertEquals(ACCEPTED, client.post("good", "bill", 7, 300).get(0));
             long by = System.nanoTime() + TimeUnit.SECONDS.toNanos(Platform.TIMEOUT_SECONDS);
             while (ConsoleTest.metrics(relay).object("failed").whole("bill") == 0 && System.nanoTime() < by) {
                 Thread.sleep(5);
@@ -198,42 +198,42 @@
 
     /** Guards what is owed against a kill: keyed messages go out again, with the same id, key and body. */
     @Test
-    void aKeyedMessageThatWasOutIsSentAgainAfterARestart() throws Exception {
+    void aKeyedMessageThatWasInFlightIsSentAgainAfterARestart() throws Exception {
         StubHost.Call before;
-        try (Node relay = relay(); var client = new Platform.Client(relay)) {
-            assertEquals(TAKEN, client.post("a", "bill", 7, 16_000).get(0));
+        try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
+            assertEquals(ACCEPTED, client.post("a", "bill", 7, 16_000).get(0));
             before = host.nextCall();
         }
-        try (Node relay = relay()) {
+        try (Node relay = startRelay()) {
             StubHost.Call after = host.nextCall();
             assertEquals("a", after.header("X-Request-ID"));
             assertEquals("key-a", after.header("Idempotency-Key"));
             assertEquals(before.body(), after.body());
             after.respond(StubHost.OK);
-            awaitClosedJournal(relay);
+            awaitIdle(relay);
         }
         assertTrue(platform.notices.isEmpty(), "delivered, so no notice");
     }
 
     /** Guards against double effects: an unsafe call that was out at the kill may have run. */
     @Test
-    void anUnsafeMessageThatWasOutIsGivenUpAfterARestart() throws Exception {
-        try (Node relay = relay(); var client = new Platform.Client(relay)) {
-            assertEquals(TAKEN, client.post("a", "pay", 7, 16_000).get(0));
+    void anUnsafeMessageThatWasInFlightFailsAfterARestart() throws Exception {
+        try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
+            assertEquals(ACCEPTED, client.post("a", "pay", 7, 16_000).get(0));
             assertNotNull(host.nextCall());
         }
-        try (Node relay = relay()) {
+        try (Node relay = startRelay()) {
             assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", platform.nextNotice());
-            awaitClosedJournal(relay);
+            awaitIdle(relay);
             assertTrue(host.hasNoCalls());
         }
     }
 
     /** An unsafe message whose only call was turned away never ran: it goes out after a restart. */
     @Test
-    void anUnsafeMessageThatNeverRanIsSentAfterARestart() throws Exception {
-        try (Node relay = relay(); var client = new Platform.Client(relay)) {
-            assertEquals(TAKEN, client.post("a", "pay", 7, 60_000).get(0));
+    void anUnsafeMessageThatNeverRanIsSentAgainAfterARestart() throws Exception {
+        try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
+            assertEquals(ACCEPTED, client.post("a", "pay", 7, 60_000).get(0));
             StubHost.Call call = host.nextCall();
             long before = Files.size(platform.journalFile());
             call.respond("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 50.5\r\nContent-Length: 0\r\n\r\n");
@@ -241,29 +241,29 @@
                 Thread.sleep(5);
             }
         }
-        try (Node relay = relay()) {
+        try (Node relay = startRelay()) {
             assertFalse(relay.isIdle());
             assertEquals("a", host.nextCall().header("X-Request-ID"));
         }
     }
 
     @Test
-    void aMessageWhoseTimePassedWhileTheRelayWasDownStillGetsItsNotice() throws Exception {
-        try (Node relay = relay(); var client = new Platform.Client(relay)) {
-            assertEquals(TAKEN, client.post("a", "bill", 7, 400).get(0));
+    void aMessageThatExpiredWhileTheRelayWasDownStillGetsItsNotice() throws Exception {
+        try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
+            assertEquals(ACCEPTED, client.post("a", "bill", 7, 400).get(0));
             assertNotNull(host.nextCall());
         }
         Thread.sleep(400);
-        try (Node relay = relay()) {
+        try (Node relay = startRelay()) {
             assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", platform.nextNotice());
-            awaitClosedJournal(relay);
+            awaitIdle(relay);
         }
     }
 
     /** Guards the rule on drains: a host that the watch calls draining gets nothing new. */
     @Test
-    void aDrainingHostGetsNothingNewAndItsReplacementDoes() throws Exception {
-        try (StubHost other = new StubHost(); Node relay = relay(); var client = new Platform.Client(relay)) {
+    void aDrainingHostReceivesNoNewMessagesAndItsReplacementDoes() throws Exception {
+        try (StubHost other = new StubHost(); Node relay = startRelay(); var client = new Platform.Client(relay)) {
             platform.watchResponses.add(listJson(2, false, hostJson("s-1", host.port(), 7, "draining"),
                 hostJson("s-2", other.port(), 7, "ready")));
             // The third watch is only asked for once the second list has been taken in.
@@ -272,9 +272,9 @@
                 Thread.sleep(5);
             }
             for (int i = 0; i < 3; i++) {
-                assertEquals(TAKEN, client.post("m" + i, "bill", 7, 16_000).get(0));
+                assertEquals(ACCEPTED, client.post("m" + i, "bill", 7, 16_000).get(0));
                 other.nextCall().respond(StubHost.OK);
-                awaitClosedJournal(relay);
+                awaitIdle(relay);
             }
             assertTrue(host.hasNoCalls());
         }
@@ -282,20 +282,20 @@
 
     /** Guards the rule on drains at a restart: what the agent has binds before it has been asked. */
     @Test
-    void aProcessThatStartsSendsNothingByAnOldListWhileANewerOneIsOnItsWay() throws Exception {
-        try (Node relay = relay(); var client = new Platform.Client(relay)) {
-            assertEquals(TAKEN, client.post("a", "bill", 7, 60_000).get(0));
+    void aStartingProcessAwaitsTheCurrentListBeforeItSends() throws Exception {
+        try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
+            assertEquals(ACCEPTED, client.post("a", "bill", 7, 60_000).get(0));
             assertNotNull(host.nextCall());
         }
         platform.immediateResponses.clear();
         try (StubHost other = new StubHost()) {
             platform.immediateResponses.add(listJson(2, false, hostJson("s-1", host.port(), 7, "draining"),
                 hostJson("s-2", other.port(), 7, "ready")));
-            try (Node relay = relay()) {
+            try (Node relay = startRelay()) {
                 StubHost.Call call = other.nextCall();
                 assertNotNull(call, "sent by the list of before");
                 call.respond(StubHost.OK);
-                awaitClosedJournal(relay);
+                awaitIdle(relay);
                 assertTrue(host.hasNoCalls());
             }
         }
@@ -303,20 +303,20 @@
 
     /** Guards service against a discovery that is down at the start. */
     @Test
-    void aSilentAgentDelaysTheFirstCallForAShortTimeOnly() throws Exception {
+    void anAgentThatDoesNotRespondDelaysTheFirstCallOnlyBriefly() throws Exception {
         platform.immediateResponses.clear();
-        try (Node relay = relay(); var client = new Platform.Client(relay)) {
-            assertEquals(TAKEN, client.post("a", "bill", 7, 60_000).get(0));
+        try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
+            assertEquals(ACCEPTED, client.post("a", "bill", 7, 60_000).get(0));
             assertNotNull(host.nextCall());
         }
     }
 
     /** Guards the rule on drains: a watch that never speaks again is noticed before its silence counts as told. */
     @Test
-    void aWatchThatFallsSilentIsAskedAnewWithoutWaiting() throws Exception {
+    void afterAWatchWithoutAResponseTheListIsRequestedAtOnce() throws Exception {
         long countsAsTold = 6_000, toAskAndToStop = 1_000;
         assertTrue(Discovery.WAIT + Discovery.WAIT_SLACK + toAskAndToStop <= countsAsTold);
-        try (Node relay = relay()) {
+        try (Node relay = startRelay()) {
             assertNotNull(relay.address());
             assertEquals("after=1&wait_ms=1", platform.listQueries.take());
             assertEquals("after=1&wait_ms=" + Discovery.WAIT, platform.listQueries.take());
@@ -326,8 +326,8 @@
 
     /** Guards the watch against standing still, and against asking without a pause, after a list it cannot read. */
     @Test
-    void theWatchGoesOnAfterAListThatCannotBeRead() throws Exception {
-        try (StubHost other = new StubHost(); Node relay = relay(); var client = new Platform.Client(relay)) {
+    void theWatchContinuesAfterAListThatCannotBeParsed() throws Exception {
+        try (StubHost other = new StubHost(); Node relay = startRelay(); var client = new Platform.Client(relay)) {
             platform.watchResponses.add("{\"seq\":2,\"whole\":true,\"hosts\":[{}]}");
             platform.watchResponses.add("nonsense");
             platform.watchResponses.add(listJson(3, true, hostJson("s-2", other.port(), 8, "ready")));
@@ -335,16 +335,16 @@
             while (!platform.watchResponses.isEmpty()) {
                 Thread.sleep(5);
             }
-            assertEquals(TAKEN, client.post("a", "bill", 8, 16_000).get(0));
+            assertEquals(ACCEPTED, client.post("a", "bill", 8, 16_000).get(0));
             assertEquals("a", other.nextCall().header("X-Request-ID"));
         }
     }
 
     /** Guards against a relay that goes on listening to an agent that has been taken away. */
     @Test
-    void afterAReloadTheNewAddressTellsTheListAndGetsTheNotices() throws Exception {
+    void afterAReloadListsComeFromAndNoticesGoToTheNewAddress() throws Exception {
         Path elsewhere = Files.createDirectories(folder.resolve("elsewhere"));
-        try (StubHost other = new StubHost(); Platform next = new Platform(elsewhere); Node relay = relay();
+        try (StubHost other = new StubHost(); Platform next = new Platform(elsewhere); Node relay = startRelay();
                 var client = new Platform.Client(relay)) {
             next.writeConfig(hostJson("s-1", host.port(), 7, "ready"));
             next.watchResponses.add(listJson(2, false, hostJson("s-1", host.port(), 7, "gone"), hostJson("s-2", other.port(), 7, "ready")));
@@ -353,10 +353,10 @@
             while (!next.watchResponses.isEmpty()) {
                 Thread.sleep(5);
             }
-            assertEquals(TAKEN, client.post("a", "bill", 7, 600).get(0));
+            assertEquals(ACCEPTED, client.post("a", "bill", 7, 600).get(0));
             assertEquals("a", other.nextCall().header("X-Request-ID"));
             assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", next.nextNotice());
-            awaitClosedJournal(relay);
+            awaitIdle(relay);
         }
         assertTrue(platform.notices.isEmpty());
     }
@@ -364,24 +364,24 @@
     @Test
     void aReloadOfAnUnusableConfigurationChangesNothing() throws Exception {
         Path bad = Files.writeString(folder.resolve("bad.json"), "{\"discovery\":\"nowhere\"}");
-        try (Node relay = relay(); var client = new Platform.Client(relay)) {
+        try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
             relay.reload(Map.of("EDGE_CONFIG", bad.toString()));
             relay.reload(Map.of("EDGE_CONFIG", folder.resolve("absent").toString()));
-            assertEquals(TAKEN, client.post("a", "bill", 7, 300).get(0));
+            assertEquals(ACCEPTED, client.post("a", "bill", 7, 300).get(0));
             assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", platform.nextNotice());
         }
     }
 
     /** Guards against an end at SIGHUP: it may come as soon as the relay is seen to be ready. */
     @Test
-    void aHangupIsHeardBeforeTheDoorIsOpened() throws Exception {
+    void theHangupHandlerIsSetBeforeTheListenerOpens() throws Exception {
         Class<?> signal = Class.forName("sun.misc.Signal"), handler = Class.forName("sun.misc.SignalHandler");
         Object hangup = signal.getConstructor(String.class).newInstance("HUP");
         Object byDefault = handler.getField("SIG_DFL").get(null);
         var handle = signal.getMethod("handle", signal, handler);
         handle.invoke(null, hangup, byDefault);
-        try (var taken = new java.net.ServerSocket(0, 1, Platform.LOOPBACK)) {
-            platform.writeConfig("127.0.0.1:" + taken.getLocalPort(), new String[0]);
+        try (var acceptedCount = new java.net.ServerSocket(0, 1, Platform.LOOPBACK)) {
+            platform.writeConfig("127.0.0.1:" + acceptedCount.getLocalPort(), new String[0]);
             assertEquals(2, Node.serve(platform.environment()), "the door could not be opened");
         }
         assertNotSame(byDefault, handle.invoke(null, hangup, byDefault));
@@ -389,18 +389,18 @@
 
     /** A signal that comes late must not break the end. */
     @Test
-    void aReloadAfterTheEndIsTurnedDown() throws Exception {
-        Node relay = relay();
+    void aReloadAfterCloseIsIgnored() throws Exception {
+        Node relay = startRelay();
         relay.close();
         assertDoesNotThrow(() -> relay.reload(platform.environment()));
     }
 
     /** Guards the orderly end: clients are answered and turned away, and what is out is finished first. */
     @Test
-    void atTheOrderlyEndClientsAreServedAndCallsFinished() throws Exception {
-        Node relay = relay();
+    void shutdownAnswersClientsAndFinishesCalls() throws Exception {
+        Node relay = startRelay();
         try (var client = new Platform.Client(relay)) {
-            assertEquals(TAKEN, client.post("a", "bill", 7, 16_000).get(0));
+            assertEquals(ACCEPTED, client.post("a", "bill", 7, 16_000).get(0));
             Thread end = new Thread(relay::shutDown);
             end.start();
             List<String> health;
@@ -410,7 +410,7 @@
                 }
             } while (health.get(0).contains("200"));
             List<String> answer = client.post("b", "bill", 7, 16_000);
-            assertEquals(TAKEN, answer.get(0));
+            assertEquals(ACCEPTED, answer.get(0));
             assertTrue(answer.stream().anyMatch("connection: close"::equalsIgnoreCase), answer.toString());
             assertTrue(client.isClosed());
             host.nextCall().respond(StubHost.OK);
@@ -424,8 +424,8 @@
 
     /** Guards against a lost request: one that is half written as the door closes is read to its end and answered. */
     @Test
-    void atTheOrderlyEndARequestOnItsWayIsStillAnswered() throws Exception {
-        Node relay = relay();
+    void shutdownAnswersARequestThatIsPartlyReceived() throws Exception {
+        Node relay = startRelay();
         var address = relay.address();
         try (var half = new Platform.Client(relay); var client = new Platform.Client(relay)) {
             half.write("POST /bill HTTP/1.1\r\nHost: api.internal\r\n");
@@ -433,12 +433,12 @@
             assertEquals("HTTP/1.1 200 OK", client.exchange("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]).get(0));
             Thread end = new Thread(relay::shutDown);
             end.start();
-            while (!refused(address)) {
+            while (!isConnectionRefused(address)) {
                 Thread.onSpinWait();
             }
             half.write(String.join("\r\n", Platform.Client.headers("a", "bill", 7, 16_000))
                 + "\r\nContent-Length: 0\r\n\r\n");
-            assertEquals(TAKEN, half.readResponseHead().get(0));
+            assertEquals(ACCEPTED, half.readResponseHead().get(0));
             assertTrue(half.isClosed());
             host.nextCall().respond(StubHost.OK);
             end.join();
@@ -446,7 +446,7 @@
     }
 
     /** True once nobody listens there; a connection that still comes up is left to the relay to close. */
-    private static boolean refused(java.net.InetSocketAddress address) throws IOException {
+    private static boolean isConnectionRefused(java.net.InetSocketAddress address) throws IOException {
         try (var probe = new Platform.Client(address)) {
             probe.exchange("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]);
             return false;
@@ -458,7 +458,7 @@
     }
 
     @Test
-    void anUnusableConfigurationIsOnePlainLine() throws IOException {
+    void anUnusableConfigurationIsReportedInOneLine() throws IOException {
         assertThrows(Config.Unusable.class, () -> Config.read(Map.of()));
         Path file = Files.writeString(folder.resolve("bad.json"), "{\"listen\":");
         var fault = assertThrows(Config.Unusable.class,
@@ -471,11 +471,11 @@
         assertEquals(2, Node.serve(Map.of()));
     }
 
-    private Config shared() throws Exception {
-        return shared(platform.freePort());
+    private Config configWithSharedPort() throws Exception {
+        return configWithSharedPort(platform.freePort());
     }
 
-    private Config shared(int port) throws Exception {
+    private Config configWithSharedPort(int port) throws Exception {
         return platform.writeConfig("127.0.0.1:" + port, new String[] {hostJson("s-1", host.port(), 7, "ready")});
     }
 
@@ -487,21 +487,21 @@
 
     /** Guards messages across a replacement: what is out ends in the old process, the rest in the new one. */
     @Test
-    void aProcessThatStandsByTakesOverWhatIsNotOut() throws Exception {
+    void aStandbyProcessTakesOverMessagesThatAreNotInFlight() throws Exception {
         int port = platform.freePort();
-        Config config = shared(port);
+        Config config = configWithSharedPort(port);
         Node old = new Node(config);
         try (var client = new Platform.Client(old)) {
-            assertEquals(TAKEN, client.post("a", "bill", 7, 60_000).get(0));
+            assertEquals(ACCEPTED, client.post("a", "bill", 7, 60_000).get(0));
             StubHost.Call out = host.nextCall();
-            assertEquals(TAKEN, client.post("b", "bill", 7, 60_000).get(0));
+            assertEquals(ACCEPTED, client.post("b", "bill", 7, 60_000).get(0));
             try (Node next = new Node(config)) {
                 awaitReady(next);
                 assertTrue(host.hasNoCalls(), "one process decides");
                 Thread end = new Thread(old::shutDown);
                 end.start();
                 try (var late = new Platform.Client(new java.net.InetSocketAddress(Platform.LOOPBACK, port))) {
-                    assertEquals(TAKEN, late.post("c", "bill", 7, 60_000).get(0));
+                    assertEquals(ACCEPTED, late.post("c", "bill", 7, 60_000).get(0));
                 }
                 // The old process's call counts against the window, so the new one sends after it.
                 out.respond(StubHost.OK);
@@ -513,7 +513,7 @@
                 }
                 assertEquals(List.of("b", "c"), sent.stream().sorted().toList());
                 end.join();
-                awaitClosedJournal(next);
+                awaitIdle(next);
             }
         }
         assertTrue(platform.notices.isEmpty(), "all were delivered");
@@ -522,11 +522,11 @@
 
     /** Guards what is owed when the old process is killed before it was told to leave. */
     @Test
-    void aProcessThatStandsByTakesOverFromOneThatWasKilled() throws Exception {
-        Config config = shared();
+    void aStandbyProcessTakesOverFromAKilledProcess() throws Exception {
+        Config config = configWithSharedPort();
         Node old = new Node(config);
         try (var client = new Platform.Client(old)) {
-            assertEquals(TAKEN, client.post("a", "bill", 7, 60_000).get(0));
+            assertEquals(ACCEPTED, client.post("a", "bill", 7, 60_000).get(0));
             assertNotNull(host.nextCall());
         }
         try (Node next = new Node(config)) {
@@ -535,14 +535,14 @@
             StubHost.Call again = host.nextCall();
             assertEquals("a", again.header("X-Request-ID"));
             again.respond(StubHost.OK);
-            awaitClosedJournal(next);
+            awaitIdle(next);
         }
     }
 
     /** Guards the process in service against one that is called off before it took over. */
     @Test
-    void aProcessThatIsToldToEndWhileItStandsByLeavesTheOtherAlone() throws Exception {
-        Config config = shared();
+    void shuttingDownAStandbyProcessDoesNotAffectTheOthers() throws Exception {
+        Config config = configWithSharedPort();
         try (Node old = new Node(config); var client = new Platform.Client(old)) {
             Node next = new Node(config);
             awaitReady(next);
@@ -551,20 +551,20 @@
                 next.shutDown();
                 // It had nothing to pass on, and must not have told anybody to take over.
                 assertFalse(Files.exists(folder.resolve("state").resolve("leaving.2")));
-                assertEquals(TAKEN, client.post("a", "bill", 7, 60_000).get(0));
+                assertEquals(ACCEPTED, client.post("a", "bill", 7, 60_000).get(0));
                 host.nextCall().respond(StubHost.OK);
-                awaitClosedJournal(old);
+                awaitIdle(old);
             }
         }
     }
 
     /** Guards the wait that a partner told: it binds whichever process heard it. */
     @Test
-    void aWaitIsHeededByTheProcessThatTakesOver() throws Exception {
-        Config config = shared();
+    void theProcessThatTakesOverObservesRetryAfterReceivedBefore() throws Exception {
+        Config config = configWithSharedPort();
         Node old = new Node(config);
         try (var client = new Platform.Client(old); Node next = new Node(config)) {
-            assertEquals(TAKEN, client.post("a", "bill", 7, 60_000).get(0));
+            assertEquals(ACCEPTED, client.post("a", "bill", 7, 60_000).get(0));
             host.nextCall().respond("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 3.5\r\nContent-Length: 0\r\n\r\n");
             long told = System.nanoTime();
             awaitReady(next);
@@ -574,38 +574,38 @@
         }
     }
 
-    private void rewrite(String from, String to) throws IOException {
+    private void replaceInConfig(String from, String to) throws IOException {
         Path file = folder.resolve("config.json");
         String before = Files.readString(file);
         assertTrue(before.contains(from), from);
         Files.writeString(file, before.replace(from, to));
     }
 
-    private static final String PAY = "{\"name\":\"pay\"", TRIES = "\"most-tries\":12";
+    private static final String PAY_CLASS_START = "{\"name\":\"pay\"", MOST_TRIES = "\"most-tries\":12";
 
     /** Guards what a class promises: a message keeps the one it was taken under, new ones have the new one. */
     @Test
-    void aReloadBringsClassesAndMessagesKeepTheirs() throws Exception {
-        try (Node relay = relay(); var client = new Platform.Client(relay)) {
+    void aReloadAddsClassesAndAcceptedMessagesKeepTheirs() throws Exception {
+        try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
             assertTrue(client.post("x", "rush", 7, 16_000).get(0).startsWith("HTTP/1.1 404 "));
         }
-        Node relay = relay();
+        Node relay = startRelay();
         try (var client = new Platform.Client(relay)) {
-            assertEquals(TAKEN, client.post("before", "pay", 7, 60_000).get(0));
+            assertEquals(ACCEPTED, client.post("before", "pay", 7, 60_000).get(0));
             host.nextCall().respond("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 50\r\nContent-Length: 0\r\n\r\n");
             // The unsafe class goes, one of its name that may be repeated comes, and a further one.
-            rewrite(PAY + ",\"aim\":2000,\"hard-limit\":16000,\"semantics\":\"fragile\"}",
+            replaceInConfig(PAY_CLASS_START + ",\"aim\":2000,\"hard-limit\":16000,\"semantics\":\"fragile\"}",
                 "{\"name\":\"rush\",\"aim\":500,\"hard-limit\":900,\"semantics\":\"retryable\"}");
             relay.reload(platform.environment());
             assertTrue(ConsoleTest.metrics(relay).object("completed").values().containsKey("rush"));
-            assertEquals(TAKEN, client.post("after", "rush", 7, 900).get(0));
+            assertEquals(ACCEPTED, client.post("after", "rush", 7, 900).get(0));
         }
         try (var client = new Platform.Client(relay)) {
             assertTrue(client.post("late", "pay", 7, 16_000).get(0).startsWith("HTTP/1.1 404 "));
         }
         relay.close();
         // The class of the first is in no configuration any more: it is known from the journal.
-        try (Node next = relay()) {
+        try (Node next = startRelay()) {
             next.reload(platform.environment());
             List<String> sent = new java.util.ArrayList<>();
             while (!sent.contains("before")) {
@@ -613,26 +613,26 @@
                 sent.add(call.header("X-Request-ID"));
                 call.respond(StubHost.OK);
             }
-            awaitClosedJournal(next);
+            awaitIdle(next);
         }
     }
 
     /** Guards a relay in service: of a file with a fault nothing is taken, not even where discovery is. */
     @Test
-    void nothingOfABrokenFileIsTaken() throws Exception {
-        try (Node relay = relay(); var client = new Platform.Client(relay)) {
+    void nothingOfAnInvalidFileIsApplied() throws Exception {
+        try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
             Path file = folder.resolve("config.json");
             String good = Files.readString(file);
             String moved = good.replaceFirst("\"discovery\":\"127.0.0.1:\\d+\"", "\"discovery\":\"127.0.0.1:9\"")
-                .replace(PAY, "{\"name\":\"other\"");
+                .replace(PAY_CLASS_START, "{\"name\":\"other\"");
             List<String> broken = List.of("", moved.substring(0, moved.length() / 2), "[]",
                 moved.replace("\"limits\"", "\"unlimited\""), moved.replace("\"settings\"", "\"set\""),
                 moved.replace("\"discovery\"", "\"elsewhere\""), moved.replace("\"profiles\"", "\"classes\""),
                 moved.replace("\"rules\"", "\"customs\""), moved.replace("\"open-cap\"", "\"cap\""),
                 moved.replace("\"hard-limit\":16000", "\"hard-limit\":-5"),
                 moved.replace("\"hard-limit\":16000", "\"hard-limit\":\"soon\""),
-                moved.replace("\"hard-limit\":16000,", ""), moved.replace(TRIES, "\"most-tries\":0"),
-                moved.replace(TRIES, "\"most-tries\":\"many\""), moved.replace(TRIES, "\"most-tries\":null"),
+                moved.replace("\"hard-limit\":16000,", ""), moved.replace(MOST_TRIES, "\"most-tries\":0"),
+                moved.replace(MOST_TRIES, "\"most-tries\":\"many\""), moved.replace(MOST_TRIES, "\"most-tries\":null"),
                 moved.replace("fragile", "wobbly"), moved.replace("\"window\":15000", "\"window\":0"),
                 moved.replace("[\"m1\",\"m2\",\"m3\"]", "[\"m1\"]"));
             for (String text : broken) {
@@ -641,7 +641,7 @@
             }
             assertEquals(broken.size(), ConsoleTest.metrics(relay).whole("config_reload_errors"));
             assertEquals(0, ConsoleTest.metrics(relay).whole("config_reloads"));
-            assertEquals(TAKEN, client.post("a", "pay", 7, 300).get(0));
+            assertEquals(ACCEPTED, client.post("a", "pay", 7, 300).get(0));
             assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", platform.nextNotice(), "told where it was");
             Files.writeString(file, good);
             relay.reload(platform.environment());
@@ -651,8 +651,8 @@
 
     /** A fleet grows into further sites: that alone must not make a relay keep the settings of before. */
     @Test
-    void aReloadMayNameFurtherSitesButNotMixUpThoseInForce() throws Exception {
-        try (Node relay = relay()) {
+    void aReloadMayAddSitesButNotReorderThem() throws Exception {
+        try (Node relay = startRelay()) {
             Path file = Path.of(platform.environment().get("EDGE_CONFIG"));
             String named = Files.readString(file);
             Files.writeString(file, named.replace("[\"a\",\"b\"]", "[\"a\",\"b\",\"c\"]"));
--- a/src/test/java/wrenkeel/net/RequestDeadlineTest.java
+++ b/src/test/java/wrenkeel/net/RequestDeadlineTest.java
@@ -20,11 +20,11 @@
 /** Guards the descriptors: peers that ask for nothing must not hold them. On the channel's own frozen clock. */
 class RequestDeadlineTest {
     /** s; the platform's limit for an error or a close, from connecting. */
-    private static final long OWED_WITHIN = 3;
-    private static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n";
-    private static final String REQUEST = "POST /bill HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi";
+    private static final long MAX_REQUEST_SECONDS = 3;
+    private static final String HEALTH_REQUEST = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n";
+    private static final String MESSAGE_REQUEST = "POST /bill HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi";
 
-    private static EmbeddedChannel client() {
+    private static EmbeddedChannel newChannel() {
         EmbeddedChannel channel = new EmbeddedChannel();
         channel.freezeTime();
         channel.pipeline().addLast(new Server(new ConnectionLimiter(10)));
@@ -38,37 +38,37 @@
         return Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1);
     }
 
-    private static void pass(EmbeddedChannel channel, long millis) {
+    private static void advance(EmbeddedChannel channel, long millis) {
         channel.advanceTimeBy(millis, TimeUnit.MILLISECONDS);
         channel.runScheduledPendingTasks();
     }
 
     @Test
     void aSilentPeerIsClosed() {
-        EmbeddedChannel channel = client();
-        pass(channel, 1_000);
+        EmbeddedChannel channel = newChannel();
+        advance(channel, 1_000);
         assertTrue(channel.isOpen());
-        pass(channel, 1_000 * (OWED_WITHIN - 1));
+        advance(channel, 1_000 * (MAX_REQUEST_SECONDS - 1));
         assertFalse(channel.isOpen());
     }
 
     @Test
-    void aPeerThatTricklesIsClosedAsSoon() {
-        EmbeddedChannel channel = client();
-        for (int i = 0; i < OWED_WITHIN * 4 && channel.isOpen(); i++) {
-            channel.writeInbound(bytes(REQUEST.substring(i, i + 1)));
-            pass(channel, 250);
+    void aPeerThatSendsByteByByteIsClosedAsSoon() {
+        EmbeddedChannel channel = newChannel();
+        for (int i = 0; i < MAX_REQUEST_SECONDS * 4 && channel.isOpen(); i++) {
+            channel.writeInbound(bytes(MESSAGE_REQUEST.substring(i, i + 1)));
+            advance(channel, 250);
         }
         assertFalse(channel.isOpen());
     }
 
     /** Guards messages that are written in 2 s and read a little later: a busy relay must not cut them off. */
     @Test
-    void aRequestThatTakesTwoSecondsIsServed() {
-        EmbeddedChannel channel = client();
-        for (int i = 0; i < REQUEST.length(); i++) {
-            channel.writeInbound(bytes(REQUEST.substring(i, i + 1)));
-            pass(channel, 2_400 / REQUEST.length());
+    void aRequestSentWithinTwoSecondsAndReadSlightlyLaterIsServed() {
+        EmbeddedChannel channel = newChannel();
+        for (int i = 0; i < MESSAGE_REQUEST.length(); i++) {
+            channel.writeInbound(bytes(MESSAGE_REQUEST.substring(i, i + 1)));
+            advance(channel, 2_400 / MESSAGE_REQUEST.length());
         }
         FullHttpRequest request = channel.readInbound();
         assertNotNull(request);
@@ -76,24 +76,24 @@
     }
 
     @Test
-    void anOpenRequestIsNotCutOffAndAnAnsweredOneStartsTheTimeAnew() {
-        EmbeddedChannel channel = client();
-        pass(channel, 1_500);
-        channel.writeInbound(bytes(REQUEST));
+    void theDeadlineIsSuspendedUntilTheResponseAndThenRestarts() {
+        EmbeddedChannel channel = newChannel();
+        advance(channel, 1_500);
+        channel.writeInbound(bytes(MESSAGE_REQUEST));
         FullHttpRequest request = channel.readInbound();
         request.release();
-        pass(channel, 60_000);
+        advance(channel, 60_000);
         assertTrue(channel.isOpen());
         channel.writeOutbound(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.ACCEPTED));
-        pass(channel, 1_500);
+        advance(channel, 1_500);
         assertTrue(channel.isOpen());
-        pass(channel, 1_500);
+        advance(channel, 1_500);
         assertFalse(channel.isOpen());
     }
 
     /** Guards against a lost message: the last byte has come while the thread was busy, and the time is up. */
     @Test
-    void aRequestThatStandsInTheSocketAsTheTimeIsUpIsServed() throws Exception {
+    void aRequestUnreadInTheSocketAtTheDeadlineIsServed() throws Exception {
         var group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop thread = group.next();
         try (SocketPair late = new SocketPair(new Server(new ConnectionLimiter(10)));
@@ -101,8 +101,8 @@
             late.register(thread);
             half.register(thread);
             thread.submit(() -> {
-                late.send(HEALTH);
-                half.send(HEALTH.substring(0, HEALTH.length() - 1));
+                late.send(HEALTH_REQUEST);
+                half.send(HEALTH_REQUEST.substring(0, HEALTH_REQUEST.length() - 1));
                 expire(late);
                 expire(half);
                 return null;
--- a/src/test/java/wrenkeel/net/SendGuardTest.java
+++ b/src/test/java/wrenkeel/net/SendGuardTest.java
@@ -28,30 +28,30 @@
     }
 
     @BeforeEach
-    void begin() throws IOException {
+    void setUp() throws IOException {
         journal = new Journal(folder, 3_000_000);
     }
 
     @AfterEach
-    void end() throws IOException {
+    void tearDown() throws IOException {
         journal.close();
     }
 
-    private static Relay.MessageClass rules(Relay.Effect effect, boolean zoneGroup) {
+    private static Relay.MessageClass messageClass(Relay.Effect effect, boolean zoneGroup) {
         return new Relay.MessageClass("c", 2_000_000, 16_000_000, 1, 0, effect, zoneGroup, 3 * SECOND_US, false, 12);
     }
 
-    private Journal.Entry entry(Relay.MessageClass rules) throws IOException {
-        return journal.take(new Message("a", "c", 0, null, "key", 7, NOW_MS + 10_000, new byte[3]), rules);
+    private Journal.Entry entry(Relay.MessageClass messageClass) throws IOException {
+        return journal.take(new Message("a", "c", 0, null, "key", 7, NOW_MS + 10_000, new byte[3]), messageClass);
     }
 
-    private Violation check(Journal.Entry entry, Relay.MessageClass rules, HostList.Host to, long laterMillis) {
-        return guard.findViolation(entry, rules, to, false, NOW_MS + laterMillis, NOW_US + laterMillis * 1_000);
+    private Violation check(Journal.Entry entry, Relay.MessageClass messageClass, HostList.Host target, long laterMillis) {
+        return guard.findViolation(entry, messageClass, target, false, NOW_MS + laterMillis, NOW_US + laterMillis * 1_000);
     }
 
     @Test
-    void nothingGoesOutAfterTheDeadline() throws IOException {
-        Relay.MessageClass safe = rules(Relay.Effect.SAFE, false);
+    void nothingIsSentAfterTheDeadline() throws IOException {
+        Relay.MessageClass safe = messageClass(Relay.Effect.SAFE, false);
         Journal.Entry entry = entry(safe);
         assertNull(check(entry, safe, host, 10_000));
         assertEquals(Violation.SENT_AFTER_DEADLINE, check(entry, safe, host, 10_001));
@@ -59,7 +59,7 @@
 
     @Test
     void anUnsafeMessageIsRepeatedOnlyIfItNeverRan() throws IOException {
-        Relay.MessageClass unsafe = rules(Relay.Effect.UNSAFE, false);
+        Relay.MessageClass unsafe = messageClass(Relay.Effect.UNSAFE, false);
         Journal.Entry entry = entry(unsafe);
         journal.sent(entry, NOW_MS, 0);
         assertEquals(Violation.REPEATED_OUTSIDE_ALLOWANCE, check(entry, unsafe, host, 1));
@@ -68,8 +68,8 @@
     }
 
     @Test
-    void aKeyedMessageIsRepeatedInItsWindowAndGroup() throws IOException {
-        Relay.MessageClass keyed = rules(Relay.Effect.KEYED, true);
+    void aKeyedMessageIsRepeatedOnlyInItsWindowAndZone() throws IOException {
+        Relay.MessageClass keyed = messageClass(Relay.Effect.KEYED, true);
         Journal.Entry entry = entry(keyed);
         journal.sent(entry, NOW_MS, 0);
         assertNull(check(entry, keyed, host, 2_900));
@@ -78,8 +78,8 @@
     }
 
     @Test
-    void aWaitBindsTheWholeDestinationUntilItIsOver() throws IOException {
-        Relay.MessageClass safe = rules(Relay.Effect.SAFE, false);
+    void aWaitAppliesToTheWholeDestinationUntilItEnds() throws IOException {
+        Relay.MessageClass safe = messageClass(Relay.Effect.SAFE, false);
         Journal.Entry entry = entry(safe);
         guard.recordWait(host, false, NOW_US, SECOND_US);
         assertNull(check(entry, safe, sibling, 50), "it may have been decided before");
--- a/src/test/java/wrenkeel/net/ServerConnectionTest.java
+++ b/src/test/java/wrenkeel/net/ServerConnectionTest.java
@@ -29,40 +29,40 @@
  */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class ServerConnectionTest {
-    private static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n";
+    private static final String HEALTH_REQUEST = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n";
 
     @TempDir
     Path folder;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final EventLoop thread = group.next();
+    private final EventLoop eventLoop = group.next();
     private Platform platform;
     private StubHost host;
     private Journal journal;
-    private ControlDriver loop;
+    private ControlDriver driver;
     private Server server;
 
     @BeforeEach
-    void begin() throws Exception {
+    void setUp() throws Exception {
         platform = new Platform(folder);
         host = new StubHost();
         Config config = platform.writeConfig(Platform.hostJson("s-1", host.port(), 7, "ready"));
         journal = new Journal(config.state(), config.diskBytes());
-        Bootstrap calls = new Bootstrap().group(thread);
-        Metrics figures = new Metrics();
+        Bootstrap calls = new Bootstrap().group(eventLoop);
+        Metrics metrics = new Metrics();
         onThread(() -> {
             HostList hosts = new HostList(config.zones(), config.kinds());
-            HostPool pool = new HostPool(thread, calls, 1_000_000, 15_000_000, 100, figures);
-            loop = new ControlDriver(thread, ProcessClock.system(), config, hosts, pool, journal, figures,
-                (whenListed, whenNoticed) -> new Discovery(thread, calls, config.discovery(), hosts, whenListed,
+            HostPool pool = new HostPool(eventLoop, calls, 1_000_000, 15_000_000, 100, metrics);
+            driver = new ControlDriver(eventLoop, ProcessClock.system(), config, hosts, pool, journal, metrics,
+                (whenListed, whenNoticed) -> new Discovery(eventLoop, calls, config.discovery(), hosts, whenListed,
                     whenNoticed));
-            loop.start(config.known());
+            driver.start(config.known());
             server = new Server(new ConnectionLimiter(10));
-            server.serve(loop, figures);
+            server.serve(driver, metrics);
         });
     }
 
     @AfterEach
-    void end() throws Exception {
+    void tearDown() throws Exception {
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).sync();
         journal.close();
         host.close();
@@ -74,7 +74,7 @@
     }
 
     private void onThread(Task task) throws Exception {
-        thread.submit(() -> {
+        eventLoop.submit(() -> {
             task.run();
             return null;
         }).get();
@@ -86,16 +86,16 @@
     }
 
     /** A connection on which all of this has come before the relay reads the first of it. */
-    private SocketPair connected(String requests) throws Exception {
+    private SocketPair connectAndSend(String requests) throws Exception {
         SocketPair pair = new SocketPair(server);
         pair.send(requests);
-        pair.register(thread);
+        pair.register(eventLoop);
         return pair;
     }
 
     @Test
-    void aHealthCheckBehindAMessageIsAnsweredAfterIt() throws Exception {
-        try (var pair = connected(post("a") + HEALTH + post("b") + HEALTH)) {
+    void aHealthCheckAfterAMessageIsAnsweredAfterIt() throws Exception {
+        try (var pair = connectAndSend(post("a") + HEALTH_REQUEST + post("b") + HEALTH_REQUEST)) {
             assertEquals(List.of("202", "200", "202", "200"), pair.readStatuses(4));
         }
     }
@@ -106,28 +106,28 @@
         "POST /bill HTTP/1.1\r\nContent-Length: 70000\r\n\r\n",
         "POST /bill HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 70000\r\n\r\n"})
     void aMessageIsAnsweredBeforeTheErrorThatClosesItsConnection(String bad) throws Exception {
-        try (var pair = connected(post("a") + bad + HEALTH)) {
+        try (var pair = connectAndSend(post("a") + bad + HEALTH_REQUEST)) {
             assertEquals("202", pair.readStatus());
             assertTrue(pair.readStatus().startsWith("4"));
             assertTrue(pair.readsEndOfStream(), "nothing behind the error is served");
         }
-        assertEquals(1, owed());
+        assertEquals(1, unfinishedMessages());
     }
 
     @Test
-    void nothingBehindARequestThatClosesTheConnectionIsServed() throws Exception {
-        try (var pair = connected(post("a", "Connection: close\r\n") + post("b"))) {
+    void nothingAfterARequestThatClosesTheConnectionIsServed() throws Exception {
+        try (var pair = connectAndSend(post("a", "Connection: close\r\n") + post("b"))) {
             assertEquals("202", pair.readStatus());
             assertTrue(pair.readsEndOfStream());
         }
-        assertEquals(1, owed());
+        assertEquals(1, unfinishedMessages());
     }
 
     /** Guards against a lost message: at the orderly end what has been read is answered, the last with the close. */
     @Test
-    void atTheOrderlyEndAllThatHasBeenReadIsAnswered() throws Exception {
+    void duringShutdownAllRequestsReadSoFarAreAnswered() throws Exception {
         onThread(server::closeAfterResponses);
-        try (var pair = connected(post("a") + HEALTH + post("b"))) {
+        try (var pair = connectAndSend(post("a") + HEALTH_REQUEST + post("b"))) {
             assertEquals(List.of("202", "503", "202"), pair.readStatuses(3));
             assertTrue(pair.readsEndOfStream());
         }
@@ -135,11 +135,11 @@
 
     /** Guards against a lost message: at the orderly end a request that is half read is awaited and answered. */
     @Test
-    void atTheOrderlyEndARequestThatIsHalfReadIsAnswered() throws Exception {
+    void duringShutdownAPartlyReadRequestIsAnswered() throws Exception {
         onThread(server::closeAfterResponses);
         String second = post("b");
         String half = second.substring(0, second.length() / 2);
-        try (var pair = connected(post("a") + half)) {
+        try (var pair = connectAndSend(post("a") + half)) {
             assertEquals("202", pair.readStatus());
             pair.client.getOutputStream().write(second.substring(half.length()).getBytes(StandardCharsets.US_ASCII));
             assertEquals("202", pair.readStatus());
@@ -149,23 +149,23 @@
 
     /** Guards against a lost message: as the process ends, held requests hear that they were not taken on. */
     @Test
-    void requestsHeldBackAsTheProcessEndsAreRefused() throws Exception {
+    void requestsNotYetDecidedWhenTheDriverStopsAreRefused() throws Exception {
         SocketPair pair = new SocketPair(server);
         pair.send(post("a") + post("b"));
         onThread(() -> {
-            thread.register(pair.channel);
+            eventLoop.register(pair.channel);
             assertTrue(pair.channel.isRegistered());
             assertTrue(SocketReader.readNow(pair.channel));
-            loop.stop();
+            driver.stop();
         });
         assertEquals(List.of("503", "503"), pair.readStatuses(2));
-        assertEquals(0, owed());
+        assertEquals(0, unfinishedMessages());
         pair.close();
     }
 
     /** Guards against a lost message: it is neither kept nor left without an answer. */
     @Test
-    void aFaultBehindAMessageIsAnsweredAndWithdrawsIt() throws Exception {
+    void anInternalErrorAfterAMessageIsAnsweredAndWithdrawsTheMessage() throws Exception {
         try (SocketPair pair = new SocketPair(server, new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel channel) {
@@ -174,12 +174,12 @@
             }
         })) {
             pair.send(post("a") + post("b"));
-            pair.register(thread);
+            pair.register(eventLoop);
             assertEquals("500", pair.readStatus());
             assertTrue(pair.readsEndOfStream());
         }
-        assertEquals(0, owed());
-        onThread(() -> assertTrue(loop.isIdle()));
+        assertEquals(0, unfinishedMessages());
+        onThread(() -> assertTrue(driver.isIdle()));
     }
 
     private static final class FailsOnSecondRequest extends ChannelInboundHandlerAdapter {
@@ -196,26 +196,26 @@
 
     /** Guards the destinations: whoever resets its connection before the answer hands its message in again. */
     @Test
-    void aMessageWhoseClientResetItsConnectionIsWithdrawn() throws Exception {
+    void aMessageWhoseClientResetTheConnectionIsWithdrawn() throws Exception {
         try (SocketPair pair = new SocketPair(server)) {
             pair.send(post("a"));
             onThread(() -> {
-                thread.register(pair.channel);
+                eventLoop.register(pair.channel);
                 assertTrue(SocketReader.readNow(pair.channel));
                 pair.client.setSoLinger(true, 0);
                 pair.client.close();
             });
             pair.channel.closeFuture().sync();
         }
-        assertEquals(0, owed());
-        onThread(() -> assertTrue(loop.isIdle()));
+        assertEquals(0, unfinishedMessages());
+        onThread(() -> assertTrue(driver.isIdle()));
     }
 
     /** How many messages the journal owes, once what has been read is decided. */
-    private int owed() throws Exception {
+    private int unfinishedMessages() throws Exception {
         for (int pass = 0; pass < 10; pass++) {
             onThread(() -> { });
         }
-        return thread.submit(() -> journal.owed().size()).get();
+        return eventLoop.submit(() -> journal.owed().size()).get();
     }
 }
--- a/src/test/java/wrenkeel/net/ServerTest.java
+++ b/src/test/java/wrenkeel/net/ServerTest.java
@@ -13,30 +13,30 @@
 
 class ServerTest {
     /** ms; how long a client waits to hear that its message is taken on, and how late an end may come. */
-    private static final long CLIENT_WAITS = 400, END_SLACK = 300;
+    private static final long CLIENT_WAIT_MS = 400, END_SLACK_MS = 300;
 
     /** Guards against an end that comes too late: the request may have waited to be read as long as its client did. */
     @ParameterizedTest
     @ValueSource(longs = {1_000, 2_000, 12_000, 28_000})
-    void aMessageEndsInItsClientsTimeThoughItWasReadLate(long time) {
+    void theDeadlineKeepsTheClientsTimeoutEvenIfTheRequestWasReadLate(long time) {
         long sent = 1_000_000;
-        long deadline = Server.deadline(sent + CLIENT_WAITS, time);
-        assertTrue(deadline <= sent + time + END_SLACK / 2, "leaves the notice half of the slack");
+        long deadline = Server.deadline(sent + CLIENT_WAIT_MS, time);
+        assertTrue(deadline <= sent + time + END_SLACK_MS / 2, "leaves the notice half of the slack");
         assertTrue(deadline >= sent + time / 2, "leaves the message most of its time");
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 40, 340})
-    void aShortTimeIsNotUsedUp(long time) {
+    void aShortTimeoutKeepsMoreThanHalfOfItsTime(long time) {
         long deadline = Server.deadline(1_000_000, time);
         assertTrue(deadline > 1_000_000 + time / 2 && deadline <= 1_000_000 + time);
     }
 
     /** Guards the log and the CPU: a flood of bad peers must not leave a line each. */
     @Test
-    void aFloodOfBadRequestsLeavesOneLine() {
+    void aFloodOfInvalidRequestsLogsOneLine() {
         Server server = new Server(new ConnectionLimiter(100));
-        assertEquals(1, logged(() -> {
+        assertEquals(1, logOutputOf(() -> {
             for (int i = 0; i < 50; i++) {
                 EmbeddedChannel channel = new EmbeddedChannel();
                 channel.pipeline().addLast(server);
@@ -48,8 +48,8 @@
 
     /** Guards the log and the CPU: clients that leave in the middle of a request come in crowds. */
     @Test
-    void aClientThatLeavesInTheMiddleOfItsRequestLeavesNoTrace() {
-        assertEquals("", logged(() -> {
+    void aClientThatDisconnectsWithinItsRequestLogsNothing() {
+        assertEquals("", logOutputOf(() -> {
             EmbeddedChannel channel = new EmbeddedChannel();
             channel.pipeline().addLast(new Server(new ConnectionLimiter(10)));
             channel.pipeline().fireChannelActive();
@@ -60,7 +60,7 @@
     }
 
     /** What the program logs meanwhile. */
-    private static String logged(Runnable task) {
+    private static String logOutputOf(Runnable task) {
         PrintStream before = System.err;
         ByteArrayOutputStream log = new ByteArrayOutputStream();
         System.setErr(new PrintStream(log, true, StandardCharsets.UTF_8));
--- a/src/test/java/wrenkeel/net/ThrottledLogTest.java
+++ b/src/test/java/wrenkeel/net/ThrottledLogTest.java
@@ -17,18 +17,18 @@
 class ThrottledLogTest {
     private final EmbeddedChannel clock = new EmbeddedChannel();
     private final ThrottledLog throttled = new ThrottledLog(LoggerFactory.getLogger(ThrottledLogTest.class));
-    private final PrintStream before = System.err;
+    private final PrintStream originalErr = System.err;
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
 
     @BeforeEach
-    void begin() {
+    void setUp() {
         clock.freezeTime();
         System.setErr(new PrintStream(log, true, StandardCharsets.UTF_8));
     }
 
     @AfterEach
-    void end() {
-        System.setErr(before);
+    void tearDown() {
+        System.setErr(originalErr);
     }
 
     private void warn(int times, String event) {
@@ -37,50 +37,50 @@
         }
     }
 
-    private void pass(long millis) {
+    private void advance(long millis) {
         clock.advanceTimeBy(millis, TimeUnit.MILLISECONDS);
         clock.runScheduledPendingTasks();
     }
 
-    private List<String> told() {
+    private List<String> takeLogLines() {
         String text = log.toString(StandardCharsets.UTF_8);
         log.reset();
         return text.lines().map(line -> line.substring(line.indexOf(" - ") + 3)).toList();
     }
 
     @Test
-    void theFirstIsToldAtOnceAndTheRestOfTheSecondInOneLine() {
+    void theFirstEventIsLoggedAtOnceAndTheRestOfTheSecondInOneLine() {
         warn(1, "a");
         warn(48, "b");
         warn(1, "c");
-        assertEquals(List.of("a"), told());
-        pass(999);
-        assertEquals(List.of(), told());
-        pass(1);
-        assertEquals(List.of("c, and 48 more within a second"), told());
+        assertEquals(List.of("a"), takeLogLines());
+        advance(999);
+        assertEquals(List.of(), takeLogLines());
+        advance(1);
+        assertEquals(List.of("c, and 48 more within a second"), takeLogLines());
     }
 
     @Test
-    void aFloodThatGoesOnIsToldOnceASecond() {
+    void aLastingFloodIsLoggedOnceASecond() {
         for (int second = 0; second < 5; second++) {
             warn(10, "a");
-            pass(1_000);
+            advance(1_000);
         }
-        assertEquals(6, told().size(), "the first, and one for each second");
+        assertEquals(6, takeLogLines().size(), "the first, and one for each second");
     }
 
     @Test
-    void afterAQuietSecondTheNextIsToldAtOnce() {
+    void afterASecondWithoutEventsTheNextIsLoggedAtOnce() {
         warn(1, "a");
-        pass(1_000);
+        advance(1_000);
         warn(1, "b");
-        assertEquals(List.of("a", "b"), told());
+        assertEquals(List.of("a", "b"), takeLogLines());
     }
 
     @Test
-    void oneMoreAloneIsToldWithoutACount() {
+    void oneSuppressedEventIsLoggedWithoutACount() {
         warn(2, "a");
-        pass(1_000);
-        assertEquals(List.of("a", "a"), told());
+        advance(1_000);
+        assertEquals(List.of("a", "a"), takeLogLines());
     }
 }
