--- a/src/test/java/wrenkeel/net/ClientListenerTest.java
+++ b/src/test/java/wrenkeel/net/ClientListenerTest.java
@@ -59,13 +59,13 @@
     @Test
     void acceptsAgainSoonAfterAFailedAccept() throws Exception {
         ClientListener listener = eventLoop.submit(() -> ClientListener.open(ANY_LOOPBACK_PORT, eventLoop, clientHandler, acceptDelays::add, ListeningSockets.SYSTEM)).get();
-        CompletableFuture<Boolean> accepts = new CompletableFuture<>();
+        CompletableFuture<Boolean> accepting = new CompletableFuture<>();
         eventLoop.submit(() -> {
-            eventLoop.schedule(() -> accepts.complete(listener.listener().config().isAutoRead()), NETTY_PAUSE_MS - 100,
+            eventLoop.schedule(() -> accepting.complete(listener.listener().config().isAutoRead()), NETTY_PAUSE_MS - 100,
                 TimeUnit.MILLISECONDS);
             listener.listener().pipeline().fireExceptionCaught(acceptFailure());
         }).get();
-        assertTrue(accepts.get(), "it still does not accept");
+        assertTrue(accepting.get(), "it still does not accept");
         eventLoop.submit(listener::close).get();
     }
 
@@ -87,27 +87,27 @@
     /** Guards those who wait as the door closes: each is let in, whatever the system call says in between. */
     @Test
     void drainContinuesAfterAFailedAccept() throws Exception {
-        List<String> tries = new ArrayList<>();
+        List<String> attempts = new ArrayList<>();
         ClientListener.Acceptor failsOnce = (ServerSocketChannel from) -> {
-            SocketChannel next = tries.size() == 1 ? null : from.accept();
-            tries.add("try");
-            if (tries.size() == 2) {
+            SocketChannel connection = attempts.size() == 1 ? null : from.accept();
+            attempts.add("try");
+            if (attempts.size() == 2) {
                 throw acceptFailure();
             }
-            return next;
+            return connection;
         };
         ClientListener listener = eventLoop.submit(() -> ClientListener.open(ANY_LOOPBACK_PORT, eventLoop, clientHandler, acceptDelays::add, ListeningSockets.SYSTEM, failsOnce)).get();
         // Nobody is accepted by the selector from here on: all wait in the queue.
         eventLoop.submit(() -> listener.listener().config().setAutoRead(false)).get();
-        List<Socket> waiting = new ArrayList<>();
+        List<Socket> queued = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            waiting.add(new Socket(Platform.LOOPBACK, listener.address().getPort()));
+            queued.add(new Socket(Platform.LOOPBACK, listener.address().getPort()));
         }
         eventLoop.submit(listener::drain).get();
-        for (int i = 0; i < waiting.size(); i++) {
+        for (int i = 0; i < queued.size(); i++) {
             assertNotNull(accepted.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS), "let in: " + i);
         }
-        for (Socket socket : waiting) {
+        for (Socket socket : queued) {
             socket.close();
         }
     }
--- a/src/test/java/wrenkeel/net/ConnectionLimiterTest.java
+++ b/src/test/java/wrenkeel/net/ConnectionLimiterTest.java
@@ -78,11 +78,11 @@
     }
 
     /** A client of the relay's server; if it answers nothing, each whole request stays open. */
-    private SocketPair client(boolean answers) throws Exception {
+    private SocketPair client(boolean responds) throws Exception {
         SocketPair pair = new SocketPair(new Server(limiter));
         pairs.add(pair);
         pair.register(eventLoop);
-        if (!answers) {
+        if (!responds) {
             pair.channel.pipeline().removeLast();
         }
         return pair;
@@ -114,16 +114,16 @@
     /** Guards against a lost message: a busy relay has not read yet what the quietest connection has brought. */
     @ParameterizedTest
     @ValueSource(strings = {HEALTH_REQUEST, HALF_REQUEST})
-    void connectionWithUnreadBytesIsNotEvicted(String unread) throws Exception {
+    void connectionWithUnreadBytesIsNotEvicted(String unreadText) throws Exception {
         SocketPair first = client(true);
         SocketPair second = client(true);
         SocketPair third = client(true);
         onThread(() -> {
-            first.send(unread);
+            first.send(unreadText);
             connectAnother();
             assertEquals("o-o", openPairs(first, second, third));
         });
-        first.client.getOutputStream().write(HEALTH_REQUEST.substring(unread.length()).getBytes(StandardCharsets.US_ASCII));
+        first.client.getOutputStream().write(HEALTH_REQUEST.substring(unreadText.length()).getBytes(StandardCharsets.US_ASCII));
         assertEquals("200", first.readStatus());
     }
 
--- a/src/test/java/wrenkeel/net/ConsoleTest.java
+++ b/src/test/java/wrenkeel/net/ConsoleTest.java
@@ -48,10 +48,10 @@
     }
 
     /** The whole answer to one call, which ends with its connection. */
-    private static String request(InetSocketAddress console, String call) throws IOException {
+    private static String request(InetSocketAddress console, String requestLine) throws IOException {
         try (Socket socket = new Socket(console.getAddress(), console.getPort())) {
             socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Platform.TIMEOUT_SECONDS));
-            socket.getOutputStream().write((call + "\r\nHost: c\r\n\r\n").getBytes(StandardCharsets.UTF_8));
+            socket.getOutputStream().write((requestLine + "\r\nHost: c\r\n\r\n").getBytes(StandardCharsets.UTF_8));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         }
     }
@@ -61,9 +61,9 @@
     }
 
     static Wire.Fields metrics(Node relay) throws IOException {
-        String answer = request(relay.consoleAddress(), "GET /api/telemetry HTTP/1.1");
-        assertTrue(answer.startsWith("HTTP/1.1 200 "), answer);
-        return Wire.decode(answer.substring(answer.indexOf("\r\n\r\n") + 4));
+        String response = request(relay.consoleAddress(), "GET /api/telemetry HTTP/1.1");
+        assertTrue(response.startsWith("HTTP/1.1 200 "), response);
+        return Wire.decode(response.substring(response.indexOf("\r\n\r\n") + 4));
     }
 
     private static void awaitCount(Node relay, String name, String messageClass, long count) throws Exception {
@@ -78,14 +78,14 @@
         try (var client = new Platform.Client(relay)) {
             assertTrue(request(relay.consoleAddress(), "GET /api/ready HTTP/1.1").startsWith("HTTP/1.1 200 "));
             assertEquals("HTTP/1.1 202 Accepted", client.post("a", "bill", 7, 16_000).get(0));
-            StubHost.Call out = host.nextCall();
-            Thread end = new Thread(relay::shutDown);
-            end.start();
+            StubHost.Call inFlight = host.nextCall();
+            Thread shutdown = new Thread(relay::shutDown);
+            shutdown.start();
             while (!request(relay.consoleAddress(), "GET /api/ready HTTP/1.1").startsWith("HTTP/1.1 503 ")) {
                 Thread.sleep(5);
             }
-            out.respond(StubHost.OK);
-            end.join();
+            inFlight.respond(StubHost.OK);
+            shutdown.join();
         }
     }
 
@@ -153,7 +153,7 @@
     /** Guards operators against callers that hold every connection and say nothing, or half a call. */
     @Test
     void idleConnectionsToTheConsoleDoNotBlockAnOperator() throws Exception {
-        List<Socket> hanging = new ArrayList<>();
+        List<Socket> idleConnections = new ArrayList<>();
         try (Node relay = startRelay()) {
             InetSocketAddress console = relay.consoleAddress();
             for (int i = 0; i < 3 * Console.MAX_CONNECTIONS; i++) {
@@ -161,11 +161,11 @@
                 if (i % 2 == 0) {
                     socket.getOutputStream().write("GET /api/re".getBytes(StandardCharsets.UTF_8));
                 }
-                hanging.add(socket);
+                idleConnections.add(socket);
             }
             assertTrue(request(console, "GET /api/ready HTTP/1.1").startsWith("HTTP/1.1 200 "));
         } finally {
-            for (Socket socket : hanging) {
+            for (Socket socket : idleConnections) {
                 socket.close();
             }
         }
@@ -174,16 +174,16 @@
     /** Guards the clients' door: a crowd that holds all places gives way to a client with a message. */
     @Test
     void idleClientConnectionsDoNotBlockAClientWithAMessage() throws Exception {
-        List<Socket> crowd = new ArrayList<>();
+        List<Socket> idleConnections = new ArrayList<>();
         try (Node relay = startRelay()) {
             for (int i = 0; i < 1024 / 3 + 50; i++) {
-                crowd.add(new Socket(relay.address().getAddress(), relay.address().getPort()));
+                idleConnections.add(new Socket(relay.address().getAddress(), relay.address().getPort()));
             }
             try (var client = new Platform.Client(relay)) {
                 assertEquals("HTTP/1.1 202 Accepted", client.post("a", "bill", 7, 16_000).get(0));
             }
         } finally {
-            for (Socket socket : crowd) {
+            for (Socket socket : idleConnections) {
                 socket.close();
             }
         }
@@ -204,8 +204,8 @@
     @Test
     void aConsoleThatCannotOpenASocketAtFirstRetries() throws Exception {
         AtomicInteger failures = new AtomicInteger(3);
-        InetSocketAddress any = new InetSocketAddress(Platform.LOOPBACK, 0);
-        try (Console console = new Console(any, () -> true, new Metrics(), () -> {
+        InetSocketAddress anyPort = new InetSocketAddress(Platform.LOOPBACK, 0);
+        try (Console console = new Console(anyPort, () -> true, new Metrics(), () -> {
             if (failures.getAndDecrement() > 0) {
                 throw new ChannelException("too many open files");
             }
--- a/src/test/java/wrenkeel/net/ControlDriverTest.java
+++ b/src/test/java/wrenkeel/net/ControlDriverTest.java
@@ -210,13 +210,13 @@
         assertFalse(isRecordedAsSent("b"));
     }
 
-    private static void respondToNextRequest(Socket watch, String list) throws IOException {
-        StubHost.readHead(watch.getInputStream());
-        writeResponse(watch, list);
+    private static void respondToNextRequest(Socket agentConnection, String list) throws IOException {
+        StubHost.readHead(agentConnection.getInputStream());
+        writeResponse(agentConnection, list);
     }
 
-    private static void writeResponse(Socket watch, String list) throws IOException {
-        watch.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
+    private static void writeResponse(Socket agentConnection, String list) throws IOException {
+        agentConnection.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
             .getBytes(StandardCharsets.UTF_8));
     }
 
@@ -225,19 +225,19 @@
     void drainingThatArrivesDuringAPauseIsReadBeforeSending() throws Exception {
         deliverInSequence(4);
         try (ServerSocket agent = new ServerSocket(0, 8, Platform.LOOPBACK)) {
-            Config moved = platform.configWithDiscoveryAt(agent.getLocalPort());
-            inOneIteration(() -> driver.reconfigure(moved));
-            Socket watch = agent.accept();
-            respondToNextRequest(watch, Platform.listJson(2, false));
+            Config newConfig = platform.configWithDiscoveryAt(agent.getLocalPort());
+            inOneIteration(() -> driver.reconfigure(newConfig));
+            Socket agentConnection = agent.accept();
+            respondToNextRequest(agentConnection, Platform.listJson(2, false));
             // The next call waits, and its answer comes while the thread is held up.
-            StubHost.readHead(watch.getInputStream());
+            StubHost.readHead(agentConnection.getInputStream());
             inOneIteration(() -> {
                 driver.accept(message("b"), callback("b"));
-                writeResponse(watch, Platform.listJson(3, false, Platform.hostJson("s-1", host.port(), 7, "draining")));
+                writeResponse(agentConnection, Platform.listJson(3, false, Platform.hostJson("s-1", host.port(), 7, "draining")));
             });
             awaitQueuedTasks();
             assertFalse(isRecordedAsSent("b"));
-            watch.close();
+            agentConnection.close();
         }
     }
 }
--- a/src/test/java/wrenkeel/net/NodeTest.java
+++ b/src/test/java/wrenkeel/net/NodeTest.java
@@ -107,26 +107,26 @@
     @Test
     void healthChecksAreAnsweredAndInvalidRequestsRejectedWithoutJournaling() throws Exception {
         try (Node relay = startRelay()) {
-            long before = Files.size(platform.journalFile());
-            List<String> good = Platform.Client.headers("x", "bill", 7, 900);
+            long journalBytes = Files.size(platform.journalFile());
+            List<String> validHeaders = Platform.Client.headers("x", "bill", 7, 900);
             try (var client = new Platform.Client(relay)) {
                 assertEquals("HTTP/1.1 200 OK", client.exchange("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]).get(0));
             }
             assertStatus(404, relay, client -> client.post("x", "wobble", 7, 900));
             assertStatus(404, relay, client -> client.post("x", "bill", 8, 900));
-            assertStatus(404, relay, client -> client.post("/other", good, ""));
+            assertStatus(404, relay, client -> client.post("/other", validHeaders, ""));
             assertStatus(400, relay, client -> client.post("x", "bill", 7, 0));
             assertStatus(400, relay, client -> client.post("x", "bill", 7, Long.MAX_VALUE));
-            for (int left = 0; left < good.size(); left++) {
-                List<String> headers = new java.util.ArrayList<>(good);
-                if (!headers.remove(left).startsWith("X-Priority-Class")) {
+            for (int omitted = 0; omitted < validHeaders.size(); omitted++) {
+                List<String> headers = new java.util.ArrayList<>(validHeaders);
+                if (!headers.remove(omitted).startsWith("X-Priority-Class")) {
                     assertStatus(400, relay, client -> client.post("/bill", headers, ""));
                 }
             }
             assertStatus(405, relay, client -> client.exchange("GET /bill HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]));
-            assertStatus(413, relay, client -> client.post("/bill", good, "x".repeat(64 * 1024 + 1)));
+            assertStatus(413, relay, client -> client.post("/bill", validHeaders, "x".repeat(64 * 1024 + 1)));
             assertStatus(400, relay, client -> client.exchange("nonsense\r\n\r\n", new byte[0]));
-            assertEquals(before, Files.size(platform.journalFile()));
+            assertEquals(journalBytes, Files.size(platform.journalFile()));
         }
     }
 
@@ -149,13 +149,13 @@
         try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
             // The module gives back one that it may when the cap is reached, so unsafe ones that are out hold it.
             int acceptedCount = 0;
-            List<String> answer = client.post("m0", "pay", 7, 16_000);
-            while (answer.get(0).equals(ACCEPTED) && acceptedCount < 20) {
+            List<String> response = client.post("m0", "pay", 7, 16_000);
+            while (response.get(0).equals(ACCEPTED) && acceptedCount < 20) {
                 acceptedCount++;
-                answer = client.post("m" + acceptedCount, "pay", 7, 16_000);
+                response = client.post("m" + acceptedCount, "pay", 7, 16_000);
             }
             assertTrue(acceptedCount >= 3 && acceptedCount <= 4, acceptedCount + " were taken");
-            assertTrue(answer.get(0).startsWith("HTTP/1.1 503 "), answer.get(0));
+            assertTrue(response.get(0).startsWith("HTTP/1.1 503 "), response.get(0));
         }
     }
 
@@ -186,8 +186,8 @@
             assertEquals(ACCEPTED, client.post("bad", "bill", 7, 300).get(0));
             assertEquals("{\"message\":\"bad\",\"outcome\":\"given_up\"}", platform.nextNotice());
             assertEquals(ACCEPTED, client.post("good", "bill", 7, 300).get(0));
-            long by = System.nanoTime() + TimeUnit.SECONDS.toNanos(Platform.TIMEOUT_SECONDS);
-            while (ConsoleTest.metrics(relay).object("failed").whole("bill") == 0 && System.nanoTime() < by) {
+            long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(Platform.TIMEOUT_SECONDS);
+            while (ConsoleTest.metrics(relay).object("failed").whole("bill") == 0 && System.nanoTime() < deadlineNanos) {
                 Thread.sleep(5);
             }
         }
@@ -199,17 +199,17 @@
     /** Guards what is owed against a kill: keyed messages go out again, with the same id, key and body. */
     @Test
     void aKeyedMessageThatWasInFlightIsSentAgainAfterARestart() throws Exception {
-        StubHost.Call before;
+        StubHost.Call firstCall;
         try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
             assertEquals(ACCEPTED, client.post("a", "bill", 7, 16_000).get(0));
-            before = host.nextCall();
+            firstCall = host.nextCall();
         }
         try (Node relay = startRelay()) {
-            StubHost.Call after = host.nextCall();
-            assertEquals("a", after.header("X-Request-ID"));
-            assertEquals("key-a", after.header("Idempotency-Key"));
-            assertEquals(before.body(), after.body());
-            after.respond(StubHost.OK);
+            StubHost.Call secondCall = host.nextCall();
+            assertEquals("a", secondCall.header("X-Request-ID"));
+            assertEquals("key-a", secondCall.header("Idempotency-Key"));
+            assertEquals(firstCall.body(), secondCall.body());
+            secondCall.respond(StubHost.OK);
             awaitIdle(relay);
         }
         assertTrue(platform.notices.isEmpty(), "delivered, so no notice");
@@ -235,9 +235,9 @@
         try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
             assertEquals(ACCEPTED, client.post("a", "pay", 7, 60_000).get(0));
             StubHost.Call call = host.nextCall();
-            long before = Files.size(platform.journalFile());
+            long journalBytes = Files.size(platform.journalFile());
             call.respond("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 50.5\r\nContent-Length: 0\r\n\r\n");
-            while (Files.size(platform.journalFile()) == before) {
+            while (Files.size(platform.journalFile()) == journalBytes) {
                 Thread.sleep(5);
             }
         }
@@ -263,9 +263,9 @@
     /** Guards the rule on drains: a host that the watch calls draining gets nothing new. */
     @Test
     void aDrainingHostReceivesNoNewMessagesAndItsReplacementDoes() throws Exception {
-        try (StubHost other = new StubHost(); Node relay = startRelay(); var client = new Platform.Client(relay)) {
+        try (StubHost otherHost = new StubHost(); Node relay = startRelay(); var client = new Platform.Client(relay)) {
             platform.watchResponses.add(listJson(2, false, hostJson("s-1", host.port(), 7, "draining"),
-                hostJson("s-2", other.port(), 7, "ready")));
+                hostJson("s-2", otherHost.port(), 7, "ready")));
             // The third watch is only asked for once the second list has been taken in.
             platform.watchResponses.add(listJson(3, false));
             while (!platform.watchResponses.isEmpty()) {
@@ -273,7 +273,7 @@
             }
             for (int i = 0; i < 3; i++) {
                 assertEquals(ACCEPTED, client.post("m" + i, "bill", 7, 16_000).get(0));
-                other.nextCall().respond(StubHost.OK);
+                otherHost.nextCall().respond(StubHost.OK);
                 awaitIdle(relay);
             }
             assertTrue(host.hasNoCalls());
@@ -288,11 +288,11 @@
             assertNotNull(host.nextCall());
         }
         platform.immediateResponses.clear();
-        try (StubHost other = new StubHost()) {
+        try (StubHost otherHost = new StubHost()) {
             platform.immediateResponses.add(listJson(2, false, hostJson("s-1", host.port(), 7, "draining"),
-                hostJson("s-2", other.port(), 7, "ready")));
+                hostJson("s-2", otherHost.port(), 7, "ready")));
             try (Node relay = startRelay()) {
-                StubHost.Call call = other.nextCall();
+                StubHost.Call call = otherHost.nextCall();
                 assertNotNull(call, "sent by the list of before");
                 call.respond(StubHost.OK);
                 awaitIdle(relay);
@@ -303,7 +303,7 @@
 
     /** Guards service against a discovery that is down at the start. */
     @Test
-    void anAgentThatDoesNotRespondDelaysTheFirstCallOnlyBriefly() throws Exception {
+    void anUnresponsiveAgentDelaysTheFirstCallOnlyBriefly() throws Exception {
         platform.immediateResponses.clear();
         try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
             assertEquals(ACCEPTED, client.post("a", "bill", 7, 60_000).get(0));
@@ -313,9 +313,9 @@
 
     /** Guards the rule on drains: a watch that never speaks again is noticed before its silence counts as told. */
     @Test
-    void afterAWatchWithoutAResponseTheListIsRequestedAtOnce() throws Exception {
-        long countsAsTold = 6_000, toAskAndToStop = 1_000;
-        assertTrue(Discovery.WAIT + Discovery.WAIT_SLACK + toAskAndToStop <= countsAsTold);
+    void afterAnUnansweredWatchTheListIsRequestedWithoutAWait() throws Exception {
+        long assumedKnownMs = 6_000, requestAndStopMs = 1_000;
+        assertTrue(Discovery.WAIT + Discovery.WAIT_SLACK + requestAndStopMs <= assumedKnownMs);
         try (Node relay = startRelay()) {
             assertNotNull(relay.address());
             assertEquals("after=1&wait_ms=1", platform.listQueries.take());
@@ -327,16 +327,16 @@
     /** Guards the watch against standing still, and against asking without a pause, after a list it cannot read. */
     @Test
     void theWatchContinuesAfterAListThatCannotBeParsed() throws Exception {
-        try (StubHost other = new StubHost(); Node relay = startRelay(); var client = new Platform.Client(relay)) {
+        try (StubHost otherHost = new StubHost(); Node relay = startRelay(); var client = new Platform.Client(relay)) {
             platform.watchResponses.add("{\"seq\":2,\"whole\":true,\"hosts\":[{}]}");
             platform.watchResponses.add("nonsense");
-            platform.watchResponses.add(listJson(3, true, hostJson("s-2", other.port(), 8, "ready")));
+            platform.watchResponses.add(listJson(3, true, hostJson("s-2", otherHost.port(), 8, "ready")));
             platform.watchResponses.add(listJson(4, false));
             while (!platform.watchResponses.isEmpty()) {
                 Thread.sleep(5);
             }
             assertEquals(ACCEPTED, client.post("a", "bill", 8, 16_000).get(0));
-            assertEquals("a", other.nextCall().header("X-Request-ID"));
+            assertEquals("a", otherHost.nextCall().header("X-Request-ID"));
         }
     }
 
@@ -344,18 +344,18 @@
     @Test
     void afterAReloadListsComeFromAndNoticesGoToTheNewAddress() throws Exception {
         Path elsewhere = Files.createDirectories(folder.resolve("elsewhere"));
-        try (StubHost other = new StubHost(); Platform next = new Platform(elsewhere); Node relay = startRelay();
+        try (StubHost otherHost = new StubHost(); Platform nextPlatform = new Platform(elsewhere); Node relay = startRelay();
                 var client = new Platform.Client(relay)) {
-            next.writeConfig(hostJson("s-1", host.port(), 7, "ready"));
-            next.watchResponses.add(listJson(2, false, hostJson("s-1", host.port(), 7, "gone"), hostJson("s-2", other.port(), 7, "ready")));
-            next.watchResponses.add(listJson(3, false));
-            relay.reload(next.environment());
-            while (!next.watchResponses.isEmpty()) {
+            nextPlatform.writeConfig(hostJson("s-1", host.port(), 7, "ready"));
+            nextPlatform.watchResponses.add(listJson(2, false, hostJson("s-1", host.port(), 7, "gone"), hostJson("s-2", otherHost.port(), 7, "ready")));
+            nextPlatform.watchResponses.add(listJson(3, false));
+            relay.reload(nextPlatform.environment());
+            while (!nextPlatform.watchResponses.isEmpty()) {
                 Thread.sleep(5);
             }
             assertEquals(ACCEPTED, client.post("a", "bill", 7, 600).get(0));
-            assertEquals("a", other.nextCall().header("X-Request-ID"));
-            assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", next.nextNotice());
+            assertEquals("a", otherHost.nextCall().header("X-Request-ID"));
+            assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", nextPlatform.nextNotice());
             awaitIdle(relay);
         }
         assertTrue(platform.notices.isEmpty());
@@ -377,19 +377,19 @@
     void theHangupHandlerIsSetBeforeTheListenerOpens() throws Exception {
         Class<?> signal = Class.forName("sun.misc.Signal"), handler = Class.forName("sun.misc.SignalHandler");
         Object hangup = signal.getConstructor(String.class).newInstance("HUP");
-        Object byDefault = handler.getField("SIG_DFL").get(null);
+        Object defaultHandler = handler.getField("SIG_DFL").get(null);
         var handle = signal.getMethod("handle", signal, handler);
-        handle.invoke(null, hangup, byDefault);
-        try (var acceptedCount = new java.net.ServerSocket(0, 1, Platform.LOOPBACK)) {
-            platform.writeConfig("127.0.0.1:" + acceptedCount.getLocalPort(), new String[0]);
+        handle.invoke(null, hangup, defaultHandler);
+        try (var occupiedPort = new java.net.ServerSocket(0, 1, Platform.LOOPBACK)) {
+            platform.writeConfig("127.0.0.1:" + occupiedPort.getLocalPort(), new String[0]);
             assertEquals(2, Node.serve(platform.environment()), "the door could not be opened");
         }
-        assertNotSame(byDefault, handle.invoke(null, hangup, byDefault));
+        assertNotSame(defaultHandler, handle.invoke(null, hangup, defaultHandler));
     }
 
     /** A signal that comes late must not break the end. */
     @Test
-    void aReloadAfterCloseIsIgnored() throws Exception {
+    void aReloadAfterCloseDoesNotThrow() throws Exception {
         Node relay = startRelay();
         relay.close();
         assertDoesNotThrow(() -> relay.reload(platform.environment()));
@@ -401,21 +401,21 @@
         Node relay = startRelay();
         try (var client = new Platform.Client(relay)) {
             assertEquals(ACCEPTED, client.post("a", "bill", 7, 16_000).get(0));
-            Thread end = new Thread(relay::shutDown);
-            end.start();
+            Thread shutdown = new Thread(relay::shutDown);
+            shutdown.start();
             List<String> health;
             do {
                 try (var probe = new Platform.Client(relay)) {
                     health = probe.exchange("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]);
                 }
             } while (health.get(0).contains("200"));
-            List<String> answer = client.post("b", "bill", 7, 16_000);
-            assertEquals(ACCEPTED, answer.get(0));
-            assertTrue(answer.stream().anyMatch("connection: close"::equalsIgnoreCase), answer.toString());
+            List<String> response = client.post("b", "bill", 7, 16_000);
+            assertEquals(ACCEPTED, response.get(0));
+            assertTrue(response.stream().anyMatch("connection: close"::equalsIgnoreCase), response.toString());
             assertTrue(client.isClosed());
             host.nextCall().respond(StubHost.OK);
             host.nextCall().respond(StubHost.OK);
-            end.join();
+            shutdown.join();
         }
         try (Journal journal = platform.openJournal()) {
             assertTrue(journal.owed().isEmpty(), "both were delivered before the end");
@@ -427,21 +427,21 @@
     void shutdownAnswersARequestThatIsPartlyReceived() throws Exception {
         Node relay = startRelay();
         var address = relay.address();
-        try (var half = new Platform.Client(relay); var client = new Platform.Client(relay)) {
-            half.write("POST /bill HTTP/1.1\r\nHost: api.internal\r\n");
+        try (var partial = new Platform.Client(relay); var client = new Platform.Client(relay)) {
+            partial.write("POST /bill HTTP/1.1\r\nHost: api.internal\r\n");
             // Answered by the same thread after it has read the half request.
             assertEquals("HTTP/1.1 200 OK", client.exchange("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]).get(0));
-            Thread end = new Thread(relay::shutDown);
-            end.start();
+            Thread shutdown = new Thread(relay::shutDown);
+            shutdown.start();
             while (!isConnectionRefused(address)) {
                 Thread.onSpinWait();
             }
-            half.write(String.join("\r\n", Platform.Client.headers("a", "bill", 7, 16_000))
+            partial.write(String.join("\r\n", Platform.Client.headers("a", "bill", 7, 16_000))
                 + "\r\nContent-Length: 0\r\n\r\n");
-            assertEquals(ACCEPTED, half.readResponseHead().get(0));
-            assertTrue(half.isClosed());
+            assertEquals(ACCEPTED, partial.readResponseHead().get(0));
+            assertTrue(partial.isClosed());
             host.nextCall().respond(StubHost.OK);
-            end.join();
+            shutdown.join();
         }
     }
 
@@ -461,9 +461,9 @@
     void anUnusableConfigurationIsReportedInOneLine() throws IOException {
         assertThrows(Config.Unusable.class, () -> Config.read(Map.of()));
         Path file = Files.writeString(folder.resolve("bad.json"), "{\"listen\":");
-        var fault = assertThrows(Config.Unusable.class,
+        var unusable = assertThrows(Config.Unusable.class,
             () -> Config.read(Map.of("EDGE_CONFIG", file.toString(), "EDGE_STATE", folder.toString())));
-        assertEquals(1, fault.getMessage().lines().count());
+        assertEquals(1, unusable.getMessage().lines().count());
         assertThrows(Config.Unusable.class, () -> Config.address("localhost:80"));
         // A resolver would be asked for these, on the relay's thread.
         assertThrows(Config.Unusable.class, () -> Config.address("10.1:80"));
@@ -493,26 +493,26 @@
         Node old = new Node(config);
         try (var client = new Platform.Client(old)) {
             assertEquals(ACCEPTED, client.post("a", "bill", 7, 60_000).get(0));
-            StubHost.Call out = host.nextCall();
+            StubHost.Call inFlight = host.nextCall();
             assertEquals(ACCEPTED, client.post("b", "bill", 7, 60_000).get(0));
             try (Node next = new Node(config)) {
                 awaitReady(next);
                 assertTrue(host.hasNoCalls(), "one process decides");
-                Thread end = new Thread(old::shutDown);
-                end.start();
-                try (var late = new Platform.Client(new java.net.InetSocketAddress(Platform.LOOPBACK, port))) {
-                    assertEquals(ACCEPTED, late.post("c", "bill", 7, 60_000).get(0));
+                Thread shutdown = new Thread(old::shutDown);
+                shutdown.start();
+                try (var lateClient = new Platform.Client(new java.net.InetSocketAddress(Platform.LOOPBACK, port))) {
+                    assertEquals(ACCEPTED, lateClient.post("c", "bill", 7, 60_000).get(0));
                 }
                 // The old process's call counts against the window, so the new one sends after it.
-                out.respond(StubHost.OK);
+                inFlight.respond(StubHost.OK);
                 List<String> sent = new java.util.ArrayList<>();
                 for (int i = 0; i < 2; i++) {
-                    StubHost.Call passed = host.nextCall();
-                    sent.add(passed.header("X-Request-ID"));
-                    passed.respond(StubHost.OK);
+                    StubHost.Call handedOver = host.nextCall();
+                    sent.add(handedOver.header("X-Request-ID"));
+                    handedOver.respond(StubHost.OK);
                 }
                 assertEquals(List.of("b", "c"), sent.stream().sorted().toList());
-                end.join();
+                shutdown.join();
                 awaitIdle(next);
             }
         }
@@ -566,11 +566,11 @@
         try (var client = new Platform.Client(old); Node next = new Node(config)) {
             assertEquals(ACCEPTED, client.post("a", "bill", 7, 60_000).get(0));
             host.nextCall().respond("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 3.5\r\nContent-Length: 0\r\n\r\n");
-            long told = System.nanoTime();
+            long receivedNanos = System.nanoTime();
             awaitReady(next);
             old.shutDown();
             assertEquals("a", host.nextCall().header("X-Request-ID"));
-            assertTrue(System.nanoTime() - told >= TimeUnit.MILLISECONDS.toNanos(3_400));
+            assertTrue(System.nanoTime() - receivedNanos >= TimeUnit.MILLISECONDS.toNanos(3_400));
         }
     }
 
@@ -625,7 +625,7 @@
             String good = Files.readString(file);
             String moved = good.replaceFirst("\"discovery\":\"127.0.0.1:\\d+\"", "\"discovery\":\"127.0.0.1:9\"")
                 .replace(PAY_CLASS_START, "{\"name\":\"other\"");
-            List<String> broken = List.of("", moved.substring(0, moved.length() / 2), "[]",
+            List<String> invalidTexts = List.of("", moved.substring(0, moved.length() / 2), "[]",
                 moved.replace("\"limits\"", "\"unlimited\""), moved.replace("\"settings\"", "\"set\""),
                 moved.replace("\"discovery\"", "\"elsewhere\""), moved.replace("\"profiles\"", "\"classes\""),
                 moved.replace("\"rules\"", "\"customs\""), moved.replace("\"open-cap\"", "\"cap\""),
@@ -635,11 +635,11 @@
                 moved.replace(MOST_TRIES, "\"most-tries\":\"many\""), moved.replace(MOST_TRIES, "\"most-tries\":null"),
                 moved.replace("fragile", "wobbly"), moved.replace("\"window\":15000", "\"window\":0"),
                 moved.replace("[\"m1\",\"m2\",\"m3\"]", "[\"m1\"]"));
-            for (String text : broken) {
+            for (String text : invalidTexts) {
                 Files.writeString(file, text);
                 relay.reload(platform.environment());
             }
-            assertEquals(broken.size(), ConsoleTest.metrics(relay).whole("config_reload_errors"));
+            assertEquals(invalidTexts.size(), ConsoleTest.metrics(relay).whole("config_reload_errors"));
             assertEquals(0, ConsoleTest.metrics(relay).whole("config_reloads"));
             assertEquals(ACCEPTED, client.post("a", "pay", 7, 300).get(0));
             assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", platform.nextNotice(), "told where it was");
@@ -654,11 +654,11 @@
     void aReloadMayAddSitesButNotReorderThem() throws Exception {
         try (Node relay = startRelay()) {
             Path file = Path.of(platform.environment().get("EDGE_CONFIG"));
-            String named = Files.readString(file);
-            Files.writeString(file, named.replace("[\"a\",\"b\"]", "[\"a\",\"b\",\"c\"]"));
+            String original = Files.readString(file);
+            Files.writeString(file, original.replace("[\"a\",\"b\"]", "[\"a\",\"b\",\"c\"]"));
             relay.reload(platform.environment());
             assertEquals(1, ConsoleTest.metrics(relay).whole("config_reloads"));
-            Files.writeString(file, named.replace("[\"a\",\"b\"]", "[\"b\",\"a\"]"));
+            Files.writeString(file, original.replace("[\"a\",\"b\"]", "[\"b\",\"a\"]"));
             relay.reload(platform.environment());
             assertEquals(1, ConsoleTest.metrics(relay).whole("config_reload_errors"));
         }
--- a/src/test/java/wrenkeel/net/Platform.java
+++ b/src/test/java/wrenkeel/net/Platform.java
@@ -57,9 +57,9 @@
             try {
                 String query = String.valueOf(exchange.getRequestURI().getQuery());
                 listQueries.add(query);
-                boolean waits = query.contains("wait_ms=") && !query.endsWith("wait_ms=1");
-                byte[] list = (waits ? watchResponses.take() : immediateResponses.take()).getBytes(StandardCharsets.UTF_8);
-                if (!waits) {
+                boolean isWatch = query.contains("wait_ms=") && !query.endsWith("wait_ms=1");
+                byte[] list = (isWatch ? watchResponses.take() : immediateResponses.take()).getBytes(StandardCharsets.UTF_8);
+                if (!isWatch) {
                     immediateResponses.add(new String(list, StandardCharsets.UTF_8));
                 }
                 exchange.sendResponseHeaders(200, list.length);
@@ -120,10 +120,10 @@
     }
 
     /** The latest configuration, with another address of discovery. */
-    Config configWithDiscoveryAt(int discovery) throws Exception {
+    Config configWithDiscoveryAt(int discoveryPort) throws Exception {
         Path file = folder.resolve("config.json");
         Files.writeString(file, Files.readString(file).replace("127.0.0.1:" + agent.getAddress().getPort(),
-            "127.0.0.1:" + discovery));
+            "127.0.0.1:" + discoveryPort));
         return Config.read(environment());
     }
 
@@ -174,14 +174,14 @@
             socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
         }
 
-        static List<String> headers(String id, String messageClass, int destination, long time) {
-            return List.of("X-Request-ID: " + id, "X-Priority-Class: " + messageClass, "X-Timeout-Ms: " + time,
+        static List<String> headers(String id, String messageClass, int destination, long timeoutMillis) {
+            return List.of("X-Request-ID: " + id, "X-Priority-Class: " + messageClass, "X-Timeout-Ms: " + timeoutMillis,
                 "Idempotency-Key: key-" + id, "X-Envelope: dest=" + destination);
         }
 
         /** Hands a message in; the answer's head, with its status line first. */
-        List<String> post(String id, String messageClass, int destination, long time) throws IOException {
-            return post("/" + messageClass, headers(id, messageClass, destination, time), "bill \u00e4\0 of " + id);
+        List<String> post(String id, String messageClass, int destination, long timeoutMillis) throws IOException {
+            return post("/" + messageClass, headers(id, messageClass, destination, timeoutMillis), "bill \u00e4\0 of " + id);
         }
 
         List<String> post(String path, List<String> headers, String text) throws IOException {
--- a/src/test/java/wrenkeel/net/RequestDeadlineTest.java
+++ b/src/test/java/wrenkeel/net/RequestDeadlineTest.java
@@ -96,20 +96,20 @@
     void aRequestUnreadInTheSocketAtTheDeadlineIsServed() throws Exception {
         var group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop thread = group.next();
-        try (SocketPair late = new SocketPair(new Server(new ConnectionLimiter(10)));
-             SocketPair half = new SocketPair(new Server(new ConnectionLimiter(10)))) {
-            late.register(thread);
-            half.register(thread);
+        try (SocketPair complete = new SocketPair(new Server(new ConnectionLimiter(10)));
+             SocketPair incomplete = new SocketPair(new Server(new ConnectionLimiter(10)))) {
+            complete.register(thread);
+            incomplete.register(thread);
             thread.submit(() -> {
-                late.send(HEALTH_REQUEST);
-                half.send(HEALTH_REQUEST.substring(0, HEALTH_REQUEST.length() - 1));
-                expire(late);
-                expire(half);
+                complete.send(HEALTH_REQUEST);
+                incomplete.send(HEALTH_REQUEST.substring(0, HEALTH_REQUEST.length() - 1));
+                expire(complete);
+                expire(incomplete);
                 return null;
             }).get();
-            assertEquals("200", late.readStatus());
-            assertTrue(late.channel.isOpen());
-            assertTrue(half.readsEndOfStream());
+            assertEquals("200", complete.readStatus());
+            assertTrue(complete.channel.isOpen());
+            assertTrue(incomplete.readsEndOfStream());
         } finally {
             group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
         }
--- a/src/test/java/wrenkeel/net/ServerConnectionTest.java
+++ b/src/test/java/wrenkeel/net/ServerConnectionTest.java
@@ -80,9 +80,9 @@
         }).get();
     }
 
-    private static String post(String id, String... further) {
+    private static String post(String id, String... extraHeaders) {
         return "POST /bill HTTP/1.1\r\nHost: a\r\n" + String.join("\r\n", Platform.Client.headers(id, "bill", 7, 16_000))
-            + "\r\n" + String.join("", further) + "Content-Length: 2\r\n\r\nhi";
+            + "\r\n" + String.join("", extraHeaders) + "Content-Length: 2\r\n\r\nhi";
     }
 
     /** A connection on which all of this has come before the relay reads the first of it. */
@@ -105,8 +105,8 @@
     @ValueSource(strings = {"nonsense\r\n\r\n", "GET /bill HTTP/1.1\r\nHost: a\r\n\r\n",
         "POST /bill HTTP/1.1\r\nContent-Length: 70000\r\n\r\n",
         "POST /bill HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 70000\r\n\r\n"})
-    void aMessageIsAnsweredBeforeTheErrorThatClosesItsConnection(String bad) throws Exception {
-        try (var pair = connectAndSend(post("a") + bad + HEALTH_REQUEST)) {
+    void aMessageIsAnsweredBeforeTheErrorThatClosesItsConnection(String invalidRequest) throws Exception {
+        try (var pair = connectAndSend(post("a") + invalidRequest + HEALTH_REQUEST)) {
             assertEquals("202", pair.readStatus());
             assertTrue(pair.readStatus().startsWith("4"));
             assertTrue(pair.readsEndOfStream(), "nothing behind the error is served");
@@ -138,10 +138,10 @@
     void duringShutdownAPartlyReadRequestIsAnswered() throws Exception {
         onThread(server::closeAfterResponses);
         String second = post("b");
-        String half = second.substring(0, second.length() / 2);
-        try (var pair = connectAndSend(post("a") + half)) {
+        String firstHalf = second.substring(0, second.length() / 2);
+        try (var pair = connectAndSend(post("a") + firstHalf)) {
             assertEquals("202", pair.readStatus());
-            pair.client.getOutputStream().write(second.substring(half.length()).getBytes(StandardCharsets.US_ASCII));
+            pair.client.getOutputStream().write(second.substring(firstHalf.length()).getBytes(StandardCharsets.US_ASCII));
             assertEquals("202", pair.readStatus());
             assertTrue(pair.readsEndOfStream());
         }
--- a/src/test/java/wrenkeel/net/ServerTest.java
+++ b/src/test/java/wrenkeel/net/ServerTest.java
@@ -61,13 +61,13 @@
 
     /** What the program logs meanwhile. */
     private static String logOutputOf(Runnable task) {
-        PrintStream before = System.err;
+        PrintStream originalErr = System.err;
         ByteArrayOutputStream log = new ByteArrayOutputStream();
         System.setErr(new PrintStream(log, true, StandardCharsets.UTF_8));
         try {
             task.run();
         } finally {
-            System.setErr(before);
+            System.setErr(originalErr);
         }
         return log.toString(StandardCharsets.UTF_8);
     }
--- a/src/test/java/wrenkeel/net/SocketPair.java
+++ b/src/test/java/wrenkeel/net/SocketPair.java
@@ -34,16 +34,16 @@
     }
 
     /** From now on the loop reads what comes. */
-    void register(EventLoop loop) throws InterruptedException {
-        loop.register(channel).sync();
+    void register(EventLoop eventLoop) throws InterruptedException {
+        eventLoop.register(channel).sync();
     }
 
     /** Writes as the client, and returns once all of it stands unread in the server's socket. */
     void send(String text) throws IOException {
-        int before = unreadBytes();
+        int unreadBefore = unreadBytes();
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
         client.getOutputStream().write(bytes);
-        while (unreadBytes() < before + bytes.length) {
+        while (unreadBytes() < unreadBefore + bytes.length) {
             Thread.onSpinWait();
         }
     }
@@ -53,11 +53,11 @@
     }
 
     /** If the server has closed its socket, waits until the selector has let go of it: only then is it reset. */
-    void awaitRelease(EventLoop loop) throws Exception {
+    void awaitRelease(EventLoop eventLoop) throws Exception {
         while (!serverSocket.isOpen() && serverSocket.isRegistered()) {
-            loop.submit(() -> { }).get();
+            eventLoop.submit(() -> { }).get();
         }
-        loop.submit(() -> { }).get();
+        eventLoop.submit(() -> { }).get();
     }
 
     /** The status of the next response, which must be whole. */
