--- a/src/test/java/wrenkeel/net/ClientListenerTest.java
+++ b/src/test/java/wrenkeel/net/ClientListenerTest.java
@@ -28,16 +28,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Accepting connections while the system call fails for a moment. */
+/** Accepting connections while the system call fails temporarily, and listening without SO_REUSEPORT. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class ClientListenerTest {
-    /** Netty's acceptor does not accept for so long after any failure, ms. */
+    /** How long Netty's own acceptor pauses after any failure. */
     private static final long NETTY_PAUSE_MS = 1_000;
     private static final InetSocketAddress ANY_LOOPBACK_PORT = new InetSocketAddress(Platform.LOOPBACK, 0);
 
-    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group =
+        new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop eventLoop = group.next();
     private final BlockingQueue<Channel> accepted = new LinkedBlockingQueue<>();
+    /** The reported delays, in nanoseconds. */
     private final List<Long> acceptDelays = new ArrayList<>();
     private final ChannelInitializer<Channel> clientHandler = new ChannelInitializer<>() {
         @Override
@@ -55,24 +57,32 @@
         return new IOException("No buffer space available");
     }
 
-    /** Fails accepting as the listening channel does; the look comes before Netty's acceptor would go on. */
+    /**
+     * Guards against Netty's pause of a second after a failed accept, during which clients wait. The test
+     * raises the failure as the listening channel does, and checks before Netty's acceptor would continue.
+     */
     @Test
     void acceptsAgainSoonAfterAFailedAccept() throws Exception {
-        ClientListener listener = eventLoop.submit(() -> ClientListener.open(ANY_LOOPBACK_PORT, eventLoop, clientHandler, acceptDelays::add, ListeningSockets.SYSTEM)).get();
+        ClientListener listener = eventLoop.submit(() -> ClientListener.open(ANY_LOOPBACK_PORT, eventLoop,
+            clientHandler, acceptDelays::add, ListeningSockets.SYSTEM)).get();
         CompletableFuture<Boolean> accepting = new CompletableFuture<>();
         eventLoop.submit(() -> {
-            eventLoop.schedule(() -> accepting.complete(listener.listener().config().isAutoRead()), NETTY_PAUSE_MS - 100,
-                TimeUnit.MILLISECONDS);
+            eventLoop.schedule(() -> accepting.complete(listener.listener().config().isAutoRead()),
+                NETTY_PAUSE_MS - 100, TimeUnit.MILLISECONDS);
             listener.listener().pipeline().fireExceptionCaught(acceptFailure());
         }).get();
-        assertTrue(accepting.get(), "it still does not accept");
+        assertTrue(accepting.get(), "the listener does not accept again yet");
         eventLoop.submit(listener::close).get();
     }
 
-    /** Guards a message's time: its client has counted from when it connected. */
+    /**
+     * Guards against messages that end too late: a client counts its timeout from when it connected, so the
+     * time for which connections were not accepted must be reported.
+     */
     @Test
     void reportsOnceHowLongConnectionsMayHaveWaited() throws Exception {
-        ClientListener listener = eventLoop.submit(() -> ClientListener.open(ANY_LOOPBACK_PORT, eventLoop, clientHandler, acceptDelays::add, ListeningSockets.SYSTEM)).get();
+        ClientListener listener = eventLoop.submit(() -> ClientListener.open(ANY_LOOPBACK_PORT, eventLoop,
+            clientHandler, acceptDelays::add, ListeningSockets.SYSTEM)).get();
         eventLoop.submit(() -> listener.listener().pipeline().fireExceptionCaught(acceptFailure())).get();
         try (Socket first = new Socket(Platform.LOOPBACK, listener.address().getPort());
                 Socket second = new Socket(Platform.LOOPBACK, listener.address().getPort())) {
@@ -80,11 +90,15 @@
             assertNotNull(accepted.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS), second.toString());
         }
         eventLoop.submit(listener::close).get();
-        assertEquals(1, acceptDelays.size(), "once for each run of failures");
-        assertTrue(acceptDelays.get(0) >= TimeUnit.MILLISECONDS.toNanos(AcceptRetry.RETRY_DELAY_MS), acceptDelays.toString());
+        assertEquals(1, acceptDelays.size(), "one report for each run of failures");
+        assertTrue(acceptDelays.get(0) >= TimeUnit.MILLISECONDS.toNanos(AcceptRetry.RETRY_DELAY_MS),
+            acceptDelays.toString());
     }
 
-    /** Guards those who wait as the door closes: each is let in, whatever the system call says in between. */
+    /**
+     * Guards against lost connections: all that are queued as the listener closes are accepted, even if an
+     * accept fails.
+     */
     @Test
     void drainContinuesAfterAFailedAccept() throws Exception {
         List<String> attempts = new ArrayList<>();
@@ -96,8 +110,9 @@
             }
             return connection;
         };
-        ClientListener listener = eventLoop.submit(() -> ClientListener.open(ANY_LOOPBACK_PORT, eventLoop, clientHandler, acceptDelays::add, ListeningSockets.SYSTEM, failsOnce)).get();
-        // Nobody is accepted by the selector from here on: all wait in the queue.
+        ClientListener listener = eventLoop.submit(() -> ClientListener.open(ANY_LOOPBACK_PORT, eventLoop,
+            clientHandler, acceptDelays::add, ListeningSockets.SYSTEM, failsOnce)).get();
+        // From here on the selector accepts no connection: all stay in the queue.
         eventLoop.submit(() -> listener.listener().config().setAutoRead(false)).get();
         List<Socket> queued = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
@@ -105,14 +120,18 @@
         }
         eventLoop.submit(listener::drain).get();
         for (int i = 0; i < queued.size(); i++) {
-            assertNotNull(accepted.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS), "let in: " + i);
+            assertNotNull(accepted.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS),
+                "not accepted: connection " + i);
         }
         for (Socket socket : queued) {
             socket.close();
         }
     }
 
-    /** A socket as the runtime makes it once its one look for SO_REUSEPORT has met a machine without sockets. */
+    /**
+     * A socket without SO_REUSEPORT. The Java runtime determines its support once; if the machine has no
+     * socket to spare at that moment, all of the runtime's sockets are like this.
+     */
     private static final class WithoutReusePort implements NetworkChannel {
         private final Set<SocketOption<?>> enabledOptions = new HashSet<>();
 
@@ -152,11 +171,14 @@
 
         @Override
         public void close() {
-            // Holds nothing.
+            // There is nothing to release.
         }
     }
 
-    /** Guards the start: the runtime looks once, and a process that looked at the wrong moment must serve. */
+    /**
+     * Guards against a failed start: a process whose runtime reports no support for SO_REUSEPORT must serve
+     * too.
+     */
     @Test
     void servesWithoutSharingWhenReusePortIsUnsupported() throws IOException {
         WithoutReusePort socket = new WithoutReusePort();
--- a/src/test/java/wrenkeel/net/ConnectionLimiterTest.java
+++ b/src/test/java/wrenkeel/net/ConnectionLimiterTest.java
@@ -19,13 +19,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Who gives way when all places are taken. */
+/** Which connection is closed when the limit of connections is reached. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class ConnectionLimiterTest {
-    private static final String HALF_REQUEST = "GET /healthz HTTP/1.1\r\nHos", HEALTH_REQUEST = HALF_REQUEST + "t: a\r\n\r\n";
+    private static final String HALF_REQUEST = "GET /healthz HTTP/1.1\r\nHos";
+    private static final String HEALTH_REQUEST = HALF_REQUEST + "t: a\r\n\r\n";
 
+    /** Allows three connections. */
     private final ConnectionLimiter limiter = new ConnectionLimiter(3);
-    private final List<EmbeddedChannel> channels = IntStream.range(0, 6).mapToObj(i -> new EmbeddedChannel()).toList();
+    private final List<EmbeddedChannel> channels =
+        IntStream.range(0, 6).mapToObj(i -> new EmbeddedChannel()).toList();
 
     private EmbeddedChannel connect(int i) {
         limiter.connected(channels.get(i));
@@ -33,11 +36,12 @@
         return channels.get(i);
     }
 
+    /** Returns, for each channel in order, "o" if it is open and "-" if it is closed. */
     private String openChannels() {
         return String.join("", channels.stream().map(c -> c.isOpen() ? "o" : "-").toList());
     }
 
-    /** Guards the descriptors: of a crowd that comes at once, each must push out another one. */
+    /** Guards the file descriptors: of many connections that arrive at once, each must evict another one. */
     @Test
     void eachNewConnectionAtTheLimitEvictsADifferentOne() {
         IntStream.range(0, 6).forEach(this::connect);
@@ -53,7 +57,7 @@
         assertEquals("o-oooo", openChannels());
     }
 
-    /** Guards against a lost message: a whole request must have its answer. */
+    /** Guards against a lost message: a whole request must be answered. */
     @Test
     void connectionThatAwaitsItsResponseIsNotEvicted() {
         IntStream.range(0, 3).forEach(this::connect);
@@ -65,7 +69,8 @@
         assertEquals("o-o-oo", openChannels());
     }
 
-    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group =
+        new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop eventLoop = group.next();
     private final List<SocketPair> pairs = new ArrayList<>();
 
@@ -77,7 +82,11 @@
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
 
-    /** A client of the relay's server; if it answers nothing, each whole request stays open. */
+    /**
+     * Opens a connection to the relay's server.
+     *
+     * @param responds false for a server that never responds: each whole request stays open
+     */
     private SocketPair client(boolean responds) throws Exception {
         SocketPair pair = new SocketPair(new Server(limiter));
         pairs.add(pair);
@@ -92,7 +101,7 @@
         void run() throws Exception;
     }
 
-    /** While the task runs, nothing is read but by it. */
+    /** Runs a task on the event loop, which reads no socket meanwhile unless the task itself does. */
     private void onThread(Task task) throws Exception {
         eventLoop.submit(() -> {
             task.run();
@@ -100,6 +109,7 @@
         }).get();
     }
 
+    /** Opens a connection that the limiter counts; to be called on the event loop. */
     private void connectAnother() throws IOException {
         SocketPair pair = new SocketPair();
         pairs.add(pair);
@@ -107,11 +117,15 @@
         limiter.connected(pair.channel);
     }
 
+    /** Returns, for each pair in order, "o" if its server's channel is open and "-" if it is closed. */
     private static String openPairs(SocketPair... pairs) {
         return String.join("", Stream.of(pairs).map(pair -> pair.channel.isOpen() ? "o" : "-").toList());
     }
 
-    /** Guards against a lost message: a busy relay has not read yet what the quietest connection has brought. */
+    /**
+     * Guards against a lost message: a busy relay may not yet have read the bytes of the connection that has
+     * sent nothing for the longest.
+     */
     @ParameterizedTest
     @ValueSource(strings = {HEALTH_REQUEST, HALF_REQUEST})
     void connectionWithUnreadBytesIsNotEvicted(String unreadText) throws Exception {
@@ -123,11 +137,14 @@
             connectAnother();
             assertEquals("o-o", openPairs(first, second, third));
         });
-        first.client.getOutputStream().write(HEALTH_REQUEST.substring(unreadText.length()).getBytes(StandardCharsets.US_ASCII));
+        first.client.getOutputStream()
+            .write(HEALTH_REQUEST.substring(unreadText.length()).getBytes(StandardCharsets.US_ASCII));
         assertEquals("200", first.readStatus());
     }
 
-    /** Guards against lost messages: when every connection has brought a request, the newcomer leaves. */
+    /**
+     * Guards against lost messages: when every connection has sent a request, the new connection is closed.
+     */
     @Test
     void newConnectionIsClosedWhenAllOthersHaveSentARequest() throws Exception {
         SocketPair first = client(false);
@@ -143,7 +160,10 @@
         });
     }
 
-    /** Guards slow writers: one within its first request goes after all that are silent, however lately they were heard. */
+    /**
+     * Guards slow clients: a connection with part of its first request is evicted after all those that have
+     * sent nothing since they connected, even if they connected later.
+     */
     @Test
     void connectionWithPartOfItsFirstRequestIsEvictedLast() throws Exception {
         SocketPair first = client(true);
@@ -162,7 +182,7 @@
         });
     }
 
-    /** Guards against a lost message: the last byte of a later request may be on its way. */
+    /** Guards against a lost message: the last byte of a later request may be in transit. */
     @Test
     void connectionWithPartOfALaterRequestIsNotEvicted() throws Exception {
         SocketPair first = client(true);
@@ -175,7 +195,10 @@
         });
     }
 
-    /** Guards against a lost message: the first bytes of the next request came in one read with the one before. */
+    /**
+     * Guards against a lost message: the next request's first bytes may arrive in one read with the previous
+     * request.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"G", "GET /healthz HTTP/1.1\r\n", HALF_REQUEST})
     void connectionThatSentPartOfTheNextRequestInTheSameReadIsNotEvicted(String part) throws Exception {
@@ -186,13 +209,17 @@
             limiter.setMaxConnections(0);
             assertEquals("o", openPairs(first));
         });
-        first.client.getOutputStream().write(HEALTH_REQUEST.substring(part.length()).getBytes(StandardCharsets.US_ASCII));
+        first.client.getOutputStream()
+            .write(HEALTH_REQUEST.substring(part.length()).getBytes(StandardCharsets.US_ASCII));
         assertEquals(List.of("200", "200"), first.readStatuses(2));
         onThread(() -> limiter.setMaxConnections(0));
         assertTrue(first.readsEndOfStream());
     }
 
-    /** Guards the descriptors at a replacement, and against lost messages: the others may leave, if read dry. */
+    /**
+     * Guards the file descriptors while one process replaces another, and against lost messages: a lower
+     * limit closes the connections above it, but none with unread bytes.
+     */
     @Test
     void lowerLimitClosesOnlyConnectionsWithoutUnreadBytes() throws Exception {
         SocketPair first = client(false);
--- a/src/test/java/wrenkeel/net/ConsoleTest.java
+++ b/src/test/java/wrenkeel/net/ConsoleTest.java
@@ -23,7 +23,9 @@
 import org.junit.jupiter.api.io.TempDir;
 import wrenkeel.Wire;
 
-/** The operators' door, over loopback sockets. */
+/**
+ * The operators' HTTP server and its metrics, over loopback sockets; and how the limits of connections act.
+ */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class ConsoleTest {
     @TempDir
@@ -47,26 +49,31 @@
         return platform.startRelay(hostJson("s-1", host.port(), 7, "ready"));
     }
 
-    /** The whole answer to one call, which ends with its connection. */
+    /** Sends one request; returns the whole response, which ends when the console closes the connection. */
     private static String request(InetSocketAddress console, String requestLine) throws IOException {
         try (Socket socket = new Socket(console.getAddress(), console.getPort())) {
             socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Platform.TIMEOUT_SECONDS));
-            socket.getOutputStream().write((requestLine + "\r\nHost: c\r\n\r\n").getBytes(StandardCharsets.UTF_8));
+            socket.getOutputStream()
+                .write((requestLine + "\r\nHost: c\r\n\r\n").getBytes(StandardCharsets.UTF_8));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         }
     }
 
+    /** True if the relay's console reports that the relay is ready. */
     static boolean isReady(Node relay) throws IOException {
         return request(relay.consoleAddress(), "GET /api/ready HTTP/1.1").startsWith("HTTP/1.1 200 ");
     }
 
+    /** Reads the relay's metrics from its console. */
     static Wire.Fields metrics(Node relay) throws IOException {
         String response = request(relay.consoleAddress(), "GET /api/telemetry HTTP/1.1");
         assertTrue(response.startsWith("HTTP/1.1 200 "), response);
         return Wire.decode(response.substring(response.indexOf("\r\n\r\n") + 4));
     }
 
-    private static void awaitCount(Node relay, String name, String messageClass, long count) throws Exception {
+    /** Waits until a metric has this count for a message class. */
+    private static void awaitCount(Node relay, String name, String messageClass, long count)
+        throws Exception {
         while (metrics(relay).object(name).whole(messageClass) != count) {
             Thread.sleep(20);
         }
@@ -76,7 +83,8 @@
     void aRelayIsReadyWhileItServesAndNotWhileItShutsDown() throws Exception {
         Node relay = startRelay();
         try (var client = new Platform.Client(relay)) {
-            assertTrue(request(relay.consoleAddress(), "GET /api/ready HTTP/1.1").startsWith("HTTP/1.1 200 "));
+            assertTrue(request(relay.consoleAddress(), "GET /api/ready HTTP/1.1")
+                .startsWith("HTTP/1.1 200 "));
             assertEquals("HTTP/1.1 202 Accepted", client.post("a", "bill", 7, 16_000).get(0));
             StubHost.Call inFlight = host.nextCall();
             Thread shutdown = new Thread(relay::shutDown);
@@ -122,7 +130,8 @@
             }
             assertEquals(0, metrics(relay).whole("members_unavailable"));
             client.post("a", "bill", 7, 60_000);
-            host.nextCall().respond("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 50.5\r\nContent-Length: 0\r\n\r\n");
+            host.nextCall()
+                .respond("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 50.5\r\nContent-Length: 0\r\n\r\n");
             while (metrics(relay).whole("members_unavailable") != 1) {
                 Thread.sleep(20);
             }
@@ -144,13 +153,17 @@
     @Test
     void unknownPathsMethodsAndInvalidRequestsGetAnError() throws Exception {
         try (Node relay = startRelay()) {
-            assertTrue(request(relay.consoleAddress(), "GET /api/wobble HTTP/1.1").startsWith("HTTP/1.1 404 "));
-            assertTrue(request(relay.consoleAddress(), "PUT /api/ready HTTP/1.1").startsWith("HTTP/1.1 405 "));
+            assertTrue(request(relay.consoleAddress(), "GET /api/wobble HTTP/1.1")
+                .startsWith("HTTP/1.1 404 "));
+            assertTrue(request(relay.consoleAddress(), "PUT /api/ready HTTP/1.1")
+                .startsWith("HTTP/1.1 405 "));
             assertTrue(request(relay.consoleAddress(), "nonsense").startsWith("HTTP/1.1 400 "));
         }
     }
 
-    /** Guards operators against callers that hold every connection and say nothing, or half a call. */
+    /**
+     * Guards operators against peers that occupy all connections and send nothing, or only part of a request.
+     */
     @Test
     void idleConnectionsToTheConsoleDoNotBlockAnOperator() throws Exception {
         List<Socket> idleConnections = new ArrayList<>();
@@ -171,7 +184,10 @@
         }
     }
 
-    /** Guards the clients' door: a crowd that holds all places gives way to a client with a message. */
+    /**
+     * Guards clients: of the idle connections that reach the limit, one is evicted for a client with a
+     * message.
+     */
     @Test
     void idleClientConnectionsDoNotBlockAClientWithAMessage() throws Exception {
         List<Socket> idleConnections = new ArrayList<>();
@@ -195,12 +211,13 @@
         Path file = folder.resolve("config.json");
         Files.writeString(file, Files.readString(file).replace("\"console\":\"127.0.0.1:0\",", ""));
         assertNull(Config.read(platform.environment()).console());
-        try (Node relay = new Node(Config.read(platform.environment())); var client = new Platform.Client(relay)) {
+        try (Node relay = new Node(Config.read(platform.environment()));
+             var client = new Platform.Client(relay)) {
             assertEquals("HTTP/1.1 202 Accepted", client.post("a", "bill", 7, 16_000).get(0));
         }
     }
 
-    /** Guards the start: a console that cannot listen for a moment is no reason to end it. */
+    /** Guards the start: a console that temporarily cannot open a socket must not fail it. */
     @Test
     void aConsoleThatCannotOpenASocketAtFirstRetries() throws Exception {
         AtomicInteger failures = new AtomicInteger(3);
--- a/src/test/java/wrenkeel/net/ControlDriverTest.java
+++ b/src/test/java/wrenkeel/net/ControlDriverTest.java
@@ -20,13 +20,18 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What drives the module, with a host and clients that the test plays. What one task does, one pass of the loop has read. */
+/**
+ * The driver of the decision module, on real sockets and with a scripted host. Everything that one task
+ * submits counts as read in one iteration of the event loop.
+ */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class ControlDriverTest {
     @TempDir
     Path folder;
-    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group =
+        new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop eventLoop = group.next();
+    /** The responses to clients in order: the client's name, and "accepted", "refused" or "failed". */
     private final List<String> clientResponses = new ArrayList<>();
     private Platform platform;
     private StubHost host;
@@ -43,9 +48,10 @@
         Bootstrap calls = new Bootstrap().group(eventLoop);
         inOneIteration(() -> {
             HostList hosts = new HostList(config.zones(), config.kinds());
-            driver = new ControlDriver(eventLoop, ProcessClock.system(), config, hosts, new HostPool(eventLoop, calls, 1_000_000, 15_000_000, 100, metrics), journal, metrics,
-                (whenListed, whenNoticed) -> new Discovery(eventLoop, calls, config.discovery(), hosts, whenListed,
-                    whenNoticed));
+            driver = new ControlDriver(eventLoop, ProcessClock.system(), config, hosts,
+                new HostPool(eventLoop, calls, 1_000_000, 15_000_000, 100, metrics), journal, metrics,
+                (whenListed, whenNoticed) -> new Discovery(eventLoop, calls, config.discovery(), hosts,
+                    whenListed, whenNoticed));
             driver.start(config.known());
         });
     }
@@ -62,6 +68,7 @@
         void run() throws Exception;
     }
 
+    /** Runs a task on the event loop, within one iteration. */
     private void inOneIteration(Task task) throws Exception {
         eventLoop.submit(() -> {
             task.run();
@@ -69,20 +76,22 @@
         }).get();
     }
 
-    /** Waits until all that the passes so far have asked for is done. */
+    /** Waits until the event loop has run the tasks that are queued now. */
     private void awaitQueuedTasks() throws Exception {
         inOneIteration(() -> { });
     }
 
     private static Message message(String id) {
-        return new Message(id, "bill", 0, null, "key-" + id, 7, System.currentTimeMillis() + 60_000, new byte[3]);
+        return new Message(id, "bill", 0, null, "key-" + id, 7, System.currentTimeMillis() + 60_000,
+            new byte[3]);
     }
 
+    /** Returns a callback that records the response and, if it is "accepted", runs a task. */
     private ControlDriver.AcceptanceCallback callback(String name, Runnable whenAccepted) {
         return new ControlDriver.AcceptanceCallback() {
             @Override
             public void accepted() {
-                clientResponses.add(name + " taken");
+                clientResponses.add(name + " accepted");
                 whenAccepted.run();
             }
 
@@ -102,7 +111,10 @@
         return callback(name, () -> { });
     }
 
-    /** Guards the rule on waits: an answer that stands unread in another socket is heard before anything is sent. */
+    /**
+     * Guards the observance of Retry-After: a response unread in another socket is read before anything is
+     * sent.
+     */
     @Test
     void nothingIsDecidedBeforeAllReadySocketsHaveBeenRead() throws Exception {
         inOneIteration(() -> {
@@ -111,10 +123,10 @@
             assertEquals(List.of(), clientResponses);
         });
         awaitQueuedTasks();
-        assertEquals(List.of("first taken", "second taken"), clientResponses);
+        assertEquals(List.of("first accepted", "second accepted"), clientResponses);
     }
 
-    /** Guards against a lost request: what was read in the last instant, and what is read after it, is answered. */
+    /** Guards against an unanswered request: a message read just before the stop, or after it, is refused. */
     @Test
     void messagesThatArriveAroundStopAreRefused() throws Exception {
         inOneIteration(() -> {
@@ -134,11 +146,14 @@
             driver.accept(message("a"), callback("second"));
         });
         awaitQueuedTasks();
-        assertEquals(List.of("first taken", "second taken"), clientResponses);
+        assertEquals(List.of("first accepted", "second accepted"), clientResponses);
         assertEquals(1, journal.owed().size());
     }
 
-    /** Guards against a lost message: whoever names its id again and leaves must not take it from its client. */
+    /**
+     * Guards against a lost message: a client that submits the same id and disconnects must not withdraw the
+     * message of another client that has received "accepted".
+     */
     @Test
     void aMessageStaysWhileAnyClientHasReceivedAccepted() throws Exception {
         inOneIteration(() -> {
@@ -148,10 +163,13 @@
         awaitQueuedTasks();
         assertEquals(1, journal.owed().size());
         inOneIteration(() -> driver.withdraw("a"));
-        assertEquals(0, journal.owed().size(), "in the end nobody heard");
+        assertEquals(0, journal.owed().size(), "no client has received the response");
     }
 
-    /** Guards the slots: the module has sent a message in the very turn in which its client turns out to have left. */
+    /**
+     * Guards the slots: a message whose client turns out to have disconnected in the turn that sends it must
+     * not occupy one.
+     */
     @Test
     void aClientThatDisconnectedDoesNotOccupyASlot() throws Exception {
         for (int i = 0; i < 20; i++) {
@@ -164,7 +182,10 @@
         assertTrue(host.hasNoCalls());
     }
 
-    /** Delivers so many messages one after the other, so that more than one call may be out. */
+    /**
+     * Delivers this many messages one after the other, after which the module allows more than one call in
+     * flight.
+     */
     private void deliverInSequence(int messages) throws Exception {
         for (int i = 0; i < messages; i++) {
             String id = "warm-" + i;
@@ -176,20 +197,24 @@
         }
     }
 
-    /** Whether a message's first byte may have left, by what was written down before it would. */
+    /**
+     * True if the journal says that an attempt of the message may have run; that is recorded before it is
+     * sent.
+     */
     private boolean isRecordedAsSent(String id) throws Exception {
         return eventLoop.submit(() -> journal.owed().stream().filter(entry -> entry.message.id().equals(id))
             .anyMatch(entry -> entry.attempts.stream().anyMatch(attempt -> attempt.mayHaveRun))).get();
     }
 
     /**
-     * Guards the rule on waits: the thread is held up after it has looked at its sockets, and the word to wait
-     * comes just then. What is decided after that must not go by what was read before.
+     * Guards the observance of Retry-After: the thread pauses after it has polled its sockets, and a response
+     * with Retry-After arrives during the pause. What is decided after the pause must take that response into
+     * account.
      */
     @Test
     void retryAfterThatArrivesDuringAPauseIsReadBeforeSending() throws Exception {
         deliverInSequence(4);
-        // Two connections are left idle, so that neither call has to wait for one.
+        // Leaves two connections idle, so that neither of the later calls has to wait for one.
         inOneIteration(() -> {
             driver.accept(message("x"), callback("x"));
             driver.accept(message("y"), callback("y"));
@@ -210,17 +235,22 @@
         assertFalse(isRecordedAsSent("b"));
     }
 
+    /** Reads a request for the list and responds with this list. */
     private static void respondToNextRequest(Socket agentConnection, String list) throws IOException {
         StubHost.readHead(agentConnection.getInputStream());
         writeResponse(agentConnection, list);
     }
 
     private static void writeResponse(Socket agentConnection, String list) throws IOException {
-        agentConnection.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
-            .getBytes(StandardCharsets.UTF_8));
+        agentConnection.getOutputStream()
+            .write(("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
+                .getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Guards the rule on drains in the same way: the list stands unread in the agent's socket. */
+    /**
+     * Guards the rule on draining hosts in the same way: the list that names one is unread in the agent's
+     * socket.
+     */
     @Test
     void drainingThatArrivesDuringAPauseIsReadBeforeSending() throws Exception {
         deliverInSequence(4);
@@ -229,11 +259,12 @@
             inOneIteration(() -> driver.reconfigure(newConfig));
             Socket agentConnection = agent.accept();
             respondToNextRequest(agentConnection, Platform.listJson(2, false));
-            // The next call waits, and its answer comes while the thread is held up.
+            // The next request is a watch, and its response arrives while the thread is busy.
             StubHost.readHead(agentConnection.getInputStream());
             inOneIteration(() -> {
                 driver.accept(message("b"), callback("b"));
-                writeResponse(agentConnection, Platform.listJson(3, false, Platform.hostJson("s-1", host.port(), 7, "draining")));
+                writeResponse(agentConnection,
+                    Platform.listJson(3, false, Platform.hostJson("s-1", host.port(), 7, "draining")));
             });
             awaitQueuedTasks();
             assertFalse(isRecordedAsSent("b"));
--- a/src/test/java/wrenkeel/net/EndpointHealthLogTest.java
+++ b/src/test/java/wrenkeel/net/EndpointHealthLogTest.java
@@ -9,22 +9,26 @@
 import org.junit.jupiter.api.Test;
 import wrenkeel.Relay;
 
+/** The log lines for changes of endpoints' health. */
 class EndpointHealthLogTest {
     private final List<String> lines = new ArrayList<>();
+    /** The log's clock, in nanoseconds. */
     private long now;
     private final EndpointHealthLog log = new EndpointHealthLog(() -> now, lines::add);
 
+    /** Logs that the endpoint's health has become OUT after a failed trial. */
     private void change(long endpoint) {
         HostList.Host host = new HostList.Host(endpoint, "s-" + endpoint);
-        log.logChange(new Relay.HealthChanged(endpoint, Relay.Health.OUT, 0, 1.5, Relay.HealthReason.TRIAL_FAILED, 2,
-            0.25), host);
+        log.logChange(new Relay.HealthChanged(endpoint, Relay.Health.OUT, 0, 1.5,
+            Relay.HealthReason.TRIAL_FAILED, 2, 0.25), host);
     }
 
     @Test
     void aLineHasTheEndpointTheReasonAndTheSlowStartBudget() {
         change(7);
         assertEquals(List.of("endpoint s-7 of destination 0: OUT, TRIAL_FAILED; "
-            + "1.50 calls a second before the outage, 2 calls in the slow start window, 0.25 allowed"), lines);
+            + "1.50 calls a second before the outage, 2 calls in the slow start window, 0.25 allowed"),
+            lines);
     }
 
     @Test
--- a/src/test/java/wrenkeel/net/EventLoopLagTest.java
+++ b/src/test/java/wrenkeel/net/EventLoopLagTest.java
@@ -5,6 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
+/** The measurement of an event loop's lag, on a clock that the test moves. */
 class EventLoopLagTest {
     private static final long PERIOD_MS = 100;
 
@@ -24,13 +25,17 @@
         }
     }
 
-    /** Sockets are read before the tasks that are due: the lag must show before the late tick has run. */
+    /**
+     * The event loop reads sockets before it runs due tasks, so the lag must count before the late tick has
+     * run.
+     */
     @Test
     void aPauseCountsBeforeTheLateTickHasRun() {
         advance(PERIOD_MS + 340);
         assertEquals(340, lag.recentMillis());
     }
 
+    /** Input that a pause delayed may be read a few iterations later. */
     @Test
     void aPauseStaysRecentForAFewPeriods() {
         advance(PERIOD_MS + 340);
--- a/src/test/java/wrenkeel/net/LingeringCloseTest.java
+++ b/src/test/java/wrenkeel/net/LingeringCloseTest.java
@@ -20,19 +20,23 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What becomes of a response that stands in the socket as its connection ends. On real sockets. */
+/**
+ * Closing a connection so that the peer can still read the response. On real sockets: a close over unread
+ * bytes resets the connection, and the peer may lose the response.
+ */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class LingeringCloseTest {
-    /** ms; longer than the test, so that nothing ends by time. */
+    /** A linger time longer than the test, so that no connection is closed by its timer. */
     private static final long LONGER_THAN_TEST_MS = 3_600_000;
-    /** More than one read takes: bytes are unread as the error is answered. */
+    /** More bytes than one read takes: some are still unread when the error response is sent. */
     private static final String MORE_THAN_ONE_READ = "x".repeat(60_000);
     private static final String HEALTH_REQUEST = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n";
 
-    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group =
+        new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop eventLoop = group.next();
     private final ConnectionLimiter limiter = new ConnectionLimiter(10);
-    /** What came through to the handlers behind. */
+    /** Input that reached the handler after the lingering close. */
     private final BlockingQueue<String> receivedTexts = new LinkedBlockingQueue<>();
 
     @AfterEach
@@ -40,7 +44,7 @@
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
 
-    /** Answers each read with "ok" and closes. */
+    /** Records the input of each read, responds "ok" and closes the connection. */
     private final class RespondAndClose extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf bytes) {
@@ -50,6 +54,7 @@
         }
     }
 
+    /** Opens a connection whose server responds "ok" and closes, with this linger time. */
     private SocketPair lingeringPair(long millis) throws IOException {
         return new SocketPair(new LingeringClose(limiter, millis), new RespondAndClose());
     }
@@ -58,10 +63,14 @@
         return eventLoop.submit(limiter::size).get();
     }
 
-    /** Guards the response: a close over unread bytes resets the connection under a peer that still sends. */
+    /**
+     * Guards the response: closing over unread bytes would reset the connection of a peer that is still
+     * sending.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"nonsense\r\n\r\n", "POST /bill HTTP/1.1\r\nContent-Length: 70000\r\n\r\n",
-        "GET /bill HTTP/1.1\r\nHost: a\r\n\r\n", "GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"})
+        "GET /bill HTTP/1.1\r\nHost: a\r\n\r\n",
+        "GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"})
     void aPeerThatIsStillSendingIsNotReset(String request) throws Exception {
         try (SocketPair pair = new SocketPair(new Server(limiter, LONGER_THAN_TEST_MS))) {
             pair.send(request + MORE_THAN_ONE_READ);
@@ -77,7 +86,10 @@
         }
     }
 
-    /** Guards against a lost message: a request that crosses the idle time-out is neither served nor reset. */
+    /**
+     * Guards against a lost message: a request that the client sends while the server closes the idle
+     * connection is neither served nor answered by a reset.
+     */
     @Test
     void aRequestSentAfterTheIdleTimeoutIsDiscarded() throws Exception {
         try (SocketPair pair = new SocketPair(new Server(limiter, LONGER_THAN_TEST_MS))) {
@@ -97,7 +109,10 @@
         }
     }
 
-    /** Guards against a lost message: what comes after the shutdown is not passed on. */
+    /**
+     * Guards against a lost message: input after the output is shut down cannot be answered, and is not
+     * handled.
+     */
     @Test
     void inputAfterTheOutputShutdownIsDiscarded() throws Exception {
         try (SocketPair pair = lingeringPair(LONGER_THAN_TEST_MS)) {
@@ -108,28 +123,35 @@
             assertTrue(pair.readsEndOfStream());
             pair.client.getOutputStream().write(MORE_THAN_ONE_READ.getBytes(StandardCharsets.US_ASCII));
             pair.client.shutdownOutput();
-            // The peer's end is read behind the bytes.
+            // The end of the stream is read after the bytes.
             pair.channel.closeFuture().sync();
         }
         assertEquals("a", receivedTexts.take());
         assertTrue(receivedTexts.isEmpty());
     }
 
-    /** Guards the CPU and the descriptors: a peer that goes on sending is neither heard out nor kept. */
+    /**
+     * Guards the CPU and the file descriptors: a peer that keeps sending must not be read for ever or kept
+     * open.
+     */
     @Test
     void aPeerThatKeepsSendingIsReset() throws Exception {
         try (SocketPair pair = lingeringPair(200)) {
             pair.register(eventLoop);
             assertThrows(SocketException.class, () -> {
                 while (true) {
-                    pair.client.getOutputStream().write(MORE_THAN_ONE_READ.getBytes(StandardCharsets.US_ASCII));
+                    pair.client.getOutputStream()
+                        .write(MORE_THAN_ONE_READ.getBytes(StandardCharsets.US_ASCII));
                 }
             });
             pair.channel.closeFuture().sync();
         }
     }
 
-    /** Guards the silent peer's deadline and the places: nothing was written, so there is nothing to wait for. */
+    /**
+     * Guards the deadline of silent peers and the limit of connections: if nothing was written, there is
+     * nothing that the peer has yet to read.
+     */
     @Test
     void aConnectionWithoutAResponseIsClosedAtOnce() throws Exception {
         try (SocketPair pair = lingeringPair(LONGER_THAN_TEST_MS)) {
@@ -142,7 +164,8 @@
     @Test
     void aLingeringConnectionCountsAsOpenAndIsEvictedFirst() throws Exception {
         ConnectionLimiter limitOfThree = new ConnectionLimiter(3);
-        try (SocketPair silent = new SocketPair(); SocketPair lingering = new SocketPair(new LingeringClose(limitOfThree, LONGER_THAN_TEST_MS));
+        try (SocketPair silent = new SocketPair();
+             SocketPair lingering = new SocketPair(new LingeringClose(limitOfThree, LONGER_THAN_TEST_MS));
              SocketPair newcomer = new SocketPair()) {
             for (SocketPair pair : new SocketPair[] {silent, lingering, newcomer}) {
                 pair.register(eventLoop);
@@ -165,7 +188,7 @@
         }
     }
 
-    /** Guards the orderly end, which waits until no connection is left. */
+    /** Guards the orderly shutdown, which waits until no connection is left. */
     @Test
     void aPeerThatKeepsItsSideOpenIsRemovedAfterTheLingerTime() throws Exception {
         try (SocketPair pair = new SocketPair(new Server(limiter))) {
--- a/src/test/java/wrenkeel/net/ListOnlyRelayTest.java
+++ b/src/test/java/wrenkeel/net/ListOnlyRelayTest.java
@@ -18,12 +18,16 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
+/**
+ * A relay without clients: it applies lists, leaves its folder to a successor, and reloads its configuration.
+ */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class ListOnlyRelayTest {
     @TempDir
     Path folder;
     private final BlockingQueue<Long> loadedVersions = new LinkedBlockingQueue<>();
-    private final MultiThreadIoEventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup eventLoops =
+        new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     private Platform platform;
 
     @BeforeEach
@@ -42,16 +46,17 @@
         return new ListOnlyRelay(eventLoops.next(), platform.environment(), loadedVersions::add);
     }
 
-    /** Waits for a version; those before it may come too. */
+    /** Waits until the module has processed a version of the list; earlier ones may be reported before. */
     private void awaitVersion(long version) throws InterruptedException {
         Long next;
         do {
             next = loadedVersions.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS);
-            assertNotNull(next, "version " + version + " never in force");
+            assertNotNull(next, "version " + version + " was not applied");
         } while (next < version);
         assertEquals(version, next);
     }
 
+    /** Sets the agent's response to requests for the list that do not wait. */
     private void setImmediateResponse(String list) {
         platform.immediateResponses.clear();
         platform.immediateResponses.add(list);
@@ -79,9 +84,11 @@
         ListOnlyRelay second = newRelay();
         second.start().get();
         awaitVersion(41);
-        assertTrue(platform.listQueries.contains("after=1&wait_ms=1"), "it goes on from its configuration's list");
+        assertTrue(platform.listQueries.contains("after=1&wait_ms=1"),
+            "it must continue from its configuration's list");
         assertEquals("journal.2", Platform.journalFile(folder.resolve("state")).getFileName().toString());
-        assertFalse(Files.exists(folder.resolve("state/journal.1")), "taken over, so that the folder cannot fill");
+        assertFalse(Files.exists(folder.resolve("state/journal.1")),
+            "the successor must delete it, or the folder would fill");
     }
 
     @Test
--- a/src/test/java/wrenkeel/net/NoSocketAtStartTest.java
+++ b/src/test/java/wrenkeel/net/NoSocketAtStartTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The machine has no socket to listen on for a moment. */
+/** The start of a relay while the machine temporarily has no socket to listen on. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class NoSocketAtStartTest {
     @TempDir
@@ -33,7 +33,7 @@
         platform.close();
     }
 
-    /** Guards against a refused start, and with it what the folder holds. */
+    /** Guards the messages in the state folder: the start must not fail, and they are delivered meanwhile. */
     @Test
     void aStartRetriesToListenUntilASocketOpens() throws Exception {
         Config config = platform.writeConfig(Platform.hostJson("s-1", host.port(), 7, "ready"));
@@ -48,7 +48,8 @@
             }
             return ServerSocketChannel.open();
         };
-        try (Node relay = new Node(config, new Machine(MachineClock.SYSTEM, FileOperations.SYSTEM, sockets))) {
+        try (Node relay = new Node(config,
+                new Machine(MachineClock.SYSTEM, FileOperations.SYSTEM, sockets))) {
             StubHost.Call call = host.nextCall();
             assertEquals("a", call.header("X-Request-ID"));
             call.respond(StubHost.OK);
--- a/src/test/java/wrenkeel/net/NodeTest.java
+++ b/src/test/java/wrenkeel/net/NodeTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The whole relay over loopback sockets: one test for each way in which it could go wrong. */
+/**
+ * The whole relay over loopback sockets, with a scripted host and a scripted agent. Each test guards against
+ * one failure.
+ */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class NodeTest {
     private static final String ACCEPTED = "HTTP/1.1 202 Accepted";
@@ -42,6 +45,7 @@
         return platform.startRelay(hostJson("s-1", host.port(), 7, "ready"));
     }
 
+    /** Waits until every message has ended and every notice is acknowledged. */
     private void awaitIdle(Node relay) throws Exception {
         while (!relay.isIdle()) {
             Thread.sleep(5);
@@ -61,12 +65,15 @@
             first.respond(StubHost.OK);
             awaitIdle(relay);
             assertEquals(ACCEPTED, client.post("b", "bill", 7, 16_000).get(0));
-            // Guards against a handshake for each message.
+            // A connection for each message would cost a handshake each.
             assertSame(first.socket(), host.nextCall().socket());
         }
     }
 
-    /** Guards destinations that count calls: what one turn sends to a host of such a kind travels as one. */
+    /**
+     * Guards destinations that count calls: messages that one turn sends to a host of such a kind share a
+     * call.
+     */
     @Test
     void queuedMessagesAreSentInOneCallToAHostKindThatTakesBatches() throws Exception {
         try (Node relay = platform.startRelay(hostJson("s-1", "m3", host.port(), 7, "ready"));
@@ -86,10 +93,13 @@
             awaitIdle(relay);
             assertTrue(host.hasNoCalls());
         }
-        assertTrue(platform.notices.isEmpty(), "delivered, so no notice");
+        assertTrue(platform.notices.isEmpty(), "a delivered message needs no notice");
     }
 
-    /** Guards messages of several lives in one call: it must not be over with the first of them. */
+    /**
+     * Guards messages with different deadlines in one call: the call must not end at the earliest of them. It
+     * takes its deadline from the first message.
+     */
     @Test
     void aBatchBeginsWithTheMessageWithTheLatestDeadline() throws Exception {
         try (Node relay = platform.startRelay(hostJson("s-1", "m3", host.port(), 7, "ready"));
@@ -110,7 +120,8 @@
             long journalBytes = Files.size(platform.journalFile());
             List<String> validHeaders = Platform.Client.headers("x", "bill", 7, 900);
             try (var client = new Platform.Client(relay)) {
-                assertEquals("HTTP/1.1 200 OK", client.exchange("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]).get(0));
+                assertEquals("HTTP/1.1 200 OK",
+                    client.exchange("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]).get(0));
             }
             assertStatus(404, relay, client -> client.post("x", "wobble", 7, 900));
             assertStatus(404, relay, client -> client.post("x", "bill", 8, 900));
@@ -123,7 +134,8 @@
                     assertStatus(400, relay, client -> client.post("/bill", headers, ""));
                 }
             }
-            assertStatus(405, relay, client -> client.exchange("GET /bill HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]));
+            assertStatus(405, relay,
+                client -> client.exchange("GET /bill HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]));
             assertStatus(413, relay, client -> client.post("/bill", validHeaders, "x".repeat(64 * 1024 + 1)));
             assertStatus(400, relay, client -> client.exchange("nonsense\r\n\r\n", new byte[0]));
             assertEquals(journalBytes, Files.size(platform.journalFile()));
@@ -134,7 +146,10 @@
         List<String> send(Platform.Client client) throws IOException;
     }
 
-    /** Guards the CPU too: a peer that asks for what no client asks for is not heard out, but closed. */
+    /**
+     * Asserts that a request gets this status and that the connection is closed: the relay must not spend CPU
+     * time on a peer that sends what no client does.
+     */
     private static void assertStatus(int status, Node relay, Request request) throws IOException {
         try (var client = new Platform.Client(relay)) {
             List<String> head = request.send(client);
@@ -143,23 +158,25 @@
         }
     }
 
-    /** Guards the cap on messages held: the client is told to come back, not left waiting. */
+    /**
+     * Guards the limit of open messages: the client above it is refused at once, not left without a response.
+     */
     @Test
     void aMessageAboveTheLimitOfOpenMessagesIsRefused() throws Exception {
         try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
-            // The module gives back one that it may when the cap is reached, so unsafe ones that are out hold it.
+            // At the limit the module refuses a message if it may, but never an unsafe one in flight.
             int acceptedCount = 0;
             List<String> response = client.post("m0", "pay", 7, 16_000);
             while (response.get(0).equals(ACCEPTED) && acceptedCount < 20) {
                 acceptedCount++;
                 response = client.post("m" + acceptedCount, "pay", 7, 16_000);
             }
-            assertTrue(acceptedCount >= 3 && acceptedCount <= 4, acceptedCount + " were taken");
+            assertTrue(acceptedCount >= 3 && acceptedCount <= 4, acceptedCount + " were accepted");
             assertTrue(response.get(0).startsWith("HTTP/1.1 503 "), response.get(0));
         }
     }
 
-    /** Guards against a lost end: the notice is posted until the platform acknowledges it. */
+    /** Guards against an unreported end: the notice is posted until the platform acknowledges it. */
     @Test
     void theNoticeOfAFailedMessageIsRepeatedUntilAcknowledged() throws Exception {
         platform.noticeStatuses.add(500);
@@ -178,7 +195,7 @@
         }
     }
 
-    /** Guards the ends of all messages against one whose notice the platform cannot read. */
+    /** Guards the notices of all other messages against one that the platform cannot parse. */
     @Test
     void aNoticeThatThePlatformRejectsDoesNotBlockOthers() throws Exception {
         platform.rejectedText = "\"bad\"";
@@ -187,7 +204,8 @@
             assertEquals("{\"message\":\"bad\",\"outcome\":\"given_up\"}", platform.nextNotice());
             assertEquals(ACCEPTED, client.post("good", "bill", 7, 300).get(0));
             long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(Platform.TIMEOUT_SECONDS);
-            while (ConsoleTest.metrics(relay).object("failed").whole("bill") == 0 && System.nanoTime() < deadlineNanos) {
+            while (ConsoleTest.metrics(relay).object("failed").whole("bill") == 0
+                    && System.nanoTime() < deadlineNanos) {
                 Thread.sleep(5);
             }
         }
@@ -196,7 +214,7 @@
         }
     }
 
-    /** Guards what is owed against a kill: keyed messages go out again, with the same id, key and body. */
+    /** Guards accepted messages against a kill: keyed ones are sent again, with the same id, key and body. */
     @Test
     void aKeyedMessageThatWasInFlightIsSentAgainAfterARestart() throws Exception {
         StubHost.Call firstCall;
@@ -212,10 +230,12 @@
             secondCall.respond(StubHost.OK);
             awaitIdle(relay);
         }
-        assertTrue(platform.notices.isEmpty(), "delivered, so no notice");
+        assertTrue(platform.notices.isEmpty(), "a delivered message needs no notice");
     }
 
-    /** Guards against double effects: an unsafe call that was out at the kill may have run. */
+    /**
+     * Guards against double effects: an unsafe message that was in flight at the kill may have been executed.
+     */
     @Test
     void anUnsafeMessageThatWasInFlightFailsAfterARestart() throws Exception {
         try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
@@ -229,7 +249,10 @@
         }
     }
 
-    /** An unsafe message whose only call was turned away never ran: it goes out after a restart. */
+    /**
+     * Guards against a message that fails needlessly: its only attempt was answered 429, so it was not
+     * executed.
+     */
     @Test
     void anUnsafeMessageThatNeverRanIsSentAgainAfterARestart() throws Exception {
         try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
@@ -260,13 +283,16 @@
         }
     }
 
-    /** Guards the rule on drains: a host that the watch calls draining gets nothing new. */
+    /**
+     * Guards the rule on draining hosts: a host that the watch reports as draining must receive nothing new.
+     */
     @Test
     void aDrainingHostReceivesNoNewMessagesAndItsReplacementDoes() throws Exception {
-        try (StubHost otherHost = new StubHost(); Node relay = startRelay(); var client = new Platform.Client(relay)) {
+        try (StubHost otherHost = new StubHost(); Node relay = startRelay();
+                var client = new Platform.Client(relay)) {
             platform.watchResponses.add(listJson(2, false, hostJson("s-1", host.port(), 7, "draining"),
                 hostJson("s-2", otherHost.port(), 7, "ready")));
-            // The third watch is only asked for once the second list has been taken in.
+            // The relay requests the list of version 3 only once it has applied that of version 2.
             platform.watchResponses.add(listJson(3, false));
             while (!platform.watchResponses.isEmpty()) {
                 Thread.sleep(5);
@@ -280,7 +306,10 @@
         }
     }
 
-    /** Guards the rule on drains at a restart: what the agent has binds before it has been asked. */
+    /**
+     * Guards the rule on draining hosts at a restart: a list that the agent already has applies to the first
+     * call.
+     */
     @Test
     void aStartingProcessAwaitsTheCurrentListBeforeItSends() throws Exception {
         try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
@@ -293,7 +322,7 @@
                 hostJson("s-2", otherHost.port(), 7, "ready")));
             try (Node relay = startRelay()) {
                 StubHost.Call call = otherHost.nextCall();
-                assertNotNull(call, "sent by the list of before");
+                assertNotNull(call, "must be sent to the host of the current list");
                 call.respond(StubHost.OK);
                 awaitIdle(relay);
                 assertTrue(host.hasNoCalls());
@@ -301,7 +330,7 @@
         }
     }
 
-    /** Guards service against a discovery that is down at the start. */
+    /** Guards delivery against a discovery agent that is down at the start. */
     @Test
     void anUnresponsiveAgentDelaysTheFirstCallOnlyBriefly() throws Exception {
         platform.immediateResponses.clear();
@@ -311,7 +340,11 @@
         }
     }
 
-    /** Guards the rule on drains: a watch that never speaks again is noticed before its silence counts as told. */
+    /**
+     * Guards the rule on draining hosts: the relay must detect that the watch gets no more responses before
+     * it is assumed to know a change of the list. That leaves it a second to request the list and to stop
+     * sending.
+     */
     @Test
     void afterAnUnansweredWatchTheListIsRequestedWithoutAWait() throws Exception {
         long assumedKnownMs = 6_000, requestAndStopMs = 1_000;
@@ -320,14 +353,19 @@
             assertNotNull(relay.address());
             assertEquals("after=1&wait_ms=1", platform.listQueries.take());
             assertEquals("after=1&wait_ms=" + Discovery.WAIT, platform.listQueries.take());
-            assertEquals("after=1&wait_ms=1", platform.listQueries.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS));
+            assertEquals("after=1&wait_ms=1",
+                platform.listQueries.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
     }
 
-    /** Guards the watch against standing still, and against asking without a pause, after a list it cannot read. */
+    /**
+     * Guards against a watch that stops after a list that cannot be parsed, or that then polls without a
+     * pause.
+     */
     @Test
     void theWatchContinuesAfterAListThatCannotBeParsed() throws Exception {
-        try (StubHost otherHost = new StubHost(); Node relay = startRelay(); var client = new Platform.Client(relay)) {
+        try (StubHost otherHost = new StubHost(); Node relay = startRelay();
+                var client = new Platform.Client(relay)) {
             platform.watchResponses.add("{\"seq\":2,\"whole\":true,\"hosts\":[{}]}");
             platform.watchResponses.add("nonsense");
             platform.watchResponses.add(listJson(3, true, hostJson("s-2", otherHost.port(), 8, "ready")));
@@ -340,14 +378,15 @@
         }
     }
 
-    /** Guards against a relay that goes on listening to an agent that has been taken away. */
+    /** Guards against a relay that keeps using an agent that has been removed. */
     @Test
     void afterAReloadListsComeFromAndNoticesGoToTheNewAddress() throws Exception {
         Path elsewhere = Files.createDirectories(folder.resolve("elsewhere"));
-        try (StubHost otherHost = new StubHost(); Platform nextPlatform = new Platform(elsewhere); Node relay = startRelay();
-                var client = new Platform.Client(relay)) {
+        try (StubHost otherHost = new StubHost(); Platform nextPlatform = new Platform(elsewhere);
+                Node relay = startRelay(); var client = new Platform.Client(relay)) {
             nextPlatform.writeConfig(hostJson("s-1", host.port(), 7, "ready"));
-            nextPlatform.watchResponses.add(listJson(2, false, hostJson("s-1", host.port(), 7, "gone"), hostJson("s-2", otherHost.port(), 7, "ready")));
+            nextPlatform.watchResponses.add(listJson(2, false, hostJson("s-1", host.port(), 7, "gone"),
+                hostJson("s-2", otherHost.port(), 7, "ready")));
             nextPlatform.watchResponses.add(listJson(3, false));
             relay.reload(nextPlatform.environment());
             while (!nextPlatform.watchResponses.isEmpty()) {
@@ -372,7 +411,9 @@
         }
     }
 
-    /** Guards against an end at SIGHUP: it may come as soon as the relay is seen to be ready. */
+    /**
+     * Guards against a crash at SIGHUP, which may arrive as soon as others can see that the relay is ready.
+     */
     @Test
     void theHangupHandlerIsSetBeforeTheListenerOpens() throws Exception {
         Class<?> signal = Class.forName("sun.misc.Signal"), handler = Class.forName("sun.misc.SignalHandler");
@@ -382,12 +423,12 @@
         handle.invoke(null, hangup, defaultHandler);
         try (var occupiedPort = new java.net.ServerSocket(0, 1, Platform.LOOPBACK)) {
             platform.writeConfig("127.0.0.1:" + occupiedPort.getLocalPort(), new String[0]);
-            assertEquals(2, Node.serve(platform.environment()), "the door could not be opened");
+            assertEquals(2, Node.serve(platform.environment()), "the start must fail: the port is in use");
         }
         assertNotSame(defaultHandler, handle.invoke(null, hangup, defaultHandler));
     }
 
-    /** A signal that comes late must not break the end. */
+    /** Guards the shutdown against a SIGHUP that arrives late. */
     @Test
     void aReloadAfterCloseDoesNotThrow() throws Exception {
         Node relay = startRelay();
@@ -395,7 +436,10 @@
         assertDoesNotThrow(() -> relay.reload(platform.environment()));
     }
 
-    /** Guards the orderly end: clients are answered and turned away, and what is out is finished first. */
+    /**
+     * Guards the orderly shutdown: clients are still answered, with a close of their connection, and calls in
+     * flight are finished first.
+     */
     @Test
     void shutdownAnswersClientsAndFinishesCalls() throws Exception {
         Node relay = startRelay();
@@ -411,26 +455,31 @@
             } while (health.get(0).contains("200"));
             List<String> response = client.post("b", "bill", 7, 16_000);
             assertEquals(ACCEPTED, response.get(0));
-            assertTrue(response.stream().anyMatch("connection: close"::equalsIgnoreCase), response.toString());
+            assertTrue(response.stream().anyMatch("connection: close"::equalsIgnoreCase),
+                response.toString());
             assertTrue(client.isClosed());
             host.nextCall().respond(StubHost.OK);
             host.nextCall().respond(StubHost.OK);
             shutdown.join();
         }
         try (Journal journal = platform.openJournal()) {
-            assertTrue(journal.owed().isEmpty(), "both were delivered before the end");
+            assertTrue(journal.owed().isEmpty(), "both must be delivered before the relay ends");
         }
     }
 
-    /** Guards against a lost request: one that is half written as the door closes is read to its end and answered. */
+    /**
+     * Guards against a lost request: one that is partly written when the listener closes is still read and
+     * answered.
+     */
     @Test
     void shutdownAnswersARequestThatIsPartlyReceived() throws Exception {
         Node relay = startRelay();
         var address = relay.address();
         try (var partial = new Platform.Client(relay); var client = new Platform.Client(relay)) {
             partial.write("POST /bill HTTP/1.1\r\nHost: api.internal\r\n");
-            // Answered by the same thread after it has read the half request.
-            assertEquals("HTTP/1.1 200 OK", client.exchange("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]).get(0));
+            // The response comes from the same thread, after it has read the partial request.
+            assertEquals("HTTP/1.1 200 OK",
+                client.exchange("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]).get(0));
             Thread shutdown = new Thread(relay::shutDown);
             shutdown.start();
             while (!isConnectionRefused(address)) {
@@ -445,7 +494,10 @@
         }
     }
 
-    /** True once nobody listens there; a connection that still comes up is left to the relay to close. */
+    /**
+     * True if nothing listens at the address. A connection that is still accepted sends a request, so that
+     * the relay closes it with the response.
+     */
     private static boolean isConnectionRefused(java.net.InetSocketAddress address) throws IOException {
         try (var probe = new Platform.Client(address)) {
             probe.exchange("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]);
@@ -465,18 +517,20 @@
             () -> Config.read(Map.of("EDGE_CONFIG", file.toString(), "EDGE_STATE", folder.toString())));
         assertEquals(1, unusable.getMessage().lines().count());
         assertThrows(Config.Unusable.class, () -> Config.address("localhost:80"));
-        // A resolver would be asked for these, on the relay's thread.
+        // The Java runtime would resolve these by DNS, on the relay's event loop.
         assertThrows(Config.Unusable.class, () -> Config.address("10.1:80"));
         assertThrows(Config.Unusable.class, () -> Config.address("10.0.0.300:80"));
         assertEquals(2, Node.serve(Map.of()));
     }
 
+    /** Returns a configuration that several processes can run with: it names a fixed port for the clients. */
     private Config configWithSharedPort() throws Exception {
         return configWithSharedPort(platform.freePort());
     }
 
     private Config configWithSharedPort(int port) throws Exception {
-        return platform.writeConfig("127.0.0.1:" + port, new String[] {hostJson("s-1", host.port(), 7, "ready")});
+        return platform.writeConfig("127.0.0.1:" + port,
+            new String[] {hostJson("s-1", host.port(), 7, "ready")});
     }
 
     private static void awaitReady(Node relay) throws Exception {
@@ -485,7 +539,9 @@
         }
     }
 
-    /** Guards messages across a replacement: what is out ends in the old process, the rest in the new one. */
+    /**
+     * Guards messages at a replacement: those in flight end in the old process, the others in the new one.
+     */
     @Test
     void aStandbyProcessTakesOverMessagesThatAreNotInFlight() throws Exception {
         int port = platform.freePort();
@@ -497,13 +553,14 @@
             assertEquals(ACCEPTED, client.post("b", "bill", 7, 60_000).get(0));
             try (Node next = new Node(config)) {
                 awaitReady(next);
-                assertTrue(host.hasNoCalls(), "one process decides");
+                assertTrue(host.hasNoCalls(), "only the old process may send");
                 Thread shutdown = new Thread(old::shutDown);
                 shutdown.start();
-                try (var lateClient = new Platform.Client(new java.net.InetSocketAddress(Platform.LOOPBACK, port))) {
+                try (var lateClient = new Platform.Client(
+                        new java.net.InetSocketAddress(Platform.LOOPBACK, port))) {
                     assertEquals(ACCEPTED, lateClient.post("c", "bill", 7, 60_000).get(0));
                 }
-                // The old process's call counts against the window, so the new one sends after it.
+                // The old process's call counts against the congestion window: the new one sends after it.
                 inFlight.respond(StubHost.OK);
                 List<String> sent = new java.util.ArrayList<>();
                 for (int i = 0; i < 2; i++) {
@@ -516,11 +573,11 @@
                 awaitIdle(next);
             }
         }
-        assertTrue(platform.notices.isEmpty(), "all were delivered");
-        assertTrue(host.hasNoCalls(), "and once only");
+        assertTrue(platform.notices.isEmpty(), "delivered messages need no notice");
+        assertTrue(host.hasNoCalls(), "each must be delivered only once");
     }
 
-    /** Guards what is owed when the old process is killed before it was told to leave. */
+    /** Guards accepted messages when the old process is killed before it is asked to shut down. */
     @Test
     void aStandbyProcessTakesOverFromAKilledProcess() throws Exception {
         Config config = configWithSharedPort();
@@ -539,7 +596,7 @@
         }
     }
 
-    /** Guards the process in service against one that is called off before it took over. */
+    /** Guards the serving process against a standby process that is shut down before it has taken over. */
     @Test
     void shuttingDownAStandbyProcessDoesNotAffectTheOthers() throws Exception {
         Config config = configWithSharedPort();
@@ -549,7 +606,7 @@
             try (Node third = new Node(config)) {
                 awaitReady(third);
                 next.shutDown();
-                // It had nothing to pass on, and must not have told anybody to take over.
+                // It has nothing to hand over, and must not have asked the next process to take over.
                 assertFalse(Files.exists(folder.resolve("state").resolve("leaving.2")));
                 assertEquals(ACCEPTED, client.post("a", "bill", 7, 60_000).get(0));
                 host.nextCall().respond(StubHost.OK);
@@ -558,14 +615,18 @@
         }
     }
 
-    /** Guards the wait that a partner told: it binds whichever process heard it. */
+    /**
+     * Guards the observance of Retry-After: it applies to all processes of a relay, whichever has received
+     * it.
+     */
     @Test
     void theProcessThatTakesOverObservesRetryAfterReceivedBefore() throws Exception {
         Config config = configWithSharedPort();
         Node old = new Node(config);
         try (var client = new Platform.Client(old); Node next = new Node(config)) {
             assertEquals(ACCEPTED, client.post("a", "bill", 7, 60_000).get(0));
-            host.nextCall().respond("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 3.5\r\nContent-Length: 0\r\n\r\n");
+            host.nextCall()
+                .respond("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 3.5\r\nContent-Length: 0\r\n\r\n");
             long receivedNanos = System.nanoTime();
             awaitReady(next);
             old.shutDown();
@@ -574,6 +635,7 @@
         }
     }
 
+    /** Replaces text in the configuration file, which must contain it. */
     private void replaceInConfig(String from, String to) throws IOException {
         Path file = folder.resolve("config.json");
         String before = Files.readString(file);
@@ -581,9 +643,15 @@
         Files.writeString(file, before.replace(from, to));
     }
 
-    private static final String PAY_CLASS_START = "{\"name\":\"pay\"", MOST_TRIES = "\"most-tries\":12";
+    /** Start of the entry of class pay in the configuration file. */
+    private static final String PAY_CLASS_START = "{\"name\":\"pay\"";
+    /** The setting of the maximum number of attempts in the configuration file. */
+    private static final String MOST_TRIES = "\"most-tries\":12";
 
-    /** Guards what a class promises: a message keeps the one it was taken under, new ones have the new one. */
+    /**
+     * Guards the rules of a class: a message keeps the class that it was accepted under; new messages get the
+     * new one.
+     */
     @Test
     void aReloadAddsClassesAndAcceptedMessagesKeepTheirs() throws Exception {
         try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
@@ -592,8 +660,9 @@
         Node relay = startRelay();
         try (var client = new Platform.Client(relay)) {
             assertEquals(ACCEPTED, client.post("before", "pay", 7, 60_000).get(0));
-            host.nextCall().respond("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 50\r\nContent-Length: 0\r\n\r\n");
-            // The unsafe class goes, one of its name that may be repeated comes, and a further one.
+            host.nextCall()
+                .respond("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 50\r\nContent-Length: 0\r\n\r\n");
+            // Class pay, which is unsafe, is replaced by class rush, which may be repeated.
             replaceInConfig(PAY_CLASS_START + ",\"aim\":2000,\"hard-limit\":16000,\"semantics\":\"fragile\"}",
                 "{\"name\":\"rush\",\"aim\":500,\"hard-limit\":900,\"semantics\":\"retryable\"}");
             relay.reload(platform.environment());
@@ -604,7 +673,7 @@
             assertTrue(client.post("late", "pay", 7, 16_000).get(0).startsWith("HTTP/1.1 404 "));
         }
         relay.close();
-        // The class of the first is in no configuration any more: it is known from the journal.
+        // The first message's class is no longer in the configuration: the journal has recorded it.
         try (Node next = startRelay()) {
             next.reload(platform.environment());
             List<String> sent = new java.util.ArrayList<>();
@@ -617,13 +686,14 @@
         }
     }
 
-    /** Guards a relay in service: of a file with a fault nothing is taken, not even where discovery is. */
+    /** Guards a serving relay: nothing of an invalid file is applied, not even the address of discovery. */
     @Test
     void nothingOfAnInvalidFileIsApplied() throws Exception {
         try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
             Path file = folder.resolve("config.json");
             String good = Files.readString(file);
-            String moved = good.replaceFirst("\"discovery\":\"127.0.0.1:\\d+\"", "\"discovery\":\"127.0.0.1:9\"")
+            String moved = good.replaceFirst("\"discovery\":\"127.0.0.1:\\d+\"",
+                "\"discovery\":\"127.0.0.1:9\"")
                 .replace(PAY_CLASS_START, "{\"name\":\"other\"");
             List<String> invalidTexts = List.of("", moved.substring(0, moved.length() / 2), "[]",
                 moved.replace("\"limits\"", "\"unlimited\""), moved.replace("\"settings\"", "\"set\""),
@@ -632,7 +702,8 @@
                 moved.replace("\"hard-limit\":16000", "\"hard-limit\":-5"),
                 moved.replace("\"hard-limit\":16000", "\"hard-limit\":\"soon\""),
                 moved.replace("\"hard-limit\":16000,", ""), moved.replace(MOST_TRIES, "\"most-tries\":0"),
-                moved.replace(MOST_TRIES, "\"most-tries\":\"many\""), moved.replace(MOST_TRIES, "\"most-tries\":null"),
+                moved.replace(MOST_TRIES, "\"most-tries\":\"many\""),
+                moved.replace(MOST_TRIES, "\"most-tries\":null"),
                 moved.replace("fragile", "wobbly"), moved.replace("\"window\":15000", "\"window\":0"),
                 moved.replace("[\"m1\",\"m2\",\"m3\"]", "[\"m1\"]"));
             for (String text : invalidTexts) {
@@ -642,14 +713,18 @@
             assertEquals(invalidTexts.size(), ConsoleTest.metrics(relay).whole("config_reload_errors"));
             assertEquals(0, ConsoleTest.metrics(relay).whole("config_reloads"));
             assertEquals(ACCEPTED, client.post("a", "pay", 7, 300).get(0));
-            assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", platform.nextNotice(), "told where it was");
+            assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", platform.nextNotice(),
+                "must be posted to the old address");
             Files.writeString(file, good);
             relay.reload(platform.environment());
             assertEquals(1, ConsoleTest.metrics(relay).whole("config_reloads"));
         }
     }
 
-    /** A fleet grows into further sites: that alone must not make a relay keep the settings of before. */
+    /**
+     * Guards the reload of a fleet that grows into more sites: more sites alone must not make a relay keep
+     * its old settings. A different order is an error: relays refer to sites by index.
+     */
     @Test
     void aReloadMayAddSitesButNotReorderThem() throws Exception {
         try (Node relay = startRelay()) {
--- a/src/test/java/wrenkeel/net/Platform.java
+++ b/src/test/java/wrenkeel/net/Platform.java
@@ -19,21 +19,29 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 
-/** What a relay needs round it, on loopback: an agent of discovery and its configuration; scripted by the test. */
+/**
+ * The environment of a relay, on loopback and scripted by the test: a discovery agent, which serves host
+ * lists and receives notices, and the relay's configuration file and state folder.
+ */
 final class Platform implements AutoCloseable {
     static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
+    /** How long a test waits for something that must happen. */
     static final long TIMEOUT_SECONDS = 30;
 
+    /** The notices received, one JSON object each. */
     final BlockingQueue<String> notices = new LinkedBlockingQueue<>();
-    /** Statuses for the next notices; 204 when none is left. */
+    /** Response statuses of the next posts of notices; 204 when none is left. */
     final BlockingQueue<Integer> noticeStatuses = new LinkedBlockingQueue<>();
-    /** Notices that hold this text are answered 400. */
+    /** Posts that contain this text are answered 400. */
     volatile String rejectedText = "\0";
-    /** Answers to the next watches that wait. */
+    /** Responses to the next watches, that is to requests for the list that may wait for a change. */
     final BlockingQueue<String> watchResponses = new LinkedBlockingQueue<>();
-    /** The answer to calls for the list that do not wait, each time; the agent is silent while there is none. */
+    /**
+     * The response to every request for the list that does not wait. While it is missing, the agent does not
+     * respond to them.
+     */
     final BlockingQueue<String> immediateResponses = new LinkedBlockingQueue<>(List.of(listJson(1, false)));
-    /** The queries of all calls for the list. */
+    /** The query strings of all requests for the list. */
     final BlockingQueue<String> listQueries = new LinkedBlockingQueue<>();
     private final HttpServer agent;
     private final Path folder;
@@ -58,7 +66,8 @@
                 String query = String.valueOf(exchange.getRequestURI().getQuery());
                 listQueries.add(query);
                 boolean isWatch = query.contains("wait_ms=") && !query.endsWith("wait_ms=1");
-                byte[] list = (isWatch ? watchResponses.take() : immediateResponses.take()).getBytes(StandardCharsets.UTF_8);
+                byte[] list = (isWatch ? watchResponses.take() : immediateResponses.take())
+                    .getBytes(StandardCharsets.UTF_8);
                 if (!isWatch) {
                     immediateResponses.add(new String(list, StandardCharsets.UTF_8));
                 }
@@ -72,35 +81,48 @@
         agent.start();
     }
 
+    /**
+     * Returns a host's entry for a list, of kind m2.
+     *
+     * @param block number of the destination
+     */
     static String hostJson(String name, int port, int block, String health) {
         return hostJson(name, "m2", port, block, health);
     }
 
     static String hostJson(String name, String kind, int port, int block, String health) {
-        return "{\"host\":\"" + name + "\",\"dial\":\"127.0.0.1:" + port + "\",\"site\":\"a\",\"class\":\"" + kind
-            + "\",\"block\":" + block + ",\"health\":\"" + health + "\",\"share\":50,\"born_ms\":0}";
+        return "{\"host\":\"" + name + "\",\"dial\":\"127.0.0.1:" + port
+            + "\",\"site\":\"a\",\"class\":\"" + kind + "\",\"block\":" + block
+            + ",\"health\":\"" + health + "\",\"share\":50,\"born_ms\":0}";
     }
 
+    /** Returns a host list; one that is not whole holds only the changed hosts. */
     static String listJson(int version, boolean whole, String... hosts) {
-        return "{\"seq\":" + version + ",\"whole\":" + whole + ",\"hosts\":[" + String.join(",", hosts) + "]}";
+        return "{\"seq\":" + version + ",\"whole\":" + whole
+            + ",\"hosts\":[" + String.join(",", hosts) + "]}";
     }
 
-    /** Starts a relay that knows these hosts; classes: bill (keyed), pay (unsafe); m3 takes two messages a call. */
+    /**
+     * Starts a relay whose configuration lists these hosts. Its message classes are bill (keyed) and pay
+     * (unsafe); hosts of kind m3 take up to two messages in a call.
+     */
     Node startRelay(String... hosts) throws Exception {
         return new Node(writeConfig(hosts));
     }
 
-    /** A port that nobody uses now; several relays are to share it. */
+    /** Returns a port that is currently unused, for relays that are to share one. */
     int freePort() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, LOOPBACK)) {
             return socket.getLocalPort();
         }
     }
 
+    /** Writes the configuration file, with any free port for the clients, and reads it. */
     Config writeConfig(String... hosts) throws Exception {
         return writeConfig("127.0.0.1:0", hosts);
     }
 
+    /** Writes the configuration file with these hosts and this address for the clients, and reads it. */
     Config writeConfig(String listen, String[] hosts) throws Exception {
         Path file = folder.resolve("config.json");
         Files.createDirectories(folder.resolve("state"));
@@ -119,7 +141,7 @@
         return Config.read(environment());
     }
 
-    /** The latest configuration, with another address of discovery. */
+    /** Changes the port of discovery in the configuration file, and reads it. */
     Config configWithDiscoveryAt(int discoveryPort) throws Exception {
         Path file = folder.resolve("config.json");
         Files.writeString(file, Files.readString(file).replace("127.0.0.1:" + agent.getAddress().getPort(),
@@ -127,31 +149,35 @@
         return Config.read(environment());
     }
 
+    /** Returns the EDGE_* variables for the relay. */
     Map<String, String> environment() {
         return Map.of("EDGE_CONFIG", folder.resolve("config.json").toString(),
             "EDGE_STATE", folder.resolve("state").toString());
     }
 
-    /** The file that the latest process writes. */
+    /** Returns the journal file of the latest process. */
     Path journalFile() throws IOException {
         return journalFile(folder.resolve("state"));
     }
 
+    /** Returns the journal file with the highest number in a state folder. */
     static Path journalFile(Path state) throws IOException {
         try (Stream<Path> files = Files.list(state)) {
             return files.filter(file -> file.getFileName().toString().matches("journal\\.[0-9]+"))
-                .max(Comparator.comparingInt(file -> Integer.parseInt(file.getFileName().toString().substring(8))))
+                .max(Comparator.comparingInt(
+                    file -> Integer.parseInt(file.getFileName().toString().substring(8))))
                 .orElseThrow();
         }
     }
 
-    /** What a relay that has ended left behind. */
+    /** Opens the journal of a relay that has ended and adopts what that relay left in it. */
     Journal openJournal() throws IOException {
         Journal journal = new Journal(folder.resolve("state"), 3_000_000);
         journal.adopt(entry -> { });
         return journal;
     }
 
+    /** Returns the next notice; null if none arrives within {@link #TIMEOUT_SECONDS}. */
     String nextNotice() throws InterruptedException {
         return notices.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
@@ -161,7 +187,7 @@
         agent.stop(0);
     }
 
-    /** One client connection. */
+    /** A client with one connection. Reads time out after {@link #TIMEOUT_SECONDS}. */
     static final class Client implements AutoCloseable {
         private final Socket socket;
 
@@ -174,39 +200,45 @@
             socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
         }
 
+        /** Returns the headers of a request that submits a message, without Host and Content-Length. */
         static List<String> headers(String id, String messageClass, int destination, long timeoutMillis) {
-            return List.of("X-Request-ID: " + id, "X-Priority-Class: " + messageClass, "X-Timeout-Ms: " + timeoutMillis,
-                "Idempotency-Key: key-" + id, "X-Envelope: dest=" + destination);
+            return List.of("X-Request-ID: " + id, "X-Priority-Class: " + messageClass,
+                "X-Timeout-Ms: " + timeoutMillis, "Idempotency-Key: key-" + id,
+                "X-Envelope: dest=" + destination);
         }
 
-        /** Hands a message in; the answer's head, with its status line first. */
-        List<String> post(String id, String messageClass, int destination, long timeoutMillis) throws IOException {
-            return post("/" + messageClass, headers(id, messageClass, destination, timeoutMillis), "bill \u00e4\0 of " + id);
+        /** Submits a message; returns the lines of the response's head, the status line first. */
+        List<String> post(String id, String messageClass, int destination, long timeoutMillis)
+            throws IOException {
+            return post("/" + messageClass, headers(id, messageClass, destination, timeoutMillis),
+                "bill \u00e4\0 of " + id);
         }
 
         List<String> post(String path, List<String> headers, String text) throws IOException {
             byte[] body = text.getBytes(StandardCharsets.UTF_8);
-            return exchange("POST " + path + " HTTP/1.1\r\nHost: api.internal\r\n" + String.join("\r\n", headers)
+            return exchange("POST " + path + " HTTP/1.1\r\nHost: api.internal\r\n"
+                + String.join("\r\n", headers)
                 + "\r\nContent-Length: " + body.length + "\r\n\r\n", body);
         }
 
+        /** Writes a request; returns the lines of the response's head. */
         List<String> exchange(String head, byte[] body) throws IOException {
             write(head);
             socket.getOutputStream().write(body);
             return readResponseHead();
         }
 
-        /** Part of a request. */
+        /** Writes part of a request. */
         void write(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         }
 
-        /** The head of the next answer. */
+        /** Reads the head of the next response. */
         List<String> readResponseHead() throws IOException {
             return StubHost.readHead(socket.getInputStream());
         }
 
-        /** True once the relay has closed the connection. */
+        /** Reads one byte; returns true if the relay has closed or reset the connection instead. */
         boolean isClosed() throws IOException {
             try {
                 return socket.getInputStream().read() < 0;
--- a/src/test/java/wrenkeel/net/RequestDeadlineTest.java
+++ b/src/test/java/wrenkeel/net/RequestDeadlineTest.java
@@ -17,19 +17,24 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Guards the descriptors: peers that ask for nothing must not hold them. On the channel's own frozen clock. */
+/**
+ * Guards the file descriptors: connections without a request must not occupy them for long. Most tests run on
+ * an embedded channel whose clock they move.
+ */
 class RequestDeadlineTest {
-    /** s; the platform's limit for an error or a close, from connecting. */
+    /** Time from connecting within which the platform requires an error or a close if no request arrives. */
     private static final long MAX_REQUEST_SECONDS = 3;
     private static final String HEALTH_REQUEST = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n";
-    private static final String MESSAGE_REQUEST = "POST /bill HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi";
+    private static final String MESSAGE_REQUEST =
+        "POST /bill HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi";
 
+    /** Returns a new connection to a server that reads requests and does not handle them. */
     private static EmbeddedChannel newChannel() {
         EmbeddedChannel channel = new EmbeddedChannel();
         channel.freezeTime();
         channel.pipeline().addLast(new Server(new ConnectionLimiter(10)));
         channel.pipeline().fireChannelActive();
-        // The last handler would ask the loop, which is not under test.
+        // The last handler would pass requests to the driver, which is not under test.
         channel.pipeline().removeLast();
         return channel;
     }
@@ -62,7 +67,10 @@
         assertFalse(channel.isOpen());
     }
 
-    /** Guards messages that are written in 2 s and read a little later: a busy relay must not cut them off. */
+    /**
+     * Guards against a lost message: a request that is written within 2 s and that a busy relay reads
+     * slightly later must not be cut off.
+     */
     @Test
     void aRequestSentWithinTwoSecondsAndReadSlightlyLaterIsServed() {
         EmbeddedChannel channel = newChannel();
@@ -91,7 +99,10 @@
         assertFalse(channel.isOpen());
     }
 
-    /** Guards against a lost message: the last byte has come while the thread was busy, and the time is up. */
+    /**
+     * Guards against a lost message: its last byte may arrive while the thread is busy, just before the
+     * deadline.
+     */
     @Test
     void aRequestUnreadInTheSocketAtTheDeadlineIsServed() throws Exception {
         var group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -115,6 +126,7 @@
         }
     }
 
+    /** Runs the connection's deadline now, as its timer would. */
     private static void expire(SocketPair pair) {
         ChannelHandlerContext context = pair.channel.pipeline().context(RequestDeadline.class);
         ((RequestDeadline) context.handler()).expire(context);
--- a/src/test/java/wrenkeel/net/SendGuardTest.java
+++ b/src/test/java/wrenkeel/net/SendGuardTest.java
@@ -10,9 +10,13 @@
 import org.junit.jupiter.api.io.TempDir;
 import wrenkeel.Relay;
 
-/** Whatever was decided, the guard lets nothing out that the rules forbid. */
+/** The guard reports each attempt that would break a rule, whatever the decision module has decided. */
 class SendGuardTest {
-    private static final long NOW_MS = 1_800_000_000_000L, NOW_US = 50_000_000, SECOND_US = 1_000_000;
+    /** The time of the first attempt by the journal's clock, in ms. */
+    private static final long NOW_MS = 1_800_000_000_000L;
+    /** The same time by the clock of the waits, in microseconds. */
+    private static final long NOW_US = 50_000_000;
+    private static final long SECOND_US = 1_000_000;
 
     @TempDir
     Path folder;
@@ -38,15 +42,20 @@
     }
 
     private static Relay.MessageClass messageClass(Relay.Effect effect, boolean zoneGroup) {
-        return new Relay.MessageClass("c", 2_000_000, 16_000_000, 1, 0, effect, zoneGroup, 3 * SECOND_US, false, 12);
+        return new Relay.MessageClass("c", 2_000_000, 16_000_000, 1, 0, effect, zoneGroup, 3 * SECOND_US,
+            false, 12);
     }
 
     private Journal.Entry entry(Relay.MessageClass messageClass) throws IOException {
-        return journal.take(new Message("a", "c", 0, null, "key", 7, NOW_MS + 10_000, new byte[3]), messageClass);
+        return journal.take(new Message("a", "c", 0, null, "key", 7, NOW_MS + 10_000, new byte[3]),
+            messageClass);
     }
 
-    private Violation check(Journal.Entry entry, Relay.MessageClass messageClass, HostList.Host target, long laterMillis) {
-        return guard.findViolation(entry, messageClass, target, false, NOW_MS + laterMillis, NOW_US + laterMillis * 1_000);
+    /** Checks an attempt this many ms after {@link #NOW_MS}. */
+    private Violation check(Journal.Entry entry, Relay.MessageClass messageClass, HostList.Host target,
+                            long laterMillis) {
+        return guard.findViolation(entry, messageClass, target, false, NOW_MS + laterMillis,
+            NOW_US + laterMillis * 1_000);
     }
 
     @Test
@@ -82,12 +91,14 @@
         Relay.MessageClass safe = messageClass(Relay.Effect.SAFE, false);
         Journal.Entry entry = entry(safe);
         guard.recordWait(host, false, NOW_US, SECOND_US);
-        assertNull(check(entry, safe, sibling, 50), "it may have been decided before");
-        assertTrue(guard.mustWait(sibling, false, NOW_US + 1), "but it does not go out any more");
+        assertNull(check(entry, safe, sibling, 50),
+            "an attempt may have been decided before the wait was received");
+        assertTrue(guard.mustWait(sibling, false, NOW_US + 1), "such an attempt must still be held back");
         assertFalse(guard.mustWait(sibling, false, NOW_US + SECOND_US));
         assertEquals(Violation.SENT_WITHIN_WAIT, check(entry, safe, sibling, 500));
         guard.recordWait(host, false, NOW_US, SECOND_US / 10);
-        assertEquals(Violation.SENT_WITHIN_WAIT, check(entry, safe, host, 500), "the longer one binds");
+        assertEquals(Violation.SENT_WITHIN_WAIT, check(entry, safe, host, 500),
+            "the wait that ends later applies");
         assertNull(check(entry, safe, host, 1_000));
     }
 }
--- a/src/test/java/wrenkeel/net/ServerConnectionTest.java
+++ b/src/test/java/wrenkeel/net/ServerConnectionTest.java
@@ -24,8 +24,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What one connection of a client is answered, and in which order. The relay behind it is a real one, and so are the
- * sockets; what a client has sent is read in one pass, before any of it is decided.
+ * The responses on one client connection, and their order. The driver and the sockets are real; the requests
+ * that a client has sent are read in one iteration of the event loop, before the module decides about any of
+ * them.
  */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class ServerConnectionTest {
@@ -33,7 +34,8 @@
 
     @TempDir
     Path folder;
-    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group =
+        new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop eventLoop = group.next();
     private Platform platform;
     private StubHost host;
@@ -52,9 +54,9 @@
         onThread(() -> {
             HostList hosts = new HostList(config.zones(), config.kinds());
             HostPool pool = new HostPool(eventLoop, calls, 1_000_000, 15_000_000, 100, metrics);
-            driver = new ControlDriver(eventLoop, ProcessClock.system(), config, hosts, pool, journal, metrics,
-                (whenListed, whenNoticed) -> new Discovery(eventLoop, calls, config.discovery(), hosts, whenListed,
-                    whenNoticed));
+            driver = new ControlDriver(eventLoop, ProcessClock.system(), config, hosts, pool, journal,
+                metrics, (whenListed, whenNoticed) ->
+                    new Discovery(eventLoop, calls, config.discovery(), hosts, whenListed, whenNoticed));
             driver.start(config.known());
             server = new Server(new ConnectionLimiter(10));
             server.serve(driver, metrics);
@@ -73,6 +75,7 @@
         void run() throws Exception;
     }
 
+    /** Runs a task on the event loop. */
     private void onThread(Task task) throws Exception {
         eventLoop.submit(() -> {
             task.run();
@@ -80,12 +83,16 @@
         }).get();
     }
 
+    /** Returns a request that submits a message with a body of two bytes. */
     private static String post(String id, String... extraHeaders) {
-        return "POST /bill HTTP/1.1\r\nHost: a\r\n" + String.join("\r\n", Platform.Client.headers(id, "bill", 7, 16_000))
+        return "POST /bill HTTP/1.1\r\nHost: a\r\n"
+            + String.join("\r\n", Platform.Client.headers(id, "bill", 7, 16_000))
             + "\r\n" + String.join("", extraHeaders) + "Content-Length: 2\r\n\r\nhi";
     }
 
-    /** A connection on which all of this has come before the relay reads the first of it. */
+    /**
+     * Opens a connection on which all of these requests have arrived before the server reads the first byte.
+     */
     private SocketPair connectAndSend(String requests) throws Exception {
         SocketPair pair = new SocketPair(server);
         pair.send(requests);
@@ -100,7 +107,10 @@
         }
     }
 
-    /** Guards against a lost message: an error that closes the connection must not cut off the answer before it. */
+    /**
+     * Guards against a lost message: an error that closes the connection must not cut off the response before
+     * it.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"nonsense\r\n\r\n", "GET /bill HTTP/1.1\r\nHost: a\r\n\r\n",
         "POST /bill HTTP/1.1\r\nContent-Length: 70000\r\n\r\n",
@@ -109,7 +119,7 @@
         try (var pair = connectAndSend(post("a") + invalidRequest + HEALTH_REQUEST)) {
             assertEquals("202", pair.readStatus());
             assertTrue(pair.readStatus().startsWith("4"));
-            assertTrue(pair.readsEndOfStream(), "nothing behind the error is served");
+            assertTrue(pair.readsEndOfStream(), "nothing after the error is served");
         }
         assertEquals(1, unfinishedMessages());
     }
@@ -123,7 +133,9 @@
         assertEquals(1, unfinishedMessages());
     }
 
-    /** Guards against a lost message: at the orderly end what has been read is answered, the last with the close. */
+    /**
+     * Guards against a lost message: during shutdown all requests read so far are answered before the close.
+     */
     @Test
     void duringShutdownAllRequestsReadSoFarAreAnswered() throws Exception {
         onThread(server::closeAfterResponses);
@@ -133,7 +145,10 @@
         }
     }
 
-    /** Guards against a lost message: at the orderly end a request that is half read is awaited and answered. */
+    /**
+     * Guards against a lost message: during shutdown the rest of a partly read request is awaited and
+     * answered.
+     */
     @Test
     void duringShutdownAPartlyReadRequestIsAnswered() throws Exception {
         onThread(server::closeAfterResponses);
@@ -141,13 +156,16 @@
         String firstHalf = second.substring(0, second.length() / 2);
         try (var pair = connectAndSend(post("a") + firstHalf)) {
             assertEquals("202", pair.readStatus());
-            pair.client.getOutputStream().write(second.substring(firstHalf.length()).getBytes(StandardCharsets.US_ASCII));
+            pair.client.getOutputStream()
+                .write(second.substring(firstHalf.length()).getBytes(StandardCharsets.US_ASCII));
             assertEquals("202", pair.readStatus());
             assertTrue(pair.readsEndOfStream());
         }
     }
 
-    /** Guards against a lost message: as the process ends, held requests hear that they were not taken on. */
+    /**
+     * Guards against a lost message: when the process ends, requests that are not yet decided are refused.
+     */
     @Test
     void requestsNotYetDecidedWhenTheDriverStopsAreRefused() throws Exception {
         SocketPair pair = new SocketPair(server);
@@ -163,7 +181,10 @@
         pair.close();
     }
 
-    /** Guards against a lost message: it is neither kept nor left without an answer. */
+    /**
+     * Guards against a lost message: when the next request causes an internal error, the message before it is
+     * withdrawn and its client receives an error response.
+     */
     @Test
     void anInternalErrorAfterAMessageIsAnsweredAndWithdrawsTheMessage() throws Exception {
         try (SocketPair pair = new SocketPair(server, new ChannelInitializer<Channel>() {
@@ -182,19 +203,23 @@
         onThread(() -> assertTrue(driver.isIdle()));
     }
 
+    /** Throws on the second request that is decoded on the connection. */
     private static final class FailsOnSecondRequest extends ChannelInboundHandlerAdapter {
         private int requests;
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
             if (message instanceof HttpRequest && ++requests == 2) {
-                throw new IllegalStateException("a fault of the test");
+                throw new IllegalStateException("exception thrown by the test");
             }
             context.fireChannelRead(message);
         }
     }
 
-    /** Guards the destinations: whoever resets its connection before the answer hands its message in again. */
+    /**
+     * Guards against duplicate deliveries: a client that resets its connection before the response submits
+     * again.
+     */
     @Test
     void aMessageWhoseClientResetTheConnectionIsWithdrawn() throws Exception {
         try (SocketPair pair = new SocketPair(server)) {
@@ -211,7 +236,7 @@
         onThread(() -> assertTrue(driver.isIdle()));
     }
 
-    /** How many messages the journal owes, once what has been read is decided. */
+    /** Returns how many messages of the journal have not ended, once the requests read so far are decided. */
     private int unfinishedMessages() throws Exception {
         for (int pass = 0; pass < 10; pass++) {
             onThread(() -> { });
--- a/src/test/java/wrenkeel/net/ServerTest.java
+++ b/src/test/java/wrenkeel/net/ServerTest.java
@@ -12,17 +12,23 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class ServerTest {
-    /** ms; how long a client waits to hear that its message is taken on, and how late an end may come. */
-    private static final long CLIENT_WAIT_MS = 400, END_SLACK_MS = 300;
+    /** How long a client waits for the response that accepts its message. */
+    private static final long CLIENT_WAIT_MS = 400;
+    /** How long after a message's timeout its end may be reported. */
+    private static final long END_SLACK_MS = 300;
 
-    /** Guards against an end that comes too late: the request may have waited to be read as long as its client did. */
+    /**
+     * Guards against an end that is reported too late: the request may have been read as late as its client
+     * waits.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1_000, 2_000, 12_000, 28_000})
     void theDeadlineKeepsTheClientsTimeoutEvenIfTheRequestWasReadLate(long time) {
         long sent = 1_000_000;
         long deadline = Server.deadline(sent + CLIENT_WAIT_MS, time);
-        assertTrue(deadline <= sent + time + END_SLACK_MS / 2, "leaves the notice half of the slack");
-        assertTrue(deadline >= sent + time / 2, "leaves the message most of its time");
+        assertTrue(deadline <= sent + time + END_SLACK_MS / 2,
+            "half of the slack must be left for the notice");
+        assertTrue(deadline >= sent + time / 2, "at least half of the time must be left for the message");
     }
 
     @ParameterizedTest
@@ -32,7 +38,7 @@
         assertTrue(deadline > 1_000_000 + time / 2 && deadline <= 1_000_000 + time);
     }
 
-    /** Guards the log and the CPU: a flood of bad peers must not leave a line each. */
+    /** Guards the log and the CPU: many invalid requests must not cause a log line each. */
     @Test
     void aFloodOfInvalidRequestsLogsOneLine() {
         Server server = new Server(new ConnectionLimiter(100));
@@ -46,7 +52,9 @@
         }).lines().count());
     }
 
-    /** Guards the log and the CPU: clients that leave in the middle of a request come in crowds. */
+    /**
+     * Guards the log and the CPU: many clients may disconnect in the middle of a request at the same time.
+     */
     @Test
     void aClientThatDisconnectsWithinItsRequestLogsNothing() {
         assertEquals("", logOutputOf(() -> {
@@ -59,7 +67,7 @@
         }));
     }
 
-    /** What the program logs meanwhile. */
+    /** Runs a task and returns what is logged meanwhile. */
     private static String logOutputOf(Runnable task) {
         PrintStream originalErr = System.err;
         ByteArrayOutputStream log = new ByteArrayOutputStream();
--- a/src/test/java/wrenkeel/net/SocketPair.java
+++ b/src/test/java/wrenkeel/net/SocketPair.java
@@ -14,8 +14,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One TCP connection on loopback with both of its ends: the client's is a plain socket, the server's a channel that
- * reads nothing before it is registered. So a test decides what stands unread in the socket at which moment.
+ * Both ends of a TCP connection on loopback: the client's is a plain socket, the server's a channel that
+ * reads nothing before it is registered. This lets a test determine which bytes are unread in the socket at
+ * which moment.
  */
 final class SocketPair implements AutoCloseable {
     final Socket client;
@@ -25,7 +26,8 @@
     SocketPair(ChannelHandler... handlers) throws IOException {
         try (ServerSocketChannel listener = ServerSocketChannel.open()) {
             listener.bind(new InetSocketAddress(Platform.LOOPBACK, 0));
-            client = new Socket(Platform.LOOPBACK, ((InetSocketAddress) listener.getLocalAddress()).getPort());
+            client = new Socket(Platform.LOOPBACK,
+                ((InetSocketAddress) listener.getLocalAddress()).getPort());
             client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Platform.TIMEOUT_SECONDS));
             serverSocket = listener.accept();
         }
@@ -33,12 +35,12 @@
         channel.pipeline().addLast(handlers);
     }
 
-    /** From now on the loop reads what comes. */
+    /** Registers the server's channel: from now on the event loop reads it. */
     void register(EventLoop eventLoop) throws InterruptedException {
         eventLoop.register(channel).sync();
     }
 
-    /** Writes as the client, and returns once all of it stands unread in the server's socket. */
+    /** Writes as the client; returns once all of it is in the server's socket, unread. */
     void send(String text) throws IOException {
         int unreadBefore = unreadBytes();
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
@@ -52,7 +54,10 @@
         return serverSocket.socket().getInputStream().available();
     }
 
-    /** If the server has closed its socket, waits until the selector has let go of it: only then is it reset. */
+    /**
+     * If the server has closed its socket, waits until the selector has released it. A close over unread
+     * bytes resets the connection only then.
+     */
     void awaitRelease(EventLoop eventLoop) throws Exception {
         while (!serverSocket.isOpen() && serverSocket.isRegistered()) {
             eventLoop.submit(() -> { }).get();
@@ -60,11 +65,15 @@
         eventLoop.submit(() -> { }).get();
     }
 
-    /** The status of the next response, which must be whole. */
+    /**
+     * Reads the next response, which must have no body, and returns its status code; throws if it is cut off.
+     */
     String readStatus() throws IOException {
-        return StubHost.readHead(client.getInputStream()).get(0).substring("HTTP/1.1 ".length(), "HTTP/1.1 200".length());
+        return StubHost.readHead(client.getInputStream()).get(0)
+            .substring("HTTP/1.1 ".length(), "HTTP/1.1 200".length());
     }
 
+    /** Reads the heads of the next responses and returns their status codes. */
     List<String> readStatuses(int count) throws IOException {
         List<String> statuses = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -73,7 +82,9 @@
         return statuses;
     }
 
-    /** True if the server ends the connection now, in order and with nothing more; a reset is an exception. */
+    /**
+     * True if the server sends nothing more and closes the connection; throws if it resets the connection.
+     */
     boolean readsEndOfStream() throws IOException {
         return client.getInputStream().read() < 0;
     }
--- a/src/test/java/wrenkeel/net/StubHost.java
+++ b/src/test/java/wrenkeel/net/StubHost.java
@@ -12,16 +12,21 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A host whose answers the test gives one by one: each call is handed over with its connection. */
+/**
+ * A destination host on loopback whose responses the test writes one by one: it passes each received call to
+ * the test together with its connection. Each connection is read by a thread of its own.
+ */
 final class StubHost implements AutoCloseable {
     static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-    /** One call as it came. */
+    /** One received call. {@code head} is the request line and the headers. */
     record Call(Socket socket, List<String> head, String body) {
+        /** Writes a whole response on the call's connection. */
         void respond(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         }
 
+        /** Returns a header's value; null if the call does not have that header. */
         String header(String name) {
             return head.stream().filter(h -> h.toLowerCase().startsWith(name.toLowerCase() + ": "))
                 .map(h -> h.substring(name.length() + 2)).findFirst().orElse(null);
@@ -61,12 +66,15 @@
         return listener.getLocalPort();
     }
 
-    /** The next call; null if none comes in a long time. */
+    /** Returns the next call; null if none arrives within {@link Platform#TIMEOUT_SECONDS}. */
     Call nextCall() throws InterruptedException {
         return calls.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** Waits until the relay has closed the connection of a call; false if it has not in a long time. */
+    /**
+     * Waits until the relay has closed the connection of a call; returns false if it has not within
+     * {@link Platform#TIMEOUT_SECONDS} of the last other connection that it closed.
+     */
     boolean awaitClosed(Call call) throws InterruptedException {
         for (Socket socket = closedByRelay.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS); socket != null;
                 socket = closedByRelay.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
@@ -77,17 +85,18 @@
         return false;
     }
 
+    /** True if no call has been received that the test has not yet taken. */
     boolean hasNoCalls() {
         return calls.isEmpty();
     }
 
-    /** Reads lines up to the empty one. */
+    /** Reads the head of a request or response; returns its lines without the empty one that ends it. */
     static List<String> readHead(InputStream in) throws IOException {
         ByteArrayOutputStream text = new ByteArrayOutputStream();
         while (!text.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
             int next = in.read();
             if (next < 0) {
-                throw new EOFException("ended after: " + text);
+                throw new EOFException("stream ended within a head, after: " + text);
             }
             text.write(next);
         }
--- a/src/test/java/wrenkeel/net/ThrottledLogTest.java
+++ b/src/test/java/wrenkeel/net/ThrottledLogTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.slf4j.LoggerFactory;
 
-/** What a flood leaves in the log, on a clock that the test moves. */
+/** The lines that a flood of warnings causes in the log, on a clock that the test moves. */
 class ThrottledLogTest {
     private final EmbeddedChannel clock = new EmbeddedChannel();
     private final ThrottledLog throttled = new ThrottledLog(LoggerFactory.getLogger(ThrottledLogTest.class));
@@ -42,6 +42,7 @@
         clock.runScheduledPendingTasks();
     }
 
+    /** Returns the messages logged since the last call, without the text before them. */
     private List<String> takeLogLines() {
         String text = log.toString(StandardCharsets.UTF_8);
         log.reset();
@@ -66,7 +67,7 @@
             warn(10, "a");
             advance(1_000);
         }
-        assertEquals(6, takeLogLines().size(), "the first, and one for each second");
+        assertEquals(6, takeLogLines().size(), "one line for the first event, and one for each second");
     }
 
     @Test
