--- a/src/test/java/wrenkeel/net/ConnectionLimiterTest.java
+++ b/src/test/java/wrenkeel/net/ConnectionLimiterTest.java
@@ -87,7 +87,7 @@
      *
      * @param responds false for a server that never responds: each whole request stays open
      */
-    private SocketPair client(boolean responds) throws Exception {
+    private SocketPair openConnection(boolean responds) throws Exception {
         SocketPair pair = new SocketPair(new Server(limiter));
         pairs.add(pair);
         pair.register(eventLoop);
@@ -102,7 +102,7 @@
     }
 
     /** Runs a task on the event loop, which reads no socket meanwhile unless the task itself does. */
-    private void onThread(Task task) throws Exception {
+    private void onEventLoop(Task task) throws Exception {
         eventLoop.submit(() -> {
             task.run();
             return null;
@@ -129,10 +129,10 @@
     @ParameterizedTest
     @ValueSource(strings = {HEALTH_REQUEST, HALF_REQUEST})
     void connectionWithUnreadBytesIsNotEvicted(String unreadText) throws Exception {
-        SocketPair first = client(true);
-        SocketPair second = client(true);
-        SocketPair third = client(true);
-        onThread(() -> {
+        SocketPair first = openConnection(true);
+        SocketPair second = openConnection(true);
+        SocketPair third = openConnection(true);
+        onEventLoop(() -> {
             first.send(unreadText);
             connectAnother();
             assertEquals("o-o", openPairs(first, second, third));
@@ -147,10 +147,10 @@
      */
     @Test
     void newConnectionIsClosedWhenAllOthersHaveSentARequest() throws Exception {
-        SocketPair first = client(false);
-        SocketPair second = client(false);
-        SocketPair third = client(false);
-        onThread(() -> {
+        SocketPair first = openConnection(false);
+        SocketPair second = openConnection(false);
+        SocketPair third = openConnection(false);
+        onEventLoop(() -> {
             for (SocketPair pair : List.of(first, second, third)) {
                 pair.send(HEALTH_REQUEST);
             }
@@ -166,14 +166,14 @@
      */
     @Test
     void connectionWithPartOfItsFirstRequestIsEvictedLast() throws Exception {
-        SocketPair first = client(true);
-        onThread(() -> {
+        SocketPair first = openConnection(true);
+        onEventLoop(() -> {
             first.send(HALF_REQUEST);
             assertTrue(SocketReader.readNow(first.channel));
         });
-        SocketPair second = client(true);
-        SocketPair third = client(true);
-        onThread(() -> {
+        SocketPair second = openConnection(true);
+        SocketPair third = openConnection(true);
+        onEventLoop(() -> {
             connectAnother();
             connectAnother();
             assertEquals("o--", openPairs(first, second, third));
@@ -185,10 +185,10 @@
     /** Guards against a lost message: the last byte of a later request may be in transit. */
     @Test
     void connectionWithPartOfALaterRequestIsNotEvicted() throws Exception {
-        SocketPair first = client(true);
+        SocketPair first = openConnection(true);
         first.send(HEALTH_REQUEST);
         assertEquals("200", first.readStatus());
-        onThread(() -> {
+        onEventLoop(() -> {
             first.send(HALF_REQUEST);
             limiter.setMaxConnections(0);
             assertEquals("o", openPairs(first));
@@ -202,8 +202,8 @@
     @ParameterizedTest
     @ValueSource(strings = {"G", "GET /healthz HTTP/1.1\r\n", HALF_REQUEST})
     void connectionThatSentPartOfTheNextRequestInTheSameReadIsNotEvicted(String part) throws Exception {
-        SocketPair first = client(true);
-        onThread(() -> {
+        SocketPair first = openConnection(true);
+        onEventLoop(() -> {
             first.send(HEALTH_REQUEST + part);
             assertTrue(SocketReader.readNow(first.channel));
             limiter.setMaxConnections(0);
@@ -212,7 +212,7 @@
         first.client.getOutputStream()
             .write(HEALTH_REQUEST.substring(part.length()).getBytes(StandardCharsets.US_ASCII));
         assertEquals(List.of("200", "200"), first.readStatuses(2));
-        onThread(() -> limiter.setMaxConnections(0));
+        onEventLoop(() -> limiter.setMaxConnections(0));
         assertTrue(first.readsEndOfStream());
     }
 
@@ -222,10 +222,10 @@
      */
     @Test
     void lowerLimitClosesOnlyConnectionsWithoutUnreadBytes() throws Exception {
-        SocketPair first = client(false);
-        SocketPair second = client(false);
-        SocketPair third = client(false);
-        onThread(() -> {
+        SocketPair first = openConnection(false);
+        SocketPair second = openConnection(false);
+        SocketPair third = openConnection(false);
+        onEventLoop(() -> {
             second.send(HEALTH_REQUEST);
             limiter.setMaxConnections(1);
             assertEquals("-o-", openPairs(first, second, third));
--- a/src/test/java/wrenkeel/net/ConsoleTest.java
+++ b/src/test/java/wrenkeel/net/ConsoleTest.java
@@ -141,9 +141,9 @@
 
     @Test
     void reloadsAndReloadErrorsAreCounted() throws Exception {
-        Path bad = Files.writeString(folder.resolve("bad.json"), "{\"discovery\":\"nowhere\"}");
+        Path invalidFile = Files.writeString(folder.resolve("bad.json"), "{\"discovery\":\"nowhere\"}");
         try (Node relay = startRelay()) {
-            relay.reload(Map.of("EDGE_CONFIG", bad.toString()));
+            relay.reload(Map.of("EDGE_CONFIG", invalidFile.toString()));
             relay.reload(platform.environment());
             assertEquals(1, metrics(relay).whole("config_reloads"));
             assertEquals(1, metrics(relay).whole("config_reload_errors"));
--- a/src/test/java/wrenkeel/net/LingeringCloseTest.java
+++ b/src/test/java/wrenkeel/net/LingeringCloseTest.java
@@ -166,8 +166,8 @@
         ConnectionLimiter limitOfThree = new ConnectionLimiter(3);
         try (SocketPair silent = new SocketPair();
              SocketPair lingering = new SocketPair(new LingeringClose(limitOfThree, LONGER_THAN_TEST_MS));
-             SocketPair newcomer = new SocketPair()) {
-            for (SocketPair pair : new SocketPair[] {silent, lingering, newcomer}) {
+             SocketPair newConnection = new SocketPair()) {
+            for (SocketPair pair : new SocketPair[] {silent, lingering, newConnection}) {
                 pair.register(eventLoop);
             }
             eventLoop.submit(() -> {
@@ -180,10 +180,10 @@
                 assertTrue(lingering.channel.isOpen());
                 assertEquals(2, limitOfThree.size());
                 limitOfThree.setMaxConnections(2);
-                limitOfThree.connected(newcomer.channel);
+                limitOfThree.connected(newConnection.channel);
                 assertFalse(lingering.channel.isOpen());
                 assertTrue(silent.channel.isOpen());
-                assertTrue(newcomer.channel.isOpen());
+                assertTrue(newConnection.channel.isOpen());
             }).get();
         }
     }
--- a/src/test/java/wrenkeel/net/ListOnlyRelayTest.java
+++ b/src/test/java/wrenkeel/net/ListOnlyRelayTest.java
@@ -25,7 +25,7 @@
 class ListOnlyRelayTest {
     @TempDir
     Path folder;
-    private final BlockingQueue<Long> loadedVersions = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Long> appliedVersions = new LinkedBlockingQueue<>();
     private final MultiThreadIoEventLoopGroup eventLoops =
         new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     private Platform platform;
@@ -43,14 +43,14 @@
     }
 
     private ListOnlyRelay newRelay() {
-        return new ListOnlyRelay(eventLoops.next(), platform.environment(), loadedVersions::add);
+        return new ListOnlyRelay(eventLoops.next(), platform.environment(), appliedVersions::add);
     }
 
     /** Waits until the module has processed a version of the list; earlier ones may be reported before. */
     private void awaitVersion(long version) throws InterruptedException {
         Long next;
         do {
-            next = loadedVersions.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            next = appliedVersions.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS);
             assertNotNull(next, "version " + version + " was not applied");
         } while (next < version);
         assertEquals(version, next);
--- a/src/test/java/wrenkeel/net/NodeTest.java
+++ b/src/test/java/wrenkeel/net/NodeTest.java
@@ -381,8 +381,8 @@
     /** Guards against a relay that keeps using an agent that has been removed. */
     @Test
     void afterAReloadListsComeFromAndNoticesGoToTheNewAddress() throws Exception {
-        Path elsewhere = Files.createDirectories(folder.resolve("elsewhere"));
-        try (StubHost otherHost = new StubHost(); Platform nextPlatform = new Platform(elsewhere);
+        Path nextFolder = Files.createDirectories(folder.resolve("elsewhere"));
+        try (StubHost otherHost = new StubHost(); Platform nextPlatform = new Platform(nextFolder);
                 Node relay = startRelay(); var client = new Platform.Client(relay)) {
             nextPlatform.writeConfig(hostJson("s-1", host.port(), 7, "ready"));
             nextPlatform.watchResponses.add(listJson(2, false, hostJson("s-1", host.port(), 7, "gone"),
@@ -402,9 +402,9 @@
 
     @Test
     void aReloadOfAnUnusableConfigurationChangesNothing() throws Exception {
-        Path bad = Files.writeString(folder.resolve("bad.json"), "{\"discovery\":\"nowhere\"}");
+        Path invalidFile = Files.writeString(folder.resolve("bad.json"), "{\"discovery\":\"nowhere\"}");
         try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
-            relay.reload(Map.of("EDGE_CONFIG", bad.toString()));
+            relay.reload(Map.of("EDGE_CONFIG", invalidFile.toString()));
             relay.reload(Map.of("EDGE_CONFIG", folder.resolve("absent").toString()));
             assertEquals(ACCEPTED, client.post("a", "bill", 7, 300).get(0));
             assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", platform.nextNotice());
@@ -589,9 +589,9 @@
         try (Node next = new Node(config)) {
             awaitReady(next);
             old.close();
-            StubHost.Call again = host.nextCall();
-            assertEquals("a", again.header("X-Request-ID"));
-            again.respond(StubHost.OK);
+            StubHost.Call secondCall = host.nextCall();
+            assertEquals("a", secondCall.header("X-Request-ID"));
+            secondCall.respond(StubHost.OK);
             awaitIdle(next);
         }
     }
@@ -691,21 +691,21 @@
     void nothingOfAnInvalidFileIsApplied() throws Exception {
         try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
             Path file = folder.resolve("config.json");
-            String good = Files.readString(file);
-            String moved = good.replaceFirst("\"discovery\":\"127.0.0.1:\\d+\"",
+            String validText = Files.readString(file);
+            String changedText = validText.replaceFirst("\"discovery\":\"127.0.0.1:\\d+\"",
                 "\"discovery\":\"127.0.0.1:9\"")
                 .replace(PAY_CLASS_START, "{\"name\":\"other\"");
-            List<String> invalidTexts = List.of("", moved.substring(0, moved.length() / 2), "[]",
-                moved.replace("\"limits\"", "\"unlimited\""), moved.replace("\"settings\"", "\"set\""),
-                moved.replace("\"discovery\"", "\"elsewhere\""), moved.replace("\"profiles\"", "\"classes\""),
-                moved.replace("\"rules\"", "\"customs\""), moved.replace("\"open-cap\"", "\"cap\""),
-                moved.replace("\"hard-limit\":16000", "\"hard-limit\":-5"),
-                moved.replace("\"hard-limit\":16000", "\"hard-limit\":\"soon\""),
-                moved.replace("\"hard-limit\":16000,", ""), moved.replace(MOST_TRIES, "\"most-tries\":0"),
-                moved.replace(MOST_TRIES, "\"most-tries\":\"many\""),
-                moved.replace(MOST_TRIES, "\"most-tries\":null"),
-                moved.replace("fragile", "wobbly"), moved.replace("\"window\":15000", "\"window\":0"),
-                moved.replace("[\"m1\",\"m2\",\"m3\"]", "[\"m1\"]"));
+            List<String> invalidTexts = List.of("", changedText.substring(0, changedText.length() / 2), "[]",
+                changedText.replace("\"limits\"", "\"unlimited\""), changedText.replace("\"settings\"", "\"set\""),
+                changedText.replace("\"discovery\"", "\"elsewhere\""), changedText.replace("\"profiles\"", "\"classes\""),
+                changedText.replace("\"rules\"", "\"customs\""), changedText.replace("\"open-cap\"", "\"cap\""),
+                changedText.replace("\"hard-limit\":16000", "\"hard-limit\":-5"),
+                changedText.replace("\"hard-limit\":16000", "\"hard-limit\":\"soon\""),
+                changedText.replace("\"hard-limit\":16000,", ""), changedText.replace(MOST_TRIES, "\"most-tries\":0"),
+                changedText.replace(MOST_TRIES, "\"most-tries\":\"many\""),
+                changedText.replace(MOST_TRIES, "\"most-tries\":null"),
+                changedText.replace("fragile", "wobbly"), changedText.replace("\"window\":15000", "\"window\":0"),
+                changedText.replace("[\"m1\",\"m2\",\"m3\"]", "[\"m1\"]"));
             for (String text : invalidTexts) {
                 Files.writeString(file, text);
                 relay.reload(platform.environment());
@@ -715,7 +715,7 @@
             assertEquals(ACCEPTED, client.post("a", "pay", 7, 300).get(0));
             assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", platform.nextNotice(),
                 "must be posted to the old address");
-            Files.writeString(file, good);
+            Files.writeString(file, validText);
             relay.reload(platform.environment());
             assertEquals(1, ConsoleTest.metrics(relay).whole("config_reloads"));
         }
--- a/src/test/java/wrenkeel/net/Platform.java
+++ b/src/test/java/wrenkeel/net/Platform.java
@@ -86,13 +86,13 @@
      *
      * @param block number of the destination
      */
-    static String hostJson(String name, int port, int block, String health) {
-        return hostJson(name, "m2", port, block, health);
+    static String hostJson(String name, int port, int destination, String health) {
+        return hostJson(name, "m2", port, destination, health);
     }
 
-    static String hostJson(String name, String kind, int port, int block, String health) {
+    static String hostJson(String name, String kind, int port, int destination, String health) {
         return "{\"host\":\"" + name + "\",\"dial\":\"127.0.0.1:" + port
-            + "\",\"site\":\"a\",\"class\":\"" + kind + "\",\"block\":" + block
+            + "\",\"site\":\"a\",\"class\":\"" + kind + "\",\"block\":" + destination
             + ",\"health\":\"" + health + "\",\"share\":50,\"born_ms\":0}";
     }
 
--- a/src/test/java/wrenkeel/net/RequestDeadlineTest.java
+++ b/src/test/java/wrenkeel/net/RequestDeadlineTest.java
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void aPeerThatSendsByteByByteIsClosedAsSoon() {
+    void aPeerThatSendsByteByByteIsClosedNoLater() {
         EmbeddedChannel channel = newChannel();
         for (int i = 0; i < MAX_REQUEST_SECONDS * 4 && channel.isOpen(); i++) {
             channel.writeInbound(bytes(MESSAGE_REQUEST.substring(i, i + 1)));
@@ -106,12 +106,12 @@
     @Test
     void aRequestUnreadInTheSocketAtTheDeadlineIsServed() throws Exception {
         var group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        EventLoop thread = group.next();
+        EventLoop eventLoop = group.next();
         try (SocketPair complete = new SocketPair(new Server(new ConnectionLimiter(10)));
              SocketPair incomplete = new SocketPair(new Server(new ConnectionLimiter(10)))) {
-            complete.register(thread);
-            incomplete.register(thread);
-            thread.submit(() -> {
+            complete.register(eventLoop);
+            incomplete.register(eventLoop);
+            eventLoop.submit(() -> {
                 complete.send(HEALTH_REQUEST);
                 incomplete.send(HEALTH_REQUEST.substring(0, HEALTH_REQUEST.length() - 1));
                 expire(complete);
--- a/src/test/java/wrenkeel/net/ServerConnectionTest.java
+++ b/src/test/java/wrenkeel/net/ServerConnectionTest.java
@@ -51,7 +51,7 @@
         journal = new Journal(config.state(), config.diskBytes());
         Bootstrap calls = new Bootstrap().group(eventLoop);
         Metrics metrics = new Metrics();
-        onThread(() -> {
+        onEventLoop(() -> {
             HostList hosts = new HostList(config.zones(), config.kinds());
             HostPool pool = new HostPool(eventLoop, calls, 1_000_000, 15_000_000, 100, metrics);
             driver = new ControlDriver(eventLoop, ProcessClock.system(), config, hosts, pool, journal,
@@ -76,7 +76,7 @@
     }
 
     /** Runs a task on the event loop. */
-    private void onThread(Task task) throws Exception {
+    private void onEventLoop(Task task) throws Exception {
         eventLoop.submit(() -> {
             task.run();
             return null;
@@ -138,7 +138,7 @@
      */
     @Test
     void duringShutdownAllRequestsReadSoFarAreAnswered() throws Exception {
-        onThread(server::closeAfterResponses);
+        onEventLoop(server::closeAfterResponses);
         try (var pair = connectAndSend(post("a") + HEALTH_REQUEST + post("b"))) {
             assertEquals(List.of("202", "503", "202"), pair.readStatuses(3));
             assertTrue(pair.readsEndOfStream());
@@ -151,7 +151,7 @@
      */
     @Test
     void duringShutdownAPartlyReadRequestIsAnswered() throws Exception {
-        onThread(server::closeAfterResponses);
+        onEventLoop(server::closeAfterResponses);
         String second = post("b");
         String firstHalf = second.substring(0, second.length() / 2);
         try (var pair = connectAndSend(post("a") + firstHalf)) {
@@ -170,7 +170,7 @@
     void requestsNotYetDecidedWhenTheDriverStopsAreRefused() throws Exception {
         SocketPair pair = new SocketPair(server);
         pair.send(post("a") + post("b"));
-        onThread(() -> {
+        onEventLoop(() -> {
             eventLoop.register(pair.channel);
             assertTrue(pair.channel.isRegistered());
             assertTrue(SocketReader.readNow(pair.channel));
@@ -200,7 +200,7 @@
             assertTrue(pair.readsEndOfStream());
         }
         assertEquals(0, unfinishedMessages());
-        onThread(() -> assertTrue(driver.isIdle()));
+        onEventLoop(() -> assertTrue(driver.isIdle()));
     }
 
     /** Throws on the second request that is decoded on the connection. */
@@ -224,7 +224,7 @@
     void aMessageWhoseClientResetTheConnectionIsWithdrawn() throws Exception {
         try (SocketPair pair = new SocketPair(server)) {
             pair.send(post("a"));
-            onThread(() -> {
+            onEventLoop(() -> {
                 eventLoop.register(pair.channel);
                 assertTrue(SocketReader.readNow(pair.channel));
                 pair.client.setSoLinger(true, 0);
@@ -233,13 +233,13 @@
             pair.channel.closeFuture().sync();
         }
         assertEquals(0, unfinishedMessages());
-        onThread(() -> assertTrue(driver.isIdle()));
+        onEventLoop(() -> assertTrue(driver.isIdle()));
     }
 
     /** Returns how many messages of the journal have not ended, once the requests read so far are decided. */
     private int unfinishedMessages() throws Exception {
-        for (int pass = 0; pass < 10; pass++) {
-            onThread(() -> { });
+        for (int iteration = 0; iteration < 10; iteration++) {
+            onEventLoop(() -> { });
         }
         return eventLoop.submit(() -> journal.owed().size()).get();
     }
--- a/src/test/java/wrenkeel/net/ServerTest.java
+++ b/src/test/java/wrenkeel/net/ServerTest.java
@@ -23,19 +23,19 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1_000, 2_000, 12_000, 28_000})
-    void theDeadlineKeepsTheClientsTimeoutEvenIfTheRequestWasReadLate(long time) {
+    void theDeadlineKeepsTheClientsTimeoutEvenIfTheRequestWasReadLate(long timeoutMillis) {
         long sent = 1_000_000;
-        long deadline = Server.deadline(sent + CLIENT_WAIT_MS, time);
-        assertTrue(deadline <= sent + time + END_SLACK_MS / 2,
+        long deadline = Server.deadline(sent + CLIENT_WAIT_MS, timeoutMillis);
+        assertTrue(deadline <= sent + timeoutMillis + END_SLACK_MS / 2,
             "half of the slack must be left for the notice");
-        assertTrue(deadline >= sent + time / 2, "at least half of the time must be left for the message");
+        assertTrue(deadline >= sent + timeoutMillis / 2, "at least half of the time must be left for the message");
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 40, 340})
-    void aShortTimeoutKeepsMoreThanHalfOfItsTime(long time) {
-        long deadline = Server.deadline(1_000_000, time);
-        assertTrue(deadline > 1_000_000 + time / 2 && deadline <= 1_000_000 + time);
+    void aShortTimeoutKeepsMoreThanHalfOfItsTime(long timeoutMillis) {
+        long deadline = Server.deadline(1_000_000, timeoutMillis);
+        assertTrue(deadline > 1_000_000 + timeoutMillis / 2 && deadline <= 1_000_000 + timeoutMillis);
     }
 
     /** Guards the log and the CPU: many invalid requests must not cause a log line each. */
