--- a/src/test/java/wrenkeel/net/ConnectionLimiterTest.java
+++ b/src/test/java/wrenkeel/net/ConnectionLimiterTest.java
@@ -41,7 +41,9 @@
         return String.join("", channels.stream().map(c -> c.isOpen() ? "o" : "-").toList());
     }
 
-    /** Guards the file descriptors: of many connections that arrive at once, each must evict another one. */
+    /**
+     * Guards the file descriptors: of many connections that arrive at once, each must evict a different one.
+     */
     @Test
     void eachNewConnectionAtTheLimitEvictsADifferentOne() {
         IntStream.range(0, 6).forEach(this::connect);
--- a/src/test/java/wrenkeel/net/ConsoleTest.java
+++ b/src/test/java/wrenkeel/net/ConsoleTest.java
@@ -24,7 +24,8 @@
 import wrenkeel.Wire;
 
 /**
- * The operators' HTTP server and its metrics, over loopback sockets; and how the limits of connections act.
+ * The operators' HTTP server and its metrics, over loopback sockets; and that idle connections keep out
+ * neither operators nor clients.
  */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class ConsoleTest {
@@ -217,7 +218,7 @@
         }
     }
 
-    /** Guards the start: a console that temporarily cannot open a socket must not fail it. */
+    /** Guards the start: a console that temporarily cannot open a socket must not make it fail. */
     @Test
     void aConsoleThatCannotOpenASocketAtFirstRetries() throws Exception {
         AtomicInteger failures = new AtomicInteger(3);
--- a/src/test/java/wrenkeel/net/ControlDriverTest.java
+++ b/src/test/java/wrenkeel/net/ControlDriverTest.java
@@ -163,7 +163,7 @@
         awaitQueuedTasks();
         assertEquals(1, journal.owed().size());
         inOneIteration(() -> driver.withdraw("a"));
-        assertEquals(0, journal.owed().size(), "no client has received the response");
+        assertEquals(0, journal.owed().size(), "must be withdrawn: no client has received the response");
     }
 
     /**
--- a/src/test/java/wrenkeel/net/NodeTest.java
+++ b/src/test/java/wrenkeel/net/NodeTest.java
@@ -164,7 +164,8 @@
     @Test
     void aMessageAboveTheLimitOfOpenMessagesIsRefused() throws Exception {
         try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
-            // At the limit the module refuses a message if it may, but never an unsafe one in flight.
+            // At the limit the module refuses an accepted message to make room, if it may. It must not refuse
+            // an unsafe one in flight, so such messages keep the limit reached.
             int acceptedCount = 0;
             List<String> response = client.post("m0", "pay", 7, 16_000);
             while (response.get(0).equals(ACCEPTED) && acceptedCount < 20) {
@@ -517,7 +518,7 @@
             () -> Config.read(Map.of("EDGE_CONFIG", file.toString(), "EDGE_STATE", folder.toString())));
         assertEquals(1, unusable.getMessage().lines().count());
         assertThrows(Config.Unusable.class, () -> Config.address("localhost:80"));
-        // The Java runtime would resolve these by DNS, on the relay's event loop.
+        // These are no complete addresses: the system's resolver would be asked for them, on the event loop.
         assertThrows(Config.Unusable.class, () -> Config.address("10.1:80"));
         assertThrows(Config.Unusable.class, () -> Config.address("10.0.0.300:80"));
         assertEquals(2, Node.serve(Map.of()));
@@ -692,19 +693,25 @@
         try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
             Path file = folder.resolve("config.json");
             String validText = Files.readString(file);
+            // A valid text with another address of discovery and another class; all the texts below are invalid.
             String changedText = validText.replaceFirst("\"discovery\":\"127.0.0.1:\\d+\"",
                 "\"discovery\":\"127.0.0.1:9\"")
                 .replace(PAY_CLASS_START, "{\"name\":\"other\"");
             List<String> invalidTexts = List.of("", changedText.substring(0, changedText.length() / 2), "[]",
-                changedText.replace("\"limits\"", "\"unlimited\""), changedText.replace("\"settings\"", "\"set\""),
-                changedText.replace("\"discovery\"", "\"elsewhere\""), changedText.replace("\"profiles\"", "\"classes\""),
-                changedText.replace("\"rules\"", "\"customs\""), changedText.replace("\"open-cap\"", "\"cap\""),
+                changedText.replace("\"limits\"", "\"unlimited\""),
+                changedText.replace("\"settings\"", "\"set\""),
+                changedText.replace("\"discovery\"", "\"elsewhere\""),
+                changedText.replace("\"profiles\"", "\"classes\""),
+                changedText.replace("\"rules\"", "\"customs\""),
+                changedText.replace("\"open-cap\"", "\"cap\""),
                 changedText.replace("\"hard-limit\":16000", "\"hard-limit\":-5"),
                 changedText.replace("\"hard-limit\":16000", "\"hard-limit\":\"soon\""),
-                changedText.replace("\"hard-limit\":16000,", ""), changedText.replace(MOST_TRIES, "\"most-tries\":0"),
+                changedText.replace("\"hard-limit\":16000,", ""),
+                changedText.replace(MOST_TRIES, "\"most-tries\":0"),
                 changedText.replace(MOST_TRIES, "\"most-tries\":\"many\""),
                 changedText.replace(MOST_TRIES, "\"most-tries\":null"),
-                changedText.replace("fragile", "wobbly"), changedText.replace("\"window\":15000", "\"window\":0"),
+                changedText.replace("fragile", "wobbly"),
+                changedText.replace("\"window\":15000", "\"window\":0"),
                 changedText.replace("[\"m1\",\"m2\",\"m3\"]", "[\"m1\"]"));
             for (String text : invalidTexts) {
                 Files.writeString(file, text);
--- a/src/test/java/wrenkeel/net/Platform.java
+++ b/src/test/java/wrenkeel/net/Platform.java
@@ -32,7 +32,7 @@
     final BlockingQueue<String> notices = new LinkedBlockingQueue<>();
     /** Response statuses of the next posts of notices; 204 when none is left. */
     final BlockingQueue<Integer> noticeStatuses = new LinkedBlockingQueue<>();
-    /** Posts that contain this text are answered 400. */
+    /** Posts that contain this text are answered 400; by default there are none. */
     volatile String rejectedText = "\0";
     /** Responses to the next watches, that is to requests for the list that may wait for a change. */
     final BlockingQueue<String> watchResponses = new LinkedBlockingQueue<>();
@@ -84,7 +84,7 @@
     /**
      * Returns a host's entry for a list, of kind m2.
      *
-     * @param block number of the destination
+     * @param health "ready", "draining" or "gone"
      */
     static String hostJson(String name, int port, int destination, String health) {
         return hostJson(name, "m2", port, destination, health);
--- a/src/test/java/wrenkeel/net/SendGuardTest.java
+++ b/src/test/java/wrenkeel/net/SendGuardTest.java
@@ -22,6 +22,7 @@
     Path folder;
     private Journal journal;
     private final SendGuard guard = new SendGuard();
+    /** Two hosts of one destination, in different zones. */
     private final HostList.Host host = host(1, 0), sibling = host(2, 1);
 
     private static HostList.Host host(long number, int zone) {
--- a/src/test/java/wrenkeel/net/ServerTest.java
+++ b/src/test/java/wrenkeel/net/ServerTest.java
@@ -11,6 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** The deadline that the server gives a message, and what it logs about misbehaving clients. */
 class ServerTest {
     /** How long a client waits for the response that accepts its message. */
     private static final long CLIENT_WAIT_MS = 400;
@@ -18,8 +19,8 @@
     private static final long END_SLACK_MS = 300;
 
     /**
-     * Guards against an end that is reported too late: the request may have been read as late as its client
-     * waits.
+     * Guards against an end that is reported too late: the request may have waited in its socket for
+     * as long as its client waits for a response.
      */
     @ParameterizedTest
     @ValueSource(longs = {1_000, 2_000, 12_000, 28_000})
@@ -28,7 +29,8 @@
         long deadline = Server.deadline(sent + CLIENT_WAIT_MS, timeoutMillis);
         assertTrue(deadline <= sent + timeoutMillis + END_SLACK_MS / 2,
             "half of the slack must be left for the notice");
-        assertTrue(deadline >= sent + timeoutMillis / 2, "at least half of the time must be left for the message");
+        assertTrue(deadline >= sent + timeoutMillis / 2,
+            "at least half of the time must be left for the message");
     }
 
     @ParameterizedTest
