--- a/src/test/java/wrenkeel/net/NodeTest.java
+++ b/src/test/java/wrenkeel/net/NodeTest.java
@@ -693,7 +693,7 @@
         try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
             Path file = folder.resolve("config.json");
             String validText = Files.readString(file);
-            // A valid text with another address of discovery and another class; all the texts below are invalid.
+            // A valid text with another address of discovery and another class; all texts below are invalid.
             String changedText = validText.replaceFirst("\"discovery\":\"127.0.0.1:\\d+\"",
                 "\"discovery\":\"127.0.0.1:9\"")
                 .replace(PAY_CLASS_START, "{\"name\":\"other\"");
