--- a/src/test/java/wrenkeel/net/ClockStepTest.java
+++ b/src/test/java/wrenkeel/net/ClockStepTest.java
@@ -19,12 +19,12 @@
     @TempDir
     Path folder;
     private Platform platform;
-    private Host host;
+    private StubHost host;
 
     @BeforeEach
     void begin() throws Exception {
         platform = new Platform(folder);
-        host = new Host();
+        host = new StubHost();
     }
 
     @AfterEach
@@ -34,7 +34,7 @@
     }
 
     private Node relay(long stepMillis) throws Exception {
-        return new Node(platform.config(Platform.host("s-1", host.port(), 7, "ready")),
+        return new Node(platform.writeConfig(Platform.hostJson("s-1", host.port(), 7, "ready")),
             new Machine(SteppedClock.stepped(stepMillis), FileOperations.SYSTEM, ListeningSockets.SYSTEM));
     }
 
@@ -42,7 +42,7 @@
     private void acceptBeforeTheStep(String id, String messageClass, long lifetimeMillis) throws Exception {
         try (Node relay = relay(0); var client = new Platform.Client(relay)) {
             assertEquals(ACCEPTED, client.post(id, messageClass, 7, lifetimeMillis).get(0));
-            assertEquals(id, host.call().header("X-Request-ID"));
+            assertEquals(id, host.nextCall().header("X-Request-ID"));
         }
     }
 
@@ -50,11 +50,11 @@
     void aForwardClockStepDoesNotExpireAMessage() throws Exception {
         acceptBeforeTheStep("a", "bill", 16_000);
         try (Node relay = relay(HOUR_MS)) {
-            Host.Call repeat = host.call();
+            StubHost.Call repeat = host.nextCall();
             assertNotNull(repeat, "notices: " + platform.notices);
             assertEquals("a", repeat.header("X-Request-ID"));
             assertTrue(Long.parseLong(repeat.header("X-Timeout-Ms")) <= 16_000);
-            repeat.answer(Host.OK);
+            repeat.respond(StubHost.OK);
         }
         assertTrue(platform.notices.isEmpty(), platform.notices.toString());
     }
@@ -63,7 +63,7 @@
     void aBackwardClockStepDoesNotExtendAMessagesDeadline() throws Exception {
         acceptBeforeTheStep("a", "bill", 4_000);
         try (Node relay = relay(-HOUR_MS)) {
-            String notice = platform.notice();
+            String notice = platform.nextNotice();
             assertNotNull(notice, "no notice was posted");
             assertTrue(notice.contains("\"a\""), notice);
         }
--- a/src/test/java/wrenkeel/net/ConfigTest.java
+++ b/src/test/java/wrenkeel/net/ConfigTest.java
@@ -34,8 +34,8 @@
     @BeforeEach
     void begin() throws Exception {
         platform = new Platform(folder);
-        platform.config();
-        file = Path.of(platform.env().get("EDGE_CONFIG"));
+        platform.writeConfig();
+        file = Path.of(platform.environment().get("EDGE_CONFIG"));
     }
 
     @AfterEach
@@ -50,7 +50,7 @@
     }
 
     private void assertRejectedInOneLine() {
-        String message = assertThrows(Config.InvalidConfigException.class, () -> Config.read(platform.env()))
+        String message = assertThrows(Config.InvalidConfigException.class, () -> Config.read(platform.environment()))
             .getMessage();
         assertEquals(1, message.lines().count(), message);
     }
@@ -66,7 +66,7 @@
     @Test
     void theSmallestSocketLimitLeavesConnectionsForClientsAndHosts() throws Exception {
         replace("\"sockets\":1024", "\"sockets\":" + DescriptorBudget.MIN_LIMIT);
-        DescriptorBudget shares = Config.read(platform.env()).descriptorBudget();
+        DescriptorBudget shares = Config.read(platform.environment()).descriptorBudget();
         assertTrue(shares.clientConnections() > 0 && shares.hostConnections() > 0, shares.toString());
     }
 
@@ -128,7 +128,7 @@
     /** Returns the failure of a start that is not reported in one line; null if there is none. */
     private String unexpectedStartFailure() {
         try {
-            Config config = Config.read(platform.env());
+            Config config = Config.read(platform.environment());
             config.descriptorBudget();
             new HostList(config.zones(), config.kinds());
             new Control(config.seed(), config.settings());
@@ -158,7 +158,7 @@
     /** A start that cannot use its environment prints one line without a stack trace and returns status 2. */
     @Test
     void aStartThatCannotReadOrWritePrintsOneLineAndReturnsTwo() throws IOException {
-        Map<String, String> env = new HashMap<>(platform.env());
+        Map<String, String> env = new HashMap<>(platform.environment());
         Path file = Files.createFile(folder.resolve("a-file"));
         for (Map<String, String> override : List.of(Map.of("EDGE_STATE", file.toString()),
                 Map.of("EDGE_STATE", folder.resolve("absent").toString()), Map.of("EDGE_STATE", ""),
--- a/src/test/java/wrenkeel/net/ConsoleTest.java
+++ b/src/test/java/wrenkeel/net/ConsoleTest.java
@@ -1,7 +1,7 @@
 package wrenkeel.net;
 
 import static org.junit.jupiter.api.Assertions.*;
-import static wrenkeel.net.Platform.host;
+import static wrenkeel.net.Platform.hostJson;
 
 import io.netty.channel.ChannelException;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
@@ -23,89 +23,98 @@
 import org.junit.jupiter.api.io.TempDir;
 import wrenkeel.Wire;
 
-/** The operators' door, over loopback sockets. */
+/**
+ * The operators' HTTP server and its metrics, over loopback sockets; and that idle connections keep out
+ * neither operators nor clients.
+ */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class ConsoleTest {
     @TempDir
     Path folder;
     private Platform platform;
-    private Host host;
+    private StubHost host;
 
     @BeforeEach
-    void begin() throws IOException {
+    void setUp() throws IOException {
         platform = new Platform(folder);
-        host = new Host();
+        host = new StubHost();
     }
 
     @AfterEach
-    void end() throws IOException {
+    void tearDown() throws IOException {
         host.close();
         platform.close();
     }
 
-    private Node relay() throws Exception {
-        return platform.relay(host("s-1", host.port(), 7, "ready"));
+    private Node startRelay() throws Exception {
+        return platform.startRelay(hostJson("s-1", host.port(), 7, "ready"));
     }
 
-    /** The whole answer to one call, which ends with its connection. */
-    private static String call(InetSocketAddress console, String call) throws IOException {
+    /** Sends one request; returns the whole response, which ends when the console closes the connection. */
+    private static String request(InetSocketAddress console, String requestLine) throws IOException {
         try (Socket socket = new Socket(console.getAddress(), console.getPort())) {
-            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Platform.PATIENCE_S));
-            socket.getOutputStream().write((call + "\r\nHost: c\r\n\r\n").getBytes(StandardCharsets.UTF_8));
+            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Platform.TIMEOUT_SECONDS));
+            socket.getOutputStream()
+                .write((requestLine + "\r\nHost: c\r\n\r\n").getBytes(StandardCharsets.UTF_8));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         }
     }
 
-    static boolean ready(Node relay) throws IOException {
-        return call(relay.consoleAddress(), "GET /api/ready HTTP/1.1").startsWith("HTTP/1.1 200 ");
+    /** True if the relay's console reports that the relay is ready. */
+    static boolean isReady(Node relay) throws IOException {
+        return request(relay.consoleAddress(), "GET /api/ready HTTP/1.1").startsWith("HTTP/1.1 200 ");
     }
 
-    static Wire.Fields figures(Node relay) throws IOException {
-        String answer = call(relay.consoleAddress(), "GET /api/telemetry HTTP/1.1");
-        assertTrue(answer.startsWith("HTTP/1.1 200 "), answer);
-        return Wire.decode(answer.substring(answer.indexOf("\r\n\r\n") + 4));
+    /** Reads the relay's metrics from its console. */
+    static Wire.Fields metrics(Node relay) throws IOException {
+        String response = request(relay.consoleAddress(), "GET /api/telemetry HTTP/1.1");
+        assertTrue(response.startsWith("HTTP/1.1 200 "), response);
+        return Wire.decode(response.substring(response.indexOf("\r\n\r\n") + 4));
     }
 
-    private static void await(Node relay, String name, String messageClass, long count) throws Exception {
-        while (figures(relay).object(name).longValue(messageClass) != count) {
+    /** Waits until a metric has this count for a message class. */
+    private static void awaitCount(Node relay, String name, String messageClass, long count)
+        throws Exception {
+        while (metrics(relay).object(name).longValue(messageClass) != count) {
             Thread.sleep(20);
         }
     }
 
     @Test
-    void aRelayThatServesIsReadyAndOneThatLeavesIsNot() throws Exception {
-        Node relay = relay();
+    void aRelayIsReadyWhileItServesAndNotWhileItShutsDown() throws Exception {
+        Node relay = startRelay();
         try (var client = new Platform.Client(relay)) {
-            assertTrue(call(relay.consoleAddress(), "GET /api/ready HTTP/1.1").startsWith("HTTP/1.1 200 "));
+            assertTrue(request(relay.consoleAddress(), "GET /api/ready HTTP/1.1")
+                .startsWith("HTTP/1.1 200 "));
             assertEquals("HTTP/1.1 202 Accepted", client.post("a", "bill", 7, 16_000).get(0));
-            Host.Call out = host.call();
-            Thread end = new Thread(relay::shutDown);
-            end.start();
-            while (!call(relay.consoleAddress(), "GET /api/ready HTTP/1.1").startsWith("HTTP/1.1 503 ")) {
+            StubHost.Call inFlight = host.nextCall();
+            Thread shutdown = new Thread(relay::shutDown);
+            shutdown.start();
+            while (!request(relay.consoleAddress(), "GET /api/ready HTTP/1.1").startsWith("HTTP/1.1 503 ")) {
                 Thread.sleep(5);
             }
-            out.answer(Host.OK);
-            end.join();
+            inFlight.respond(StubHost.OK);
+            shutdown.join();
         }
     }
 
     @Test
-    void eachMessageIsCountedOnceWhereItEnds() throws Exception {
-        try (Node relay = relay(); var client = new Platform.Client(relay)) {
-            Wire.Fields first = figures(relay);
+    void eachMessageIsCountedOnceByItsOutcome() throws Exception {
+        try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
+            Wire.Fields first = metrics(relay);
             for (String name : List.of("completed", "rejected", "failed")) {
                 assertEquals(Map.of("bill", 0, "pay", 0), first.object(name).values());
             }
             client.post("a", "bill", 7, 16_000);
-            host.call().answer(Host.OK);
-            await(relay, "completed", "bill", 1);
+            host.nextCall().respond(StubHost.OK);
+            awaitCount(relay, "completed", "bill", 1);
             client.post("b", "pay", 7, 16_000);
-            host.call().answer("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
-            await(relay, "failed", "pay", 1);
-            while (figures(relay).longValue("pending") != 0) {
+            host.nextCall().respond("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
+            awaitCount(relay, "failed", "pay", 1);
+            while (metrics(relay).longValue("pending") != 0) {
                 Thread.sleep(20);
             }
-            Wire.Fields last = figures(relay);
+            Wire.Fields last = metrics(relay);
             assertEquals(2, last.longValue("upstream_requests"));
             assertEquals(1, last.longValue("members"));
             assertEquals(1, last.object("completed").longValue("bill"));
@@ -115,103 +124,112 @@
     }
 
     @Test
-    void anEndpointThatIsAvoidedIsCounted() throws Exception {
-        try (Node relay = relay(); var client = new Platform.Client(relay)) {
-            while (figures(relay).longValue("members") != 1) {
+    void anUnavailableEndpointIsCounted() throws Exception {
+        try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
+            while (metrics(relay).longValue("members") != 1) {
                 Thread.sleep(20);
             }
-            assertEquals(0, figures(relay).longValue("members_unavailable"));
+            assertEquals(0, metrics(relay).longValue("members_unavailable"));
             client.post("a", "bill", 7, 60_000);
-            host.call().answer("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 50.5\r\nContent-Length: 0\r\n\r\n");
-            while (figures(relay).longValue("members_unavailable") != 1) {
+            host.nextCall()
+                .respond("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 50.5\r\nContent-Length: 0\r\n\r\n");
+            while (metrics(relay).longValue("members_unavailable") != 1) {
                 Thread.sleep(20);
             }
-            assertEquals(1, figures(relay).longValue("pending"));
+            assertEquals(1, metrics(relay).longValue("pending"));
         }
     }
 
     @Test
-    void reloadsAreCounted() throws Exception {
-        Path bad = Files.writeString(folder.resolve("bad.json"), "{\"discovery\":\"nowhere\"}");
-        try (Node relay = relay()) {
-            relay.reload(Map.of("EDGE_CONFIG", bad.toString()));
-            relay.reload(platform.env());
-            assertEquals(1, figures(relay).longValue("config_reloads"));
-            assertEquals(1, figures(relay).longValue("config_reload_errors"));
+    void reloadsAndReloadErrorsAreCounted() throws Exception {
+        Path invalidFile = Files.writeString(folder.resolve("bad.json"), "{\"discovery\":\"nowhere\"}");
+        try (Node relay = startRelay()) {
+            relay.reload(Map.of("EDGE_CONFIG", invalidFile.toString()));
+            relay.reload(platform.environment());
+            assertEquals(1, metrics(relay).longValue("config_reloads"));
+            assertEquals(1, metrics(relay).longValue("config_reload_errors"));
         }
     }
 
     @Test
-    void whatIsNoCallOfTheConsoleIsAnError() throws Exception {
-        try (Node relay = relay()) {
-            assertTrue(call(relay.consoleAddress(), "GET /api/wobble HTTP/1.1").startsWith("HTTP/1.1 404 "));
-            assertTrue(call(relay.consoleAddress(), "PUT /api/ready HTTP/1.1").startsWith("HTTP/1.1 405 "));
-            assertTrue(call(relay.consoleAddress(), "nonsense").startsWith("HTTP/1.1 400 "));
+    void unknownPathsMethodsAndInvalidRequestsGetAnError() throws Exception {
+        try (Node relay = startRelay()) {
+            assertTrue(request(relay.consoleAddress(), "GET /api/wobble HTTP/1.1")
+                .startsWith("HTTP/1.1 404 "));
+            assertTrue(request(relay.consoleAddress(), "PUT /api/ready HTTP/1.1")
+                .startsWith("HTTP/1.1 405 "));
+            assertTrue(request(relay.consoleAddress(), "nonsense").startsWith("HTTP/1.1 400 "));
         }
     }
 
-    /** Guards operators against callers that hold every connection and say nothing, or half a call. */
+    /**
+     * Guards operators against peers that occupy all connections and send nothing, or only part of a request.
+     */
     @Test
-    void callersThatHangDoNotKeepAnOperatorOut() throws Exception {
-        List<Socket> hanging = new ArrayList<>();
-        try (Node relay = relay()) {
+    void idleConnectionsToTheConsoleDoNotBlockAnOperator() throws Exception {
+        List<Socket> idleConnections = new ArrayList<>();
+        try (Node relay = startRelay()) {
             InetSocketAddress console = relay.consoleAddress();
             for (int i = 0; i < 3 * Console.MAX_CONNECTIONS; i++) {
                 Socket socket = new Socket(console.getAddress(), console.getPort());
                 if (i % 2 == 0) {
                     socket.getOutputStream().write("GET /api/re".getBytes(StandardCharsets.UTF_8));
                 }
-                hanging.add(socket);
+                idleConnections.add(socket);
             }
-            assertTrue(call(console, "GET /api/ready HTTP/1.1").startsWith("HTTP/1.1 200 "));
+            assertTrue(request(console, "GET /api/ready HTTP/1.1").startsWith("HTTP/1.1 200 "));
         } finally {
-            for (Socket socket : hanging) {
+            for (Socket socket : idleConnections) {
                 socket.close();
             }
         }
     }
 
-    /** Guards the clients' door: a crowd that holds all places gives way to a client with a message. */
+    /**
+     * Guards clients: of the idle connections that reach the limit, one is evicted for a client with a
+     * message.
+     */
     @Test
-    void aCrowdThatHoldsItsConnectionsDoesNotKeepAClientOut() throws Exception {
-        List<Socket> crowd = new ArrayList<>();
-        try (Node relay = relay()) {
+    void idleClientConnectionsDoNotBlockAClientWithAMessage() throws Exception {
+        List<Socket> idleConnections = new ArrayList<>();
+        try (Node relay = startRelay()) {
             for (int i = 0; i < 1024 / 3 + 50; i++) {
-                crowd.add(new Socket(relay.address().getAddress(), relay.address().getPort()));
+                idleConnections.add(new Socket(relay.address().getAddress(), relay.address().getPort()));
             }
             try (var client = new Platform.Client(relay)) {
                 assertEquals("HTTP/1.1 202 Accepted", client.post("a", "bill", 7, 16_000).get(0));
             }
         } finally {
-            for (Socket socket : crowd) {
+            for (Socket socket : idleConnections) {
                 socket.close();
             }
         }
     }
 
     @Test
-    void withoutAnAddressForItThereIsNoConsole() throws Exception {
-        platform.config(host("s-1", host.port(), 7, "ready"));
+    void withoutAConsoleAddressTheRelayServesWithoutAConsole() throws Exception {
+        platform.writeConfig(hostJson("s-1", host.port(), 7, "ready"));
         Path file = folder.resolve("config.json");
         Files.writeString(file, Files.readString(file).replace("\"console\":\"127.0.0.1:0\",", ""));
-        assertNull(Config.read(platform.env()).consoleAddress());
-        try (Node relay = new Node(Config.read(platform.env())); var client = new Platform.Client(relay)) {
+        assertNull(Config.read(platform.environment()).consoleAddress());
+        try (Node relay = new Node(Config.read(platform.environment()));
+             var client = new Platform.Client(relay)) {
             assertEquals("HTTP/1.1 202 Accepted", client.post("a", "bill", 7, 16_000).get(0));
         }
     }
 
-    /** Guards the start: a console that cannot listen for a moment is no reason to end it. */
+    /** Guards the start: a console that temporarily cannot open a socket must not make it fail. */
     @Test
-    void aConsoleWithoutASocketForAMomentTriesAgain() throws Exception {
+    void aConsoleThatCannotOpenASocketAtFirstRetries() throws Exception {
         AtomicInteger failures = new AtomicInteger(3);
-        InetSocketAddress any = new InetSocketAddress(Platform.LOOPBACK, 0);
-        try (Console console = new Console(any, () -> true, new Metrics(), () -> {
+        InetSocketAddress anyPort = new InetSocketAddress(Platform.LOOPBACK, 0);
+        try (Console console = new Console(anyPort, () -> true, new Metrics(), () -> {
             if (failures.getAndDecrement() > 0) {
                 throw new ChannelException("too many open files");
             }
             return new NioServerSocketChannel();
         })) {
-            assertTrue(call(console.address(), "GET /api/ready HTTP/1.1").startsWith("HTTP/1.1 200 "));
+            assertTrue(request(console.address(), "GET /api/ready HTTP/1.1").startsWith("HTTP/1.1 200 "));
         }
     }
 }
--- a/src/test/java/wrenkeel/net/JournalTest.java
+++ b/src/test/java/wrenkeel/net/JournalTest.java
@@ -127,12 +127,12 @@
         }
         long lengthBeforeSecond;
         try (Journal journal = open()) {
-            lengthBeforeSecond = Files.size(Platform.journal(folder));
+            lengthBeforeSecond = Files.size(Platform.journalFile(folder));
             journal.accept(message("b", 100), MESSAGE_CLASS);
         }
-        byte[] both = Files.readAllBytes(Platform.journal(folder));
+        byte[] both = Files.readAllBytes(Platform.journalFile(folder));
         for (int length = (int) lengthBeforeSecond; length < both.length; length++) {
-            Files.write(Platform.journal(folder), java.util.Arrays.copyOf(both, length));
+            Files.write(Platform.journalFile(folder), java.util.Arrays.copyOf(both, length));
             try (Journal journal = open()) {
                 assertEquals("a", onlyOpenEntry(journal).message.id());
                 journal.accept(message("c", 100), MESSAGE_CLASS);
@@ -178,16 +178,16 @@
         long end;
         try (Journal journal = open()) {
             journal.accept(message("a", 100), MESSAGE_CLASS);
-            middle = Files.size(Platform.journal(folder));
+            middle = Files.size(Platform.journalFile(folder));
             journal.accept(message("b", 100), MESSAGE_CLASS);
-            end = Files.size(Platform.journal(folder));
+            end = Files.size(Platform.journalFile(folder));
             journal.accept(message("c", 100), MESSAGE_CLASS);
         }
-        byte[] whole = Files.readAllBytes(Platform.journal(folder));
+        byte[] whole = Files.readAllBytes(Platform.journalFile(folder));
         for (long at = middle; at < end; at++) {
             byte[] damaged = whole.clone();
             damaged[(int) at] ^= 0x55;
-            Files.write(Platform.journal(folder), damaged, StandardOpenOption.TRUNCATE_EXISTING);
+            Files.write(Platform.journalFile(folder), damaged, StandardOpenOption.TRUNCATE_EXISTING);
             try (Journal journal = open()) {
                 assertTrue(mayHaveRun(openEntry(journal, "a")), "damaged at " + at);
                 assertNull(openEntry(journal, "b"));
@@ -220,7 +220,7 @@
             journal.accept(message("a", 100), MESSAGE_CLASS);
             journal.accept(message("b", 100), MESSAGE_CLASS);
         }
-        Path file = Platform.journal(folder);
+        Path file = Platform.journalFile(folder);
         // An unknown type, the outcome of an attempt that does not exist, and two messages that end too soon.
         for (byte[] undecodable : List.of(record(77, 1, new byte[3]), record(3, 1, new byte[] {0, 9}),
                 record(1, 9, new byte[2]), record(10, 9, new byte[40]))) {
@@ -280,7 +280,7 @@
         try (Journal journal = open()) {
             journal.recordSent(journal.accept(message("a", 100), null), 1_000, 0);
         }
-        Files.move(Platform.journal(folder), folder.resolve("journal"));
+        Files.move(Platform.journalFile(folder), folder.resolve("journal"));
         Files.writeString(folder.resolve("journal.new"), "cut off");
         try (Journal journal = open()) {
             assertEquals(1, onlyOpenEntry(journal).attempts.size());
@@ -462,7 +462,7 @@
             journal.endpointHealth(health("s-1", Relay.Health.OUT));
             journal.endpointHealth(health("s-1", Relay.Health.RETURNING));
         }
-        Path file = Platform.journal(folder);
+        Path file = Platform.journalFile(folder);
         try (var channel = java.nio.channels.FileChannel.open(file, StandardOpenOption.WRITE)) {
             channel.truncate(channel.size() - 3);
         }
--- a/src/test/java/wrenkeel/net/NoSocketAtStartTest.java
+++ b/src/test/java/wrenkeel/net/NoSocketAtStartTest.java
@@ -13,31 +13,31 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The machine has no socket to listen on for a moment. */
+/** The start of a relay while the machine temporarily has no socket to listen on. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class NoSocketAtStartTest {
     @TempDir
     Path folder;
     private Platform platform;
-    private Host host;
+    private StubHost host;
 
     @BeforeEach
-    void begin() throws Exception {
+    void setUp() throws Exception {
         platform = new Platform(folder);
-        host = new Host();
+        host = new StubHost();
     }
 
     @AfterEach
-    void end() throws Exception {
+    void tearDown() throws Exception {
         host.close();
         platform.close();
     }
 
-    /** Guards against a refused start, and with it what the folder holds. */
+    /** Guards the messages in the state folder: the start must not fail, and they are delivered meanwhile. */
     @Test
-    void aStartTriesAgainToListen() throws Exception {
-        Config config = platform.config(Platform.host("s-1", host.port(), 7, "ready"));
-        try (Journal journal = platform.leftBehind()) {
+    void aStartRetriesToListenUntilASocketOpens() throws Exception {
+        Config config = platform.writeConfig(Platform.hostJson("s-1", host.port(), 7, "ready"));
+        try (Journal journal = platform.openJournal()) {
             journal.accept(new Message("a", "bill", 0, null, "key-a", 7, System.currentTimeMillis() + 60_000,
                 new byte[3]), null);
         }
@@ -48,14 +48,15 @@
             }
             return ServerSocketChannel.open();
         };
-        try (Node relay = new Node(config, new Machine(MachineClock.SYSTEM, FileOperations.SYSTEM, sockets))) {
-            Host.Call call = host.call();
+        try (Node relay = new Node(config,
+                new Machine(MachineClock.SYSTEM, FileOperations.SYSTEM, sockets))) {
+            StubHost.Call call = host.nextCall();
             assertEquals("a", call.header("X-Request-ID"));
-            call.answer(Host.OK);
+            call.respond(StubHost.OK);
             relay.awaitServing();
             try (var client = new Platform.Client(relay)) {
                 assertEquals("HTTP/1.1 200 OK",
-                    client.raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]).get(0));
+                    client.exchange("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]).get(0));
             }
         }
     }
--- a/src/test/java/wrenkeel/net/NodeTest.java
+++ b/src/test/java/wrenkeel/net/NodeTest.java
@@ -1,8 +1,8 @@
 package wrenkeel.net;
 
 import static org.junit.jupiter.api.Assertions.*;
-import static wrenkeel.net.Platform.host;
-import static wrenkeel.net.Platform.list;
+import static wrenkeel.net.Platform.hostJson;
+import static wrenkeel.net.Platform.listJson;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -16,117 +16,129 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The whole relay over loopback sockets: one test for each way in which it could go wrong. */
+/**
+ * The whole relay over loopback sockets, with a scripted host and a scripted agent. Each test guards against
+ * one failure.
+ */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class NodeTest {
-    private static final String TAKEN = "HTTP/1.1 202 Accepted";
+    private static final String ACCEPTED = "HTTP/1.1 202 Accepted";
 
     @TempDir
     Path folder;
     private Platform platform;
-    private Host host;
+    private StubHost host;
 
     @BeforeEach
-    void begin() throws IOException {
+    void setUp() throws IOException {
         platform = new Platform(folder);
-        host = new Host();
+        host = new StubHost();
     }
 
     @AfterEach
-    void end() throws IOException {
+    void tearDown() throws IOException {
         host.close();
         platform.close();
     }
 
-    private Node relay() throws Exception {
-        return platform.relay(host("s-1", host.port(), 7, "ready"));
+    private Node startRelay() throws Exception {
+        return platform.startRelay(hostJson("s-1", host.port(), 7, "ready"));
     }
 
-    private void awaitClosedJournal(Node relay) throws Exception {
+    /** Waits until every message has ended and every notice is acknowledged. */
+    private void awaitIdle(Node relay) throws Exception {
         while (!relay.isIdle()) {
             Thread.sleep(5);
         }
     }
 
     @Test
-    void aMessageGoesOnUnchangedOverAKeptConnection() throws Exception {
-        try (Node relay = relay(); var client = new Platform.Client(relay)) {
-            assertEquals(TAKEN, client.post("a", "bill", 7, 16_000).get(0));
-            Host.Call first = host.call();
+    void aMessageIsForwardedUnchangedAndItsConnectionIsReused() throws Exception {
+        try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
+            assertEquals(ACCEPTED, client.post("a", "bill", 7, 16_000).get(0));
+            StubHost.Call first = host.nextCall();
             assertEquals("POST /v1/messages HTTP/1.1", first.head().get(0));
             assertEquals("a", first.header("X-Request-ID"));
             assertEquals("key-a", first.header("Idempotency-Key"));
             assertEquals("bill \u00e4\0 of a", first.body());
             assertTrue(Long.parseLong(first.header("X-Timeout-Ms")) > 0);
-            first.answer(Host.OK);
-            awaitClosedJournal(relay);
-            assertEquals(TAKEN, client.post("b", "bill", 7, 16_000).get(0));
-            // Guards against a handshake for each message.
-            assertSame(first.socket(), host.call().socket());
+            first.respond(StubHost.OK);
+            awaitIdle(relay);
+            assertEquals(ACCEPTED, client.post("b", "bill", 7, 16_000).get(0));
+            // A connection for each message would cost a handshake each.
+            assertSame(first.socket(), host.nextCall().socket());
         }
     }
 
-    /** Guards destinations that count calls: what one turn sends to a host of such a kind travels as one. */
+    /**
+     * Guards destinations that count calls: messages that one turn sends to a host of such a kind share a
+     * call.
+     */
     @Test
-    void messagesThatWaitedGoOutTogetherWhereTheKindTakesBundles() throws Exception {
-        try (Node relay = platform.relay(host("s-1", "m3", host.port(), 7, "ready"));
+    void queuedMessagesAreSentInOneCallToAHostKindThatTakesBatches() throws Exception {
+        try (Node relay = platform.startRelay(hostJson("s-1", "m3", host.port(), 7, "ready"));
                 var client = new Platform.Client(relay)) {
             for (String id : List.of("a", "b", "c")) {
-                assertEquals(TAKEN, client.post(id, "bill", 7, 16_000).get(0));
+                assertEquals(ACCEPTED, client.post(id, "bill", 7, 16_000).get(0));
             }
-            Host.Call first = host.call();
+            StubHost.Call first = host.nextCall();
             assertEquals("a", first.header("X-Request-ID"));
-            first.answer(Host.OK);
-            Host.Call bundle = host.call();
-            assertEquals("POST /v1/messages:batch HTTP/1.1", bundle.head().get(0));
-            assertTrue(bundle.body().contains("\"id\":\"b\",\"key\":\"key-b\""), bundle.body());
-            assertTrue(bundle.body().contains("\"id\":\"c\",\"key\":\"key-c\""), bundle.body());
+            first.respond(StubHost.OK);
+            StubHost.Call batch = host.nextCall();
+            assertEquals("POST /v1/messages:batch HTTP/1.1", batch.head().get(0));
+            assertTrue(batch.body().contains("\"id\":\"b\",\"key\":\"key-b\""), batch.body());
+            assertTrue(batch.body().contains("\"id\":\"c\",\"key\":\"key-c\""), batch.body());
             String states = "[{\"id\":\"b\",\"state\":\"accepted\"},{\"id\":\"c\",\"state\":\"accepted\"}]";
-            bundle.answer("HTTP/1.1 200 OK\r\nContent-Length: " + states.length() + "\r\n\r\n" + states);
-            awaitClosedJournal(relay);
-            assertTrue(host.quiet());
+            batch.respond("HTTP/1.1 200 OK\r\nContent-Length: " + states.length() + "\r\n\r\n" + states);
+            awaitIdle(relay);
+            assertTrue(host.hasNoCalls());
         }
-        assertTrue(platform.notices.isEmpty(), "delivered, so no notice");
+        assertTrue(platform.notices.isEmpty(), "a delivered message needs no notice");
     }
 
-    /** Guards messages of several lives in one call: it must not be over with the first of them. */
+    /**
+     * Guards messages with different deadlines in one call: the call must not end at the earliest of them. It
+     * takes its deadline from the first message.
+     */
     @Test
-    void aBundleBeginsWithTheMessageThatHasMostTimeLeft() throws Exception {
-        try (Node relay = platform.relay(host("s-1", "m3", host.port(), 7, "ready"));
+    void aBatchBeginsWithTheMessageWithTheLatestDeadline() throws Exception {
+        try (Node relay = platform.startRelay(hostJson("s-1", "m3", host.port(), 7, "ready"));
                 var client = new Platform.Client(relay)) {
-            assertEquals(TAKEN, client.post("a", "bill", 7, 16_000).get(0));
-            Host.Call first = host.call();
-            assertEquals(TAKEN, client.post("short", "bill", 7, 15_500).get(0));
-            assertEquals(TAKEN, client.post("long", "bill", 7, 16_000).get(0));
-            first.answer(Host.OK);
-            String bundle = host.call().body();
-            assertTrue(bundle.startsWith("[{\"id\":\"long\"") && bundle.contains("\"id\":\"short\""), bundle);
+            assertEquals(ACCEPTED, client.post("a", "bill", 7, 16_000).get(0));
+            StubHost.Call first = host.nextCall();
+            assertEquals(ACCEPTED, client.post("short", "bill", 7, 15_500).get(0));
+            assertEquals(ACCEPTED, client.post("long", "bill", 7, 16_000).get(0));
+            first.respond(StubHost.OK);
+            String batch = host.nextCall().body();
+            assertTrue(batch.startsWith("[{\"id\":\"long\"") && batch.contains("\"id\":\"short\""), batch);
         }
     }
 
     @Test
-    void healthIsToldAndBadRequestsAreTurnedAwayAndNotWrittenDown() throws Exception {
-        try (Node relay = relay()) {
-            long before = Files.size(platform.journal());
-            List<String> good = Platform.Client.headers("x", "bill", 7, 900);
+    void healthChecksAreAnsweredAndInvalidRequestsRejectedWithoutJournaling() throws Exception {
+        try (Node relay = startRelay()) {
+            long journalBytes = Files.size(platform.journalFile());
+            List<String> validHeaders = Platform.Client.headers("x", "bill", 7, 900);
             try (var client = new Platform.Client(relay)) {
-                assertEquals("HTTP/1.1 200 OK", client.raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]).get(0));
+                assertEquals("HTTP/1.1 200 OK",
+                    client.exchange("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]).get(0));
             }
             assertStatus(404, relay, client -> client.post("x", "wobble", 7, 900));
             assertStatus(404, relay, client -> client.post("x", "bill", 8, 900));
-            assertStatus(404, relay, client -> client.post("/other", good, ""));
+            assertStatus(404, relay, client -> client.post("/other", validHeaders, ""));
             assertStatus(400, relay, client -> client.post("x", "bill", 7, 0));
             assertStatus(400, relay, client -> client.post("x", "bill", 7, Long.MAX_VALUE));
-            for (int left = 0; left < good.size(); left++) {
-                List<String> headers = new java.util.ArrayList<>(good);
-                if (!headers.remove(left).startsWith("X-Priority-Class")) {
+            for (int omitted = 0; omitted < validHeaders.size(); omitted++) {
+                List<String> headers = new java.util.ArrayList<>(validHeaders);
+                if (!headers.remove(omitted).startsWith("X-Priority-Class")) {
                     assertStatus(400, relay, client -> client.post("/bill", headers, ""));
                 }
             }
-            assertStatus(405, relay, client -> client.raw("GET /bill HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]));
-            assertStatus(413, relay, client -> client.post("/bill", good, "x".repeat(64 * 1024 + 1)));
-            assertStatus(400, relay, client -> client.raw("nonsense\r\n\r\n", new byte[0]));
-            assertEquals(before, Files.size(platform.journal()));
+            assertStatus(405, relay,
+                client -> client.exchange("GET /bill HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]));
+            assertStatus(413, relay, client -> client.post("/bill", validHeaders, "x".repeat(64 * 1024 + 1)));
+            assertStatus(400, relay, client -> client.exchange("nonsense\r\n\r\n", new byte[0]));
+            assertEquals(journalBytes, Files.size(platform.journalFile()));
         }
     }
 
@@ -134,321 +146,362 @@
         List<String> send(Platform.Client client) throws IOException;
     }
 
-    /** Guards the CPU too: a peer that asks for what no client asks for is not heard out, but closed. */
+    /**
+     * Asserts that a request gets this status and that the connection is closed: the relay must not spend CPU
+     * time on a peer that sends what no client does.
+     */
     private static void assertStatus(int status, Node relay, Request request) throws IOException {
         try (var client = new Platform.Client(relay)) {
             List<String> head = request.send(client);
             assertTrue(head.get(0).startsWith("HTTP/1.1 " + status), head.get(0));
-            assertTrue(client.closed());
+            assertTrue(client.isClosed());
         }
     }
 
-    /** Guards the cap on messages held: the client is told to come back, not left waiting. */
+    /**
+     * Guards the limit of open messages: the client above it is refused at once, not left without a response.
+     */
     @Test
-    void aboveTheOpenCapAMessageIsRefusedWithATimeToComeBack() throws Exception {
-        try (Node relay = relay(); var client = new Platform.Client(relay)) {
-            // The module gives back one that it may when the cap is reached, so unsafe ones that are out hold it.
-            int taken = 0;
-            List<String> answer = client.post("m0", "pay", 7, 16_000);
-            while (answer.get(0).equals(TAKEN) && taken < 20) {
-                taken++;
-                answer = client.post("m" + taken, "pay", 7, 16_000);
+    void aMessageAboveTheLimitOfOpenMessagesIsRefused() throws Exception {
+        try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
+            // At the limit the module refuses an accepted message to make room, if it may. It must not refuse
+            // an unsafe one in flight, so such messages keep the limit reached.
+            int acceptedCount = 0;
+            List<String> response = client.post("m0", "pay", 7, 16_000);
+            while (response.get(0).equals(ACCEPTED) && acceptedCount < 20) {
+                acceptedCount++;
+                response = client.post("m" + acceptedCount, "pay", 7, 16_000);
             }
-            assertTrue(taken >= 3 && taken <= 4, taken + " were taken");
-            assertTrue(answer.get(0).startsWith("HTTP/1.1 503 "), answer.get(0));
+            assertTrue(acceptedCount >= 3 && acceptedCount <= 4, acceptedCount + " were accepted");
+            assertTrue(response.get(0).startsWith("HTTP/1.1 503 "), response.get(0));
         }
     }
 
-    /** Guards against a lost end: the notice is posted until the platform acknowledges it. */
+    /** Guards against an unreported end: the notice is posted until the platform acknowledges it. */
     @Test
-    void aMessageThatIsGivenUpEndsByANoticeThatIsRepeatedUntilItIsAcknowledged() throws Exception {
+    void theNoticeOfAFailedMessageIsRepeatedUntilAcknowledged() throws Exception {
         platform.noticeStatuses.add(500);
         platform.noticeStatuses.add(503);
-        try (Node relay = relay(); var client = new Platform.Client(relay)) {
-            assertEquals(TAKEN, client.post("a", "bill", 7, 300).get(0));
-            assertNotNull(host.call());
+        try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
+            assertEquals(ACCEPTED, client.post("a", "bill", 7, 300).get(0));
+            assertNotNull(host.nextCall());
             String notice = "{\"message\":\"a\",\"outcome\":\"given_up\"}";
             for (int i = 0; i < 3; i++) {
-                assertEquals(notice, platform.notice());
+                assertEquals(notice, platform.nextNotice());
             }
-            awaitClosedJournal(relay);
+            awaitIdle(relay);
         }
-        try (Journal journal = platform.leftBehind()) {
+        try (Journal journal = platform.openJournal()) {
             assertTrue(journal.openEntries().isEmpty());
         }
     }
 
-    /** Guards the ends of all messages against one whose notice the platform cannot read. */
+    /** Guards the notices of all other messages against one that the platform cannot parse. */
     @Test
-    void aNoticeThatCannotBeReadHoldsUpNoOther() throws Exception {
-        platform.unreadable = "\"bad\"";
-        try (Node relay = relay(); var client = new Platform.Client(relay)) {
-            assertEquals(TAKEN, client.post("bad", "bill", 7, 300).get(0));
-            assertEquals("{\"message\":\"bad\",\"outcome\":\"given_up\"}", platform.notice());
-            assertEquals(TAKEN, client.post("good", "bill", 7, 300).get(0));
-            long by = System.nanoTime() + TimeUnit.SECONDS.toNanos(Platform.PATIENCE_S);
-            while (ConsoleTest.figures(relay).object("failed").longValue("bill") == 0 && System.nanoTime() < by) {
+    void aNoticeThatThePlatformRejectsDoesNotBlockOthers() throws Exception {
+        platform.rejectedText = "\"bad\"";
+        try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
+            assertEquals(ACCEPTED, client.post("bad", "bill", 7, 300).get(0));
+            assertEquals("{\"message\":\"bad\",\"outcome\":\"given_up\"}", platform.nextNotice());
+            assertEquals(ACCEPTED, client.post("good", "bill", 7, 300).get(0));
+            long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(Platform.TIMEOUT_SECONDS);
+            while (ConsoleTest.metrics(relay).object("failed").longValue("bill") == 0
+                    && System.nanoTime() < deadlineNanos) {
                 Thread.sleep(5);
             }
         }
-        try (Journal journal = platform.leftBehind()) {
+        try (Journal journal = platform.openJournal()) {
             assertEquals(List.of("bad"), journal.openEntries().stream().map(entry -> entry.message.id()).toList());
         }
     }
 
-    /** Guards what is owed against a kill: keyed messages go out again, with the same id, key and body. */
+    /** Guards accepted messages against a kill: keyed ones are sent again, with the same id, key and body. */
     @Test
-    void aKeyedMessageThatWasOutIsSentAgainAfterARestart() throws Exception {
-        Host.Call before;
-        try (Node relay = relay(); var client = new Platform.Client(relay)) {
-            assertEquals(TAKEN, client.post("a", "bill", 7, 16_000).get(0));
-            before = host.call();
-        }
-        try (Node relay = relay()) {
-            Host.Call after = host.call();
-            assertEquals("a", after.header("X-Request-ID"));
-            assertEquals("key-a", after.header("Idempotency-Key"));
-            assertEquals(before.body(), after.body());
-            after.answer(Host.OK);
-            awaitClosedJournal(relay);
-        }
-        assertTrue(platform.notices.isEmpty(), "delivered, so no notice");
-    }
-
-    /** Guards against double effects: an unsafe call that was out at the kill may have run. */
+    void aKeyedMessageThatWasInFlightIsSentAgainAfterARestart() throws Exception {
+        StubHost.Call firstCall;
+        try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
+            assertEquals(ACCEPTED, client.post("a", "bill", 7, 16_000).get(0));
+            firstCall = host.nextCall();
+        }
+        try (Node relay = startRelay()) {
+            StubHost.Call secondCall = host.nextCall();
+            assertEquals("a", secondCall.header("X-Request-ID"));
+            assertEquals("key-a", secondCall.header("Idempotency-Key"));
+            assertEquals(firstCall.body(), secondCall.body());
+            secondCall.respond(StubHost.OK);
+            awaitIdle(relay);
+        }
+        assertTrue(platform.notices.isEmpty(), "a delivered message needs no notice");
+    }
+
+    /**
+     * Guards against double effects: an unsafe message that was in flight at the kill may have been executed.
+     */
     @Test
-    void anUnsafeMessageThatWasOutIsGivenUpAfterARestart() throws Exception {
-        try (Node relay = relay(); var client = new Platform.Client(relay)) {
-            assertEquals(TAKEN, client.post("a", "pay", 7, 16_000).get(0));
-            assertNotNull(host.call());
+    void anUnsafeMessageThatWasInFlightFailsAfterARestart() throws Exception {
+        try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
+            assertEquals(ACCEPTED, client.post("a", "pay", 7, 16_000).get(0));
+            assertNotNull(host.nextCall());
         }
-        try (Node relay = relay()) {
-            assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", platform.notice());
-            awaitClosedJournal(relay);
-            assertTrue(host.quiet());
+        try (Node relay = startRelay()) {
+            assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", platform.nextNotice());
+            awaitIdle(relay);
+            assertTrue(host.hasNoCalls());
         }
     }
 
-    /** An unsafe message whose only call was turned away never ran: it goes out after a restart. */
+    /**
+     * Guards against a message that fails needlessly: its only attempt was answered 429, so it was not
+     * executed.
+     */
     @Test
-    void anUnsafeMessageThatNeverRanIsSentAfterARestart() throws Exception {
-        try (Node relay = relay(); var client = new Platform.Client(relay)) {
-            assertEquals(TAKEN, client.post("a", "pay", 7, 60_000).get(0));
-            Host.Call call = host.call();
-            long before = Files.size(platform.journal());
-            call.answer("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 50.5\r\nContent-Length: 0\r\n\r\n");
-            while (Files.size(platform.journal()) == before) {
+    void anUnsafeMessageThatNeverRanIsSentAgainAfterARestart() throws Exception {
+        try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
+            assertEquals(ACCEPTED, client.post("a", "pay", 7, 60_000).get(0));
+            StubHost.Call call = host.nextCall();
+            long journalBytes = Files.size(platform.journalFile());
+            call.respond("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 50.5\r\nContent-Length: 0\r\n\r\n");
+            while (Files.size(platform.journalFile()) == journalBytes) {
                 Thread.sleep(5);
             }
         }
-        try (Node relay = relay()) {
+        try (Node relay = startRelay()) {
             assertFalse(relay.isIdle());
-            assertEquals("a", host.call().header("X-Request-ID"));
+            assertEquals("a", host.nextCall().header("X-Request-ID"));
         }
     }
 
     @Test
-    void aMessageWhoseTimePassedWhileTheRelayWasDownStillGetsItsNotice() throws Exception {
-        try (Node relay = relay(); var client = new Platform.Client(relay)) {
-            assertEquals(TAKEN, client.post("a", "bill", 7, 400).get(0));
-            assertNotNull(host.call());
+    void aMessageThatExpiredWhileTheRelayWasDownStillGetsItsNotice() throws Exception {
+        try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
+            assertEquals(ACCEPTED, client.post("a", "bill", 7, 400).get(0));
+            assertNotNull(host.nextCall());
         }
         Thread.sleep(400);
-        try (Node relay = relay()) {
-            assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", platform.notice());
-            awaitClosedJournal(relay);
+        try (Node relay = startRelay()) {
+            assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", platform.nextNotice());
+            awaitIdle(relay);
         }
     }
 
-    /** Guards the rule on drains: a host that the watch calls draining gets nothing new. */
+    /**
+     * Guards the rule on draining hosts: a host that the watch reports as draining must receive nothing new.
+     */
     @Test
-    void aDrainingHostGetsNothingNewAndItsReplacementDoes() throws Exception {
-        try (Host other = new Host(); Node relay = relay(); var client = new Platform.Client(relay)) {
-            platform.changes.add(list(2, false, host("s-1", host.port(), 7, "draining"),
-                host("s-2", other.port(), 7, "ready")));
-            // The third watch is only asked for once the second list has been taken in.
-            platform.changes.add(list(3, false));
-            while (!platform.changes.isEmpty()) {
+    void aDrainingHostReceivesNoNewMessagesAndItsReplacementDoes() throws Exception {
+        try (StubHost otherHost = new StubHost(); Node relay = startRelay();
+                var client = new Platform.Client(relay)) {
+            platform.watchResponses.add(listJson(2, false, hostJson("s-1", host.port(), 7, "draining"),
+                hostJson("s-2", otherHost.port(), 7, "ready")));
+            // The relay requests the list of version 3 only once it has applied that of version 2.
+            platform.watchResponses.add(listJson(3, false));
+            while (!platform.watchResponses.isEmpty()) {
                 Thread.sleep(5);
             }
             for (int i = 0; i < 3; i++) {
-                assertEquals(TAKEN, client.post("m" + i, "bill", 7, 16_000).get(0));
-                other.call().answer(Host.OK);
-                awaitClosedJournal(relay);
+                assertEquals(ACCEPTED, client.post("m" + i, "bill", 7, 16_000).get(0));
+                otherHost.nextCall().respond(StubHost.OK);
+                awaitIdle(relay);
             }
-            assertTrue(host.quiet());
+            assertTrue(host.hasNoCalls());
         }
     }
 
-    /** Guards the rule on drains at a restart: what the agent has binds before it has been asked. */
+    /**
+     * Guards the rule on draining hosts at a restart: a list that the agent already has applies to the first
+     * call.
+     */
     @Test
-    void aProcessThatStartsSendsNothingByAnOldListWhileANewerOneIsOnItsWay() throws Exception {
-        try (Node relay = relay(); var client = new Platform.Client(relay)) {
-            assertEquals(TAKEN, client.post("a", "bill", 7, 60_000).get(0));
-            assertNotNull(host.call());
-        }
-        platform.atOnce.clear();
-        try (Host other = new Host()) {
-            platform.atOnce.add(list(2, false, host("s-1", host.port(), 7, "draining"),
-                host("s-2", other.port(), 7, "ready")));
-            try (Node relay = relay()) {
-                Host.Call call = other.call();
-                assertNotNull(call, "sent by the list of before");
-                call.answer(Host.OK);
-                awaitClosedJournal(relay);
-                assertTrue(host.quiet());
+    void aStartingProcessAwaitsTheCurrentListBeforeItSends() throws Exception {
+        try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
+            assertEquals(ACCEPTED, client.post("a", "bill", 7, 60_000).get(0));
+            assertNotNull(host.nextCall());
+        }
+        platform.immediateResponses.clear();
+        try (StubHost otherHost = new StubHost()) {
+            platform.immediateResponses.add(listJson(2, false, hostJson("s-1", host.port(), 7, "draining"),
+                hostJson("s-2", otherHost.port(), 7, "ready")));
+            try (Node relay = startRelay()) {
+                StubHost.Call call = otherHost.nextCall();
+                assertNotNull(call, "must be sent to the host of the current list");
+                call.respond(StubHost.OK);
+                awaitIdle(relay);
+                assertTrue(host.hasNoCalls());
             }
         }
     }
 
-    /** Guards service against a discovery that is down at the start. */
+    /** Guards delivery against a discovery agent that is down at the start. */
     @Test
-    void aSilentAgentDelaysTheFirstCallForAShortTimeOnly() throws Exception {
-        platform.atOnce.clear();
-        try (Node relay = relay(); var client = new Platform.Client(relay)) {
-            assertEquals(TAKEN, client.post("a", "bill", 7, 60_000).get(0));
-            assertNotNull(host.call());
+    void anUnresponsiveAgentDelaysTheFirstCallOnlyBriefly() throws Exception {
+        platform.immediateResponses.clear();
+        try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
+            assertEquals(ACCEPTED, client.post("a", "bill", 7, 60_000).get(0));
+            assertNotNull(host.nextCall());
         }
     }
 
-    /** Guards the rule on drains: a watch that never speaks again is noticed before its silence counts as told. */
+    /**
+     * Guards the rule on draining hosts: the relay must detect that the watch gets no more responses before
+     * it is assumed to know a change of the list. That leaves it a second to request the list and to stop
+     * sending.
+     */
     @Test
-    void aWatchThatFallsSilentIsAskedAnewWithoutWaiting() throws Exception {
-        long countsAsTold = 6_000, toAskAndToStop = 1_000;
-        assertTrue(Discovery.WAIT + Discovery.WAIT_SLACK + toAskAndToStop <= countsAsTold);
-        try (Node relay = relay()) {
+    void afterAnUnansweredWatchTheListIsRequestedWithoutAWait() throws Exception {
+        long assumedKnownMs = 6_000, requestAndStopMs = 1_000;
+        assertTrue(Discovery.WAIT + Discovery.WAIT_SLACK + requestAndStopMs <= assumedKnownMs);
+        try (Node relay = startRelay()) {
             assertNotNull(relay.address());
-            assertEquals("after=1&wait_ms=1", platform.asked.take());
-            assertEquals("after=1&wait_ms=" + Discovery.WAIT, platform.asked.take());
-            assertEquals("after=1&wait_ms=1", platform.asked.poll(Platform.PATIENCE_S, TimeUnit.SECONDS));
+            assertEquals("after=1&wait_ms=1", platform.listQueries.take());
+            assertEquals("after=1&wait_ms=" + Discovery.WAIT, platform.listQueries.take());
+            assertEquals("after=1&wait_ms=1",
+                platform.listQueries.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
     }
 
-    /** Guards the watch against standing still, and against asking without a pause, after a list it cannot read. */
+    /**
+     * Guards against a watch that stops after a list that cannot be parsed, or that then polls without a
+     * pause.
+     */
     @Test
-    void theWatchGoesOnAfterAListThatCannotBeRead() throws Exception {
-        try (Host other = new Host(); Node relay = relay(); var client = new Platform.Client(relay)) {
-            platform.changes.add("{\"seq\":2,\"whole\":true,\"hosts\":[{}]}");
-            platform.changes.add("nonsense");
-            platform.changes.add(list(3, true, host("s-2", other.port(), 8, "ready")));
-            platform.changes.add(list(4, false));
-            while (!platform.changes.isEmpty()) {
+    void theWatchContinuesAfterAListThatCannotBeParsed() throws Exception {
+        try (StubHost otherHost = new StubHost(); Node relay = startRelay();
+                var client = new Platform.Client(relay)) {
+            platform.watchResponses.add("{\"seq\":2,\"whole\":true,\"hosts\":[{}]}");
+            platform.watchResponses.add("nonsense");
+            platform.watchResponses.add(listJson(3, true, hostJson("s-2", otherHost.port(), 8, "ready")));
+            platform.watchResponses.add(listJson(4, false));
+            while (!platform.watchResponses.isEmpty()) {
                 Thread.sleep(5);
             }
-            assertEquals(TAKEN, client.post("a", "bill", 8, 16_000).get(0));
-            assertEquals("a", other.call().header("X-Request-ID"));
+            assertEquals(ACCEPTED, client.post("a", "bill", 8, 16_000).get(0));
+            assertEquals("a", otherHost.nextCall().header("X-Request-ID"));
         }
     }
 
-    /** Guards against a relay that goes on listening to an agent that has been taken away. */
+    /** Guards against a relay that keeps using an agent that has been removed. */
     @Test
-    void afterAReloadTheNewAddressTellsTheListAndGetsTheNotices() throws Exception {
-        Path elsewhere = Files.createDirectories(folder.resolve("elsewhere"));
-        try (Host other = new Host(); Platform next = new Platform(elsewhere); Node relay = relay();
-                var client = new Platform.Client(relay)) {
-            next.config(host("s-1", host.port(), 7, "ready"));
-            next.changes.add(list(2, false, host("s-1", host.port(), 7, "gone"), host("s-2", other.port(), 7, "ready")));
-            next.changes.add(list(3, false));
-            relay.reload(next.env());
-            while (!next.changes.isEmpty()) {
+    void afterAReloadListsComeFromAndNoticesGoToTheNewAddress() throws Exception {
+        Path nextFolder = Files.createDirectories(folder.resolve("elsewhere"));
+        try (StubHost otherHost = new StubHost(); Platform nextPlatform = new Platform(nextFolder);
+                Node relay = startRelay(); var client = new Platform.Client(relay)) {
+            nextPlatform.writeConfig(hostJson("s-1", host.port(), 7, "ready"));
+            nextPlatform.watchResponses.add(listJson(2, false, hostJson("s-1", host.port(), 7, "gone"),
+                hostJson("s-2", otherHost.port(), 7, "ready")));
+            nextPlatform.watchResponses.add(listJson(3, false));
+            relay.reload(nextPlatform.environment());
+            while (!nextPlatform.watchResponses.isEmpty()) {
                 Thread.sleep(5);
             }
-            assertEquals(TAKEN, client.post("a", "bill", 7, 600).get(0));
-            assertEquals("a", other.call().header("X-Request-ID"));
-            assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", next.notice());
-            awaitClosedJournal(relay);
+            assertEquals(ACCEPTED, client.post("a", "bill", 7, 600).get(0));
+            assertEquals("a", otherHost.nextCall().header("X-Request-ID"));
+            assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", nextPlatform.nextNotice());
+            awaitIdle(relay);
         }
         assertTrue(platform.notices.isEmpty());
     }
 
     @Test
     void aReloadOfAnUnusableConfigurationChangesNothing() throws Exception {
-        Path bad = Files.writeString(folder.resolve("bad.json"), "{\"discovery\":\"nowhere\"}");
-        try (Node relay = relay(); var client = new Platform.Client(relay)) {
-            relay.reload(Map.of("EDGE_CONFIG", bad.toString()));
+        Path invalidFile = Files.writeString(folder.resolve("bad.json"), "{\"discovery\":\"nowhere\"}");
+        try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
+            relay.reload(Map.of("EDGE_CONFIG", invalidFile.toString()));
             relay.reload(Map.of("EDGE_CONFIG", folder.resolve("absent").toString()));
-            assertEquals(TAKEN, client.post("a", "bill", 7, 300).get(0));
-            assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", platform.notice());
+            assertEquals(ACCEPTED, client.post("a", "bill", 7, 300).get(0));
+            assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", platform.nextNotice());
         }
     }
 
-    /** Guards against an end at SIGHUP: it may come as soon as the relay is seen to be ready. */
+    /**
+     * Guards against a crash at SIGHUP, which may arrive as soon as others can see that the relay is ready.
+     */
     @Test
-    void aHangupIsHeardBeforeTheDoorIsOpened() throws Exception {
+    void theHangupHandlerIsSetBeforeTheListenerOpens() throws Exception {
         Class<?> signal = Class.forName("sun.misc.Signal"), handler = Class.forName("sun.misc.SignalHandler");
         Object hangup = signal.getConstructor(String.class).newInstance("HUP");
-        Object byDefault = handler.getField("SIG_DFL").get(null);
+        Object defaultHandler = handler.getField("SIG_DFL").get(null);
         var handle = signal.getMethod("handle", signal, handler);
-        handle.invoke(null, hangup, byDefault);
-        try (var taken = new java.net.ServerSocket(0, 1, Platform.LOOPBACK)) {
-            platform.config("127.0.0.1:" + taken.getLocalPort(), new String[0]);
-            assertEquals(2, Node.serve(platform.env()), "the door could not be opened");
+        handle.invoke(null, hangup, defaultHandler);
+        try (var occupiedPort = new java.net.ServerSocket(0, 1, Platform.LOOPBACK)) {
+            platform.writeConfig("127.0.0.1:" + occupiedPort.getLocalPort(), new String[0]);
+            assertEquals(2, Node.serve(platform.environment()), "the start must fail: the port is in use");
         }
-        assertNotSame(byDefault, handle.invoke(null, hangup, byDefault));
+        assertNotSame(defaultHandler, handle.invoke(null, hangup, defaultHandler));
     }
 
-    /** A signal that comes late must not break the end. */
+    /** Guards the shutdown against a SIGHUP that arrives late. */
     @Test
-    void aReloadAfterTheEndIsTurnedDown() throws Exception {
-        Node relay = relay();
+    void aReloadAfterCloseDoesNotThrow() throws Exception {
+        Node relay = startRelay();
         relay.close();
-        assertDoesNotThrow(() -> relay.reload(platform.env()));
+        assertDoesNotThrow(() -> relay.reload(platform.environment()));
     }
 
-    /** Guards the orderly end: clients are answered and turned away, and what is out is finished first. */
+    /**
+     * Guards the orderly shutdown: clients are still answered, with a close of their connection, and calls in
+     * flight are finished first.
+     */
     @Test
-    void atTheOrderlyEndClientsAreServedAndCallsFinished() throws Exception {
-        Node relay = relay();
+    void shutdownAnswersClientsAndFinishesCalls() throws Exception {
+        Node relay = startRelay();
         try (var client = new Platform.Client(relay)) {
-            assertEquals(TAKEN, client.post("a", "bill", 7, 16_000).get(0));
-            Thread end = new Thread(relay::shutDown);
-            end.start();
+            assertEquals(ACCEPTED, client.post("a", "bill", 7, 16_000).get(0));
+            Thread shutdown = new Thread(relay::shutDown);
+            shutdown.start();
             List<String> health;
             do {
                 try (var probe = new Platform.Client(relay)) {
-                    health = probe.raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]);
+                    health = probe.exchange("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]);
                 }
             } while (health.get(0).contains("200"));
-            List<String> answer = client.post("b", "bill", 7, 16_000);
-            assertEquals(TAKEN, answer.get(0));
-            assertTrue(answer.stream().anyMatch("connection: close"::equalsIgnoreCase), answer.toString());
-            assertTrue(client.closed());
-            host.call().answer(Host.OK);
-            host.call().answer(Host.OK);
-            end.join();
+            List<String> response = client.post("b", "bill", 7, 16_000);
+            assertEquals(ACCEPTED, response.get(0));
+            assertTrue(response.stream().anyMatch("connection: close"::equalsIgnoreCase),
+                response.toString());
+            assertTrue(client.isClosed());
+            host.nextCall().respond(StubHost.OK);
+            host.nextCall().respond(StubHost.OK);
+            shutdown.join();
         }
-        try (Journal journal = platform.leftBehind()) {
-            assertTrue(journal.openEntries().isEmpty(), "both were delivered before the end");
+        try (Journal journal = platform.openJournal()) {
+            assertTrue(journal.openEntries().isEmpty(), "both must be delivered before the relay ends");
         }
     }
 
-    /** Guards against a lost request: one that is half written as the door closes is read to its end and answered. */
+    /**
+     * Guards against a lost request: one that is partly written when the listener closes is still read and
+     * answered.
+     */
     @Test
-    void atTheOrderlyEndARequestOnItsWayIsStillAnswered() throws Exception {
-        Node relay = relay();
+    void shutdownAnswersARequestThatIsPartlyReceived() throws Exception {
+        Node relay = startRelay();
         var address = relay.address();
-        try (var half = new Platform.Client(relay); var client = new Platform.Client(relay)) {
-            half.write("POST /bill HTTP/1.1\r\nHost: api.internal\r\n");
-            // Answered by the same thread after it has read the half request.
-            assertEquals("HTTP/1.1 200 OK", client.raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]).get(0));
-            Thread end = new Thread(relay::shutDown);
-            end.start();
-            while (!refused(address)) {
+        try (var partial = new Platform.Client(relay); var client = new Platform.Client(relay)) {
+            partial.write("POST /bill HTTP/1.1\r\nHost: api.internal\r\n");
+            // The response comes from the same thread, after it has read the partial request.
+            assertEquals("HTTP/1.1 200 OK",
+                client.exchange("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]).get(0));
+            Thread shutdown = new Thread(relay::shutDown);
+            shutdown.start();
+            while (!isConnectionRefused(address)) {
                 Thread.onSpinWait();
             }
-            half.write(String.join("\r\n", Platform.Client.headers("a", "bill", 7, 16_000))
+            partial.write(String.join("\r\n", Platform.Client.headers("a", "bill", 7, 16_000))
                 + "\r\nContent-Length: 0\r\n\r\n");
-            assertEquals(TAKEN, half.answer().get(0));
-            assertTrue(half.closed());
-            host.call().answer(Host.OK);
-            end.join();
+            assertEquals(ACCEPTED, partial.readResponseHead().get(0));
+            assertTrue(partial.isClosed());
+            host.nextCall().respond(StubHost.OK);
+            shutdown.join();
         }
     }
 
-    /** True once nobody listens there; a connection that still comes up is left to the relay to close. */
-    private static boolean refused(java.net.InetSocketAddress address) throws IOException {
+    /**
+     * True if nothing listens at the address. A connection that is still accepted sends a request, so that
+     * the relay closes it with the response.
+     */
+    private static boolean isConnectionRefused(java.net.InetSocketAddress address) throws IOException {
         try (var probe = new Platform.Client(address)) {
-            probe.raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]);
+            probe.exchange("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]);
             return false;
         } catch (java.net.ConnectException e) {
             return true;
@@ -458,209 +511,238 @@
     }
 
     @Test
-    void anUnusableConfigurationIsOnePlainLine() throws IOException {
+    void anUnusableConfigurationIsReportedInOneLine() throws IOException {
         assertThrows(Config.InvalidConfigException.class, () -> Config.read(Map.of()));
         Path file = Files.writeString(folder.resolve("bad.json"), "{\"listen\":");
-        var fault = assertThrows(Config.InvalidConfigException.class,
+        var unusable = assertThrows(Config.InvalidConfigException.class,
             () -> Config.read(Map.of("EDGE_CONFIG", file.toString(), "EDGE_STATE", folder.toString())));
-        assertEquals(1, fault.getMessage().lines().count());
+        assertEquals(1, unusable.getMessage().lines().count());
         assertThrows(Config.InvalidConfigException.class, () -> Config.address("localhost:80"));
-        // A resolver would be asked for these, on the relay's thread.
+        // These are no complete addresses: the system's resolver would be asked for them, on the event loop.
         assertThrows(Config.InvalidConfigException.class, () -> Config.address("10.1:80"));
         assertThrows(Config.InvalidConfigException.class, () -> Config.address("10.0.0.300:80"));
         assertEquals(2, Node.serve(Map.of()));
     }
 
-    private Config shared() throws Exception {
-        return shared(platform.freePort());
+    /** Returns a configuration that several processes can run with: it names a fixed port for the clients. */
+    private Config configWithSharedPort() throws Exception {
+        return configWithSharedPort(platform.freePort());
     }
 
-    private Config shared(int port) throws Exception {
-        return platform.config("127.0.0.1:" + port, new String[] {host("s-1", host.port(), 7, "ready")});
+    private Config configWithSharedPort(int port) throws Exception {
+        return platform.writeConfig("127.0.0.1:" + port,
+            new String[] {hostJson("s-1", host.port(), 7, "ready")});
     }
 
     private static void awaitReady(Node relay) throws Exception {
-        while (!ConsoleTest.ready(relay)) {
+        while (!ConsoleTest.isReady(relay)) {
             Thread.sleep(5);
         }
     }
 
-    /** Guards messages across a replacement: what is out ends in the old process, the rest in the new one. */
+    /**
+     * Guards messages at a replacement: those in flight end in the old process, the others in the new one.
+     */
     @Test
-    void aProcessThatStandsByTakesOverWhatIsNotOut() throws Exception {
+    void aStandbyProcessTakesOverMessagesThatAreNotInFlight() throws Exception {
         int port = platform.freePort();
-        Config config = shared(port);
+        Config config = configWithSharedPort(port);
         Node old = new Node(config);
         try (var client = new Platform.Client(old)) {
-            assertEquals(TAKEN, client.post("a", "bill", 7, 60_000).get(0));
-            Host.Call out = host.call();
-            assertEquals(TAKEN, client.post("b", "bill", 7, 60_000).get(0));
+            assertEquals(ACCEPTED, client.post("a", "bill", 7, 60_000).get(0));
+            StubHost.Call inFlight = host.nextCall();
+            assertEquals(ACCEPTED, client.post("b", "bill", 7, 60_000).get(0));
             try (Node next = new Node(config)) {
                 awaitReady(next);
-                assertTrue(host.quiet(), "one process decides");
-                Thread end = new Thread(old::shutDown);
-                end.start();
-                try (var late = new Platform.Client(new java.net.InetSocketAddress(Platform.LOOPBACK, port))) {
-                    assertEquals(TAKEN, late.post("c", "bill", 7, 60_000).get(0));
+                assertTrue(host.hasNoCalls(), "only the old process may send");
+                Thread shutdown = new Thread(old::shutDown);
+                shutdown.start();
+                try (var lateClient = new Platform.Client(
+                        new java.net.InetSocketAddress(Platform.LOOPBACK, port))) {
+                    assertEquals(ACCEPTED, lateClient.post("c", "bill", 7, 60_000).get(0));
                 }
-                // The old process's call counts against the window, so the new one sends after it.
-                out.answer(Host.OK);
+                // The old process's call counts against the congestion window: the new one sends after it.
+                inFlight.respond(StubHost.OK);
                 List<String> sent = new java.util.ArrayList<>();
                 for (int i = 0; i < 2; i++) {
-                    Host.Call passed = host.call();
-                    sent.add(passed.header("X-Request-ID"));
-                    passed.answer(Host.OK);
+                    StubHost.Call handedOver = host.nextCall();
+                    sent.add(handedOver.header("X-Request-ID"));
+                    handedOver.respond(StubHost.OK);
                 }
                 assertEquals(List.of("b", "c"), sent.stream().sorted().toList());
-                end.join();
-                awaitClosedJournal(next);
+                shutdown.join();
+                awaitIdle(next);
             }
         }
-        assertTrue(platform.notices.isEmpty(), "all were delivered");
-        assertTrue(host.quiet(), "and once only");
+        assertTrue(platform.notices.isEmpty(), "delivered messages need no notice");
+        assertTrue(host.hasNoCalls(), "each must be delivered only once");
     }
 
-    /** Guards what is owed when the old process is killed before it was told to leave. */
+    /** Guards accepted messages when the old process is killed before it is asked to shut down. */
     @Test
-    void aProcessThatStandsByTakesOverFromOneThatWasKilled() throws Exception {
-        Config config = shared();
+    void aStandbyProcessTakesOverFromAKilledProcess() throws Exception {
+        Config config = configWithSharedPort();
         Node old = new Node(config);
         try (var client = new Platform.Client(old)) {
-            assertEquals(TAKEN, client.post("a", "bill", 7, 60_000).get(0));
-            assertNotNull(host.call());
+            assertEquals(ACCEPTED, client.post("a", "bill", 7, 60_000).get(0));
+            assertNotNull(host.nextCall());
         }
         try (Node next = new Node(config)) {
             awaitReady(next);
             old.close();
-            Host.Call again = host.call();
-            assertEquals("a", again.header("X-Request-ID"));
-            again.answer(Host.OK);
-            awaitClosedJournal(next);
+            StubHost.Call secondCall = host.nextCall();
+            assertEquals("a", secondCall.header("X-Request-ID"));
+            secondCall.respond(StubHost.OK);
+            awaitIdle(next);
         }
     }
 
-    /** Guards the process in service against one that is called off before it took over. */
+    /** Guards the serving process against a standby process that is shut down before it has taken over. */
     @Test
-    void aProcessThatIsToldToEndWhileItStandsByLeavesTheOtherAlone() throws Exception {
-        Config config = shared();
+    void shuttingDownAStandbyProcessDoesNotAffectTheOthers() throws Exception {
+        Config config = configWithSharedPort();
         try (Node old = new Node(config); var client = new Platform.Client(old)) {
             Node next = new Node(config);
             awaitReady(next);
             try (Node third = new Node(config)) {
                 awaitReady(third);
                 next.shutDown();
-                // It had nothing to pass on, and must not have told anybody to take over.
+                // It has nothing to hand over, and must not have asked the next process to take over.
                 assertFalse(Files.exists(folder.resolve("state").resolve("leaving.2")));
-                assertEquals(TAKEN, client.post("a", "bill", 7, 60_000).get(0));
-                host.call().answer(Host.OK);
-                awaitClosedJournal(old);
+                assertEquals(ACCEPTED, client.post("a", "bill", 7, 60_000).get(0));
+                host.nextCall().respond(StubHost.OK);
+                awaitIdle(old);
             }
         }
     }
 
-    /** Guards the wait that a partner told: it binds whichever process heard it. */
+    /**
+     * Guards the observance of Retry-After: it applies to all processes of a relay, whichever has received
+     * it.
+     */
     @Test
-    void aWaitIsHeededByTheProcessThatTakesOver() throws Exception {
-        Config config = shared();
+    void theProcessThatTakesOverObservesRetryAfterReceivedBefore() throws Exception {
+        Config config = configWithSharedPort();
         Node old = new Node(config);
         try (var client = new Platform.Client(old); Node next = new Node(config)) {
-            assertEquals(TAKEN, client.post("a", "bill", 7, 60_000).get(0));
-            host.call().answer("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 3.5\r\nContent-Length: 0\r\n\r\n");
-            long told = System.nanoTime();
+            assertEquals(ACCEPTED, client.post("a", "bill", 7, 60_000).get(0));
+            host.nextCall()
+                .respond("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 3.5\r\nContent-Length: 0\r\n\r\n");
+            long receivedNanos = System.nanoTime();
             awaitReady(next);
             old.shutDown();
-            assertEquals("a", host.call().header("X-Request-ID"));
-            assertTrue(System.nanoTime() - told >= TimeUnit.MILLISECONDS.toNanos(3_400));
+            assertEquals("a", host.nextCall().header("X-Request-ID"));
+            assertTrue(System.nanoTime() - receivedNanos >= TimeUnit.MILLISECONDS.toNanos(3_400));
         }
     }
 
-    private void rewrite(String from, String to) throws IOException {
+    /** Replaces text in the configuration file, which must contain it. */
+    private void replaceInConfig(String from, String to) throws IOException {
         Path file = folder.resolve("config.json");
         String before = Files.readString(file);
         assertTrue(before.contains(from), from);
         Files.writeString(file, before.replace(from, to));
     }
 
-    private static final String PAY = "{\"name\":\"pay\"", TRIES = "\"most-tries\":12";
+    /** Start of the entry of class pay in the configuration file. */
+    private static final String PAY_CLASS_START = "{\"name\":\"pay\"";
+    /** The setting of the maximum number of attempts in the configuration file. */
+    private static final String MOST_TRIES = "\"most-tries\":12";
 
-    /** Guards what a class promises: a message keeps the one it was taken under, new ones have the new one. */
+    /**
+     * Guards the rules of a class: a message keeps the class that it was accepted under; new messages get the
+     * new one.
+     */
     @Test
-    void aReloadBringsClassesAndMessagesKeepTheirs() throws Exception {
-        try (Node relay = relay(); var client = new Platform.Client(relay)) {
+    void aReloadAddsClassesAndAcceptedMessagesKeepTheirs() throws Exception {
+        try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
             assertTrue(client.post("x", "rush", 7, 16_000).get(0).startsWith("HTTP/1.1 404 "));
         }
-        Node relay = relay();
+        Node relay = startRelay();
         try (var client = new Platform.Client(relay)) {
-            assertEquals(TAKEN, client.post("before", "pay", 7, 60_000).get(0));
-            host.call().answer("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 50\r\nContent-Length: 0\r\n\r\n");
-            // The unsafe class goes, one of its name that may be repeated comes, and a further one.
-            rewrite(PAY + ",\"aim\":2000,\"hard-limit\":16000,\"semantics\":\"fragile\"}",
+            assertEquals(ACCEPTED, client.post("before", "pay", 7, 60_000).get(0));
+            host.nextCall()
+                .respond("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 50\r\nContent-Length: 0\r\n\r\n");
+            // Class pay, which is unsafe, is replaced by class rush, which may be repeated.
+            replaceInConfig(PAY_CLASS_START + ",\"aim\":2000,\"hard-limit\":16000,\"semantics\":\"fragile\"}",
                 "{\"name\":\"rush\",\"aim\":500,\"hard-limit\":900,\"semantics\":\"retryable\"}");
-            relay.reload(platform.env());
-            assertTrue(ConsoleTest.figures(relay).object("completed").values().containsKey("rush"));
-            assertEquals(TAKEN, client.post("after", "rush", 7, 900).get(0));
+            relay.reload(platform.environment());
+            assertTrue(ConsoleTest.metrics(relay).object("completed").values().containsKey("rush"));
+            assertEquals(ACCEPTED, client.post("after", "rush", 7, 900).get(0));
         }
         try (var client = new Platform.Client(relay)) {
             assertTrue(client.post("late", "pay", 7, 16_000).get(0).startsWith("HTTP/1.1 404 "));
         }
         relay.close();
-        // The class of the first is in no configuration any more: it is known from the journal.
-        try (Node next = relay()) {
-            next.reload(platform.env());
+        // The first message's class is no longer in the configuration: the journal has recorded it.
+        try (Node next = startRelay()) {
+            next.reload(platform.environment());
             List<String> sent = new java.util.ArrayList<>();
             while (!sent.contains("before")) {
-                Host.Call call = host.call();
+                StubHost.Call call = host.nextCall();
                 sent.add(call.header("X-Request-ID"));
-                call.answer(Host.OK);
+                call.respond(StubHost.OK);
             }
-            awaitClosedJournal(next);
+            awaitIdle(next);
         }
     }
 
-    /** Guards a relay in service: of a file with a fault nothing is taken, not even where discovery is. */
+    /** Guards a serving relay: nothing of an invalid file is applied, not even the address of discovery. */
     @Test
-    void nothingOfABrokenFileIsTaken() throws Exception {
-        try (Node relay = relay(); var client = new Platform.Client(relay)) {
+    void nothingOfAnInvalidFileIsApplied() throws Exception {
+        try (Node relay = startRelay(); var client = new Platform.Client(relay)) {
             Path file = folder.resolve("config.json");
-            String good = Files.readString(file);
-            String moved = good.replaceFirst("\"discovery\":\"127.0.0.1:\\d+\"", "\"discovery\":\"127.0.0.1:9\"")
-                .replace(PAY, "{\"name\":\"other\"");
-            List<String> broken = List.of("", moved.substring(0, moved.length() / 2), "[]",
-                moved.replace("\"limits\"", "\"unlimited\""), moved.replace("\"settings\"", "\"set\""),
-                moved.replace("\"discovery\"", "\"elsewhere\""), moved.replace("\"profiles\"", "\"classes\""),
-                moved.replace("\"rules\"", "\"customs\""), moved.replace("\"open-cap\"", "\"cap\""),
-                moved.replace("\"hard-limit\":16000", "\"hard-limit\":-5"),
-                moved.replace("\"hard-limit\":16000", "\"hard-limit\":\"soon\""),
-                moved.replace("\"hard-limit\":16000,", ""), moved.replace(TRIES, "\"most-tries\":0"),
-                moved.replace(TRIES, "\"most-tries\":\"many\""), moved.replace(TRIES, "\"most-tries\":null"),
-                moved.replace("fragile", "wobbly"), moved.replace("\"window\":15000", "\"window\":0"),
-                moved.replace("[\"m1\",\"m2\",\"m3\"]", "[\"m1\"]"));
-            for (String text : broken) {
+            String validText = Files.readString(file);
+            // A valid text with another address of discovery and another class; all texts below are invalid.
+            String changedText = validText.replaceFirst("\"discovery\":\"127.0.0.1:\\d+\"",
+                "\"discovery\":\"127.0.0.1:9\"")
+                .replace(PAY_CLASS_START, "{\"name\":\"other\"");
+            List<String> invalidTexts = List.of("", changedText.substring(0, changedText.length() / 2), "[]",
+                changedText.replace("\"limits\"", "\"unlimited\""),
+                changedText.replace("\"settings\"", "\"set\""),
+                changedText.replace("\"discovery\"", "\"elsewhere\""),
+                changedText.replace("\"profiles\"", "\"classes\""),
+                changedText.replace("\"rules\"", "\"customs\""),
+                changedText.replace("\"open-cap\"", "\"cap\""),
+                changedText.replace("\"hard-limit\":16000", "\"hard-limit\":-5"),
+                changedText.replace("\"hard-limit\":16000", "\"hard-limit\":\"soon\""),
+                changedText.replace("\"hard-limit\":16000,", ""),
+                changedText.replace(MOST_TRIES, "\"most-tries\":0"),
+                changedText.replace(MOST_TRIES, "\"most-tries\":\"many\""),
+                changedText.replace(MOST_TRIES, "\"most-tries\":null"),
+                changedText.replace("fragile", "wobbly"),
+                changedText.replace("\"window\":15000", "\"window\":0"),
+                changedText.replace("[\"m1\",\"m2\",\"m3\"]", "[\"m1\"]"));
+            for (String text : invalidTexts) {
                 Files.writeString(file, text);
-                relay.reload(platform.env());
+                relay.reload(platform.environment());
             }
-            assertEquals(broken.size(), ConsoleTest.figures(relay).longValue("config_reload_errors"));
-            assertEquals(0, ConsoleTest.figures(relay).longValue("config_reloads"));
-            assertEquals(TAKEN, client.post("a", "pay", 7, 300).get(0));
-            assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", platform.notice(), "told where it was");
-            Files.writeString(file, good);
-            relay.reload(platform.env());
-            assertEquals(1, ConsoleTest.figures(relay).longValue("config_reloads"));
+            assertEquals(invalidTexts.size(), ConsoleTest.metrics(relay).longValue("config_reload_errors"));
+            assertEquals(0, ConsoleTest.metrics(relay).longValue("config_reloads"));
+            assertEquals(ACCEPTED, client.post("a", "pay", 7, 300).get(0));
+            assertEquals("{\"message\":\"a\",\"outcome\":\"given_up\"}", platform.nextNotice(),
+                "must be posted to the old address");
+            Files.writeString(file, validText);
+            relay.reload(platform.environment());
+            assertEquals(1, ConsoleTest.metrics(relay).longValue("config_reloads"));
         }
     }
 
-    /** A fleet grows into further sites: that alone must not make a relay keep the settings of before. */
+    /**
+     * Guards the reload of a fleet that grows into more sites: more sites alone must not make a relay keep
+     * its old settings. A different order is an error: relays refer to sites by index.
+     */
     @Test
-    void aReloadMayNameFurtherSitesButNotMixUpThoseInForce() throws Exception {
-        try (Node relay = relay()) {
-            Path file = Path.of(platform.env().get("EDGE_CONFIG"));
-            String named = Files.readString(file);
-            Files.writeString(file, named.replace("[\"a\",\"b\"]", "[\"a\",\"b\",\"c\"]"));
-            relay.reload(platform.env());
-            assertEquals(1, ConsoleTest.figures(relay).longValue("config_reloads"));
-            Files.writeString(file, named.replace("[\"a\",\"b\"]", "[\"b\",\"a\"]"));
-            relay.reload(platform.env());
-            assertEquals(1, ConsoleTest.figures(relay).longValue("config_reload_errors"));
+    void aReloadMayAddSitesButNotReorderThem() throws Exception {
+        try (Node relay = startRelay()) {
+            Path file = Path.of(platform.environment().get("EDGE_CONFIG"));
+            String original = Files.readString(file);
+            Files.writeString(file, original.replace("[\"a\",\"b\"]", "[\"a\",\"b\",\"c\"]"));
+            relay.reload(platform.environment());
+            assertEquals(1, ConsoleTest.metrics(relay).longValue("config_reloads"));
+            Files.writeString(file, original.replace("[\"a\",\"b\"]", "[\"b\",\"a\"]"));
+            relay.reload(platform.environment());
+            assertEquals(1, ConsoleTest.metrics(relay).longValue("config_reload_errors"));
         }
     }
 }
--- a/src/test/java/wrenkeel/net/ServerConnectionTest.java
+++ b/src/test/java/wrenkeel/net/ServerConnectionTest.java
@@ -24,45 +24,47 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What one connection of a client is answered, and in which order. The relay behind it is a real one, and so are the
- * sockets; what a client has sent is read in one pass, before any of it is decided.
+ * The responses on one client connection, and their order. The driver and the sockets are real; the requests
+ * that a client has sent are read in one iteration of the event loop, before the module decides about any of
+ * them.
  */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class ServerConnectionTest {
-    private static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n";
+    private static final String HEALTH_REQUEST = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n";
 
     @TempDir
     Path folder;
-    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final EventLoop thread = group.next();
+    private final MultiThreadIoEventLoopGroup group =
+        new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoop eventLoop = group.next();
     private Platform platform;
-    private Host host;
+    private StubHost host;
     private Journal journal;
-    private ControlDriver loop;
+    private ControlDriver driver;
     private Server server;
 
     @BeforeEach
-    void begin() throws Exception {
+    void setUp() throws Exception {
         platform = new Platform(folder);
-        host = new Host();
-        Config config = platform.config(Platform.host("s-1", host.port(), 7, "ready"));
+        host = new StubHost();
+        Config config = platform.writeConfig(Platform.hostJson("s-1", host.port(), 7, "ready"));
         journal = new Journal(config.stateFolder(), config.diskLimitBytes());
-        Bootstrap calls = new Bootstrap().group(thread);
-        Metrics figures = new Metrics();
-        onThread(() -> {
+        Bootstrap calls = new Bootstrap().group(eventLoop);
+        Metrics metrics = new Metrics();
+        onEventLoop(() -> {
             HostList hosts = new HostList(config.zones(), config.kinds());
-            HostPool pool = new HostPool(thread, calls, 1_000_000, 15_000_000, 100, figures);
-            loop = new ControlDriver(thread, ProcessClock.system(), config, hosts, pool, journal, figures,
-                (whenListed, whenNoticed) -> new Discovery(thread, calls, config.discoveryAddress(), hosts, whenListed,
-                    whenNoticed));
-            loop.start(config.savedList());
+            HostPool pool = new HostPool(eventLoop, calls, 1_000_000, 15_000_000, 100, metrics);
+            driver = new ControlDriver(eventLoop, ProcessClock.system(), config, hosts, pool, journal,
+                metrics, (whenListed, whenNoticed) ->
+                    new Discovery(eventLoop, calls, config.discoveryAddress(), hosts, whenListed, whenNoticed));
+            driver.start(config.savedList());
             server = new Server(new ConnectionLimiter(10));
-            server.serve(loop, figures);
+            server.serve(driver, metrics);
         });
     }
 
     @AfterEach
-    void end() throws Exception {
+    void tearDown() throws Exception {
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).sync();
         journal.close();
         host.close();
@@ -73,99 +75,118 @@
         void run() throws Exception;
     }
 
-    private void onThread(Task task) throws Exception {
-        thread.submit(() -> {
+    /** Runs a task on the event loop. */
+    private void onEventLoop(Task task) throws Exception {
+        eventLoop.submit(() -> {
             task.run();
             return null;
         }).get();
     }
 
-    private static String post(String id, String... further) {
-        return "POST /bill HTTP/1.1\r\nHost: a\r\n" + String.join("\r\n", Platform.Client.headers(id, "bill", 7, 16_000))
-            + "\r\n" + String.join("", further) + "Content-Length: 2\r\n\r\nhi";
+    /** Returns a request that submits a message with a body of two bytes. */
+    private static String post(String id, String... extraHeaders) {
+        return "POST /bill HTTP/1.1\r\nHost: a\r\n"
+            + String.join("\r\n", Platform.Client.headers(id, "bill", 7, 16_000))
+            + "\r\n" + String.join("", extraHeaders) + "Content-Length: 2\r\n\r\nhi";
     }
 
-    /** A connection on which all of this has come before the relay reads the first of it. */
-    private SocketPair connected(String requests) throws Exception {
+    /**
+     * Opens a connection on which all of these requests have arrived before the server reads the first byte.
+     */
+    private SocketPair connectAndSend(String requests) throws Exception {
         SocketPair pair = new SocketPair(server);
         pair.send(requests);
-        pair.register(thread);
+        pair.register(eventLoop);
         return pair;
     }
 
     @Test
-    void aHealthCheckBehindAMessageIsAnsweredAfterIt() throws Exception {
-        try (var pair = connected(post("a") + HEALTH + post("b") + HEALTH)) {
-            assertEquals(List.of("202", "200", "202", "200"), pair.statuses(4));
+    void aHealthCheckAfterAMessageIsAnsweredAfterIt() throws Exception {
+        try (var pair = connectAndSend(post("a") + HEALTH_REQUEST + post("b") + HEALTH_REQUEST)) {
+            assertEquals(List.of("202", "200", "202", "200"), pair.readStatuses(4));
         }
     }
 
-    /** Guards against a lost message: an error that closes the connection must not cut off the answer before it. */
+    /**
+     * Guards against a lost message: an error that closes the connection must not cut off the response before
+     * it.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"nonsense\r\n\r\n", "GET /bill HTTP/1.1\r\nHost: a\r\n\r\n",
         "POST /bill HTTP/1.1\r\nContent-Length: 70000\r\n\r\n",
         "POST /bill HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 70000\r\n\r\n"})
-    void aMessageIsAnsweredBeforeTheErrorThatClosesItsConnection(String bad) throws Exception {
-        try (var pair = connected(post("a") + bad + HEALTH)) {
-            assertEquals("202", pair.status());
-            assertTrue(pair.status().startsWith("4"));
-            assertTrue(pair.ends(), "nothing behind the error is served");
+    void aMessageIsAnsweredBeforeTheErrorThatClosesItsConnection(String invalidRequest) throws Exception {
+        try (var pair = connectAndSend(post("a") + invalidRequest + HEALTH_REQUEST)) {
+            assertEquals("202", pair.readStatus());
+            assertTrue(pair.readStatus().startsWith("4"));
+            assertTrue(pair.readsEndOfStream(), "nothing after the error is served");
         }
-        assertEquals(1, owed());
+        assertEquals(1, unfinishedMessages());
     }
 
     @Test
-    void nothingBehindARequestThatClosesTheConnectionIsServed() throws Exception {
-        try (var pair = connected(post("a", "Connection: close\r\n") + post("b"))) {
-            assertEquals("202", pair.status());
-            assertTrue(pair.ends());
+    void nothingAfterARequestThatClosesTheConnectionIsServed() throws Exception {
+        try (var pair = connectAndSend(post("a", "Connection: close\r\n") + post("b"))) {
+            assertEquals("202", pair.readStatus());
+            assertTrue(pair.readsEndOfStream());
         }
-        assertEquals(1, owed());
+        assertEquals(1, unfinishedMessages());
     }
 
-    /** Guards against a lost message: at the orderly end what has been read is answered, the last with the close. */
+    /**
+     * Guards against a lost message: during shutdown all requests read so far are answered before the close.
+     */
     @Test
-    void atTheOrderlyEndAllThatHasBeenReadIsAnswered() throws Exception {
-        onThread(server::closeAfterResponses);
-        try (var pair = connected(post("a") + HEALTH + post("b"))) {
-            assertEquals(List.of("202", "503", "202"), pair.statuses(3));
-            assertTrue(pair.ends());
+    void duringShutdownAllRequestsReadSoFarAreAnswered() throws Exception {
+        onEventLoop(server::closeAfterResponses);
+        try (var pair = connectAndSend(post("a") + HEALTH_REQUEST + post("b"))) {
+            assertEquals(List.of("202", "503", "202"), pair.readStatuses(3));
+            assertTrue(pair.readsEndOfStream());
         }
     }
 
-    /** Guards against a lost message: at the orderly end a request that is half read is awaited and answered. */
+    /**
+     * Guards against a lost message: during shutdown the rest of a partly read request is awaited and
+     * answered.
+     */
     @Test
-    void atTheOrderlyEndARequestThatIsHalfReadIsAnswered() throws Exception {
-        onThread(server::closeAfterResponses);
+    void duringShutdownAPartlyReadRequestIsAnswered() throws Exception {
+        onEventLoop(server::closeAfterResponses);
         String second = post("b");
-        String half = second.substring(0, second.length() / 2);
-        try (var pair = connected(post("a") + half)) {
-            assertEquals("202", pair.status());
-            pair.client.getOutputStream().write(second.substring(half.length()).getBytes(StandardCharsets.US_ASCII));
-            assertEquals("202", pair.status());
-            assertTrue(pair.ends());
+        String firstHalf = second.substring(0, second.length() / 2);
+        try (var pair = connectAndSend(post("a") + firstHalf)) {
+            assertEquals("202", pair.readStatus());
+            pair.client.getOutputStream()
+                .write(second.substring(firstHalf.length()).getBytes(StandardCharsets.US_ASCII));
+            assertEquals("202", pair.readStatus());
+            assertTrue(pair.readsEndOfStream());
         }
     }
 
-    /** Guards against a lost message: as the process ends, held requests hear that they were not taken on. */
+    /**
+     * Guards against a lost message: when the process ends, requests that are not yet decided are refused.
+     */
     @Test
-    void requestsHeldBackAsTheProcessEndsAreRefused() throws Exception {
+    void requestsNotYetDecidedWhenTheDriverStopsAreRefused() throws Exception {
         SocketPair pair = new SocketPair(server);
         pair.send(post("a") + post("b"));
-        onThread(() -> {
-            thread.register(pair.channel);
+        onEventLoop(() -> {
+            eventLoop.register(pair.channel);
             assertTrue(pair.channel.isRegistered());
             assertTrue(SocketReader.readNow(pair.channel));
-            loop.stop();
+            driver.stop();
         });
-        assertEquals(List.of("503", "503"), pair.statuses(2));
-        assertEquals(0, owed());
+        assertEquals(List.of("503", "503"), pair.readStatuses(2));
+        assertEquals(0, unfinishedMessages());
         pair.close();
     }
 
-    /** Guards against a lost message: it is neither kept nor left without an answer. */
+    /**
+     * Guards against a lost message: when the next request causes an internal error, the message before it is
+     * withdrawn and its client receives an error response.
+     */
     @Test
-    void aFaultBehindAMessageIsAnsweredAndWithdrawsIt() throws Exception {
+    void anInternalErrorAfterAMessageIsAnsweredAndWithdrawsTheMessage() throws Exception {
         try (SocketPair pair = new SocketPair(server, new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel channel) {
@@ -174,48 +195,52 @@
             }
         })) {
             pair.send(post("a") + post("b"));
-            pair.register(thread);
-            assertEquals("500", pair.status());
-            assertTrue(pair.ends());
+            pair.register(eventLoop);
+            assertEquals("500", pair.readStatus());
+            assertTrue(pair.readsEndOfStream());
         }
-        assertEquals(0, owed());
-        onThread(() -> assertTrue(loop.isIdle()));
+        assertEquals(0, unfinishedMessages());
+        onEventLoop(() -> assertTrue(driver.isIdle()));
     }
 
+    /** Throws on the second request that is decoded on the connection. */
     private static final class FailsOnSecondRequest extends ChannelInboundHandlerAdapter {
         private int requests;
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
             if (message instanceof HttpRequest && ++requests == 2) {
-                throw new IllegalStateException("a fault of the test");
+                throw new IllegalStateException("exception thrown by the test");
             }
             context.fireChannelRead(message);
         }
     }
 
-    /** Guards the destinations: whoever resets its connection before the answer hands its message in again. */
+    /**
+     * Guards against duplicate deliveries: a client that resets its connection before the response submits
+     * again.
+     */
     @Test
-    void aMessageWhoseClientResetItsConnectionIsWithdrawn() throws Exception {
+    void aMessageWhoseClientResetTheConnectionIsWithdrawn() throws Exception {
         try (SocketPair pair = new SocketPair(server)) {
             pair.send(post("a"));
-            onThread(() -> {
-                thread.register(pair.channel);
+            onEventLoop(() -> {
+                eventLoop.register(pair.channel);
                 assertTrue(SocketReader.readNow(pair.channel));
                 pair.client.setSoLinger(true, 0);
                 pair.client.close();
             });
             pair.channel.closeFuture().sync();
         }
-        assertEquals(0, owed());
-        onThread(() -> assertTrue(loop.isIdle()));
+        assertEquals(0, unfinishedMessages());
+        onEventLoop(() -> assertTrue(driver.isIdle()));
     }
 
-    /** How many messages the journal owes, once what has been read is decided. */
-    private int owed() throws Exception {
-        for (int pass = 0; pass < 10; pass++) {
-            onThread(() -> { });
+    /** Returns how many messages of the journal have not ended, once the requests read so far are decided. */
+    private int unfinishedMessages() throws Exception {
+        for (int iteration = 0; iteration < 10; iteration++) {
+            onEventLoop(() -> { });
         }
-        return thread.submit(() -> journal.openEntries().size()).get();
+        return eventLoop.submit(() -> journal.openEntries().size()).get();
     }
 }
--- a/src/test/java/wrenkeel/net/ServerTest.java
+++ b/src/test/java/wrenkeel/net/ServerTest.java
@@ -11,32 +11,40 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** The deadline that the server gives a message, and what it logs about misbehaving clients. */
 class ServerTest {
-    /** ms; how long a client waits to hear that its message is taken on, and how late an end may come. */
-    private static final long CLIENT_WAITS = 400, END_SLACK = 300;
+    /** How long a client waits for the response that accepts its message. */
+    private static final long CLIENT_WAIT_MS = 400;
+    /** How long after a message's timeout its end may be reported. */
+    private static final long END_SLACK_MS = 300;
 
-    /** Guards against an end that comes too late: the request may have waited to be read as long as its client did. */
+    /**
+     * Guards against an end that is reported too late: the request may have waited in its socket for
+     * as long as its client waits for a response.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1_000, 2_000, 12_000, 28_000})
-    void aMessageEndsInItsClientsTimeThoughItWasReadLate(long time) {
+    void theDeadlineKeepsTheClientsTimeoutEvenIfTheRequestWasReadLate(long timeoutMillis) {
         long sent = 1_000_000;
-        long deadline = Server.deadline(sent + CLIENT_WAITS, time);
-        assertTrue(deadline <= sent + time + END_SLACK / 2, "leaves the notice half of the slack");
-        assertTrue(deadline >= sent + time / 2, "leaves the message most of its time");
+        long deadline = Server.deadline(sent + CLIENT_WAIT_MS, timeoutMillis);
+        assertTrue(deadline <= sent + timeoutMillis + END_SLACK_MS / 2,
+            "half of the slack must be left for the notice");
+        assertTrue(deadline >= sent + timeoutMillis / 2,
+            "at least half of the time must be left for the message");
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 40, 340})
-    void aShortTimeIsNotUsedUp(long time) {
-        long deadline = Server.deadline(1_000_000, time);
-        assertTrue(deadline > 1_000_000 + time / 2 && deadline <= 1_000_000 + time);
+    void aShortTimeoutKeepsMoreThanHalfOfItsTime(long timeoutMillis) {
+        long deadline = Server.deadline(1_000_000, timeoutMillis);
+        assertTrue(deadline > 1_000_000 + timeoutMillis / 2 && deadline <= 1_000_000 + timeoutMillis);
     }
 
-    /** Guards the log and the CPU: a flood of bad peers must not leave a line each. */
+    /** Guards the log and the CPU: many invalid requests must not cause a log line each. */
     @Test
-    void aFloodOfBadRequestsLeavesOneLine() {
+    void aFloodOfInvalidRequestsLogsOneLine() {
         Server server = new Server(new ConnectionLimiter(100));
-        assertEquals(1, logged(() -> {
+        assertEquals(1, logOutputOf(() -> {
             for (int i = 0; i < 50; i++) {
                 EmbeddedChannel channel = new EmbeddedChannel();
                 channel.pipeline().addLast(server);
@@ -46,10 +54,12 @@
         }).lines().count());
     }
 
-    /** Guards the log and the CPU: clients that leave in the middle of a request come in crowds. */
+    /**
+     * Guards the log and the CPU: many clients may disconnect in the middle of a request at the same time.
+     */
     @Test
-    void aClientThatLeavesInTheMiddleOfItsRequestLeavesNoTrace() {
-        assertEquals("", logged(() -> {
+    void aClientThatDisconnectsWithinItsRequestLogsNothing() {
+        assertEquals("", logOutputOf(() -> {
             EmbeddedChannel channel = new EmbeddedChannel();
             channel.pipeline().addLast(new Server(new ConnectionLimiter(10)));
             channel.pipeline().fireChannelActive();
@@ -59,15 +69,15 @@
         }));
     }
 
-    /** What the program logs meanwhile. */
-    private static String logged(Runnable task) {
-        PrintStream before = System.err;
+    /** Runs a task and returns what is logged meanwhile. */
+    private static String logOutputOf(Runnable task) {
+        PrintStream originalErr = System.err;
         ByteArrayOutputStream log = new ByteArrayOutputStream();
         System.setErr(new PrintStream(log, true, StandardCharsets.UTF_8));
         try {
             task.run();
         } finally {
-            System.setErr(before);
+            System.setErr(originalErr);
         }
         return log.toString(StandardCharsets.UTF_8);
     }
--- a/src/test/java/wrenkeel/net/StateFolderTest.java
+++ b/src/test/java/wrenkeel/net/StateFolderTest.java
@@ -33,7 +33,7 @@
     @BeforeEach
     void begin() throws Exception {
         platform = new Platform(folder);
-        platform.config();
+        platform.writeConfig();
         state = folder.resolve("state");
     }
 
@@ -53,7 +53,7 @@
 
     /** Returns the ids of the messages that a start adopts. */
     private List<String> openMessageIds() throws IOException {
-        try (Journal journal = platform.leftBehind()) {
+        try (Journal journal = platform.openJournal()) {
             return journal.openEntries().stream().map(entry -> entry.message.id()).toList();
         }
     }
@@ -65,7 +65,7 @@
         System.setErr(new PrintStream(written, true, StandardCharsets.UTF_8));
         int status;
         try {
-            status = Node.serve(platform.env());
+            status = Node.serve(platform.environment());
         } finally {
             System.setErr(before);
         }
@@ -80,7 +80,7 @@
     @Test
     void aFolderNamedLikeTheUnnumberedJournalIsLeftAlone() throws Exception {
         obstruct("journal");
-        try (Node relay = platform.relay()) {
+        try (Node relay = platform.startRelay()) {
             assertNotNull(relay.address());
         }
         assertTrue(Files.isDirectory(state.resolve("journal")));
@@ -99,7 +99,7 @@
             journal.accept(message("a"), MESSAGE_CLASS);
         }
         obstruct("leaving.1");
-        try (Node relay = platform.relay()) {
+        try (Node relay = platform.startRelay()) {
             assertNotNull(relay.address());
         }
         assertEquals(List.of("a"), openMessageIds());
@@ -115,7 +115,7 @@
             journal.accept(message("a"), MESSAGE_CLASS);
         }
         obstruct("journal.new.1");
-        try (Journal journal = platform.leftBehind()) {
+        try (Journal journal = platform.openJournal()) {
             assertEquals(1, journal.openCount());
             journal.recordClosed(journal.openEntries().iterator().next());
             // Rewrites the file.
--- a/src/test/java/wrenkeel/net/UnwritableStateFolderTest.java
+++ b/src/test/java/wrenkeel/net/UnwritableStateFolderTest.java
@@ -22,12 +22,12 @@
     @TempDir
     Path folder;
     private Platform platform;
-    private Host host;
+    private StubHost host;
 
     @BeforeEach
     void begin() throws Exception {
         platform = new Platform(folder);
-        host = new Host();
+        host = new StubHost();
     }
 
     @AfterEach
@@ -37,20 +37,20 @@
     }
 
     private Node relay(FileOperations files) throws Exception {
-        return new Node(platform.config(Platform.host("s-1", host.port(), 7, "ready")),
+        return new Node(platform.writeConfig(Platform.hostJson("s-1", host.port(), 7, "ready")),
             new Machine(MachineClock.SYSTEM, files, ListeningSockets.SYSTEM));
     }
 
     private static String health(Node relay) throws IOException {
         try (var client = new Platform.Client(relay)) {
-            return client.raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]).get(0);
+            return client.exchange("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", new byte[0]).get(0);
         }
     }
 
     /** Leaves an open message in the folder, with no attempt made. */
     private void leaveOpenMessage(String id) throws Exception {
-        platform.config();
-        try (Journal journal = platform.leftBehind()) {
+        platform.writeConfig();
+        try (Journal journal = platform.openJournal()) {
             journal.accept(new Message(id, "bill", 0, null, "key-" + id, 7, System.currentTimeMillis() + 60_000,
                 new byte[3]), null);
         }
@@ -66,11 +66,11 @@
             try (var client = new Platform.Client(relay)) {
                 assertEquals(REFUSED, client.post("b", "bill", 7, 16_000).get(0));
             }
-            assertTrue(host.quiet(), "nothing is sent that cannot be recorded");
+            assertTrue(host.hasNoCalls(), "nothing is sent that cannot be recorded");
             files.failure = null;
-            Host.Call call = host.call();
+            StubHost.Call call = host.nextCall();
             assertEquals("a", call.header("X-Request-ID"));
-            call.answer(Host.OK);
+            call.respond(StubHost.OK);
             assertEquals("HTTP/1.1 200 OK", health(relay));
         }
         assertEquals(List.of(), List.copyOf(platform.notices));
@@ -82,16 +82,16 @@
         FailingFiles files = new FailingFiles(null);
         try (Node relay = relay(files); var client = new Platform.Client(relay)) {
             assertEquals(ACCEPTED, client.post("a", "bill", 7, 60_000).get(0));
-            Host.Call first = host.call();
+            StubHost.Call first = host.nextCall();
             files.failure = NO_SPACE;
-            first.answer("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
+            first.respond("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
             // As many failed writes as its eleven further attempts with their outcomes, and its end, would make.
             files.failedWrites.acquire(2 * 11 + 1);
             files.failure = null;
-            Host.Call second = host.call();
+            StubHost.Call second = host.nextCall();
             assertNotNull(second, "ended without another call: " + platform.notices);
             assertEquals("a", second.header("X-Request-ID"));
-            second.answer(Host.OK);
+            second.respond(StubHost.OK);
         }
         assertEquals(List.of(), List.copyOf(platform.notices));
     }
@@ -111,8 +111,8 @@
      */
     @Test
     void aHandoverThatCannotBeRecordedDisconnectsNoClient() throws Exception {
-        Config config = platform.config("127.0.0.1:" + platform.freePort(),
-            new String[] {Platform.host("s-1", host.port(), 7, "ready")});
+        Config config = platform.writeConfig("127.0.0.1:" + platform.freePort(),
+            new String[] {Platform.hostJson("s-1", host.port(), 7, "ready")});
         FailingFiles files = new FailingFiles(null);
         Node old = new Node(config, new Machine(MachineClock.SYSTEM, files, ListeningSockets.SYSTEM));
         try (var client = new Platform.Client(old)) {
@@ -127,9 +127,9 @@
                 while (!REFUSED.equals(health(old))) {
                     Thread.onSpinWait();
                 }
-                assertTrue(files.failedWrites.tryAcquire(3, Platform.PATIENCE_S, TimeUnit.SECONDS), "retried");
+                assertTrue(files.failedWrites.tryAcquire(3, Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS), "retried");
                 client.write("lf");
-                assertEquals(REFUSED, client.answer().get(0));
+                assertEquals(REFUSED, client.readResponseHead().get(0));
                 end.join();
                 assertNotNull(next.consoleAddress());
             }
