--- a/src/main/java/wrenkeel/net/AgentConnection.java
+++ b/src/main/java/wrenkeel/net/AgentConnection.java
@@ -43,10 +43,10 @@
     private static final long LIST_MOST = 256L << 20, BYTES_A_MS = 1_000;
 
     /** What became of a request; {@code status} is 0 where no answer came in time. */
-    static final class Answer {
+    static final class Response {
         int status;
         /** What the list asked for has changed, or why it could not be taken in; null where neither is so. */
-        HostList.Change list;
+        HostList.Change listChange;
         String fault;
     }
 
@@ -54,14 +54,14 @@
     private final Bootstrap bootstrap;
     private InetSocketAddress agent;
     private Channel channel;
-    private Consumer<Answer> waiting;
+    private Consumer<Response> waiting;
     private Future<?> timer;
     /** The answer that is coming in, its bytes so far, and where a list in it goes; null for none. */
-    private Answer answer;
+    private Response answer;
     private long received;
     private boolean keep;
-    private Supplier<HostList.Reading> lists;
-    private HostList.Reading reading;
+    private Supplier<HostList.PendingUpdate> lists;
+    private HostList.PendingUpdate reading;
     private long askedAt, patience;
 
     AgentConnection(EventLoop loop, Bootstrap bootstrap, InetSocketAddress agent, int connectTimeout) {
@@ -89,10 +89,10 @@
      * an answer with 200, as that begins; null where none is asked for. An answer that keeps coming in
      * has longer than {@code patience} ms.
      */
-    void ask(HttpMethod method, String uri, String body, long patience, Supplier<HostList.Reading> list,
-        Consumer<Answer> whenAnswered) {
+    void send(HttpMethod method, String uri, String body, long patience, Supplier<HostList.PendingUpdate> list,
+        Consumer<Response> whenAnswered) {
         waiting = whenAnswered;
-        answer = new Answer();
+        answer = new Response();
         lists = list;
         received = 0;
         askedAt = System.nanoTime();
@@ -117,7 +117,7 @@
             // future are called on another thread.
             channel = null;
             request.release();
-            Consumer<Answer> asked = waiting;
+            Consumer<Response> asked = waiting;
             loop.execute(() -> {
                 if (waiting == asked) {
                     broken(null);
@@ -200,13 +200,13 @@
 
     private void ended(int status, String fault) {
         timer.cancel(false);
-        if (reading != null && answer.list == null) {
+        if (reading != null && answer.listChange == null) {
             reading.abandon();
         }
         reading = null;
         answer.status = status;
         answer.fault = fault;
-        Consumer<Answer> told = waiting;
+        Consumer<Response> told = waiting;
         waiting = null;
         told.accept(answer);
     }
@@ -243,7 +243,7 @@
                 }
                 if (reading != null) {
                     feed(bytes);
-                    answer.list = last ? reading.end() : null;
+                    answer.listChange = last ? reading.commit() : null;
                 }
             } catch (Wire.Malformed e) {
                 refuse(e.getMessage());
--- a/src/main/java/wrenkeel/net/Bundle.java
+++ b/src/main/java/wrenkeel/net/CallBatch.java
@@ -9,30 +9,30 @@
 import java.util.List;
 
 /** Parts of one turn to one host, gathered to go out as one call. */
-final class Bundle {
+final class CallBatch {
     private static final JsonFactory JSON = new JsonFactory();
     /** Bytes that a call's body may hold, and those of one message besides its id, key and Base64 text. */
     private static final int BODY_MOST = 64 * 1024, FRAME = 32;
 
-    private final List<HostPool.Part> parts = new ArrayList<>();
+    private final List<HostPool.Attempt> parts = new ArrayList<>();
     private int bytes = 2;
 
     /**
      * The one whose time is up last comes first: a destination takes a call's time from its first message,
      * and an answer after that would count for none of them.
      */
-    List<HostPool.Part> parts() {
-        parts.sort(Comparator.comparingLong((HostPool.Part part) -> part.message().deadline()).reversed());
+    List<HostPool.Attempt> attempts() {
+        parts.sort(Comparator.comparingLong((HostPool.Attempt part) -> part.message().deadline()).reversed());
         return parts;
     }
 
-    void add(HostPool.Part part) {
+    void add(HostPool.Attempt part) {
         parts.add(part);
         bytes += bytes(part.message());
     }
 
     /** True if it has room for the message; {@code most}: messages that the host's kind takes in a call. */
-    boolean takes(Message message, int most) {
+    boolean hasRoomFor(Message message, int most) {
         return parts.isEmpty() || parts.size() < most && bytes + bytes(message) <= BODY_MOST;
     }
 
--- a/src/main/java/wrenkeel/net/CallRequest.java
+++ b/src/main/java/wrenkeel/net/CallRequest.java
@@ -33,7 +33,7 @@
 
     private static FullHttpRequest batch(InetSocketAddress address, List<Message> messages,
                                          long timeoutMillis) {
-        FullHttpRequest request = post(address, BATCH_PATH, Bundle.encode(messages), timeoutMillis);
+        FullHttpRequest request = post(address, BATCH_PATH, CallBatch.encode(messages), timeoutMillis);
         request.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
         return request;
     }
--- a/src/main/java/wrenkeel/net/Discovery.java
+++ b/src/main/java/wrenkeel/net/Discovery.java
@@ -15,8 +15,8 @@
 /** The platform's agent: watches the list of hosts and posts notices. One thread. */
 final class Discovery {
     private static final Logger LOG = LoggerFactory.getLogger(Discovery.class);
-    static final long WAIT = ListTiming.WATCH_WAIT_MS;
-    static final long WAIT_SLACK = ListTiming.WATCH_SLACK_MS;
+    static final long WATCH_WAIT_MS = ListTiming.WATCH_WAIT_MS;
+    static final long WATCH_SLACK_MS = ListTiming.WATCH_SLACK_MS;
     /** The shortest wait, of which an answer is had at once. */
     private static final long AT_ONCE_MS = 1;
     /** How long a late answer to a post of notices is of use. */
@@ -29,7 +29,7 @@
     private final HostList hosts;
     /** Told what a list or its changes, taken in whole, have changed. */
     interface Listener {
-        void listed(HostList.Change change);
+        void onListChanged(HostList.Change change);
     }
 
     private final Listener whenListed;
@@ -66,18 +66,18 @@
      * and those after one without an answer, do not wait: what the agent has binds already.
      */
     void watch() {
-        long wait = current ? WAIT : AT_ONCE_MS;
+        long wait = current ? WATCH_WAIT_MS : AT_ONCE_MS;
         String query = hosts.version() < 0 ? "" : "?after=" + hosts.version() + "&wait_ms=" + wait;
-        long patience = current ? WAIT + WAIT_SLACK : answerTimeoutMs;
-        watch.ask(HttpMethod.GET, "/v1/servers" + query, "", patience, hosts::read, this::answered);
+        long patience = current ? WATCH_WAIT_MS + WATCH_SLACK_MS : answerTimeoutMs;
+        watch.send(HttpMethod.GET, "/v1/servers" + query, "", patience, hosts::beginUpdate, this::answered);
     }
 
-    private void answered(AgentConnection.Answer answer) {
+    private void answered(AgentConnection.Response answer) {
         current = false;
         long gap = ListTiming.RETRY_GAP_MS;
         try {
-            if (answer.list != null) {
-                whenListed.listed(answer.list);
+            if (answer.listChange != null) {
+                whenListed.onListChanged(answer.listChange);
                 silent = false;
                 current = true;
                 faultsInARow = 0;
@@ -85,7 +85,7 @@
                 return;
             }
             if (answer.fault != null) {
-                gap = gap(faultsInARow++, ThreadLocalRandom.current().nextDouble());
+                gap = faultGapMs(faultsInARow++, ThreadLocalRandom.current().nextDouble());
                 faults++;
                 complain("discovery's list cannot be taken in: " + answer.fault, null);
             } else {
@@ -100,19 +100,19 @@
     }
 
     /** ms until the list is asked for again, after so many faults in a row before this one. */
-    static long gap(long before, double random) {
+    static long faultGapMs(long before, double random) {
         long most = Math.min(ListTiming.MAX_FAULT_GAP_MS,
             ListTiming.FIRST_FAULT_GAP_MS << Math.min(before, MAX_DOUBLINGS));
         return before == 0 ? most : (long) (most * (1 - random / 2));
     }
 
     /** Lists that came and could not be taken in, since the start. */
-    long faults() {
+    long faultCount() {
         return faults;
     }
 
     /** Takes in what the agent has written by now. */
-    void readNow() {
+    void readAvailable() {
         watch.readNow();
     }
 
@@ -140,16 +140,16 @@
     }
 
     /** Posts the end of a message, again and again until the platform has it. */
-    void notice(Journal.Entry entry) {
+    void postNotice(Journal.Entry entry) {
         notices.add(entry);
     }
 
     /** True while a call for the list is under way, false in a gap before one. */
-    boolean isAsking() {
+    boolean isCallPending() {
         return watch.isBusy();
     }
 
-    boolean noticesLeft() {
+    boolean hasPendingNotices() {
         return notices.hasPending();
     }
 
@@ -163,7 +163,7 @@
 
         @Override
         public void post(String body, IntConsumer whenAnswered) {
-            connection.ask(HttpMethod.POST, "/reports", body, NOTICE_TIMEOUT_MS, null,
+            connection.send(HttpMethod.POST, "/reports", body, NOTICE_TIMEOUT_MS, null,
                 answer -> whenAnswered.accept(answer.status));
         }
 
--- a/src/main/java/wrenkeel/net/HollowRelay.java
+++ b/src/main/java/wrenkeel/net/HollowRelay.java
@@ -55,7 +55,7 @@
         journal = new Journal(config.state(), config.diskBytes(), clock, FileOperations.SYSTEM);
         driver = new Loop(loop, clock, config, hosts, pool, journal, figures, (whenListed, whenNoticed) ->
             new Discovery(loop, calls, config.discovery(), hosts, change -> {
-                whenListed.listed(change);
+                whenListed.onListChanged(change);
                 // Behind the module's turn, which stands in the loop's queue by now.
                 loop.execute(() -> inForce(hosts.version()));
             }, whenNoticed));
--- a/src/main/java/wrenkeel/net/HostList.java
+++ b/src/main/java/wrenkeel/net/HostList.java
@@ -29,11 +29,11 @@
     private static final int ROW_BYTES = 64, HEAP_PART = 2;
     private static final int KINDS_MOST = 255, PIECE = 8 * 1024;
 
-    /** A host of a destination that the module has been told of; {@code number} is what it knows it by. */
+    /** A host of a destination that the module has been told of; {@code id} is what it knows it by. */
     static final class Host {
-        final long number;
+        final long id;
         final String name;
-        InetSocketAddress dial;
+        InetSocketAddress address;
         int zone;
         int kind;
         long destination;
@@ -42,7 +42,7 @@
         boolean listed;
 
         Host(long number, String name) {
-            this.number = number;
+            this.id = number;
             this.name = name;
         }
 
@@ -53,10 +53,10 @@
     }
 
     /**
-     * What a list has changed. {@code listed}: what the module is to be told; {@code unready}: hosts to which
+     * What a list has changed. {@code event}: what the module is to be told; {@code unavailable}: hosts to which
      * no call may go out any more that waits: not ready, gone, or of another destination now.
      */
-    record Change(Relay.Listed listed, List<Host> unready) { }
+    record Change(Relay.Listed event, List<Host> unavailable) { }
 
     private final List<String> zones;
     private final List<String> kinds;
@@ -65,7 +65,7 @@
     private final Map<Long, Host> hosts = new HashMap<>();
     /** The destinations that the module has been told of, with their hosts. */
     private final Map<Long, Set<Host>> told = new HashMap<>();
-    private Reading reading;
+    private PendingUpdate reading;
     private long version = -1;
     private int listed;
     private int draining;
@@ -94,44 +94,44 @@
     }
 
     /** How many hosts the list names now, ready or draining. */
-    int listed() {
+    int listedCount() {
         return listed;
     }
 
     /** How many of these are not ready. */
-    int draining() {
+    int drainingCount() {
         return draining;
     }
 
     /** Rows in use: as many as are listed, unless a list is being read. */
-    int rows() {
+    int rowCount() {
         return table.rows();
     }
 
     /** Rows that have ever been in use at one time. */
-    int room() {
+    int allocatedRowCount() {
         return table.end();
     }
 
     /** True for a destination that a list has named; it stays one while all of its hosts are gone. */
-    boolean knows(long destination) {
+    boolean isKnown(long destination) {
         return table.knows(destination);
     }
 
     /** The destination of a listed host; null if the list names none of this name. */
-    Long destination(String name) {
+    Long destinationOf(String name) {
         byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
         int row = table.named(bytes, bytes.length);
         return row == HostTable.NONE ? null : (Long) table.destination(row);
     }
 
     // ---- What the module has been told of -----------------------------------------------------------
-    boolean told(long destination) {
+    boolean isActive(long destination) {
         return told.containsKey(destination);
     }
 
     /** The module is to know this destination from now on: its listed hosts; null if it does already. */
-    Relay.Listed tell(long destination) {
+    Relay.Listed activate(long destination) {
         if (told.containsKey(destination)) {
             return null;
         }
@@ -148,18 +148,18 @@
     }
 
     /** The module has forgotten the destination. */
-    void release(long destination) {
+    void deactivate(long destination) {
         Set<Host> released = told.remove(destination);
         if (released != null) {
             for (Host host : released) {
-                hosts.remove(host.number);
-                table.letGo(host.number, host.name);
+                hosts.remove(host.id);
+                table.letGo(host.id, host.name);
             }
         }
     }
 
     /** The module holds nothing of this host any more; it goes if the list does not name it. */
-    void forget(long number) {
+    void releaseHost(long number) {
         Host host = hosts.get(number);
         if (host != null && !host.listed) {
             hosts.remove(number);
@@ -169,12 +169,12 @@
     }
 
     /** The host of this number, perhaps gone; null if the module has not been told of it. */
-    Host host(long number) {
+    Host hostById(long number) {
         return hosts.get(number);
     }
 
     /** The host of this name, perhaps gone; null if the module has not been told of it. */
-    Host named(String name) {
+    Host hostByName(String name) {
         byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
         Host host = hosts.get(table.numberOf(bytes, bytes.length));
         return host != null && host.name.equals(name) ? host : null;
@@ -190,17 +190,17 @@
      * A host that another process was told is draining or gone; this one's list is older. A list that is
      * being read may be older too, for its text began before: the host drains until a later one names it.
      */
-    Relay.Listed drain(Host host) {
+    Relay.Listed markDraining(Host host) {
         host.ready = false;
-        int row = table.numbered(host.number);
+        int row = table.numbered(host.id);
         if (row != HostTable.NONE && table.destination(row) == host.destination) {
             stands(row, true, false);
             if (reading != null) {
                 table.set(row, HostTable.DRAINED, true);
-                reading.drained.add(host.number);
+                reading.drained.add(host.id);
             }
         }
-        return new Relay.Listed(ListKind.CHANGES, List.of(new Endpoint(host.number, host.zone, host.kind,
+        return new Relay.Listed(ListKind.CHANGES, List.of(new Endpoint(host.id, host.zone, host.kind,
             host.destination, Listing.DRAINING, 0)));
     }
 
@@ -229,13 +229,13 @@
         Host host = hosts.get(table.number(row));
         if (host == null) {
             host = new Host(table.number(row), table.name(row));
-            hosts.put(host.number, host);
+            hosts.put(host.id, host);
         } else if (host.destination != destination) {
             told.get(host.destination).remove(host);
         }
         told.get(destination).add(host);
         host.destination = destination;
-        host.dial = table.dial(row);
+        host.address = table.dial(row);
         host.zone = table.zone(row);
         host.kind = table.kind(row);
         host.ready = table.has(row, HostTable.READY);
@@ -253,30 +253,30 @@
 
     // ---- Lists --------------------------------------------------------------------------------------
     /** Takes in a list or its changes. */
-    Change take(InputStream text) throws IOException {
-        Reading whole = read();
+    Change load(InputStream text) throws IOException {
+        PendingUpdate whole = beginUpdate();
         try {
             byte[] piece = new byte[PIECE];
             for (int length = text.read(piece); length >= 0; length = text.read(piece)) {
                 whole.feed(piece, 0, length);
             }
-            return whole.end();
+            return whole.commit();
         } finally {
             whole.abandon();
         }
     }
 
     /** Begins to read a list or its changes; one that is still being read is abandoned. */
-    Reading read() {
+    PendingUpdate beginUpdate() {
         if (reading != null) {
             reading.abandon();
         }
-        reading = new Reading();
+        reading = new PendingUpdate();
         return reading;
     }
 
     /** One list that is being read. What it changes are rows that are not linked, until its end has come. */
-    final class Reading {
+    final class PendingUpdate {
         private final ListReader text = new ListReader(zones, kinds, this::read);
         /** The entries that change something, or concern the module, in their order. */
         private int first = HostTable.NONE;
@@ -291,7 +291,7 @@
         private int[] left = new int[16];
         private int leftCount;
 
-        private Reading() { }
+        private PendingUpdate() { }
 
         /** Reads a piece of the text, cut anywhere. After a fault nothing of the list stays. */
         void feed(byte[] bytes, int from, int length) throws Wire.Malformed {
@@ -308,7 +308,7 @@
         }
 
         /** The text is complete: from now on the list holds, or, after a fault, nothing of it. */
-        Change end() throws Wire.Malformed {
+        Change commit() throws Wire.Malformed {
             try {
                 underWay();
                 text.end();
@@ -459,7 +459,7 @@
             host.leave();
             unready.add(host);
             if (tell) {
-                endpoints.add(new Endpoint(host.number, host.zone, host.kind, host.destination,
+                endpoints.add(new Endpoint(host.id, host.zone, host.kind, host.destination,
                     Listing.GONE, 0));
             }
         }
--- a/src/main/java/wrenkeel/net/HostPool.java
+++ b/src/main/java/wrenkeel/net/HostPool.java
@@ -49,11 +49,11 @@
     /** ns; an answer that has begun and is not at its end by then will not be waited for. */
     private static final long ANSWER_MOST = TimeUnit.SECONDS.toNanos(2);
 
-    /** What came back; times in microseconds, {@code left} and {@code limit} -1 if untold. */
-    record Reply(Outcome outcome, boolean over, long waitFor, long latency, double left, double limit) { }
+    /** What came back; times in microseconds, {@code slotsLeft} and {@code slotLimit} -1 if untold. */
+    record Reply(Outcome outcome, boolean messageOver, long retryAfterMicros, long latencyMicros, double slotsLeft, double slotLimit) { }
 
     /** One message's part in a call, from when it was asked for until its reply. */
-    static final class Part {
+    static final class Attempt {
         private final Message message;
         private final long patience;
         private final Consumer<Reply> whenEnded;
@@ -63,7 +63,7 @@
         private boolean ended;
 
         /** It ends within {@code patience} microseconds; its reply comes exactly once. */
-        Part(Message message, long patience, Consumer<Reply> whenEnded) {
+        Attempt(Message message, long patience, Consumer<Reply> whenEnded) {
             this.message = message;
             this.patience = patience;
             this.whenEnded = whenEnded;
@@ -131,7 +131,7 @@
     /** What goes out as one request: a message, or a bundle of them that share its fate. */
     private static final class Call {
         final HostList.Host host;
-        final List<Part> parts;
+        final List<Attempt> parts;
         final Pool pool;
         Channel channel;
         /** Bytes of it may have been handed to the socket; all of them, once it is written. */
@@ -140,7 +140,7 @@
         /** The first line of its answer said 200, which settles a call with one message. */
         boolean delivered;
 
-        Call(HostList.Host host, List<Part> parts, Pool pool) {
+        Call(HostList.Host host, List<Attempt> parts, Pool pool) {
             this.host = host;
             this.parts = parts;
             this.pool = pool;
@@ -156,7 +156,7 @@
         }
 
         /** True if the endpoint may run a part that is given up now: others keep a call on its way. */
-        boolean mayRunWithout(Part part) {
+        boolean mayRunWithout(Attempt part) {
             return written || begun && parts.stream().anyMatch(other -> other != part && !other.ended);
         }
 
@@ -165,7 +165,7 @@
         }
 
         FullHttpRequest request() {
-            return CallRequest.encode(host.dial, parts.stream().map(Part::message).toList(), left());
+            return CallRequest.encode(host.address, parts.stream().map(Attempt::message).toList(), left());
         }
 
         /** ms until the last of its parts stops waiting. */
@@ -220,12 +220,12 @@
                     channel.pipeline().addLast(new HttpRequestEncoder(), connection.answers, connection);
                 }
             });
-        retune(connectTimeout, keepAlive, most);
+        setLimits(connectTimeout, keepAlive, most);
         loop.scheduleWithFixedDelay(this::sweepSafely, SWEEP, SWEEP, TimeUnit.MILLISECONDS);
     }
 
     /** Other limits hold from the next connection on. */
-    void retune(long connectTimeout, long keepAlive, int connections) {
+    void setLimits(long connectTimeout, long keepAlive, int connections) {
         most = connections;
         long millis = keepAlive / 1_000;
         idleLimit = TimeUnit.MILLISECONDS.toNanos(Math.max(millis / 2, millis - IDLE_MARGIN));
@@ -234,19 +234,19 @@
     }
 
     private Pool pool(HostList.Host host) {
-        return pools.computeIfAbsent(host.number, n -> new Pool());
+        return pools.computeIfAbsent(host.id, n -> new Pool());
     }
 
     /** Begins one call that carries these parts, but for those that have been called off. */
-    void call(HostList.Host host, List<Part> parts) {
-        List<Part> wanted = new ArrayList<>(parts);
+    void startCall(HostList.Host host, List<Attempt> parts) {
+        List<Attempt> wanted = new ArrayList<>(parts);
         wanted.removeIf(part -> part.ended);
         if (wanted.isEmpty()) {
             return;
         }
         Pool pool = pool(host);
         Call call = new Call(host, wanted, pool);
-        for (Part part : call.parts) {
+        for (Attempt part : call.parts) {
             part.timer = loop.schedule(part::giveUp, part.patience, TimeUnit.MICROSECONDS);
         }
         pool.connecting.add(call);
@@ -283,7 +283,7 @@
     }
 
     private void connect(Call call) {
-        ChannelFuture connect = bootstrap.connect(call.host.dial);
+        ChannelFuture connect = bootstrap.connect(call.host.address);
         if (!connect.channel().isRegistered()) {
             // Without a descriptor there is no channel that could be closed, and the listeners of its
             // future are called on another thread.
@@ -352,13 +352,13 @@
     }
 
     /** How many connections there are, those that are still to come up included. */
-    int held() {
+    int connectionCount() {
         return held;
     }
 
     /** Reads what hosts have answered to calls that are out: it may tell to wait. */
-    void readAnswers(HostList.Host host) {
-        if (pools.containsKey(host.number)) {
+    void readPendingResponses(HostList.Host host) {
+        if (pools.containsKey(host.id)) {
             for (Connection c : List.copyOf(pool(host).open)) {
                 if (c.call != null) {
                     UnreadBytes.read(c.channel);
@@ -372,8 +372,8 @@
      * waits: such a call would go out as soon as the connection is up, long after the host asked for nothing
      * more.
      */
-    void takeBack(HostList.Host host) {
-        if (pools.containsKey(host.number)) {
+    void cancelUnsent(HostList.Host host) {
+        if (pools.containsKey(host.id)) {
             for (Call call : List.copyOf(pool(host).connecting)) {
                 call.parts.forEach(part -> part.abandon(Outcome.NOT_SENT));
             }
@@ -384,7 +384,7 @@
      * Closes the connections to a host that carry no call; one whose answer is still coming in, after that.
      */
     void closeIdle(HostList.Host host) {
-        if (pools.containsKey(host.number)) {
+        if (pools.containsKey(host.id)) {
             closeIdle(pool(host));
         }
     }
@@ -407,8 +407,8 @@
     }
 
     /** How many idle connections to a host are held. */
-    int idle(HostList.Host host) {
-        return pools.containsKey(host.number) ? pool(host).idle.size() : 0;
+    int idleCount(HostList.Host host) {
+        return pools.containsKey(host.id) ? pool(host).idle.size() : 0;
     }
 
     /** A periodic task that throws is never run again, and stale connections would be used for ever. */
@@ -436,7 +436,7 @@
      * the connection is free again at the answer's end.
      */
     private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
-        private final AnswerDecoder answers = new AnswerDecoder(this::began);
+        private final ResponseDecoder answers = new ResponseDecoder(this::began);
         private Channel channel;
         private Pool pool;
         private Call call;
@@ -463,7 +463,7 @@
         }
 
         private boolean usable(HostList.Host host) {
-            return channel.isActive() && !stale() && host.dial.equals(dial) && !answers.surplus();
+            return channel.isActive() && !stale() && host.address.equals(dial) && !answers.hasSurplusBytes();
         }
 
         /** The first line of an answer has been read. */
@@ -475,11 +475,11 @@
 
         private void begin(Call next) {
             call = next;
-            dial = next.host.dial;
+            dial = next.host.address;
             answered = false;
             keep = true;
             next.channel = channel;
-            answers.expectAnswer();
+            answers.expectResponse();
             // The module has been told that these never ran, while the connection was not yet up.
             next.parts.removeIf(part -> part.ended);
             next.begun = true;
@@ -521,7 +521,7 @@
             if (part instanceof LastHttpContent && answered && channel.isActive()) {
                 call = null;
                 idleSince = System.nanoTime();
-                if (keep && !answers.surplus()) {
+                if (keep && !answers.hasSurplusBytes()) {
                     pool.idle.addLast(this);
                     resting.add(this);
                     roomMayBeFree();
@@ -536,7 +536,7 @@
                 fates = head;
                 states = new ByteArrayOutputStream();
             } else {
-                call.parts.forEach(part -> part.end(Answers.reply(head, part.latency())));
+                call.parts.forEach(part -> part.end(ResponseOutcomes.reply(head, part.latency())));
                 roomMayBeFree();
             }
         }
@@ -545,9 +545,9 @@
             byte[] bytes = ByteBufUtil.getBytes(content.content());
             states.write(bytes, 0, bytes.length);
             if (content instanceof LastHttpContent) {
-                Map<String, String> told = Answers.states(states.toByteArray());
+                Map<String, String> told = ResponseOutcomes.states(states.toByteArray());
                 call.parts.forEach(part ->
-                    part.end(Answers.reply(fates, told.get(part.message.id()), part.latency())));
+                    part.end(ResponseOutcomes.reply(fates, told.get(part.message.id()), part.latency())));
                 states = null;
             }
         }
--- a/src/main/java/wrenkeel/net/Knowledge.java
+++ b/src/main/java/wrenkeel/net/Knowledge.java
@@ -29,7 +29,7 @@
             out.writeNumberField("seq", hosts.version());
             out.writeArrayFieldStart("known");
             for (Relay.Known known : all) {
-                HostList.Host host = hosts.host(known.endpoint());
+                HostList.Host host = hosts.hostById(known.endpoint());
                 out.flush();
                 if (text.getBuffer().length() >= most) {
                     break;
@@ -72,9 +72,9 @@
                     continue;
                 }
                 if (newer && host.ready && !f.flag("ready")) {
-                    events.add(hosts.drain(host));
+                    events.add(hosts.markDraining(host));
                 }
-                events.add(new Relay.Known(host.number, toModule.applyAsLong(f.whole("wait")),
+                events.add(new Relay.Known(host.id, toModule.applyAsLong(f.whole("wait")),
                     toModule.applyAsLong(f.whole("closed")), health(f), toModule.applyAsLong(since(f)),
                     f.number("carried", 0), f.number("pace"), f.number("window"), f.number("latency")));
             }
--- a/src/main/java/wrenkeel/net/ListTiming.java
+++ b/src/main/java/wrenkeel/net/ListTiming.java
@@ -7,13 +7,13 @@
  */
 final class ListTiming {
     /** Time after which a change counts as told. */
-    static final long TOLD_AFTER_MS = 6_000;
+    static final long CHANGE_DEADLINE_MS = 6_000;
     /** The same, after a reload has named another address. */
-    static final long TOLD_AFTER_RELOAD_MS = 4_000;
+    static final long CHANGE_DEADLINE_AFTER_RELOAD_MS = 4_000;
     /** Time that the relay has to stop sending once it has the change. */
-    static final long STOP_SENDING_MS = 250;
+    static final long STOP_SENDING_WITHIN_MS = 250;
     /** Kept free for a relay that is held up for 150 ms as it reads, and again as it writes. */
-    static final long HELD_UP_MS = 300;
+    static final long STALL_ALLOWANCE_MS = 300;
 
     /** A connect to the agent on the same machine that takes longer never comes up. */
     static final long CONNECT_TIMEOUT_MS = 250;
@@ -31,14 +31,14 @@
         + ANSWER_TIMEOUT_MS + FIRST_FAULT_GAP_MS
         + ANSWER_TIMEOUT_MS;
     /** The longest wait of a watch that leaves time to notice its silence and to recover. */
-    static final long WATCH_WAIT_MS = budget(TOLD_AFTER_MS) - WATCH_SLACK_MS - RECOVERY_MS;
+    static final long WATCH_WAIT_MS = budget(CHANGE_DEADLINE_MS) - WATCH_SLACK_MS - RECOVERY_MS;
     /** The longest gap between lists that cannot be taken in; a connect that never comes up may follow. */
-    static final long MAX_FAULT_GAP_MS = budget(TOLD_AFTER_MS) - RECOVERY_MS;
+    static final long MAX_FAULT_GAP_MS = budget(CHANGE_DEADLINE_MS) - RECOVERY_MS;
 
     private ListTiming() { }
 
     /** What is left of a bound for the calls themselves. */
     static long budget(long toldAfterMs) {
-        return toldAfterMs - STOP_SENDING_MS - HELD_UP_MS;
+        return toldAfterMs - STOP_SENDING_WITHIN_MS - STALL_ALLOWANCE_MS;
     }
 }
--- a/src/main/java/wrenkeel/net/Loop.java
+++ b/src/main/java/wrenkeel/net/Loop.java
@@ -53,7 +53,7 @@
     private static final class Held {
         final Message message;
         final Relay.MessageClass rules;
-        final List<HostPool.Part> calls = new ArrayList<>();
+        final List<HostPool.Attempt> calls = new ArrayList<>();
         Journal.Entry entry;
         boolean over;
         /** Taken up without an attempt, and none made since. */
@@ -86,7 +86,7 @@
     private List<Relay.Event> events = new ArrayList<>();
     private final Map<String, Answer> unanswered = new LinkedHashMap<>();
     /** What this turn sends and is not yet on its way, by host. */
-    private final Map<HostList.Host, Bundle> bundles = new LinkedHashMap<>();
+    private final Map<HostList.Host, CallBatch> bundles = new LinkedHashMap<>();
     private final TakenUp takenUp = new TakenUp();
     private final EventLoopLag lag = new EventLoopLag(STAND, System::nanoTime);
     private final long began = System.nanoTime();
@@ -140,7 +140,7 @@
         tell(new Relay.Retuned(settings.with(List.copyOf(classes))));
         enforce();
         discovery.moveTo(next.discovery());
-        pool.retune(settings.allowed().connectTimeout(), settings.allowed().keepAlive(),
+        pool.setLimits(settings.allowed().connectTimeout(), settings.allowed().keepAlive(),
             next.descriptors().hosts());
     }
 
@@ -162,7 +162,7 @@
     void start(KnownList known) {
         if (!known.none()) {
             try (InputStream text = known.open()) {
-                hosts.take(text);
+                hosts.load(text);
             } catch (IOException e) {
                 LOG.warn("the list of before cannot be taken in, begun without: {}", e.getMessage());
             }
@@ -187,8 +187,8 @@
     private void stand() {
         lag.tick();
         try {
-            int unavailable = control.unavailable() + hosts.draining();
-            figures.stands(journal.size(), hosts.listed(), unavailable, hosts.version(), discovery.faults(),
+            int unavailable = control.unavailable() + hosts.drainingCount();
+            figures.stands(journal.size(), hosts.listedCount(), unavailable, hosts.version(), discovery.faultCount(),
                 journalHealth.failures(), lag.worstMillis());
         } catch (RuntimeException e) {
             // Guards the ticks: a periodic task that throws is never run again.
@@ -204,7 +204,7 @@
 
     /** Before the module hears of a destination, it is told of its endpoints. */
     private void introduce(long destination) {
-        Relay.Listed listed = hosts.tell(destination);
+        Relay.Listed listed = hosts.activate(destination);
         if (listed != null) {
             introduced++;
             tell(new Relay.Introduced(listed.endpoints()));
@@ -213,11 +213,11 @@
 
     /** The host of this name, introduced if need be; null if the list does not name it. */
     private HostList.Host named(String name) {
-        Long destination = hosts.destination(name);
+        Long destination = hosts.destinationOf(name);
         if (destination != null) {
             introduce(destination);
         }
-        return hosts.named(name);
+        return hosts.hostByName(name);
     }
 
     /** Goes on with what processes before this one have left, once they have ended or passed it on. */
@@ -226,7 +226,7 @@
         journal.waits().forEach((host, until) -> {
             HostList.Host told = named(host);
             if (told != null) {
-                tell(Relay.Known.waiting(told.number, moduleTime(until)));
+                tell(Relay.Known.waiting(told.id, moduleTime(until)));
             }
         });
         journal.inheritedHealth().forEach(this::inherit);
@@ -248,13 +248,13 @@
         if (host == null) {
             unlistedHealth.put(told.host(), told);
         } else {
-            tell(Relay.Known.health(host.number, told.health(), moduleTime(told.since()), told.carried()));
+            tell(Relay.Known.health(host.id, told.health(), moduleTime(told.since()), told.carried()));
         }
     }
 
     private void owed(Journal.Entry entry) {
         if (entry.end != null) {
-            discovery.notice(entry);
+            discovery.postNotice(entry);
         } else if (entry.rules == null && !inForce.containsKey(entry.message.messageClass())) {
             LOG.warn("message {} given up: its class {} is gone", entry.message.id(),
                 entry.message.messageClass());
@@ -311,7 +311,7 @@
     }
 
     boolean knows(String messageClass, long destination) {
-        return inForce.containsKey(messageClass) && hosts.knows(destination);
+        return inForce.containsKey(messageClass) && hosts.isKnown(destination);
     }
 
     Relay.MessageClass messageClass(String name) {
@@ -339,7 +339,7 @@
     }
 
     boolean idle() {
-        return open == 0 && !discovery.noticesLeft();
+        return open == 0 && !discovery.hasPendingNotices();
     }
 
     // ---- Clients --------------------------------------------------------------------------------
@@ -505,15 +505,15 @@
     private void readBeforeSending(List<Relay.Action> actions) {
         Set<Long> destinations = new HashSet<>();
         for (Relay.Action action : actions) {
-            HostList.Host host = action instanceof Relay.Send send ? hosts.host(send.endpoint()) : null;
+            HostList.Host host = action instanceof Relay.Send send ? hosts.hostById(send.endpoint()) : null;
             if (host == null) {
                 continue;
             }
             if (destinations.isEmpty()) {
-                discovery.readNow();
+                discovery.readAvailable();
             }
             if (destinations.add(host.destination)) {
-                hosts.hostsOf(host.destination).forEach(pool::readAnswers);
+                hosts.hostsOf(host.destination).forEach(pool::readPendingResponses);
             }
         }
     }
@@ -540,17 +540,17 @@
             pass(a.id());
         } else if (action instanceof Relay.Cancel a) {
             Held h = held.get(a.id());
-            HostPool.Part part = h == null ? null : h.calls.get(a.attempt());
+            HostPool.Attempt part = h == null ? null : h.calls.get(a.attempt());
             if (part != null) {
                 part.cancel();
             }
-        } else if (action instanceof Relay.Close a && hosts.host(a.endpoint()) != null) {
-            pool.closeIdle(hosts.host(a.endpoint()));
+        } else if (action instanceof Relay.Close a && hosts.hostById(a.endpoint()) != null) {
+            pool.closeIdle(hosts.hostById(a.endpoint()));
         } else if (action instanceof Relay.Forgotten a) {
-            hosts.forget(a.endpoint());
+            hosts.releaseHost(a.endpoint());
         } else if (action instanceof Relay.Released a) {
             hosts.hostsOf(a.destination()).forEach(pool::closeIdle);
-            hosts.release(a.destination());
+            hosts.deactivate(a.destination());
             introduced--;
         } else if (action instanceof Relay.Wake a) {
             loop.schedule(() -> tell(new Relay.Due()), a.after(), TimeUnit.MICROSECONDS);
@@ -561,7 +561,7 @@
 
     /** Kept for the next process: a relay that was told of an outage stays told. */
     private void healthChanged(Relay.HealthChanged a) {
-        HostList.Host host = hosts.host(a.endpoint());
+        HostList.Host host = hosts.hostById(a.endpoint());
         figures.healthChanged(a.reason());
         healthLog.changed(a, host);
         if (host == null) {
@@ -578,7 +578,7 @@
     // ---- Calls ----------------------------------------------------------------------------------
     private void send(Relay.Send a) {
         Held h = held.get(a.id());
-        HostList.Host listed = hosts.host(a.endpoint());
+        HostList.Host listed = hosts.hostById(a.endpoint());
         HostList.Host host = listed == null ? new HostList.Host(a.endpoint(), "unlisted") : listed;
         if (h == null) {
             return;
@@ -607,14 +607,14 @@
             return;
         }
         TRACE.debug("{} attempt {} to {}", a.id(), attempt, host.name);
-        HostPool.Part part = new HostPool.Part(h.message, a.timeout(),
+        HostPool.Attempt part = new HostPool.Attempt(h.message, a.timeout(),
             reply -> ended(h, attempt, host, reply));
         h.calls.set(attempt, part);
-        if (!bundles.computeIfAbsent(host, key -> new Bundle())
-                .takes(h.message, settings.kinds().get(host.kind).bundle())) {
+        if (!bundles.computeIfAbsent(host, key -> new CallBatch())
+                .hasRoomFor(h.message, settings.kinds().get(host.kind).bundle())) {
             depart(host);
         }
-        bundles.computeIfAbsent(host, key -> new Bundle()).add(part);
+        bundles.computeIfAbsent(host, key -> new CallBatch()).add(part);
     }
 
     private boolean apart(HostList.Host host) {
@@ -663,7 +663,7 @@
     }
 
     private void depart(HostList.Host host) {
-        pool.call(host, bundles.remove(host).parts());
+        pool.startCall(host, bundles.remove(host).attempts());
     }
 
     private void ended(Held h, int attempt, HostList.Host host, HostPool.Reply reply) {
@@ -672,16 +672,16 @@
         }
         h.out--;
         TRACE.debug("{} attempt {} to {} ended: {} after {} us", h.message.id(), attempt, host.name,
-            reply.outcome(), reply.latency());
-        if (reply.waitFor() > 0) {
-            wait(host, reply.waitFor());
-            guard.heardWait(host, apart(host), now(), reply.waitFor());
+            reply.outcome(), reply.latencyMicros());
+        if (reply.retryAfterMicros() > 0) {
+            wait(host, reply.retryAfterMicros());
+            guard.heardWait(host, apart(host), now(), reply.retryAfterMicros());
             // Guards the rule on waits: calls there that still wait for their connection do not go out.
-            (apart(host) ? List.of(host) : hosts.hostsOf(host.destination)).forEach(pool::takeBack);
+            (apart(host) ? List.of(host) : hosts.hostsOf(host.destination)).forEach(pool::cancelUnsent);
         }
-        boolean over = h.over || reply.over();
+        boolean over = h.over || reply.messageOver();
         if (!h.over) {
-            if (reply.over()) {
+            if (reply.messageOver()) {
                 over(h);
                 close(h.entry);
                 if (reply.outcome() == Relay.Outcome.OK) {
@@ -694,8 +694,8 @@
                 notRun(h, attempt, reply.outcome() == Relay.Outcome.NO_SOCKET);
             }
         }
-        tell(new Relay.Ended(h.message.id(), attempt, host.number, reply.outcome(), over, reply.waitFor(),
-            reply.latency(), reply.left(), reply.limit()));
+        tell(new Relay.Ended(h.message.id(), attempt, host.id, reply.outcome(), over, reply.retryAfterMicros(),
+            reply.latencyMicros(), reply.slotsLeft(), reply.slotLimit()));
         forget(h);
     }
 
@@ -761,7 +761,7 @@
         } catch (IOException e) {
             journalHealth.failed("end of message " + entry.message.id() + " is told all the same", e);
         }
-        discovery.notice(entry);
+        discovery.postNotice(entry);
     }
 
     private void over(Held h) {
@@ -807,14 +807,14 @@
 
     // ---- List -----------------------------------------------------------------------------------
     private void listed(HostList.Change change) {
-        tell(change.listed());
+        tell(change.event());
         if (!unlistedHealth.isEmpty()) {
             List<Journal.EndpointHealth> again = List.copyOf(unlistedHealth.values());
             unlistedHealth.clear();
             again.forEach(this::inherit);
         }
-        for (HostList.Host host : change.unready()) {
-            pool.takeBack(host);
+        for (HostList.Host host : change.unavailable()) {
+            pool.cancelUnsent(host);
             pool.closeIdle(host);
         }
     }
--- a/src/main/java/wrenkeel/net/NoticeBody.java
+++ b/src/main/java/wrenkeel/net/NoticeBody.java
@@ -21,7 +21,7 @@
         return LINE_LENGTH + ESCAPED_LENGTH * entry.message.id().length();
     }
 
-    static String of(List<Journal.Entry> batch) {
+    static String encode(List<Journal.Entry> batch) {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = JSON.createGenerator(text)) {
             out.setRootValueSeparator(null);
--- a/src/main/java/wrenkeel/net/NoticeSender.java
+++ b/src/main/java/wrenkeel/net/NoticeSender.java
@@ -209,7 +209,7 @@
         link.post = post;
         post.retry = loop.schedule(() -> retry(post), doubled(FIRST_RETRY_MS, failures, MAX_RETRY_MS),
             TimeUnit.MILLISECONDS);
-        String body = NoticeBody.of(batch.stream().map(notice -> notice.entry).toList());
+        String body = NoticeBody.encode(batch.stream().map(notice -> notice.entry).toList());
         link.connection.post(body, status -> answered(post, status));
     }
 
@@ -220,7 +220,7 @@
     private void answered(Post post, int status) {
         Link link = post.link;
         link.post = null;
-        if (status == NoticeConnection.NO_ANSWER) {
+        if (status == NoticeConnection.NO_RESPONSE) {
             ended(post);
         } else {
             closeOtherIdle(link);
--- a/src/main/java/wrenkeel/net/AnswerDecoder.java
+++ b/src/main/java/wrenkeel/net/ResponseDecoder.java
@@ -18,14 +18,14 @@
  * been read, and whether more has come than belongs to it. Closes the connection when one answer exceeds its
  * bounds; nothing is read after that.
  */
-final class AnswerDecoder extends HttpResponseDecoder {
+final class ResponseDecoder extends HttpResponseDecoder {
     /** Bytes that an answer's body may hold. */
-    static final int BODY_BYTES_MAX = 64 * 1024;
+    static final int MAX_BODY_BYTES = 64 * 1024;
     /**
      * Bytes of one answer in all: its head, its body with the framing of chunks, and the interim answers
      * before it. A body of the greatest length in chunks of two bytes stays below.
      */
-    static final int ANSWER_BYTES_MAX = 4 * BODY_BYTES_MAX;
+    static final int MAX_RESPONSE_BYTES = 4 * MAX_BODY_BYTES;
 
     private static final Pattern HTTP_1 = Pattern.compile("HTTP/1\\.[01]");
     private static final Pattern STATUS = Pattern.compile("[1-5][0-9][0-9]");
@@ -36,24 +36,24 @@
     private boolean exceeded;
 
     /** {@code whenBegun}: takes the status of each first line, interim answers included. */
-    AnswerDecoder(IntConsumer whenBegun) {
+    ResponseDecoder(IntConsumer whenBegun) {
         this.whenBegun = whenBegun;
     }
 
     /** A request goes out: what is read from now on belongs to its answer. */
-    void expectAnswer() {
+    void expectResponse() {
         answerBytes = 0;
     }
 
     /** Bytes past the end of the latest answer would be taken for the beginning of the next. */
-    boolean surplus() {
+    boolean hasSurplusBytes() {
         return actualReadableBytes() > 0;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object bytes) throws Exception {
         answerBytes += ((ByteBuf) bytes).readableBytes();
-        if (answerBytes > ANSWER_BYTES_MAX) {
+        if (answerBytes > MAX_RESPONSE_BYTES) {
             exceeded(context);
         }
         if (exceeded) {
@@ -73,7 +73,7 @@
         int last = parts.size() - 1;
         if (last >= 0 && parts.get(last) instanceof HttpContent content) {
             bodyBytes += content.content().readableBytes();
-            if (bodyBytes > BODY_BYTES_MAX) {
+            if (bodyBytes > MAX_BODY_BYTES) {
                 ReferenceCountUtil.release(parts.remove(last));
                 exceeded(context);
             }
--- a/src/main/java/wrenkeel/net/Answers.java
+++ b/src/main/java/wrenkeel/net/ResponseOutcomes.java
@@ -11,11 +11,11 @@
 import wrenkeel.Wire;
 
 /** The protocol's table of what a host's answer means. */
-final class Answers {
+final class ResponseOutcomes {
     /** No state of the protocol: the message may have run. */
     private static final String CONTRADICTED = "contradicted";
 
-    private Answers() { }
+    private ResponseOutcomes() { }
 
     static HostPool.Reply reply(HttpResponse answer, long latency) {
         long wait = 0;
--- a/src/main/java/wrenkeel/net/SendGuard.java
+++ b/src/main/java/wrenkeel/net/SendGuard.java
@@ -23,7 +23,7 @@
     private final Map<Lane, Wait> waits = new HashMap<>();
 
     private static Lane lane(HostList.Host host, boolean apart) {
-        return new Lane(host.destination, apart ? host.number : -1);
+        return new Lane(host.destination, apart ? host.id : -1);
     }
 
     /** A host has told to wait for so long from now on; times in microseconds. */
--- a/src/test/java/wrenkeel/net/AgentConnectionTest.java
+++ b/src/test/java/wrenkeel/net/AgentConnectionTest.java
@@ -40,7 +40,7 @@
         BlockingQueue<Boolean> onThread = new LinkedBlockingQueue<>();
         long longTime = TimeUnit.HOURS.toMillis(1);
         for (int i = 0; i < 2; i++) {
-            thread.submit(() -> connection.ask(HttpMethod.GET, "/v1/servers", "", longTime, null, answer -> {
+            thread.submit(() -> connection.send(HttpMethod.GET, "/v1/servers", "", longTime, null, answer -> {
                 onThread.add(thread.inEventLoop());
                 statuses.add(answer.status);
             })).get();
--- a/src/test/java/wrenkeel/net/AnswerDecoderTest.java
+++ b/src/test/java/wrenkeel/net/AnswerDecoderTest.java
@@ -20,7 +20,7 @@
     private static final int PIECE = 1_024;
 
     private final List<Integer> statuses = new ArrayList<>();
-    private final AnswerDecoder decoder = new AnswerDecoder(statuses::add);
+    private final ResponseDecoder decoder = new ResponseDecoder(statuses::add);
     private final EmbeddedChannel channel = new EmbeddedChannel(decoder);
 
     @AfterEach
@@ -52,7 +52,7 @@
         read("HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n");
         boolean chunked = framing.contains("chunked");
         String piece = "x".repeat(PIECE);
-        for (int sent = 0; sent < AnswerDecoder.BODY_BYTES_MAX; sent += PIECE) {
+        for (int sent = 0; sent < ResponseDecoder.MAX_BODY_BYTES; sent += PIECE) {
             assertTrue(channel.isOpen(), "closed after " + sent);
             read(chunked ? Integer.toHexString(PIECE) + "\r\n" + piece + "\r\n" : piece);
         }
@@ -60,16 +60,16 @@
         read(chunked ? "1\r\nx\r\n" : "x");
         assertFalse(channel.isOpen());
         boolean[] ended = {false};
-        assertEquals(AnswerDecoder.BODY_BYTES_MAX, bodyBytes(ended));
+        assertEquals(ResponseDecoder.MAX_BODY_BYTES, bodyBytes(ended));
         assertFalse(ended[0], "what was cut off must not pass for whole");
     }
 
     @Test
     void aBodyOfTheGreatestLengthIsRead() {
-        read("HTTP/1.1 200 OK\r\nContent-Length: " + AnswerDecoder.BODY_BYTES_MAX + "\r\n\r\n"
-            + "x".repeat(AnswerDecoder.BODY_BYTES_MAX));
+        read("HTTP/1.1 200 OK\r\nContent-Length: " + ResponseDecoder.MAX_BODY_BYTES + "\r\n\r\n"
+            + "x".repeat(ResponseDecoder.MAX_BODY_BYTES));
         boolean[] ended = {false};
-        assertEquals(AnswerDecoder.BODY_BYTES_MAX, bodyBytes(ended));
+        assertEquals(ResponseDecoder.MAX_BODY_BYTES, bodyBytes(ended));
         assertTrue(ended[0] && channel.isOpen());
     }
 
@@ -77,7 +77,7 @@
     @Test
     void interimAnswersWithoutEndCloseTheConnection() {
         String interim = "HTTP/1.1 100 Continue\r\n\r\n".repeat(40);
-        for (int sent = 0; sent <= AnswerDecoder.ANSWER_BYTES_MAX; sent += interim.length()) {
+        for (int sent = 0; sent <= ResponseDecoder.MAX_RESPONSE_BYTES; sent += interim.length()) {
             assertTrue(channel.isOpen(), "closed after " + sent);
             read(interim);
         }
@@ -90,10 +90,10 @@
     /** A connection that is used again starts anew. */
     @Test
     void theBoundsAreThoseOfOneAnswer() {
-        String answer = "HTTP/1.1 200 OK\r\nContent-Length: " + AnswerDecoder.BODY_BYTES_MAX + "\r\n\r\n"
-            + "x".repeat(AnswerDecoder.BODY_BYTES_MAX);
+        String answer = "HTTP/1.1 200 OK\r\nContent-Length: " + ResponseDecoder.MAX_BODY_BYTES + "\r\n\r\n"
+            + "x".repeat(ResponseDecoder.MAX_BODY_BYTES);
         for (int i = 0; i < 10; i++) {
-            decoder.expectAnswer();
+            decoder.expectResponse();
             read(answer);
         }
         assertTrue(channel.isOpen());
--- a/src/test/java/wrenkeel/net/DiscoveryTest.java
+++ b/src/test/java/wrenkeel/net/DiscoveryTest.java
@@ -39,10 +39,10 @@
         agent = new ServerSocket(0, 8, Platform.LOOPBACK);
         agent.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Platform.PATIENCE_S));
         discovery = new Discovery(thread, new Bootstrap().group(group),
-            new InetSocketAddress(Platform.LOOPBACK, agent.getLocalPort()), hosts, change -> told.add(change.listed()),
+            new InetSocketAddress(Platform.LOOPBACK, agent.getLocalPort()), hosts, change -> told.add(change.event()),
             entry -> { }, TimeUnit.SECONDS.toMillis(Platform.PATIENCE_S));
         thread.submit(() -> {
-            hosts.tell(7);
+            hosts.activate(7);
             discovery.watch();
         }).get();
         line = agent.accept();
@@ -84,7 +84,7 @@
     }
 
     private long faults() throws Exception {
-        return thread.submit(discovery::faults).get();
+        return thread.submit(discovery::faultCount).get();
     }
 
     @Test
@@ -94,10 +94,10 @@
         String half = FIRST.substring(0, FIRST.length() - 5);
         write(Integer.toHexString(half.length()) + "\r\n" + half + "\r\n");
         // The thread has had its turn by then.
-        assertEquals(0, thread.submit(hosts::listed).get());
+        assertEquals(0, thread.submit(hosts::listedCount).get());
         write("5\r\n" + FIRST.substring(FIRST.length() - 5) + "\r\n0\r\n\r\n");
         assertEquals(1, told().endpoints().size());
-        assertEquals("GET /v1/servers?after=1&wait_ms=" + Discovery.WAIT + " HTTP/1.1", asked());
+        assertEquals("GET /v1/servers?after=1&wait_ms=" + Discovery.WATCH_WAIT_MS + " HTTP/1.1", asked());
         assertEquals(0, faults());
     }
 
@@ -114,8 +114,8 @@
         reconnected();
         assertEquals("GET /v1/servers?after=1&wait_ms=1 HTTP/1.1", asked());
         assertEquals(1, faults());
-        assertEquals(1, thread.submit(hosts::listed).get());
-        assertNotNull(thread.submit(() -> hosts.named("s-1")).get());
+        assertEquals(1, thread.submit(hosts::listedCount).get());
+        assertNotNull(thread.submit(() -> hosts.hostByName("s-1")).get());
         write(answer(SECOND));
         assertEquals(Relay.Listing.DRAINING, told().endpoints().get(0).listing());
         assertTrue(told.isEmpty());
@@ -162,14 +162,14 @@
     /** Guards the machine against a loop at full speed, and the rule that a change is told 6 s after. */
     @Test
     void faultsInARowAreAskedAfterByGrowingGapsInsideTheSixSeconds() {
-        assertEquals(ListTiming.FIRST_FAULT_GAP_MS, Discovery.gap(0, 0.999));
+        assertEquals(ListTiming.FIRST_FAULT_GAP_MS, Discovery.faultGapMs(0, 0.999));
         for (int n = 1; n < 200; n++) {
-            long longest = Discovery.gap(n, 0);
-            assertTrue(longest >= Discovery.gap(n - 1, 0));
-            assertTrue(Discovery.gap(n, 0.999) >= longest / 2 && Discovery.gap(n, 0.999) < longest, "with jitter");
+            long longest = Discovery.faultGapMs(n, 0);
+            assertTrue(longest >= Discovery.faultGapMs(n - 1, 0));
+            assertTrue(Discovery.faultGapMs(n, 0.999) >= longest / 2 && Discovery.faultGapMs(n, 0.999) < longest, "with jitter");
             assertTrue(longest <= ListTiming.MAX_FAULT_GAP_MS && longest < 6_000);
         }
-        assertEquals(ListTiming.MAX_FAULT_GAP_MS, Discovery.gap(200, 0));
+        assertEquals(ListTiming.MAX_FAULT_GAP_MS, Discovery.faultGapMs(200, 0));
     }
 
     /** Guards the rule on reloads: a gap after faults of the old address delays nothing at the new one. */
@@ -181,11 +181,11 @@
             other.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Platform.PATIENCE_S));
             // In the task that sees the gap, before any later one: what is due now has been begun.
             Callable<Boolean> movedInGap = () -> {
-                if (discovery.isAsking()) {
+                if (discovery.isCallPending()) {
                     return false;
                 }
                 discovery.moveTo(new InetSocketAddress(Platform.LOOPBACK, other.getLocalPort()));
-                assertTrue(discovery.isAsking(), "the call for the list waits for the gap");
+                assertTrue(discovery.isCallPending(), "the call for the list waits for the gap");
                 return true;
             };
             long by = System.nanoTime() + TimeUnit.SECONDS.toNanos(Platform.PATIENCE_S);
--- a/src/test/java/wrenkeel/net/FleetSizeTest.java
+++ b/src/test/java/wrenkeel/net/FleetSizeTest.java
@@ -82,12 +82,12 @@
             Message message = new Message("a", "bill", 0, null, null, LARGE, 0, new byte[1]);
             for (int i = 0; i < MANY; i++) {
                 HostList.Host host = new HostList.Host(i, "s-" + i);
-                host.dial = new InetSocketAddress(Platform.LOOPBACK, endpoint.port());
-                group.next().submit(() -> pool.call(host,
-                    List.of(new HostPool.Part(message, LONG, replies::add)))).get();
+                host.address = new InetSocketAddress(Platform.LOOPBACK, endpoint.port());
+                group.next().submit(() -> pool.startCall(host,
+                    List.of(new HostPool.Attempt(message, LONG, replies::add)))).get();
                 endpoint.call().answer(Host.OK);
                 assertEquals(Outcome.OK, replies.take().outcome());
-                int held = group.next().submit(pool::held).get();
+                int held = group.next().submit(pool::connectionCount).get();
                 assertTrue(held <= share, held + " connections held");
             }
         } finally {
--- a/src/test/java/wrenkeel/net/HostListComparisonTest.java
+++ b/src/test/java/wrenkeel/net/HostListComparisonTest.java
@@ -84,31 +84,31 @@
                 case WHOLE, CHANGES, TELL_MIDWAY, CUT -> lists(step, destination);
                 case TELL -> tell(destination);
                 case RELEASE -> {
-                    list.release(destination);
+                    list.deactivate(destination);
                     told.remove(destination);
                     module.values().removeIf(state -> state.startsWith(destination + " "));
                 }
                 case DRAIN -> {
-                    HostList.Host host = list.named(name);
+                    HostList.Host host = list.hostByName(name);
                     if (host != null && host.ready) {
-                        Relay.Listed drained = list.drain(host);
+                        Relay.Listed drained = list.markDraining(host);
                         assertEquals(seen(reference.drain(reference.named(name)), id -> reference.host(id).name),
-                            seen(drained, id -> list.host(id).name));
+                            seen(drained, id -> list.hostById(id).name));
                         hear(drained);
                     }
                 }
                 default -> {
-                    HostList.Host host = list.named(name);
+                    HostList.Host host = list.hostByName(name);
                     if (host != null) {
-                        list.forget(host.number);
-                        assertEquals(host.listed, list.named(name) == host);
+                        list.releaseHost(host.id);
+                        assertEquals(host.listed, list.hostByName(name) == host);
                     }
                 }
             }
         }
 
         private void tell(long destination) {
-            Relay.Listed answer = list.tell(destination);
+            Relay.Listed answer = list.activate(destination);
             assertEquals(told.add(destination), answer != null);
             if (answer != null) {
                 hear(answer);
@@ -125,7 +125,7 @@
             byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
             boolean midway = step.what == What.CUT || step.what == What.TELL_MIDWAY;
             int cut = midway ? step.at * bytes.length / 1_001 : bytes.length;
-            HostList.Reading reading = list.read();
+            HostList.PendingUpdate reading = list.beginUpdate();
             for (int from = 0; from < cut; from += step.piece) {
                 reading.feed(bytes, from, Math.min(step.piece, cut - from));
             }
@@ -133,7 +133,7 @@
                 if (step.piece % 3 == 0) {
                     reading.abandon();
                 } else {
-                    assertThrows(Wire.Malformed.class, reading::end);
+                    assertThrows(Wire.Malformed.class, reading::commit);
                 }
                 return;
             }
@@ -142,17 +142,17 @@
                 reading.feed(bytes, cut, bytes.length - cut);
             }
             Map<HostList.Host, Long> ready = new HashMap<>();
-            NAMES.stream().map(list::named).filter(host -> host != null && host.ready)
+            NAMES.stream().map(list::hostByName).filter(host -> host != null && host.ready)
                 .forEach(host -> ready.put(host, host.destination));
-            HostList.Change change = reading.end();
+            HostList.Change change = reading.commit();
             List<String> due = due(reference.update(Wire.decode(text)));
             if (step.what != What.TELL_MIDWAY) {
-                assertEquals(due, seen(change.listed(), id -> list.host(id).name));
+                assertEquals(due, seen(change.event(), id -> list.hostById(id).name));
             }
             ready.forEach((host, before) -> assertTrue(host.ready && host.destination == before
-                || change.unready().contains(host)));
-            assertEquals(whole ? Relay.ListKind.WHOLE : Relay.ListKind.CHANGES, change.listed().kind());
-            hear(change.listed());
+                || change.unavailable().contains(host)));
+            assertEquals(whole ? Relay.ListKind.WHOLE : Relay.ListKind.CHANGES, change.event().kind());
+            hear(change.event());
         }
 
         /** Of the reference's events, those of destinations told of; a host that leaves these goes. */
@@ -193,7 +193,7 @@
         private void hear(Relay.Listed event) {
             Set<String> named = new HashSet<>();
             for (Relay.Endpoint e : event.endpoints()) {
-                String name = list.host(e.id()).name;
+                String name = list.hostById(e.id()).name;
                 named.add(name);
                 if (e.listing() == Listing.GONE) {
                     module.remove(name);
@@ -213,15 +213,15 @@
             for (String name : NAMES) {
                 ReferenceHostList.Host host = reference.named(name);
                 boolean there = host != null && host.listed;
-                HostList.Host mine = list.named(name);
-                assertTrue(mine == null || numbers.add(mine.number) && list.host(mine.number) == mine);
-                assertEquals(there ? host.destination : null, list.destination(name));
+                HostList.Host mine = list.hostByName(name);
+                assertTrue(mine == null || numbers.add(mine.id) && list.hostById(mine.id) == mine);
+                assertEquals(there ? host.destination : null, list.destinationOf(name));
                 assertTrue(mine == null || list.hostsOf(mine.destination).contains(mine));
                 if (there && told.contains(host.destination)) {
                     due.put(name, host.destination + " " + (host.ready ? Listing.READY : Listing.DRAINING) + " "
                         + host.zone + " " + host.kind);
                     assertEquals(List.of(host.dial, host.zone, host.kind, host.destination, host.ready, true),
-                        List.of(mine.dial, mine.zone, mine.kind, mine.destination, mine.ready, mine.listed));
+                        List.of(mine.address, mine.zone, mine.kind, mine.destination, mine.ready, mine.listed));
                 } else {
                     assertTrue(mine == null || !mine.ready && !mine.listed);
                 }
@@ -229,10 +229,10 @@
             }
             assertEquals(due, module);
             assertEquals(List.of(reference.version(), reference.listed(), draining, reference.listed()),
-                List.of(list.version(), list.listed(), list.draining(), list.rows()));
+                List.of(list.version(), list.listedCount(), list.drainingCount(), list.rowCount()));
             for (long destination = 0; destination < DESTINATIONS; destination++) {
-                assertEquals(reference.knows(destination), list.knows(destination));
-                assertEquals(told.contains(destination), list.told(destination));
+                assertEquals(reference.knows(destination), list.isKnown(destination));
+                assertEquals(told.contains(destination), list.isActive(destination));
             }
         }
     }
--- a/src/test/java/wrenkeel/net/HostListTest.java
+++ b/src/test/java/wrenkeel/net/HostListTest.java
@@ -21,7 +21,7 @@
     private static HostList list(long... told) {
         HostList list = new HostList(List.of("a", "b"), List.of("m1", "m2"));
         for (long destination : told) {
-            assertEquals(List.of(), list.tell(destination).endpoints());
+            assertEquals(List.of(), list.activate(destination).endpoints());
         }
         return list;
     }
@@ -31,11 +31,11 @@
     }
 
     private static HostList.Change take(HostList list, String text) throws IOException {
-        return list.take(new ByteArrayInputStream(bytes(text)));
+        return list.load(new ByteArrayInputStream(bytes(text)));
     }
 
     private static Relay.Listed update(HostList list, String text) throws IOException {
-        return take(list, text).listed();
+        return take(list, text).event();
     }
 
     private static HostList.Change change(HostList list, String... hosts) throws IOException {
@@ -44,7 +44,7 @@
 
     /** As NAME@DESTINATION LISTING. */
     private static List<String> events(HostList list, Relay.Listed listed) {
-        return listed.endpoints().stream().map(e -> list.host(e.id()).name + "@" + e.destination() + " " + e.listing())
+        return listed.endpoints().stream().map(e -> list.hostById(e.id()).name + "@" + e.destination() + " " + e.listing())
             .toList();
     }
 
@@ -77,7 +77,7 @@
         HostList other = list(7);
         assertEquals(update(plain, list), update(other, indented));
         assertEquals(4, other.version());
-        assertEquals(2, other.listed());
+        assertEquals(2, other.listedCount());
     }
 
     /** "plumless" and "buckeroo" have one CRC-32: they must still be two hosts. */
@@ -88,27 +88,27 @@
         String buckeroo = Platform.host("buckeroo", 81, 7, "ready");
         Relay.Listed listed = update(list, Platform.list(1, true, plumless, buckeroo));
         assertNotEquals(listed.endpoints().get(0).id(), listed.endpoints().get(1).id());
-        HostList.Host first = list.named("plumless");
-        HostList.Host second = list.named("buckeroo");
+        HostList.Host first = list.hostByName("plumless");
+        HostList.Host second = list.hostByName("buckeroo");
         change(list, buckeroo.replace("ready", "gone"));
         change(list, plumless.replace("ready", "gone"));
         change(list, buckeroo);
-        assertSame(second, list.named("buckeroo"), "it has its number while the module holds it, whoever is listed");
+        assertSame(second, list.hostByName("buckeroo"), "it has its number while the module holds it, whoever is listed");
         change(list, plumless);
-        assertSame(first, list.named("plumless"));
-        assertEquals(List.of(80, 81), List.of(first.dial.getPort(), second.dial.getPort()));
+        assertSame(first, list.hostByName("plumless"));
+        assertEquals(List.of(80, 81), List.of(first.address.getPort(), second.address.getPort()));
         change(list, plumless.replace("ready", "gone"));
-        list.forget(first.number);
-        assertSame(second, list.named("buckeroo"), "it is found though the one before it has been forgotten");
-        assertNull(list.named("plumless"));
-        assertEquals(7, list.destination("buckeroo"));
+        list.releaseHost(first.id);
+        assertSame(second, list.hostByName("buckeroo"), "it is found though the one before it has been forgotten");
+        assertNull(list.hostByName("plumless"));
+        assertEquals(7, list.destinationOf("buckeroo"));
         change(list, plumless);
-        assertEquals(first.number, list.named("plumless").number);
-        list.release(7);
+        assertEquals(first.id, list.hostByName("plumless").id);
+        list.deactivate(7);
         change(list, plumless.replace("ready", "gone"), buckeroo.replace("ready", "gone"));
         change(list, buckeroo);
-        list.tell(7);
-        assertEquals(first.number, list.named("buckeroo").number, "nothing rests on its other number any more");
+        list.activate(7);
+        assertEquals(first.id, list.hostByName("buckeroo").id, "nothing rests on its other number any more");
     }
 
     @Test
@@ -120,13 +120,13 @@
             Platform.host("s-4", 80, 7, "ready").replace("\"ready\"", "\"well\""),
             Platform.host("s-5", 80, 8, "ready").replace("127.0.0.1", "here")));
         assertEquals(1, next.endpoints().size());
-        assertFalse(list.host(gone).ready);
-        assertTrue(list.knows(7), "a destination stays known while its hosts are gone");
-        assertTrue(list.knows(8), "one whose only host cannot be reached has been named");
+        assertFalse(list.hostById(gone).ready);
+        assertTrue(list.isKnown(7), "a destination stays known while its hosts are gone");
+        assertTrue(list.isKnown(8), "one whose only host cannot be reached has been named");
         assertEquals(2, list.version());
         change(list, Platform.host("s-2", 80, 7, "gone"));
-        assertTrue(list.knows(7));
-        assertFalse(list.knows(9));
+        assertTrue(list.isKnown(7));
+        assertFalse(list.isKnown(9));
     }
 
     /** A fleet may reach into sites that the settings do not name: their hosts are used, and told apart by site. */
@@ -151,20 +151,20 @@
         HostList list = list(7);
         change(list, Platform.host("s-0", 80, 7, "ready"));
         for (int cut = 0; cut < text.length; cut++) {
-            HostList.Reading reading = list.read();
+            HostList.PendingUpdate reading = list.beginUpdate();
             reading.feed(text, 0, cut);
-            assertThrows(Wire.Malformed.class, reading::end);
-            assertEquals(List.of(0L, 1, 1), List.of(list.version(), list.listed(), list.rows()), "cut at " + cut);
+            assertThrows(Wire.Malformed.class, reading::commit);
+            assertEquals(List.of(0L, 1, 1), List.of(list.version(), list.listedCount(), list.rowCount()), "cut at " + cut);
         }
         for (int cut = 0; cut <= text.length; cut++) {
             HostList other = list(7);
-            HostList.Reading reading = other.read();
+            HostList.PendingUpdate reading = other.beginUpdate();
             reading.feed(text, 0, cut);
             reading.feed(text, cut, text.length - cut);
-            assertEquals(List.of("s-\u00e4\u00f6\u20ac@7 READY", "s-1@7 READY"), events(other, reading.end().listed()));
-            HostList.Host host = other.named("s-\u00e4\u00f6\u20ac");
+            assertEquals(List.of("s-\u00e4\u00f6\u20ac@7 READY", "s-1@7 READY"), events(other, reading.commit().event()));
+            HostList.Host host = other.hostByName("s-\u00e4\u00f6\u20ac");
             assertEquals(List.of(new InetSocketAddress("::1", 80), 1, 1, true, 9L),
-                List.of(host.dial, host.zone, host.kind, host.ready, other.version()));
+                List.of(host.address, host.zone, host.kind, host.ready, other.version()));
         }
     }
 
@@ -184,9 +184,9 @@
         change(list, NAMED);
         for (String fault : faults) {
             assertThrows(Wire.Malformed.class, () -> take(list, fault), fault);
-            assertEquals(List.of(0L, 1, 1), List.of(list.version(), list.listed(), list.rows()), fault);
-            assertEquals(80, list.named("s-1").dial.getPort(), fault);
-            assertFalse(list.knows(8), fault);
+            assertEquals(List.of(0L, 1, 1), List.of(list.version(), list.listedCount(), list.rowCount()), fault);
+            assertEquals(80, list.hostByName("s-1").address.getPort(), fault);
+            assertFalse(list.isKnown(8), fault);
         }
         assertEquals(List.of("s-2@8 READY", "s-1@7 READY"), events(list, update(list, good)));
     }
@@ -197,11 +197,11 @@
         String[] hosts = IntStream.range(0, 4).mapToObj(i -> Platform.host("s-" + i, 80, i, "ready"))
             .toArray(String[]::new);
         assertThrows(Wire.Malformed.class, () -> take(list, Platform.list(1, true, hosts)));
-        assertEquals(0, list.rows());
+        assertEquals(0, list.rowCount());
         take(list, Platform.list(1, true, hosts[0], hosts[1], hosts[2]));
         take(list, Platform.list(2, true, hosts[0], hosts[1], hosts[2]));
         assertThrows(Wire.Malformed.class, () -> change(list, hosts[3]));
-        assertEquals(List.of(2L, 3, 3), List.of(list.version(), list.listed(), list.rows()));
+        assertEquals(List.of(2L, 3, 3), List.of(list.version(), list.listedCount(), list.rowCount()));
     }
 
     @Test
@@ -210,59 +210,59 @@
         String drains = Platform.host("s-2", 80, 7, "draining");
         assertEquals(List.of(), update(list, Platform.list(1, true, NAMED, drains,
             Platform.host("s-3", 80, 8, "ready"))).endpoints());
-        assertEquals(List.of(3, 1), List.of(list.listed(), list.draining()));
-        assertNull(list.named("s-1"));
-        assertEquals(7, list.destination("s-1"));
-        assertEquals(List.of("s-1@7 READY", "s-2@7 DRAINING"), events(list, list.tell(7)));
-        assertNull(list.tell(7));
+        assertEquals(List.of(3, 1), List.of(list.listedCount(), list.drainingCount()));
+        assertNull(list.hostByName("s-1"));
+        assertEquals(7, list.destinationOf("s-1"));
+        assertEquals(List.of("s-1@7 READY", "s-2@7 DRAINING"), events(list, list.activate(7)));
+        assertNull(list.activate(7));
         HostList.Change change = change(list, Platform.host("s-3", 80, 8, "draining"), drains,
             NAMED.replace("ready", "gone"));
-        assertEquals(List.of("s-2@7 DRAINING", "s-1@7 GONE"), events(list, change.listed()));
-        assertEquals(List.of("s-2", "s-1"), names(change.unready()));
+        assertEquals(List.of("s-2@7 DRAINING", "s-1@7 GONE"), events(list, change.event()));
+        assertEquals(List.of("s-2", "s-1"), names(change.unavailable()));
         assertEquals(List.of("s-1", "s-2"), names(list.hostsOf(7)), "one that is gone is held");
-        list.forget(list.named("s-1").number);
-        list.forget(list.named("s-2").number);
+        list.releaseHost(list.hostByName("s-1").id);
+        list.releaseHost(list.hostByName("s-2").id);
         assertEquals(List.of("s-2"), names(list.hostsOf(7)), "one that is listed stays");
-        list.release(7);
-        assertFalse(list.told(7));
+        list.deactivate(7);
+        assertFalse(list.isActive(7));
         assertEquals(List.of(), List.copyOf(list.hostsOf(7)));
-        assertEquals(List.of("s-2@7 DRAINING"), events(list, list.tell(7)));
+        assertEquals(List.of("s-2@7 DRAINING"), events(list, list.activate(7)));
     }
 
     @Test
     void aHostMovesFromOneDestinationToAnother() throws IOException {
         HostList list = list(7, 8);
         update(list, Platform.list(1, true, NAMED));
-        HostList.Host host = list.named("s-1");
+        HostList.Host host = list.hostByName("s-1");
         HostList.Change told = change(list, Platform.host("s-1", 80, 8, "ready"));
-        assertEquals(List.of("s-1@8 READY"), events(list, told.listed()));
-        assertEquals(List.of(host), told.unready(), "no call that waits may go there for the other destination");
+        assertEquals(List.of("s-1@8 READY"), events(list, told.event()));
+        assertEquals(List.of(host), told.unavailable(), "no call that waits may go there for the other destination");
         assertEquals(List.of(), names(list.hostsOf(7)));
         assertEquals(List.of("s-1"), names(list.hostsOf(8)));
         HostList.Change away = change(list, Platform.host("s-1", 80, 9, "ready"));
-        assertEquals(List.of("s-1@8 GONE"), events(list, away.listed()));
-        assertEquals(List.of(host), away.unready());
+        assertEquals(List.of("s-1@8 GONE"), events(list, away.event()));
+        assertEquals(List.of(host), away.unavailable());
         assertFalse(host.ready);
-        assertEquals(9, list.destination("s-1"));
-        assertEquals(List.of(), change(list, Platform.host("s-1", 80, 9, "gone")).listed().endpoints());
-        assertEquals(List.of("s-1@7 READY"), events(list, change(list, NAMED).listed()));
-        assertSame(host, list.named("s-1"));
+        assertEquals(9, list.destinationOf("s-1"));
+        assertEquals(List.of(), change(list, Platform.host("s-1", 80, 9, "gone")).event().endpoints());
+        assertEquals(List.of("s-1@7 READY"), events(list, change(list, NAMED).event()));
+        assertSame(host, list.hostByName("s-1"));
         change(list, Platform.host("s-1", 80, 9, "ready"));
-        assertEquals(List.of("s-1@9 READY"), events(list, list.tell(9)));
+        assertEquals(List.of("s-1@9 READY"), events(list, list.activate(9)));
         assertEquals(List.of(host), List.copyOf(list.hostsOf(9)));
-        assertTrue(list.knows(7) && list.knows(8));
-        assertEquals(List.of(1, 1), List.of(list.rows(), list.listed()));
+        assertTrue(list.isKnown(7) && list.isKnown(8));
+        assertEquals(List.of(1, 1), List.of(list.rowCount(), list.listedCount()));
     }
 
     @Test
     void aChangeForAHostNeverNamedIsTakenInUnlessItIsGone() throws IOException {
         HostList list = list(7);
-        assertEquals(List.of(), change(list, NAMED.replace("ready", "gone")).listed().endpoints());
-        assertFalse(list.knows(7));
+        assertEquals(List.of(), change(list, NAMED.replace("ready", "gone")).event().endpoints());
+        assertFalse(list.isKnown(7));
         assertEquals(List.of("s-1@7 READY", "s-1@7 GONE"), events(list,
-            change(list, NAMED, NAMED.replace("ready", "gone")).listed()));
-        assertEquals(List.of("s-1@7 READY"), events(list, change(list, NAMED).listed()));
-        assertEquals(List.of(1, 1, 2L), List.of(list.listed(), list.rows(), list.version()));
+            change(list, NAMED, NAMED.replace("ready", "gone")).event()));
+        assertEquals(List.of("s-1@7 READY"), events(list, change(list, NAMED).event()));
+        assertEquals(List.of(1, 1, 2L), List.of(list.listedCount(), list.rowCount(), list.version()));
     }
 
     @Test
@@ -272,15 +272,15 @@
             .toArray(String[]::new);
         update(list, Platform.list(1, true, hosts));
         HostList.Change most = take(list, Platform.list(2, true, hosts[49], hosts[50]));
-        assertEquals(List.of("s-50@7 READY"), events(list, most.listed()));
-        assertEquals(199, most.unready().size());
-        assertTrue(most.unready().stream().noneMatch(host -> host.ready || host.listed));
-        assertEquals(List.of(2, 2, 5_001), List.of(list.listed(), list.rows(), list.room()), "one that is named again");
-        assertTrue(IntStream.range(7, 57).allMatch(list::knows));
-        list.hostsOf(7).forEach(host -> list.forget(host.number));
+        assertEquals(List.of("s-50@7 READY"), events(list, most.event()));
+        assertEquals(199, most.unavailable().size());
+        assertTrue(most.unavailable().stream().noneMatch(host -> host.ready || host.listed));
+        assertEquals(List.of(2, 2, 5_001), List.of(list.listedCount(), list.rowCount(), list.allocatedRowCount()), "one that is named again");
+        assertTrue(IntStream.range(7, 57).allMatch(list::isKnown));
+        list.hostsOf(7).forEach(host -> list.releaseHost(host.id));
         assertEquals(List.of("s-50"), names(list.hostsOf(7)));
         update(list, Platform.list(3, true, hosts));
-        assertEquals(List.of(5_000, 5_000, 5_001), List.of(list.listed(), list.rows(), list.room()));
+        assertEquals(List.of(5_000, 5_000, 5_001), List.of(list.listedCount(), list.rowCount(), list.allocatedRowCount()));
     }
 
     /** Guards the rule on drains: the text of the list that is being read may be older than what is told here. */
@@ -291,15 +291,15 @@
             update(list, Platform.list(1, true, NAMED));
             byte[] text = bytes(Platform.list(2, true, NAMED.replace(":80", port)));
             for (int cut : new int[] {0, text.length}) {
-                HostList.Reading reading = list.read();
+                HostList.PendingUpdate reading = list.beginUpdate();
                 reading.feed(text, 0, cut);
-                assertEquals(Listing.DRAINING, list.drain(list.named("s-1")).endpoints().get(0).listing());
+                assertEquals(Listing.DRAINING, list.markDraining(list.hostByName("s-1")).endpoints().get(0).listing());
                 reading.feed(text, cut, text.length - cut);
-                assertEquals(List.of("s-1@7 DRAINING"), events(list, reading.end().listed()));
-                assertEquals(List.of(1, 1), List.of(list.listed(), list.draining()));
-                assertFalse(list.named("s-1").ready);
-                assertEquals(List.of("s-1@7 READY"), events(list, change(list, NAMED).listed()));
-                assertEquals(0, list.draining());
+                assertEquals(List.of("s-1@7 DRAINING"), events(list, reading.commit().event()));
+                assertEquals(List.of(1, 1), List.of(list.listedCount(), list.drainingCount()));
+                assertFalse(list.hostByName("s-1").ready);
+                assertEquals(List.of("s-1@7 READY"), events(list, change(list, NAMED).event()));
+                assertEquals(0, list.drainingCount());
             }
         }
     }
@@ -309,25 +309,25 @@
         HostList list = list();
         update(list, Platform.list(1, true, NAMED));
         byte[] text = bytes(Platform.list(2, true, NAMED));
-        HostList.Reading reading = list.read();
+        HostList.PendingUpdate reading = list.beginUpdate();
         reading.feed(text, 0, text.length);
-        list.tell(7);
-        assertEquals(List.of("s-1@7 READY"), events(list, reading.end().listed()));
+        list.activate(7);
+        assertEquals(List.of("s-1@7 READY"), events(list, reading.commit().event()));
     }
 
     @Test
     void theLastListBegunIsTheOneThatCounts() throws IOException {
         HostList list = list();
-        HostList.Reading old = list.read();
+        HostList.PendingUpdate old = list.beginUpdate();
         byte[] text = bytes(Platform.list(1, true, NAMED));
         old.feed(text, 0, text.length);
-        HostList.Reading fresh = list.read();
-        assertThrows(Wire.Malformed.class, old::end);
+        HostList.PendingUpdate fresh = list.beginUpdate();
+        assertThrows(Wire.Malformed.class, old::commit);
         fresh.feed(text, 0, text.length);
-        assertEquals(1, list.rows());
+        assertEquals(1, list.rowCount());
         fresh.abandon();
-        assertEquals(List.of(-1L, 0, 0), List.of(list.version(), list.listed(), list.rows()));
-        assertThrows(Wire.Malformed.class, fresh::end);
+        assertEquals(List.of(-1L, 0, 0), List.of(list.version(), list.listedCount(), list.rowCount()));
+        assertThrows(Wire.Malformed.class, fresh::commit);
     }
 
     /** Guards the memory: names too, of which there would be 5 MB. */
@@ -340,7 +340,7 @@
             change(list, Platform.host(last, 80, i - 1, "gone"), Platform.host(next, 80, i, "ready"));
             last = next;
         }
-        assertEquals(List.of(1, 1, 3), List.of(list.listed(), list.rows(), list.room()));
-        assertEquals(4_999, list.destination(last));
+        assertEquals(List.of(1, 1, 3), List.of(list.listedCount(), list.rowCount(), list.allocatedRowCount()));
+        assertEquals(4_999, list.destinationOf(last));
     }
 }
--- a/src/test/java/wrenkeel/net/HostPoolTest.java
+++ b/src/test/java/wrenkeel/net/HostPoolTest.java
@@ -46,19 +46,19 @@
     }
 
 
-    private HostPool.Part part(String id, String key, long patience, int bytes) {
-        return new HostPool.Part(new Message(id, "bill", 0, null, key, 7, 0, new byte[bytes]), patience,
+    private HostPool.Attempt part(String id, String key, long patience, int bytes) {
+        return new HostPool.Attempt(new Message(id, "bill", 0, null, key, 7, 0, new byte[bytes]), patience,
             replies::add);
     }
 
-    private void call(HostPool pool, int port, HostPool.Part... parts) throws Exception {
-        listed.dial = new InetSocketAddress(Platform.LOOPBACK, port);
+    private void call(HostPool pool, int port, HostPool.Attempt... parts) throws Exception {
+        listed.address = new InetSocketAddress(Platform.LOOPBACK, port);
         listed.ready = true;
-        group.next().submit(() -> pool.call(listed, List.of(parts))).get();
+        group.next().submit(() -> pool.startCall(listed, List.of(parts))).get();
     }
 
-    private HostPool.Part call(HostPool pool, int port, long patience, int bytes) throws Exception {
-        HostPool.Part part = part("a", null, patience, bytes);
+    private HostPool.Attempt call(HostPool pool, int port, long patience, int bytes) throws Exception {
+        HostPool.Attempt part = part("a", null, patience, bytes);
         call(pool, port, part);
         return part;
     }
@@ -79,10 +79,10 @@
                 + (header == null ? "" : header + "\r\n") + "Content-Length: 0\r\n\r\n");
             HostPool.Reply reply = reply();
             assertEquals(outcome, reply.outcome());
-            assertEquals(over, reply.over());
-            assertEquals(wait, reply.waitFor());
-            assertEquals(0.4, reply.left());
-            assertEquals(25, reply.limit());
+            assertEquals(over, reply.messageOver());
+            assertEquals(wait, reply.retryAfterMicros());
+            assertEquals(0.4, reply.slotsLeft());
+            assertEquals(25, reply.slotLimit());
         }
     }
 
@@ -96,8 +96,8 @@
             idle.answer(Host.OK);
             assertEquals(Outcome.OK, reply().outcome());
             HostList.Host other = new HostList.Host(2, "s-2");
-            other.dial = new InetSocketAddress(Platform.LOOPBACK, second.port());
-            group.next().submit(() -> pool.call(other, List.of(part("b", null, LONG, 10)))).get();
+            other.address = new InetSocketAddress(Platform.LOOPBACK, second.port());
+            group.next().submit(() -> pool.startCall(other, List.of(part("b", null, LONG, 10)))).get();
             assertTrue(first.ended(idle));
             second.call().answer(Host.OK);
             assertEquals(Outcome.OK, reply().outcome());
@@ -109,15 +109,15 @@
             new Figures());
     }
 
-    private void callOther(HostPool pool, int number, Host host, HostPool.Part part) throws Exception {
+    private void callOther(HostPool pool, int number, Host host, HostPool.Attempt part) throws Exception {
         HostList.Host other = new HostList.Host(number, "s-" + number);
-        other.dial = new InetSocketAddress(Platform.LOOPBACK, host.port());
+        other.address = new InetSocketAddress(Platform.LOOPBACK, host.port());
         other.ready = true;
-        group.next().submit(() -> pool.call(other, List.of(part))).get();
+        group.next().submit(() -> pool.startCall(other, List.of(part))).get();
     }
 
     private int held(HostPool pool) throws Exception {
-        return group.next().submit(pool::held).get();
+        return group.next().submit(pool::connectionCount).get();
     }
 
     /** Guards the descriptors: where each connection carries a call, one more call waits for one of them. */
@@ -148,12 +148,12 @@
             HostPool pool = narrow(1);
             callOther(pool, 1, first, part("a", null, LONG, 10));
             Host.Call out = first.call();
-            HostPool.Part late = part("late", null, LONG, 10);
+            HostPool.Attempt late = part("late", null, LONG, 10);
             callOther(pool, 2, second, late);
             group.next().submit(late::giveUp).get();
             assertEquals(Outcome.CONNECT_FAILED, reply().outcome());
             call(pool, second.port(), part("back", null, LONG, 10));
-            group.next().submit(() -> pool.takeBack(listed)).get();
+            group.next().submit(() -> pool.cancelUnsent(listed)).get();
             assertEquals(Outcome.NOT_SENT, reply().outcome());
             callOther(pool, 2, second, part("goes", null, LONG, 10));
             out.answer(Host.OK);
@@ -189,7 +189,7 @@
                 return false;
             }
         }, LONG, KEEP_ALIVE, 100, new Figures());
-        HostPool.Part first = part("a", null, LONG, 10), second = part("b", null, LONG, 10);
+        HostPool.Attempt first = part("a", null, LONG, 10), second = part("b", null, LONG, 10);
         call(pool, 9, first, second);
         group.next().submit(first::giveUp).get();
         assertEquals(1, held(pool), "the other still waits");
@@ -241,7 +241,7 @@
             call(pool, host.port(), 200_000, 10);
             Host.Call late = host.call();
             assertEquals(Outcome.TIMEOUT, reply().outcome());
-            HostPool.Part call = call(pool, host.port(), LONG, 10);
+            HostPool.Attempt call = call(pool, host.port(), LONG, 10);
             Host.Call second = host.call();
             assertNotSame(late.socket(), second.socket());
             group.next().submit(call::cancel).get();
@@ -269,7 +269,7 @@
                 }
             }
             call(pool, listener.getLocalPort(), LONG, 10);
-            group.next().submit(() -> pool.takeBack(listed)).get();
+            group.next().submit(() -> pool.cancelUnsent(listed)).get();
             assertEquals(Outcome.NOT_SENT, reply().outcome());
             for (Socket filler : fillers) {
                 filler.close();
@@ -286,7 +286,7 @@
             Host.Call first = host.call();
             first.answer(Host.OK);
             reply();
-            while (group.next().submit(() -> pool.idle(listed)).get() > 0) {
+            while (group.next().submit(() -> pool.idleCount(listed)).get() > 0) {
                 Thread.sleep(20);
             }
             call(pool, host.port(), LONG, 10);
@@ -331,7 +331,7 @@
             call.socket().close();
             HostPool.Reply reply = reply();
             assertEquals(Outcome.OK, reply.outcome());
-            assertTrue(reply.over());
+            assertTrue(reply.messageOver());
         }
     }
 
@@ -430,9 +430,9 @@
                 Host.Call call = host.call();
                 first = first == null ? call.socket() : first;
                 assertSame(first, call.socket());
-                call.answer(answer("200 OK", "", "x".repeat(AnswerDecoder.BODY_BYTES_MAX)));
+                call.answer(answer("200 OK", "", "x".repeat(ResponseDecoder.MAX_BODY_BYTES)));
                 assertEquals(Outcome.OK, reply().outcome());
-                while (group.next().submit(() -> pool.idle(listed)).get() == 0) {
+                while (group.next().submit(() -> pool.idleCount(listed)).get() == 0) {
                     Thread.onSpinWait();
                 }
             }
@@ -447,7 +447,7 @@
             call(pool(KEEP_ALIVE), host.port(), LONG, 10);
             Host.Call call = host.call();
             call.answer("HTTP/1.1 " + status + " x\r\nContent-Length: 100000\r\n\r\n"
-                + "x".repeat(AnswerDecoder.BODY_BYTES_MAX + 1));
+                + "x".repeat(ResponseDecoder.MAX_BODY_BYTES + 1));
             assertEquals(outcome, reply().outcome());
             assertTrue(host.ended(call));
         }
@@ -473,8 +473,8 @@
             for (int i = 0; i < outcomes.size(); i++) {
                 HostPool.Reply reply = reply();
                 assertEquals(outcomes.get(i), reply.outcome());
-                assertEquals(over.get(i), reply.over());
-                assertEquals(500_000, reply.waitFor());
+                assertEquals(over.get(i), reply.messageOver());
+                assertEquals(500_000, reply.retryAfterMicros());
             }
             call(pool, host.port(), LONG, 10);
             assertSame(call.socket(), host.call().socket());
@@ -499,7 +499,7 @@
     void aBundleWhoseAnswerNeverEndsIsGivenUpAndItsConnectionClosed() throws Exception {
         try (Host host = new Host()) {
             HostPool pool = pool(KEEP_ALIVE);
-            HostPool.Part first = part("a", null, LONG, 2), second = part("b", null, LONG, 2);
+            HostPool.Attempt first = part("a", null, LONG, 2), second = part("b", null, LONG, 2);
             call(pool, host.port(), first, second);
             Host.Call call = host.call();
             call.answer("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n[{\"id\":\"a\",\"state\":\"accepted\"},");
@@ -543,10 +543,10 @@
     void aMessageGivenUpBeforeItsConnectionIsUpDoesNotGoOut() throws Exception {
         try (Host host = new Host()) {
             HostPool pool = pool(KEEP_ALIVE);
-            HostPool.Part first = part("a", null, LONG, 2);
-            listed.dial = new InetSocketAddress(Platform.LOOPBACK, host.port());
+            HostPool.Attempt first = part("a", null, LONG, 2);
+            listed.address = new InetSocketAddress(Platform.LOOPBACK, host.port());
             group.next().submit(() -> {
-                pool.call(listed, List.of(first, part("b", null, LONG, 2)));
+                pool.startCall(listed, List.of(first, part("b", null, LONG, 2)));
                 first.cancel();
             }).get();
             Host.Call call = host.call();
@@ -573,7 +573,7 @@
     @Test
     void aMessageGivenUpWhileItsBundleIsHalfWrittenMayRun() throws Exception {
         try (ServerSocket listener = slowReader()) {
-            HostPool.Part first = part("given-up", null, LONG, 16 << 20);
+            HostPool.Attempt first = part("given-up", null, LONG, 16 << 20);
             call(pool(KEEP_ALIVE), listener.getLocalPort(), first, part("goes-on", null, LONG, 1));
             Socket socket = listener.accept();
             assertTrue(socket.getInputStream().read() >= 0, "a byte of it is out");
@@ -593,7 +593,7 @@
     void aCallGivenUpWhileItIsHalfWrittenNeverReachesItsEnd() throws Exception {
         try (ServerSocket listener = slowReader()) {
             int bytes = 16 << 20;
-            HostPool.Part only = part("a", null, LONG, bytes);
+            HostPool.Attempt only = part("a", null, LONG, bytes);
             call(pool(KEEP_ALIVE), listener.getLocalPort(), only);
             Socket socket = listener.accept();
             Host.head(socket.getInputStream());
@@ -607,7 +607,7 @@
     @Test
     void theLastMessageGivenUpClosesItsHalfWrittenBundle() throws Exception {
         try (ServerSocket listener = slowReader()) {
-            HostPool.Part first = part("a", null, LONG, 16 << 20), last = part("b", null, LONG, 1);
+            HostPool.Attempt first = part("a", null, LONG, 16 << 20), last = part("b", null, LONG, 1);
             call(pool(KEEP_ALIVE), listener.getLocalPort(), first, last);
             Socket socket = listener.accept();
             Host.head(socket.getInputStream());
@@ -626,17 +626,17 @@
             throw new ChannelException("too many open files");
         }, LONG, KEEP_ALIVE, 100, new Figures());
         BlockingQueue<Boolean> onThread = new LinkedBlockingQueue<>();
-        HostPool.Part part = new HostPool.Part(part("a", null, LONG, 1).message(), LONG, reply -> {
+        HostPool.Attempt part = new HostPool.Attempt(part("a", null, LONG, 1).message(), LONG, reply -> {
             replies.add(reply);
             onThread.add(group.next().inEventLoop());
         });
         call(pool, 9, part);
         assertEquals(Outcome.NO_SOCKET, reply().outcome());
         assertTrue(onThread.take());
-        HostPool.Part takenBack = part("b", null, LONG, 1);
+        HostPool.Attempt takenBack = part("b", null, LONG, 1);
         group.next().submit(() -> {
-            pool.call(listed, List.of(takenBack));
-            pool.takeBack(listed);
+            pool.startCall(listed, List.of(takenBack));
+            pool.cancelUnsent(listed);
         }).get();
         assertEquals(Outcome.NOT_SENT, reply().outcome());
     }
@@ -661,7 +661,7 @@
     @Test
     void aConnectionIsClosedThoughTheReplyCannotBeTold() throws Exception {
         try (Host host = new Host()) {
-            HostPool.Part part = new HostPool.Part(part("a", null, LONG, 1).message(), LONG, reply -> {
+            HostPool.Attempt part = new HostPool.Attempt(part("a", null, LONG, 1).message(), LONG, reply -> {
                 throw new IllegalStateException("forced by the test");
             });
             call(pool(KEEP_ALIVE), host.port(), part);
@@ -676,7 +676,7 @@
     void aMessageCalledOffBeforeItsCallIsMadeDoesNotGoOut() throws Exception {
         try (Host host = new Host()) {
             HostPool pool = pool(KEEP_ALIVE);
-            HostPool.Part alone = part("alone", null, LONG, 1), first = part("first", null, LONG, 1);
+            HostPool.Attempt alone = part("alone", null, LONG, 1), first = part("first", null, LONG, 1);
             group.next().submit(alone::cancel).get();
             group.next().submit(first::cancel).get();
             assertEquals(Outcome.CANCELLED, reply().outcome());
@@ -696,7 +696,7 @@
     @Test
     void oneMessageOfABundleIsCalledOffAlone() throws Exception {
         try (Host host = new Host()) {
-            HostPool.Part first = part("a", null, LONG, 2);
+            HostPool.Attempt first = part("a", null, LONG, 2);
             call(pool(KEEP_ALIVE), host.port(), first, part("b", null, LONG, 2));
             Host.Call call = host.call();
             group.next().submit(first::cancel).get();
--- a/src/test/java/wrenkeel/net/JournalTest.java
+++ b/src/test/java/wrenkeel/net/JournalTest.java
@@ -102,7 +102,7 @@
                 {"message":"a","outcome":"handed_back","retry_in_ms":500}
                 {"message":"b","outcome":"handed_back"}
                 {"message":"c","outcome":"given_up"}
-                """, NoticeBody.of(List.copyOf(journal.owed())));
+                """, NoticeBody.encode(List.copyOf(journal.owed())));
         }
     }
 
--- a/src/test/java/wrenkeel/net/KnowledgeTest.java
+++ b/src/test/java/wrenkeel/net/KnowledgeTest.java
@@ -24,20 +24,20 @@
         try (Platform platform = new Platform(folder)) {
             Config config = platform.config(names);
             HostList hosts = new HostList(config.zones(), config.kinds());
-            hosts.take(config.known().open());
+            hosts.load(config.known().open());
             Control control = new Control(1, config.settings());
             List<Relay.Event> events = new ArrayList<>();
             for (long d = 0; d < HOSTS; d++) {
-                events.add(new Relay.Introduced(hosts.tell(d).endpoints()));
+                events.add(new Relay.Introduced(hosts.activate(d).endpoints()));
             }
-            long waiting = hosts.named("s-1999").number;
+            long waiting = hosts.hostByName("s-1999").id;
             events.add(Relay.Known.waiting(waiting, 90 * SECOND));
             control.turn(SECOND, events);
             List<Relay.Known> all = control.knowledge();
             assertEquals(HOSTS, all.size());
             String text = Knowledge.write(all, hosts, time -> time, 20_000);
             assertTrue(text.length() >= 20_000 && text.length() < 20_500, "characters: " + text.length());
-            List<Relay.Event> read = Knowledge.read(text, hosts, hosts::named, time -> time);
+            List<Relay.Event> read = Knowledge.read(text, hosts, hosts::hostByName, time -> time);
             assertTrue(read.size() > 50 && read.size() < HOSTS / 10);
             assertEquals(waiting, ((Relay.Known) read.get(0)).endpoint());
             assertEquals(90 * SECOND, ((Relay.Known) read.get(0)).waitUntil());
--- a/src/test/java/wrenkeel/net/ListTimingTest.java
+++ b/src/test/java/wrenkeel/net/ListTimingTest.java
@@ -15,19 +15,19 @@
     void afterASilentWatchAConnectThatHangsAndARefusedListTheListIsThereInTime() {
         long silentWatch = ListTiming.WATCH_WAIT_MS + ListTiming.WATCH_SLACK_MS;
         long worst = silentWatch + NEVER_COMES_UP + REFUSED_LIST + LIST;
-        assertTrue(worst <= ListTiming.budget(ListTiming.TOLD_AFTER_MS), worst + " ms");
+        assertTrue(worst <= ListTiming.budget(ListTiming.CHANGE_DEADLINE_MS), worst + " ms");
     }
 
     @Test
     void afterTheLongestGapBetweenFaultsTheListIsThereInTime() {
         long worst = ListTiming.MAX_FAULT_GAP_MS + NEVER_COMES_UP + NO_ANSWER + LIST;
-        assertTrue(worst <= ListTiming.budget(ListTiming.TOLD_AFTER_MS), worst + " ms");
+        assertTrue(worst <= ListTiming.budget(ListTiming.CHANGE_DEADLINE_MS), worst + " ms");
     }
 
     @Test
     void afterAReloadTheListIsThereInTime() {
         long worst = ListTiming.RETRY_GAP_MS + NEVER_COMES_UP + NO_ANSWER + REFUSED_LIST + LIST;
-        assertTrue(worst <= ListTiming.budget(ListTiming.TOLD_AFTER_RELOAD_MS), worst + " ms");
+        assertTrue(worst <= ListTiming.budget(ListTiming.CHANGE_DEADLINE_AFTER_RELOAD_MS), worst + " ms");
     }
 
     @Test
--- a/src/test/java/wrenkeel/net/NodeTest.java
+++ b/src/test/java/wrenkeel/net/NodeTest.java
@@ -315,11 +315,11 @@
     @Test
     void aWatchThatFallsSilentIsAskedAnewWithoutWaiting() throws Exception {
         long countsAsTold = 6_000, toAskAndToStop = 1_000;
-        assertTrue(Discovery.WAIT + Discovery.WAIT_SLACK + toAskAndToStop <= countsAsTold);
+        assertTrue(Discovery.WATCH_WAIT_MS + Discovery.WATCH_SLACK_MS + toAskAndToStop <= countsAsTold);
         try (Node relay = relay()) {
             assertNotNull(relay.address());
             assertEquals("after=1&wait_ms=1", platform.asked.take());
-            assertEquals("after=1&wait_ms=" + Discovery.WAIT, platform.asked.take());
+            assertEquals("after=1&wait_ms=" + Discovery.WATCH_WAIT_MS, platform.asked.take());
             assertEquals("after=1&wait_ms=1", platform.asked.poll(Platform.PATIENCE_S, TimeUnit.SECONDS));
         }
     }
--- a/src/test/java/wrenkeel/net/NoticeSenderTest.java
+++ b/src/test/java/wrenkeel/net/NoticeSenderTest.java
@@ -62,7 +62,7 @@
             IntConsumer answered = whenAnswered;
             whenAnswered = null;
             if (answered != null) {
-                answered.accept(NO_ANSWER);
+                answered.accept(NO_RESPONSE);
             }
         }
 
@@ -215,7 +215,7 @@
     void quickFailuresAreRetriedWithGaps() throws Exception {
         decide("a");
         for (int i = 0; i < 10_000; i++) {
-            carrying("a").forEach(c -> c.answer(posts % 2 == 0 ? BROKEN_DOWN : NoticeConnection.NO_ANSWER));
+            carrying("a").forEach(c -> c.answer(posts % 2 == 0 ? BROKEN_DOWN : NoticeConnection.NO_RESPONSE));
             pass(1);
         }
         assertTrue(posts >= 10 && posts <= 40, posts + " posts in 10 s");
@@ -233,7 +233,7 @@
         decide("b");
         Connection kept = only("b");
         assertSame(connections.get(0), kept);
-        kept.answer(NoticeConnection.NO_ANSWER);
+        kept.answer(NoticeConnection.NO_RESPONSE);
         assertNotSame(kept, only("b"));
     }
 
