--- a/src/main/java/wrenkeel/net/HostPool.java
+++ b/src/main/java/wrenkeel/net/HostPool.java
@@ -45,9 +45,9 @@
 final class HostPool {
     private static final Logger LOG = LoggerFactory.getLogger(HostPool.class);
     /** ms; a connection is not used again, and is closed, so long before the host may close it. */
-    private static final long IDLE_MARGIN = 1_000, SWEEP = 250;
+    private static final long IDLE_MARGIN_MS = 1_000, SWEEP_INTERVAL_MS = 250;
     /** ns; an answer that has begun and is not at its end by then will not be waited for. */
-    private static final long ANSWER_MOST = TimeUnit.SECONDS.toNanos(2);
+    private static final long MAX_RESPONSE_NANOS = TimeUnit.SECONDS.toNanos(2);
 
     /** What came back; times in microseconds, {@code slotsLeft} and {@code slotLimit} -1 if untold. */
     record Reply(Outcome outcome, boolean messageOver, long retryAfterMicros, long latencyMicros, double slotsLeft, double slotLimit) { }
@@ -55,18 +55,18 @@
     /** One message's part in a call, from when it was asked for until its reply. */
     static final class Attempt {
         private final Message message;
-        private final long patience;
-        private final Consumer<Reply> whenEnded;
-        private final long began = System.nanoTime();
-        private Future<?> timer;
+        private final long timeoutMicros;
+        private final Consumer<Reply> onReply;
+        private final long startNanos = System.nanoTime();
+        private Future<?> timeout;
         private Call call;
         private boolean ended;
 
-        /** It ends within {@code patience} microseconds; its reply comes exactly once. */
-        Attempt(Message message, long patience, Consumer<Reply> whenEnded) {
+        /** It ends within {@code timeoutMicros} microseconds; its reply comes exactly once. */
+        Attempt(Message message, long timeoutMicros, Consumer<Reply> onReply) {
             this.message = message;
-            this.patience = patience;
-            this.whenEnded = whenEnded;
+            this.timeoutMicros = timeoutMicros;
+            this.onReply = onReply;
         }
 
         Message message() {
@@ -79,191 +79,191 @@
         }
 
         /** Its time is up. */
-        void giveUp() {
+        void expire() {
             abandon(call.mayRunWithout(this) ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED);
         }
 
         /** The connection closes before the reply is told, so that no byte can leave after it. */
         private void abandon(Outcome outcome) {
             if (!ended) {
-                settle();
-                if (call != null && call.over() && call.channel != null) {
+                markEnded();
+                if (call != null && call.hasEnded() && call.channel != null) {
                     call.channel.close();
                 }
-                whenEnded.accept(reply(outcome));
+                onReply.accept(replyFor(outcome));
             }
         }
 
         private void end(Outcome outcome) {
-            end(reply(outcome));
+            end(replyFor(outcome));
         }
 
         private void end(Reply reply) {
             if (!ended) {
-                settle();
-                whenEnded.accept(reply);
+                markEnded();
+                onReply.accept(reply);
             }
         }
 
-        private void settle() {
+        private void markEnded() {
             ended = true;
             if (call == null) {
                 // Called off in the turn that asked for it, before its call was made.
                 return;
             }
-            timer.cancel(false);
-            if (call.over()) {
-                call.pool.connecting.remove(call);
+            timeout.cancel(false);
+            if (call.hasEnded()) {
+                call.connections.unsent.remove(call);
             }
         }
 
         /** An answer whose first line said 200 has delivered, whatever became of the rest of it. */
-        private Reply reply(Outcome outcome) {
+        private Reply replyFor(Outcome outcome) {
             boolean delivered = call != null && call.delivered;
-            return new Reply(delivered ? Outcome.OK : outcome, delivered, 0, latency(), -1, -1);
+            return new Reply(delivered ? Outcome.OK : outcome, delivered, 0, latencyMicros(), -1, -1);
         }
 
-        private long latency() {
-            return (System.nanoTime() - began) / 1_000;
+        private long latencyMicros() {
+            return (System.nanoTime() - startNanos) / 1_000;
         }
     }
 
     /** What goes out as one request: a message, or a bundle of them that share its fate. */
     private static final class Call {
         final HostList.Host host;
-        final List<Attempt> parts;
-        final Pool pool;
+        final List<Attempt> attempts;
+        final HostConnections connections;
         Channel channel;
         /** Bytes of it may have been handed to the socket; all of them, once it is written. */
-        boolean begun;
+        boolean writeBegun;
         boolean written;
         /** The first line of its answer said 200, which settles a call with one message. */
         boolean delivered;
 
-        Call(HostList.Host host, List<Attempt> parts, Pool pool) {
+        Call(HostList.Host host, List<Attempt> attempts, HostConnections connections) {
             this.host = host;
-            this.parts = parts;
-            this.pool = pool;
-            parts.forEach(part -> part.call = this);
+            this.attempts = attempts;
+            this.connections = connections;
+            attempts.forEach(attempt -> attempt.call = this);
         }
 
-        boolean bundle() {
-            return parts.size() > 1;
+        boolean isBatch() {
+            return attempts.size() > 1;
         }
 
-        boolean over() {
-            return parts.stream().allMatch(part -> part.ended);
+        boolean hasEnded() {
+            return attempts.stream().allMatch(attempt -> attempt.ended);
         }
 
         /** True if the endpoint may run a part that is given up now: others keep a call on its way. */
-        boolean mayRunWithout(Attempt part) {
-            return written || begun && parts.stream().anyMatch(other -> other != part && !other.ended);
+        boolean mayRunWithout(Attempt attempt) {
+            return written || writeBegun && attempts.stream().anyMatch(other -> other != attempt && !other.ended);
         }
 
         void end(Outcome outcome) {
-            parts.forEach(part -> part.end(outcome));
+            attempts.forEach(attempt -> attempt.end(outcome));
         }
 
         FullHttpRequest request() {
-            return CallRequest.encode(host.address, parts.stream().map(Attempt::message).toList(), left());
+            return CallRequest.encode(host.address, attempts.stream().map(Attempt::message).toList(), remainingMillis());
         }
 
         /** ms until the last of its parts stops waiting. */
-        private long left() {
-            long most = parts.stream().mapToLong(part -> part.patience - part.latency()).max().orElse(0);
-            return Math.max(1, most / 1_000);
+        private long remainingMillis() {
+            long longest = attempts.stream().mapToLong(attempt -> attempt.timeoutMicros - attempt.latencyMicros()).max().orElse(0);
+            return Math.max(1, longest / 1_000);
         }
     }
 
-    private static final class Pool {
+    private static final class HostConnections {
         /** Idle connections, the latest used last. */
         final ArrayDeque<Connection> idle = new ArrayDeque<>();
         final Set<Connection> open = new HashSet<>();
         /** Calls of which no byte has gone out. */
-        final Set<Call> connecting = new HashSet<>();
-        InetSocketAddress dial;
+        final Set<Call> unsent = new HashSet<>();
+        InetSocketAddress address;
     }
 
     private final EventLoop loop;
     private final Bootstrap bootstrap;
-    private long idleLimit;
+    private long idleLimitNanos;
     private final Figures figures;
     /** Connections at once, those that are still to come up included; and how many there are. */
-    private int most;
-    private int held;
-    private final Map<Long, Pool> pools = new HashMap<>();
+    private int maxConnections;
+    private int connectionCount;
+    private final Map<Long, HostConnections> connectionsByHost = new HashMap<>();
     /** All idle connections, the one idle for the longest first. */
-    private final Set<Connection> resting = new LinkedHashSet<>();
+    private final Set<Connection> idleOldestFirst = new LinkedHashSet<>();
     /** Calls that wait until there may be one more connection, the longest first. */
-    private final ArrayDeque<Call> waiting = new ArrayDeque<>();
+    private final ArrayDeque<Call> waitingCalls = new ArrayDeque<>();
 
     /**
-     * {@code most}: connections at once. Beyond that, ones that carry no call are closed; where all carry
+     * {@code maxConnections}: connections at once. Beyond that, ones that carry no call are closed; where all carry
      * one, further calls wait, each for its patience.
      */
-    HostPool(EventLoop loop, Bootstrap bootstrap, long connectTimeout, long keepAlive, int most,
+    HostPool(EventLoop loop, Bootstrap bootstrap, long connectTimeoutMicros, long keepAliveMicros, int most,
              Figures figures) {
-        this(loop, bootstrap, NioSocketChannel::new, connectTimeout, keepAlive, most, figures);
+        this(loop, bootstrap, NioSocketChannel::new, connectTimeoutMicros, keepAliveMicros, most, figures);
     }
 
     /** {@code sockets}: makes the channels of connections; what it throws fails the call. */
-    HostPool(EventLoop loop, Bootstrap bootstrap, ChannelFactory<Channel> sockets, long connectTimeout,
-             long keepAlive, int most, Figures figures) {
+    HostPool(EventLoop loop, Bootstrap bootstrap, ChannelFactory<Channel> channelFactory, long connectTimeoutMicros,
+             long keepAliveMicros, int most, Figures figures) {
         this.loop = loop;
         this.figures = figures;
-        this.bootstrap = bootstrap.clone(loop).channelFactory(sockets)
+        this.bootstrap = bootstrap.clone(loop).channelFactory(channelFactory)
             .option(ChannelOption.TCP_NODELAY, true)
             .handler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel channel) {
                     Connection connection = new Connection();
-                    channel.pipeline().addLast(new HttpRequestEncoder(), connection.answers, connection);
+                    channel.pipeline().addLast(new HttpRequestEncoder(), connection.decoder, connection);
                 }
             });
-        setLimits(connectTimeout, keepAlive, most);
-        loop.scheduleWithFixedDelay(this::sweepSafely, SWEEP, SWEEP, TimeUnit.MILLISECONDS);
+        setLimits(connectTimeoutMicros, keepAliveMicros, most);
+        loop.scheduleWithFixedDelay(this::sweepSafely, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Other limits hold from the next connection on. */
-    void setLimits(long connectTimeout, long keepAlive, int connections) {
-        most = connections;
-        long millis = keepAlive / 1_000;
-        idleLimit = TimeUnit.MILLISECONDS.toNanos(Math.max(millis / 2, millis - IDLE_MARGIN));
-        bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeout / 1_000));
-        roomMayBeFree();
+    void setLimits(long connectTimeoutMicros, long keepAliveMicros, int connections) {
+        maxConnections = connections;
+        long millis = keepAliveMicros / 1_000;
+        idleLimitNanos = TimeUnit.MILLISECONDS.toNanos(Math.max(millis / 2, millis - IDLE_MARGIN_MS));
+        bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutMicros / 1_000));
+        scheduleDispatch();
     }
 
-    private Pool pool(HostList.Host host) {
-        return pools.computeIfAbsent(host.id, n -> new Pool());
+    private HostConnections connectionsTo(HostList.Host host) {
+        return connectionsByHost.computeIfAbsent(host.id, n -> new HostConnections());
     }
 
     /** Begins one call that carries these parts, but for those that have been called off. */
-    void startCall(HostList.Host host, List<Attempt> parts) {
-        List<Attempt> wanted = new ArrayList<>(parts);
-        wanted.removeIf(part -> part.ended);
+    void startCall(HostList.Host host, List<Attempt> attempts) {
+        List<Attempt> wanted = new ArrayList<>(attempts);
+        wanted.removeIf(attempt -> attempt.ended);
         if (wanted.isEmpty()) {
             return;
         }
-        Pool pool = pool(host);
-        Call call = new Call(host, wanted, pool);
-        for (Attempt part : call.parts) {
-            part.timer = loop.schedule(part::giveUp, part.patience, TimeUnit.MICROSECONDS);
+        HostConnections connections = connectionsTo(host);
+        Call call = new Call(host, wanted, connections);
+        for (Attempt attempt : call.attempts) {
+            attempt.timeout = loop.schedule(attempt::expire, attempt.timeoutMicros, TimeUnit.MICROSECONDS);
         }
-        pool.connecting.add(call);
-        waiting.removeIf(Call::over);
-        if (!waiting.isEmpty() || !dispatch(call)) {
-            waiting.addLast(call);
+        connections.unsent.add(call);
+        waitingCalls.removeIf(Call::hasEnded);
+        if (!waitingCalls.isEmpty() || !tryDispatch(call)) {
+            waitingCalls.addLast(call);
         }
     }
 
     /** Begins a call on an idle connection or a new one; false if there may be none now. */
-    private boolean dispatch(Call call) {
-        Connection idle = idleConnection(call);
+    private boolean tryDispatch(Call call) {
+        Connection idle = takeIdleConnection(call);
         if (idle != null) {
-            idle.begin(call);
+            idle.start(call);
             return true;
         }
-        if (!makeRoom()) {
+        if (!ensureCapacity()) {
             return false;
         }
         connect(call);
@@ -271,13 +271,13 @@
     }
 
     /** The connection to the call's host that was used last; null if none can be used. */
-    private Connection idleConnection(Call call) {
-        for (Connection c = call.pool.idle.pollLast(); c != null; c = call.pool.idle.pollLast()) {
-            resting.remove(c);
-            if (c.usable(call.host)) {
-                return c;
+    private Connection takeIdleConnection(Call call) {
+        for (Connection connection = call.connections.idle.pollLast(); connection != null; connection = call.connections.idle.pollLast()) {
+            idleOldestFirst.remove(connection);
+            if (connection.isUsableFor(call.host)) {
+                return connection;
             }
-            c.channel.close();
+            connection.channel.close();
         }
         return null;
     }
@@ -290,78 +290,78 @@
             loop.execute(() -> call.end(Outcome.NO_SOCKET));
             return;
         }
-        held++;
+        connectionCount++;
         call.channel = connect.channel();
         call.channel.closeFuture().addListener(closed -> {
-            held--;
-            roomMayBeFree();
+            connectionCount--;
+            scheduleDispatch();
         });
         connect.addListener(done -> {
             if (!done.isSuccess()) {
-                call.end(isOfThisMachine(done.cause()) ? Outcome.NO_SOCKET : Outcome.CONNECT_FAILED);
-            } else if (call.over()) {
+                call.end(isLocalFailure(done.cause()) ? Outcome.NO_SOCKET : Outcome.CONNECT_FAILED);
+            } else if (call.hasEnded()) {
                 call.channel.close();
             } else {
                 Connection c = call.channel.pipeline().get(Connection.class);
-                c.pool = call.pool;
-                call.pool.open.add(c);
-                c.begin(call);
+                c.connections = call.connections;
+                call.connections.open.add(c);
+                c.start(call);
             }
         });
     }
 
     /** True for a connect that this machine did not even try: no address, buffer or way out for a moment. */
-    private static boolean isOfThisMachine(Throwable cause) {
+    private static boolean isLocalFailure(Throwable cause) {
         boolean ofTheEndpoint = cause instanceof ConnectException || cause instanceof NoRouteToHostException;
         return cause instanceof SocketException && !ofTheEndpoint;
     }
 
     /** Guards the descriptors: true if there may be one more connection, for which others may be closed. */
-    private boolean makeRoom() {
-        while (held >= most) {
-            Connection spare = spare();
+    private boolean ensureCapacity() {
+        while (connectionCount >= maxConnections) {
+            Connection spare = findExpendable();
             if (spare == null) {
                 return false;
             }
-            resting.remove(spare);
+            idleOldestFirst.remove(spare);
             spare.channel.close();
         }
         return true;
     }
 
     /** The connection idle for the longest, else one whose call is over and whose answer still comes in. */
-    private Connection spare() {
-        Stream<Connection> finishing = pools.values().stream().flatMap(pool -> pool.open.stream())
-            .filter(c -> c.call != null && c.call.over());
-        return Stream.concat(resting.stream(), finishing).filter(c -> c.channel.isActive()).findFirst()
+    private Connection findExpendable() {
+        Stream<Connection> finishing = connectionsByHost.values().stream().flatMap(connections -> connections.open.stream())
+            .filter(connection -> connection.call != null && connection.call.hasEnded());
+        return Stream.concat(idleOldestFirst.stream(), finishing).filter(connection -> connection.channel.isActive()).findFirst()
             .orElse(null);
     }
 
     /** A connection was closed, or carries no call any more. */
-    private void roomMayBeFree() {
-        if (!waiting.isEmpty()) {
+    private void scheduleDispatch() {
+        if (!waitingCalls.isEmpty()) {
             loop.execute(this::dispatchWaiting);
         }
     }
 
     private void dispatchWaiting() {
-        waiting.removeIf(Call::over);
-        while (!waiting.isEmpty() && dispatch(waiting.peekFirst())) {
-            waiting.removeFirst();
+        waitingCalls.removeIf(Call::hasEnded);
+        while (!waitingCalls.isEmpty() && tryDispatch(waitingCalls.peekFirst())) {
+            waitingCalls.removeFirst();
         }
     }
 
     /** How many connections there are, those that are still to come up included. */
     int connectionCount() {
-        return held;
+        return connectionCount;
     }
 
     /** Reads what hosts have answered to calls that are out: it may tell to wait. */
     void readPendingResponses(HostList.Host host) {
-        if (pools.containsKey(host.id)) {
-            for (Connection c : List.copyOf(pool(host).open)) {
-                if (c.call != null) {
-                    UnreadBytes.read(c.channel);
+        if (connectionsByHost.containsKey(host.id)) {
+            for (Connection connection : List.copyOf(connectionsTo(host).open)) {
+                if (connection.call != null) {
+                    UnreadBytes.read(connection.channel);
                 }
             }
         }
@@ -373,9 +373,9 @@
      * more.
      */
     void cancelUnsent(HostList.Host host) {
-        if (pools.containsKey(host.id)) {
-            for (Call call : List.copyOf(pool(host).connecting)) {
-                call.parts.forEach(part -> part.abandon(Outcome.NOT_SENT));
+        if (connectionsByHost.containsKey(host.id)) {
+            for (Call call : List.copyOf(connectionsTo(host).unsent)) {
+                call.attempts.forEach(attempt -> attempt.abandon(Outcome.NOT_SENT));
             }
         }
     }
@@ -384,31 +384,31 @@
      * Closes the connections to a host that carry no call; one whose answer is still coming in, after that.
      */
     void closeIdle(HostList.Host host) {
-        if (pools.containsKey(host.id)) {
-            closeIdle(pool(host));
+        if (connectionsByHost.containsKey(host.id)) {
+            closeIdle(connectionsTo(host));
         }
     }
 
-    private static void closeIdle(Pool pool) {
-        for (Connection c : List.copyOf(pool.open)) {
-            c.keep = false;
-            if (c.call == null) {
-                c.channel.close();
+    private static void closeIdle(HostConnections connections) {
+        for (Connection connection : List.copyOf(connections.open)) {
+            connection.reusable = false;
+            if (connection.call == null) {
+                connection.channel.close();
             }
         }
-        pool.idle.clear();
+        connections.idle.clear();
     }
 
     /** Closes all connections that carry no call; the others, once they carry none. */
     void closeAllIdle() {
-        for (Pool pool : pools.values()) {
-            closeIdle(pool);
+        for (HostConnections connections : connectionsByHost.values()) {
+            closeIdle(connections);
         }
     }
 
     /** How many idle connections to a host are held. */
     int idleCount(HostList.Host host) {
-        return pools.containsKey(host.id) ? pool(host).idle.size() : 0;
+        return connectionsByHost.containsKey(host.id) ? connectionsTo(host).idle.size() : 0;
     }
 
     /** A periodic task that throws is never run again, and stale connections would be used for ever. */
@@ -421,12 +421,12 @@
     }
 
     private void sweep() {
-        pools.values().removeIf(pool -> pool.open.isEmpty() && pool.connecting.isEmpty());
-        for (Pool pool : pools.values()) {
+        connectionsByHost.values().removeIf(connections -> connections.open.isEmpty() && connections.unsent.isEmpty());
+        for (HostConnections connections : connectionsByHost.values()) {
             // Guards the descriptors against answers that never end: their calls are over already.
-            List.copyOf(pool.open).stream().filter(Connection::stuck).forEach(c -> c.channel.close());
-            while (!pool.idle.isEmpty() && pool.idle.peekFirst().stale()) {
-                pool.idle.pollFirst().channel.close();
+            List.copyOf(connections.open).stream().filter(Connection::isStuck).forEach(connection -> connection.channel.close());
+            while (!connections.idle.isEmpty() && connections.idle.peekFirst().isStale()) {
+                connections.idle.pollFirst().channel.close();
             }
         }
     }
@@ -436,60 +436,60 @@
      * the connection is free again at the answer's end.
      */
     private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
-        private final ResponseDecoder answers = new ResponseDecoder(this::began);
+        private final ResponseDecoder decoder = new ResponseDecoder(this::onStatusLine);
         private Channel channel;
-        private Pool pool;
+        private HostConnections connections;
         private Call call;
-        private InetSocketAddress dial;
-        private boolean answered;
-        private boolean keep = true;
-        private long answeredAt;
-        private long idleSince;
+        private InetSocketAddress address;
+        private boolean headReceived;
+        private boolean reusable = true;
+        private long headReceivedNanos;
+        private long idleSinceNanos;
         /** The head of a bundle's answer, and what has come of its body; null when none is being read. */
-        private HttpResponse fates;
-        private ByteArrayOutputStream states;
+        private HttpResponse batchHead;
+        private ByteArrayOutputStream batchBody;
 
         @Override
         public void handlerAdded(ChannelHandlerContext context) {
             channel = context.channel();
         }
 
-        private boolean stale() {
-            return System.nanoTime() - idleSince >= idleLimit;
+        private boolean isStale() {
+            return System.nanoTime() - idleSinceNanos >= idleLimitNanos;
         }
 
-        private boolean stuck() {
-            return call != null && answered && System.nanoTime() - answeredAt >= ANSWER_MOST;
+        private boolean isStuck() {
+            return call != null && headReceived && System.nanoTime() - headReceivedNanos >= MAX_RESPONSE_NANOS;
         }
 
-        private boolean usable(HostList.Host host) {
-            return channel.isActive() && !stale() && host.address.equals(dial) && !answers.hasSurplusBytes();
+        private boolean isUsableFor(HostList.Host host) {
+            return channel.isActive() && !isStale() && host.address.equals(address) && !decoder.hasSurplusBytes();
         }
 
         /** The first line of an answer has been read. */
-        private void began(int status) {
-            if (call != null && !call.bundle() && status == 200) {
+        private void onStatusLine(int status) {
+            if (call != null && !call.isBatch() && status == 200) {
                 call.delivered = true;
             }
         }
 
-        private void begin(Call next) {
+        private void start(Call next) {
             call = next;
-            dial = next.host.address;
-            answered = false;
-            keep = true;
+            address = next.host.address;
+            headReceived = false;
+            reusable = true;
             next.channel = channel;
-            answers.expectResponse();
+            decoder.expectResponse();
             // The module has been told that these never ran, while the connection was not yet up.
-            next.parts.removeIf(part -> part.ended);
-            next.begun = true;
-            states = null;
-            pool.connecting.remove(next);
+            next.attempts.removeIf(attempt -> attempt.ended);
+            next.writeBegun = true;
+            batchBody = null;
+            connections.unsent.remove(next);
             if (!next.host.ready) {
                 figures.violated(Violation.SENT_WHILE_DRAINING);
                 LOG.error("{}: a call to {}", Violation.SENT_WHILE_DRAINING, next.host.name);
             }
-            int messages = next.parts.size();
+            int messages = next.attempts.size();
             // The promise of a write is kept when its last byte has been handed to the socket: from then on
             // the call may run, before that it cannot.
             channel.writeAndFlush(next.request()).addListener(done -> {
@@ -510,54 +510,54 @@
             }
             if (part instanceof HttpResponse head
                 && head.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
-                answered = true;
-                answeredAt = System.nanoTime();
-                keep &= HttpUtil.isKeepAlive(head) && call.written;
-                headed(head);
+                headReceived = true;
+                headReceivedNanos = System.nanoTime();
+                reusable &= HttpUtil.isKeepAlive(head) && call.written;
+                handleHead(head);
             }
-            if (part instanceof HttpContent content && states != null) {
-                bodied(content);
+            if (part instanceof HttpContent content && batchBody != null) {
+                handleBatchBody(content);
             }
-            if (part instanceof LastHttpContent && answered && channel.isActive()) {
+            if (part instanceof LastHttpContent && headReceived && channel.isActive()) {
                 call = null;
-                idleSince = System.nanoTime();
-                if (keep && !answers.hasSurplusBytes()) {
-                    pool.idle.addLast(this);
-                    resting.add(this);
-                    roomMayBeFree();
+                idleSinceNanos = System.nanoTime();
+                if (reusable && !decoder.hasSurplusBytes()) {
+                    connections.idle.addLast(this);
+                    idleOldestFirst.add(this);
+                    scheduleDispatch();
                 } else {
                     channel.close();
                 }
             }
         }
 
-        private void headed(HttpResponse head) {
-            if (call.bundle() && head.status().code() == 200) {
-                fates = head;
-                states = new ByteArrayOutputStream();
+        private void handleHead(HttpResponse head) {
+            if (call.isBatch() && head.status().code() == 200) {
+                batchHead = head;
+                batchBody = new ByteArrayOutputStream();
             } else {
-                call.parts.forEach(part -> part.end(ResponseOutcomes.reply(head, part.latency())));
-                roomMayBeFree();
+                call.attempts.forEach(attempt -> attempt.end(ResponseOutcomes.reply(head, attempt.latencyMicros())));
+                scheduleDispatch();
             }
         }
 
-        private void bodied(HttpContent content) {
+        private void handleBatchBody(HttpContent content) {
             byte[] bytes = ByteBufUtil.getBytes(content.content());
-            states.write(bytes, 0, bytes.length);
+            batchBody.write(bytes, 0, bytes.length);
             if (content instanceof LastHttpContent) {
-                Map<String, String> told = ResponseOutcomes.states(states.toByteArray());
-                call.parts.forEach(part ->
-                    part.end(ResponseOutcomes.reply(fates, told.get(part.message.id()), part.latency())));
-                states = null;
+                Map<String, String> states = ResponseOutcomes.states(batchBody.toByteArray());
+                call.attempts.forEach(attempt ->
+                    attempt.end(ResponseOutcomes.reply(batchHead, states.get(attempt.message.id()), attempt.latencyMicros())));
+                batchBody = null;
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            if (pool != null) {
-                pool.open.remove(this);
-                pool.idle.remove(this);
-                resting.remove(this);
+            if (connections != null) {
+                connections.open.remove(this);
+                connections.idle.remove(this);
+                idleOldestFirst.remove(this);
             }
             if (call != null) {
                 call.end(call.written ? Outcome.RESET : Outcome.CONNECT_FAILED);
--- a/src/test/java/wrenkeel/net/HostPoolTest.java
+++ b/src/test/java/wrenkeel/net/HostPoolTest.java
@@ -150,7 +150,7 @@
             Host.Call out = first.call();
             HostPool.Attempt late = part("late", null, LONG, 10);
             callOther(pool, 2, second, late);
-            group.next().submit(late::giveUp).get();
+            group.next().submit(late::expire).get();
             assertEquals(Outcome.CONNECT_FAILED, reply().outcome());
             call(pool, second.port(), part("back", null, LONG, 10));
             group.next().submit(() -> pool.cancelUnsent(listed)).get();
@@ -191,9 +191,9 @@
         }, LONG, KEEP_ALIVE, 100, new Figures());
         HostPool.Attempt first = part("a", null, LONG, 10), second = part("b", null, LONG, 10);
         call(pool, 9, first, second);
-        group.next().submit(first::giveUp).get();
+        group.next().submit(first::expire).get();
         assertEquals(1, held(pool), "the other still waits");
-        group.next().submit(second::giveUp).get();
+        group.next().submit(second::expire).get();
         assertEquals(Outcome.CONNECT_FAILED, reply().outcome());
         assertEquals(Outcome.CONNECT_FAILED, reply().outcome());
         assertEquals(0, held(pool));
@@ -503,9 +503,9 @@
             call(pool, host.port(), first, second);
             Host.Call call = host.call();
             call.answer("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n[{\"id\":\"a\",\"state\":\"accepted\"},");
-            group.next().submit(first::giveUp).get();
+            group.next().submit(first::expire).get();
             assertEquals(Outcome.TIMEOUT, reply().outcome());
-            group.next().submit(second::giveUp).get();
+            group.next().submit(second::expire).get();
             assertEquals(Outcome.TIMEOUT, reply().outcome());
             assertEquals(0, held(pool));
             assertTrue(host.ended(call));
@@ -577,7 +577,7 @@
             call(pool(KEEP_ALIVE), listener.getLocalPort(), first, part("goes-on", null, LONG, 1));
             Socket socket = listener.accept();
             assertTrue(socket.getInputStream().read() >= 0, "a byte of it is out");
-            group.next().submit(first::giveUp).get();
+            group.next().submit(first::expire).get();
             assertEquals(Outcome.TIMEOUT, reply().outcome());
             String head = String.join("\n", Host.head(socket.getInputStream()));
             int length = Integer.parseInt(head.replaceAll("(?s).*content-length: (\\d+).*", "$1"));
@@ -597,7 +597,7 @@
             call(pool(KEEP_ALIVE), listener.getLocalPort(), only);
             Socket socket = listener.accept();
             Host.head(socket.getInputStream());
-            group.next().submit(only::giveUp).get();
+            group.next().submit(only::expire).get();
             assertEquals(Outcome.CONNECT_FAILED, reply().outcome());
             assertTrue(socket.getInputStream().readAllBytes().length < bytes);
         }
@@ -611,8 +611,8 @@
             call(pool(KEEP_ALIVE), listener.getLocalPort(), first, last);
             Socket socket = listener.accept();
             Host.head(socket.getInputStream());
-            group.next().submit(first::giveUp).get();
-            group.next().submit(last::giveUp).get();
+            group.next().submit(first::expire).get();
+            group.next().submit(last::expire).get();
             assertEquals(Outcome.TIMEOUT, reply().outcome());
             assertEquals(Outcome.CONNECT_FAILED, reply().outcome());
             assertTrue(socket.getInputStream().readAllBytes().length < 16 << 20);
@@ -666,7 +666,7 @@
             });
             call(pool(KEEP_ALIVE), host.port(), part);
             Host.Call call = host.call();
-            assertThrows(ExecutionException.class, () -> group.next().submit(part::giveUp).get());
+            assertThrows(ExecutionException.class, () -> group.next().submit(part::expire).get());
             assertTrue(host.ended(call));
         }
     }
