--- a/src/main/java/wrenkeel/net/HostList.java
+++ b/src/main/java/wrenkeel/net/HostList.java
@@ -105,7 +105,7 @@
 
     /** Rows in use: as many as are listed, unless a list is being read. */
     int rowCount() {
-        return table.rows();
+        return table.rowCount();
     }
 
     /** Rows that have ever been in use at one time. */
@@ -115,13 +115,13 @@
 
     /** True for a destination that a list has named; it stays one while all of its hosts are gone. */
     boolean isKnown(long destination) {
-        return table.knows(destination);
+        return table.isKnown(destination);
     }
 
     /** The destination of a listed host; null if the list names none of this name. */
     Long destinationOf(String name) {
         byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
-        int row = table.named(bytes, bytes.length);
+        int row = table.rowByName(bytes, bytes.length);
         return row == HostTable.NONE ? null : (Long) table.destination(row);
     }
 
@@ -153,7 +153,7 @@
         if (released != null) {
             for (Host host : released) {
                 hosts.remove(host.id);
-                table.letGo(host.id, host.name);
+                table.releaseId(host.id, host.name);
             }
         }
     }
@@ -164,7 +164,7 @@
         if (host != null && !host.listed) {
             hosts.remove(number);
             told.get(host.destination).remove(host);
-            table.letGo(number, host.name);
+            table.releaseId(number, host.name);
         }
     }
 
@@ -176,7 +176,7 @@
     /** The host of this name, perhaps gone; null if the module has not been told of it. */
     Host hostByName(String name) {
         byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
-        Host host = hosts.get(table.numberOf(bytes, bytes.length));
+        Host host = hosts.get(table.idFor(bytes, bytes.length));
         return host != null && host.name.equals(name) ? host : null;
     }
 
@@ -192,11 +192,11 @@
      */
     Relay.Listed markDraining(Host host) {
         host.ready = false;
-        int row = table.numbered(host.id);
+        int row = table.rowById(host.id);
         if (row != HostTable.NONE && table.destination(row) == host.destination) {
             stands(row, true, false);
             if (reading != null) {
-                table.set(row, HostTable.DRAINED, true);
+                table.setFlag(row, HostTable.DRAINED_MEANWHILE, true);
                 reading.drained.add(host.id);
             }
         }
@@ -208,8 +208,8 @@
     private int[] rowsOf(long destination) {
         int[] rows = new int[4];
         int count = 0;
-        for (int row = table.firstOf(destination); row != HostTable.NONE; row = table.next(row)) {
-            if (table.has(row, HostTable.LISTED)) {
+        for (int row = table.firstRowOf(destination); row != HostTable.NONE; row = table.next(row)) {
+            if (table.hasFlag(row, HostTable.LISTED)) {
                 rows = count == rows.length ? Arrays.copyOf(rows, 2 * count) : rows;
                 rows[count++] = row;
             }
@@ -219,36 +219,36 @@
     }
 
     private Endpoint endpoint(int row) {
-        return new Endpoint(table.number(row), table.zone(row), table.kind(row), table.destination(row),
-            table.has(row, HostTable.READY) ? Listing.READY : Listing.DRAINING, table.share(row));
+        return new Endpoint(table.id(row), table.zone(row), table.kind(row), table.destination(row),
+            table.hasFlag(row, HostTable.READY) ? Listing.READY : Listing.DRAINING, table.share(row));
     }
 
     /** Brings the object of a listed host of a told destination up to its row, and makes it if need be. */
     private Host show(int row) {
         long destination = table.destination(row);
-        Host host = hosts.get(table.number(row));
+        Host host = hosts.get(table.id(row));
         if (host == null) {
-            host = new Host(table.number(row), table.name(row));
+            host = new Host(table.id(row), table.name(row));
             hosts.put(host.id, host);
         } else if (host.destination != destination) {
             told.get(host.destination).remove(host);
         }
         told.get(destination).add(host);
         host.destination = destination;
-        host.address = table.dial(row);
+        host.address = table.address(row);
         host.zone = table.zone(row);
         host.kind = table.kind(row);
-        host.ready = table.has(row, HostTable.READY);
+        host.ready = table.hasFlag(row, HostTable.READY);
         host.listed = true;
         return host;
     }
 
     private void stands(int row, boolean nowListed, boolean nowReady) {
-        boolean was = table.has(row, HostTable.LISTED);
+        boolean was = table.hasFlag(row, HostTable.LISTED);
         listed += (nowListed ? 1 : 0) - (was ? 1 : 0);
-        draining += (nowListed && !nowReady ? 1 : 0) - (was && !table.has(row, HostTable.READY) ? 1 : 0);
-        table.set(row, HostTable.LISTED, nowListed);
-        table.set(row, HostTable.READY, nowReady);
+        draining += (nowListed && !nowReady ? 1 : 0) - (was && !table.hasFlag(row, HostTable.READY) ? 1 : 0);
+        table.setFlag(row, HostTable.LISTED, nowListed);
+        table.setFlag(row, HostTable.READY, nowReady);
     }
 
     // ---- Lists --------------------------------------------------------------------------------------
@@ -326,23 +326,23 @@
             reading = null;
             for (int entry = first; entry != HostTable.NONE;) {
                 int next = table.next(entry);
-                int row = table.host(entry);
+                int row = table.rowOfEntry(entry);
                 if (row != HostTable.NONE) {
-                    table.set(row, HostTable.CHANGED, false);
+                    table.setFlag(row, HostTable.HAS_ENTRY, false);
                 }
                 table.free(entry);
                 entry = next;
             }
             for (int row = 0; marked && row < table.end(); row++) {
-                table.set(row, HostTable.SEEN, false);
+                table.setFlag(row, HostTable.SEEN_IN_UPDATE, false);
             }
             for (long number : drained) {
-                int row = table.numbered(number);
+                int row = table.rowById(number);
                 if (row != HostTable.NONE) {
-                    table.set(row, HostTable.DRAINED, false);
+                    table.setFlag(row, HostTable.DRAINED_MEANWHILE, false);
                 }
             }
-            table.tidy();
+            table.compactArena();
             text.close();
         }
 
@@ -353,20 +353,20 @@
         }
 
         private void read(ListReader.Entry entry) throws Wire.Malformed {
-            int row = table.named(entry.name, entry.nameLength);
+            int row = table.rowByName(entry.name, entry.nameLength);
             boolean known = row != HostTable.NONE;
             if (known && text.mayBeWhole()) {
-                table.set(row, HostTable.SEEN, true);
+                table.setFlag(row, HostTable.SEEN_IN_UPDATE, true);
                 marked = true;
             }
             // The module hears of what is named again too; and a later entry counts, not an earlier one.
-            if (known && table.same(row, entry) && !table.has(row, HostTable.CHANGED)
+            if (known && table.matches(row, entry) && !table.hasFlag(row, HostTable.HAS_ENTRY)
                 && !told.containsKey(entry.destination)) {
                 return;
             }
-            int added = table.add(entry, row);
+            int added = table.addEntry(entry, row);
             if (known) {
-                table.set(row, HostTable.CHANGED, true);
+                table.setFlag(row, HostTable.HAS_ENTRY, true);
             }
             if (last == HostTable.NONE) {
                 first = added;
@@ -382,58 +382,58 @@
                 first = table.next(entry);
                 apply(entry);
             }
-            if (text.whole()) {
+            if (text.isWhole()) {
                 dropUnseen();
                 toldSince.forEach(this::addMissing);
             } else {
                 for (int i = 0; i < leftCount; i++) {
-                    if (table.has(left[i], HostTable.LINKED) && !table.has(left[i], HostTable.LISTED)) {
-                        table.prune(table.destination(left[i]));
+                    if (table.hasFlag(left[i], HostTable.LINKED) && !table.hasFlag(left[i], HostTable.LISTED)) {
+                        table.freeUnlisted(table.destination(left[i]));
                     }
                 }
             }
             version = text.version();
-            return new Change(new Relay.Listed(text.whole() ? ListKind.WHOLE : ListKind.CHANGES, endpoints),
+            return new Change(new Relay.Listed(text.isWhole() ? ListKind.WHOLE : ListKind.CHANGES, endpoints),
                 List.copyOf(unready));
         }
 
         private void apply(int entry) {
-            int row = table.host(entry);
+            int row = table.rowOfEntry(entry);
             boolean known = row != HostTable.NONE;
             if (known) {
-                table.set(row, HostTable.CHANGED, false);
+                table.setFlag(row, HostTable.HAS_ENTRY, false);
             }
-            if (table.has(entry, HostTable.GONE)) {
-                if (table.has(entry, HostTable.UNDIALABLE)) {
-                    table.know(table.destination(entry));
+            if (table.hasFlag(entry, HostTable.GONE)) {
+                if (table.hasFlag(entry, HostTable.UNUSABLE_ADDRESS)) {
+                    table.markKnown(table.destination(entry));
                 }
                 table.free(entry);
-                if (known && table.has(row, HostTable.LISTED)) {
+                if (known && table.hasFlag(row, HostTable.LISTED)) {
                     leave(row, true);
                 }
                 return;
             }
-            boolean ready = table.has(entry, HostTable.READY)
-                && !(known && table.has(row, HostTable.DRAINED));
+            boolean ready = table.hasFlag(entry, HostTable.READY)
+                && !(known && table.hasFlag(row, HostTable.DRAINED_MEANWHILE));
             if (!known) {
-                table.link(entry);
+                table.linkNewHost(entry);
                 row = entry;
             } else if (table.destination(row) == table.destination(entry)) {
                 table.update(row, entry);
             } else {
                 stands(row, false, false);
-                table.move(row, entry);
+                table.replaceMovedHost(row, entry);
                 left(row);
                 row = entry;
             }
-            table.set(row, HostTable.SEEN, text.whole());
+            table.setFlag(row, HostTable.SEEN_IN_UPDATE, text.isWhole());
             stands(row, true, ready);
             listed(row);
         }
 
         /** Tells of a host that the list names. */
         private void listed(int row) {
-            Host host = hosts.get(table.number(row));
+            Host host = hosts.get(table.id(row));
             boolean moved = host != null && host.listed && host.destination != table.destination(row);
             if (told.containsKey(table.destination(row))) {
                 host = show(row);
@@ -449,7 +449,7 @@
         private void leave(int row, boolean tell) {
             stands(row, false, false);
             left(row);
-            Host host = hosts.get(table.number(row));
+            Host host = hosts.get(table.id(row));
             if (host != null && host.listed) {
                 gone(host, tell);
             }
@@ -472,15 +472,15 @@
         /** A whole list leaves out what is gone; the module sees that by itself. */
         private void dropUnseen() {
             for (int row = 0; row < table.end(); row++) {
-                if (table.has(row, HostTable.LISTED) && !table.has(row, HostTable.SEEN)) {
+                if (table.hasFlag(row, HostTable.LISTED) && !table.hasFlag(row, HostTable.SEEN_IN_UPDATE)) {
                     leave(row, false);
                 }
             }
             for (int row = 0; row < table.end(); row++) {
-                if (table.has(row, HostTable.LINKED)) {
-                    table.set(row, HostTable.SEEN, false);
-                    if (!table.has(row, HostTable.LISTED)) {
-                        table.prune(table.destination(row));
+                if (table.hasFlag(row, HostTable.LINKED)) {
+                    table.setFlag(row, HostTable.SEEN_IN_UPDATE, false);
+                    if (!table.hasFlag(row, HostTable.LISTED)) {
+                        table.freeUnlisted(table.destination(row));
                     }
                 }
             }
@@ -492,7 +492,7 @@
             Set<Long> there = endpoints.stream().map(Endpoint::id).collect(Collectors.toSet());
             if (told.containsKey(destination)) {
                 for (int row : rowsOf(destination)) {
-                    if (!there.contains(table.number(row))) {
+                    if (!there.contains(table.id(row))) {
                         endpoints.add(endpoint(row));
                     }
                 }
--- a/src/main/java/wrenkeel/net/ListReader.java
+++ b/src/main/java/wrenkeel/net/ListReader.java
@@ -19,76 +19,76 @@
 final class ListReader {
     private static final Logger LOG = LoggerFactory.getLogger(ListReader.class);
     /** Characters of the longest string that is read, of whatever field; it is held in memory. */
-    private static final int STRING_MOST = 64 * 1024;
+    private static final int MAX_STRING_LENGTH = 64 * 1024;
     private static final JsonFactory JSON = JsonFactory.builder().streamReadConstraints(
-        StreamReadConstraints.builder().maxStringLength(STRING_MOST).build()).build();
+        StreamReadConstraints.builder().maxStringLength(MAX_STRING_LENGTH).build()).build();
     /** Set in the numbers of sites that the settings do not name. */
-    private static final int UNNAMED = 1 << 30;
+    private static final int UNCONFIGURED_ZONE = 1 << 30;
     /** Entries left out that are named in the log; of the rest, it tells how many they are. */
-    private static final int LEFT_OUT_LINES = 5;
+    private static final int MAX_SKIPPED_LOGGED = 5;
 
     /** One entry; it is used again for the next. */
     static final class Entry {
         /** In UTF-8. */
-        final byte[] name = new byte[ByteArena.LONGEST];
+        final byte[] name = new byte[ByteArena.MAX_STRING_BYTES];
         int nameLength;
         Relay.Listing listing;
         /** The address could not be read: the host counts as gone, though its destination has been named. */
-        boolean undialable;
+        boolean unusableAddress;
         int zone;
         int kind;
         long destination;
         double share;
         /** Address of IP version 4. */
-        int address;
+        int ipv4Address;
         /** Address of IP version 6, 16 bytes; null for one of version 4. */
-        byte[] longAddress;
+        byte[] ipv6Address;
         int port;
     }
 
     /** Takes in the entries that count, in their order. */
-    interface Entries {
-        void take(Entry entry) throws Wire.Malformed;
+    interface EntryHandler {
+        void accept(Entry entry) throws Wire.Malformed;
     }
 
-    private enum Place { BEFORE, LIST, HOSTS, ENTRY, BEHIND }
+    private enum Position { BEFORE, LIST, HOSTS, ENTRY, AFTER }
 
     private enum Field { OTHER, SEQ, WHOLE, HOSTS, HOST, HEALTH, SITE, CLASS, DIAL, BLOCK, SHARE }
 
     /** What an entry says in a field where it may say nothing. */
-    private enum Said { NOTHING, VALUE, NONSENSE }
+    private enum FieldState { ABSENT, VALID, INVALID }
 
     private final char[][] zones;
     private final char[][] kinds;
     /** Of an entry that says nothing of its site or class. */
-    private final int zoneUntold;
-    private final int kindUntold;
-    private final Entries entries;
+    private final int defaultZone;
+    private final int defaultKind;
+    private final EntryHandler handler;
     private final JsonParser parser;
     private final Entry entry = new Entry();
-    private Place place = Place.BEFORE;
+    private Position position = Position.BEFORE;
     private Field field;
     /** Objects and arrays entered in a field that is not read. */
-    private int skipped;
+    private int skipDepth;
     private Boolean whole;
     private Long version;
-    private boolean hosts;
-    private int leftOut;
-    private boolean named;
-    private boolean healthy;
-    private Said dial;
-    private Said block;
-    private Said share;
+    private boolean hasHosts;
+    private int skippedEntries;
+    private boolean hasName;
+    private boolean hasHealth;
+    private FieldState dialState;
+    private FieldState blockState;
+    private FieldState shareState;
     /** An address that is not four plain numbers and a port; null for one that is. */
     private String dialText;
 
     /** {@code zones}, {@code kinds}: the names that the settings have, in the order of their numbers. */
-    ListReader(List<String> zones, List<String> kinds, Entries entries) {
+    ListReader(List<String> zones, List<String> kinds, EntryHandler handler) {
         this.zones = zones.stream().map(String::toCharArray).toArray(char[][]::new);
         this.kinds = kinds.stream().map(String::toCharArray).toArray(char[][]::new);
-        this.zoneUntold = zone(new char[0], 0, 0);
-        this.kindUntold = index(this.kinds, new char[0], 0, 0);
-        this.entries = entries;
+        this.defaultZone = zoneNumber(new char[0], 0, 0);
+        this.defaultKind = indexOf(this.kinds, new char[0], 0, 0);
+        this.handler = handler;
         try {
             parser = JSON.createNonBlockingByteArrayParser();
         } catch (IOException e) {
@@ -99,7 +99,7 @@
     void feed(byte[] bytes, int from, int length) throws Wire.Malformed {
         try {
             ((ByteArrayFeeder) parser.getNonBlockingInputFeeder()).feedInput(bytes, from, from + length);
-            tokens();
+            readTokens();
         } catch (IOException e) {
             throw malformed(e);
         }
@@ -109,27 +109,27 @@
     void end() throws Wire.Malformed {
         try {
             parser.getNonBlockingInputFeeder().endOfInput();
-            tokens();
+            readTokens();
         } catch (IOException e) {
             throw malformed(e);
         }
-        if (place != Place.BEHIND) {
+        if (position != Position.AFTER) {
             throw new Wire.Malformed("the list is cut short");
         }
         if (version == null) {
             throw new Wire.Malformed("missing field 'seq'");
         }
-        if (!hosts) {
+        if (!hasHosts) {
             throw new Wire.Malformed("missing field 'hosts'");
         }
     }
 
     /** Nothing more is read; tells the log what has been left out. */
     void close() {
-        if (leftOut > LEFT_OUT_LINES) {
-            LOG.warn("{} more list entries left out", leftOut - LEFT_OUT_LINES);
+        if (skippedEntries > MAX_SKIPPED_LOGGED) {
+            LOG.warn("{} more list entries left out", skippedEntries - MAX_SKIPPED_LOGGED);
         }
-        leftOut = 0;
+        skippedEntries = 0;
         try {
             parser.close();
         } catch (IOException e) {
@@ -142,7 +142,7 @@
         return !Boolean.FALSE.equals(whole);
     }
 
-    boolean whole() {
+    boolean isWhole() {
         return Boolean.TRUE.equals(whole);
     }
 
@@ -155,24 +155,24 @@
             : new Wire.Malformed("bad JSON: " + e.getMessage().lines().findFirst().orElse(""));
     }
 
-    private void tokens() throws IOException {
+    private void readTokens() throws IOException {
         for (JsonToken token = parser.nextToken(); token != null && token != JsonToken.NOT_AVAILABLE;
              token = parser.nextToken()) {
-            if (skipped > 0) {
-                skipped += token.isStructStart() ? 1 : token.isStructEnd() ? -1 : 0;
+            if (skipDepth > 0) {
+                skipDepth += token.isStructStart() ? 1 : token.isStructEnd() ? -1 : 0;
             } else {
-                take(token);
+                handleToken(token);
             }
         }
     }
 
-    private void take(JsonToken token) throws IOException {
-        switch (place) {
+    private void handleToken(JsonToken token) throws IOException {
+        switch (position) {
             case BEFORE -> {
                 if (token != JsonToken.START_OBJECT) {
                     throw new Wire.Malformed("the list is not an object");
                 }
-                place = Place.LIST;
+                position = Position.LIST;
             }
             case LIST -> {
                 if (token == JsonToken.FIELD_NAME) {
@@ -183,16 +183,16 @@
                         default -> Field.OTHER;
                     };
                 } else if (token == JsonToken.END_OBJECT) {
-                    place = Place.BEHIND;
+                    position = Position.AFTER;
                 } else {
-                    ofList(token);
+                    readListField(token);
                 }
             }
             case HOSTS -> {
                 if (token == JsonToken.START_OBJECT) {
-                    begin();
+                    beginEntry();
                 } else if (token == JsonToken.END_ARRAY) {
-                    place = Place.LIST;
+                    position = Position.LIST;
                 } else {
                     throw new Wire.Malformed("field 'hosts' does not hold objects only");
                 }
@@ -210,135 +210,135 @@
                         default -> Field.OTHER;
                     };
                 } else if (token == JsonToken.END_OBJECT) {
-                    place = Place.HOSTS;
-                    finish();
+                    position = Position.HOSTS;
+                    finishEntry();
                 } else {
-                    ofEntry(token);
+                    readEntryField(token);
                 }
             }
             default -> throw new Wire.Malformed("more than one value");
         }
     }
 
-    private void ofList(JsonToken token) throws IOException {
+    private void readListField(JsonToken token) throws IOException {
         switch (field) {
             case SEQ -> {
-                once(version);
-                if (!wholeNumber(token)) {
+                requireFirst(version);
+                if (!isWholeNumber(token)) {
                     throw new Wire.Malformed("field 'seq' is not a whole number");
                 }
-                version = number(token);
+                version = readLong(token);
             }
             case WHOLE -> {
-                once(whole);
+                requireFirst(whole);
                 if (!token.isBoolean() && token != JsonToken.VALUE_NULL) {
                     throw new Wire.Malformed("field 'whole' is not true or false");
                 }
                 whole = token == JsonToken.VALUE_TRUE;
             }
             case HOSTS -> {
-                once(hosts ? Boolean.TRUE : null);
+                requireFirst(hasHosts ? Boolean.TRUE : null);
                 if (token != JsonToken.START_ARRAY) {
                     throw new Wire.Malformed("field 'hosts' is not an array");
                 }
-                hosts = true;
-                place = Place.HOSTS;
+                hasHosts = true;
+                position = Position.HOSTS;
             }
             default -> skip(token);
         }
     }
 
-    private void once(Object before) throws IOException {
-        if (before != null) {
+    private void requireFirst(Object previous) throws IOException {
+        if (previous != null) {
             throw new Wire.Malformed("more than one field '" + parser.currentName() + "'");
         }
     }
 
     private void skip(JsonToken token) {
-        skipped = token.isStructStart() ? 1 : 0;
+        skipDepth = token.isStructStart() ? 1 : 0;
     }
 
     // ---- Entries ----------------------------------------------------------------------------------
-    private void begin() {
-        place = Place.ENTRY;
-        named = false;
-        healthy = false;
+    private void beginEntry() {
+        position = Position.ENTRY;
+        hasName = false;
+        hasHealth = false;
         entry.listing = null;
-        entry.undialable = false;
-        entry.zone = zoneUntold;
-        entry.kind = kindUntold;
+        entry.unusableAddress = false;
+        entry.zone = defaultZone;
+        entry.kind = defaultKind;
         entry.destination = 0;
         entry.share = 1;
-        entry.longAddress = null;
-        entry.address = 0;
+        entry.ipv6Address = null;
+        entry.ipv4Address = 0;
         entry.port = 0;
-        dial = Said.NOTHING;
-        block = Said.NOTHING;
-        share = Said.NOTHING;
+        dialState = FieldState.ABSENT;
+        blockState = FieldState.ABSENT;
+        shareState = FieldState.ABSENT;
         dialText = null;
     }
 
-    private void ofEntry(JsonToken token) throws IOException {
+    private void readEntryField(JsonToken token) throws IOException {
         skip(token);
         switch (field) {
             case HOST, HEALTH, SITE, CLASS -> {
                 if (token == JsonToken.VALUE_STRING) {
-                    word(parser.getTextCharacters(), parser.getTextOffset(), parser.getTextLength());
+                    readStringField(parser.getTextCharacters(), parser.getTextOffset(), parser.getTextLength());
                 } else if (token != JsonToken.VALUE_NULL) {
                     throw new Wire.Malformed("field '" + parser.currentName() + "' is not a string");
                 }
             }
             case DIAL -> {
-                dial = said(token, token == JsonToken.VALUE_STRING);
-                if (dial == Said.VALUE) {
+                dialState = fieldState(token, token == JsonToken.VALUE_STRING);
+                if (dialState == FieldState.VALID) {
                     char[] text = parser.getTextCharacters();
                     int from = parser.getTextOffset();
                     int length = parser.getTextLength();
-                    dialText = fourNumbers(text, from, from + length) ? null : new String(text, from, length);
+                    dialText = parseIpv4(text, from, from + length) ? null : new String(text, from, length);
                 }
             }
             case BLOCK -> {
-                block = said(token, wholeNumber(token));
-                entry.destination = block == Said.VALUE ? number(token) : 0;
+                blockState = fieldState(token, isWholeNumber(token));
+                entry.destination = blockState == FieldState.VALID ? readLong(token) : 0;
             }
             case SHARE -> {
-                share = said(token, token.isNumeric());
-                entry.share = share == Said.VALUE ? parser.getDoubleValue() : 1;
+                shareState = fieldState(token, token.isNumeric());
+                entry.share = shareState == FieldState.VALID ? parser.getDoubleValue() : 1;
             }
             default -> { }
         }
     }
 
-    private static Said said(JsonToken token, boolean sense) {
-        return token == JsonToken.VALUE_NULL ? Said.NOTHING : sense ? Said.VALUE : Said.NONSENSE;
+    private static FieldState fieldState(JsonToken token, boolean isValid) {
+        return token == JsonToken.VALUE_NULL ? FieldState.ABSENT : isValid ? FieldState.VALID : FieldState.INVALID;
     }
 
-    private void word(char[] text, int from, int length) throws Wire.Malformed {
+    private void readStringField(char[] text, int from, int length) throws Wire.Malformed {
         switch (field) {
             case HOST -> {
-                named = true;
-                name(text, from, length);
+                hasName = true;
+                readName(text, from, length);
             }
             case HEALTH -> {
-                healthy = true;
-                entry.listing = is("ready", text, from, length) ? Relay.Listing.READY
-                    : is("draining", text, from, length) ? Relay.Listing.DRAINING
-                    : is("gone", text, from, length) ? Relay.Listing.GONE : null;
+                hasHealth = true;
+                entry.listing = equalsText("ready", text, from, length) ? Relay.Listing.READY
+                    : equalsText("draining", text, from, length) ? Relay.Listing.DRAINING
+                    : equalsText("gone", text, from, length) ? Relay.Listing.GONE : null;
             }
-            case SITE -> entry.zone = zone(text, from, length);
-            default -> entry.kind = index(kinds, text, from, length);
+            case SITE -> entry.zone = zoneNumber(text, from, length);
+            default -> entry.kind = indexOf(kinds, text, from, length);
         }
     }
 
-    private void name(char[] text, int from, int length) throws Wire.Malformed {
-        if (length > ByteArena.LONGEST) {
+    private void readName(char[] text, int from, int length) throws Wire.Malformed {
+        if (length > ByteArena.MAX_STRING_BYTES) {
             throw new Wire.Malformed("a host's name of " + length + " characters");
         }
         for (int i = 0; i < length; i++) {
             char c = text[from + i];
             if (c >= 0x80) {
                 byte[] bytes = new String(text, from, length).getBytes(StandardCharsets.UTF_8);
-                if (bytes.length > ByteArena.LONGEST) {
+                if (bytes.length > ByteArena.MAX_STRING_BYTES) {
                     throw new Wire.Malformed("a host's name of " + bytes.length + " bytes");
                 }
                 System.arraycopy(bytes, 0, entry.name, 0, bytes.length);
@@ -351,66 +351,66 @@
     }
 
     /** The entry is complete: passes it on, or leaves it out with a line in the log. */
-    private void finish() throws Wire.Malformed {
-        need(named, "host");
-        need(healthy, "health");
+    private void finishEntry() throws Wire.Malformed {
+        requireField(hasName, "host");
+        requireField(hasHealth, "health");
         boolean gone = entry.listing == Relay.Listing.GONE;
         if (entry.listing == null || !gone && entry.kind < 0) {
-            leaveOut("class or health is not known");
+            skipEntry("class or health is not known");
             return;
         }
         if (!gone) {
-            need(dial != Said.NOTHING, "dial");
-            if (dial == Said.NONSENSE) {
+            requireField(dialState != FieldState.ABSENT, "dial");
+            if (dialState == FieldState.INVALID) {
                 throw new Wire.Malformed("field 'dial' is not a string");
             }
-            need(block != Said.NOTHING, "block");
+            requireField(blockState != FieldState.ABSENT, "block");
         }
-        if (block == Said.NONSENSE) {
+        if (blockState == FieldState.INVALID) {
             throw new Wire.Malformed("field 'block' is not a whole number");
         }
-        if (share == Said.NONSENSE) {
+        if (shareState == FieldState.INVALID) {
             throw new Wire.Malformed("field 'share' is not a number");
         }
         if (!gone && dialText != null) {
-            look();
+            parseDialText();
         }
-        entries.take(entry);
+        handler.accept(entry);
     }
 
-    private static void need(boolean there, String name) throws Wire.Malformed {
-        if (!there) {
+    private static void requireField(boolean isPresent, String name) throws Wire.Malformed {
+        if (!isPresent) {
             throw new Wire.Malformed("missing field '" + name + "'");
         }
     }
 
-    private void look() {
+    private void parseDialText() {
         try {
             InetSocketAddress address = Config.address(dialText);
             byte[] bytes = address.getAddress().getAddress();
             entry.port = address.getPort();
             if (bytes.length == 4) {
-                entry.address = (bytes[0] & 0xff) << 24 | (bytes[1] & 0xff) << 16 | (bytes[2] & 0xff) << 8
+                entry.ipv4Address = (bytes[0] & 0xff) << 24 | (bytes[1] & 0xff) << 16 | (bytes[2] & 0xff) << 8
                     | bytes[3] & 0xff;
             } else {
-                entry.longAddress = bytes;
+                entry.ipv6Address = bytes;
             }
         } catch (Config.Unusable e) {
-            leaveOut(e.getMessage());
-            entry.undialable = true;
+            skipEntry(e.getMessage());
+            entry.unusableAddress = true;
             entry.listing = Relay.Listing.GONE;
         }
     }
 
-    private void leaveOut(String fault) {
-        if (++leftOut <= LEFT_OUT_LINES) {
+    private void skipEntry(String reason) {
+        if (++skippedEntries <= MAX_SKIPPED_LOGGED) {
             LOG.warn("list entry of host {} left out: {}",
-                new String(entry.name, 0, entry.nameLength, StandardCharsets.UTF_8), fault);
+                new String(entry.name, 0, entry.nameLength, StandardCharsets.UTF_8), reason);
         }
     }
 
     /** Reads the usual form of an address; false for any other. */
-    private boolean fourNumbers(char[] text, int from, int to) {
+    private boolean parseIpv4(char[] text, int from, int to) {
         int address = 0;
         int at = from;
         for (int part = 0; part < 5; part++) {
@@ -419,23 +419,23 @@
             while (at < to && at - begin < 5 && text[at] >= '0' && text[at] <= '9') {
                 value = 10 * value + text[at++] - '0';
             }
-            boolean port = part == 4;
-            if (at == begin || value > (port ? 0xffff : 0xff) || at - begin > 1 && text[begin] == '0'
-                || (port ? at != to : at == to || text[at++] != (part == 3 ? ':' : '.'))) {
+            boolean isPort = part == 4;
+            if (at == begin || value > (isPort ? 0xffff : 0xff) || at - begin > 1 && text[begin] == '0'
+                || (isPort ? at != to : at == to || text[at++] != (part == 3 ? ':' : '.'))) {
                 return false;
             }
-            if (port) {
+            if (isPort) {
                 entry.port = value;
             } else {
                 address = address << 8 | value;
             }
         }
-        entry.address = address;
+        entry.ipv4Address = address;
         return true;
     }
 
     // ---- Words and numbers ------------------------------------------------------------------------
-    private static boolean is(String word, char[] text, int from, int length) {
+    private static boolean equalsText(String word, char[] text, int from, int length) {
         if (word.length() != length) {
             return false;
         }
@@ -447,14 +447,14 @@
         return true;
     }
 
-    private static int index(char[][] words, char[] text, int from, int length) {
+    private static int indexOf(char[][] words, char[] text, int from, int length) {
         for (int i = 0; i < words.length; i++) {
             char[] word = words[i];
-            int same = 0;
-            while (word.length == length && same < length && word[same] == text[from + same]) {
-                same++;
+            int matched = 0;
+            while (word.length == length && matched < length && word[matched] == text[from + matched]) {
+                matched++;
             }
-            if (word.length == length && same == length) {
+            if (word.length == length && matched == length) {
                 return i;
             }
         }
@@ -465,22 +465,22 @@
      * The place of a site among those that the settings name. The list may hold more sites than that: such a
      * one has a number past them, which is the same after a restart, for the journal holds it.
      */
-    private int zone(char[] text, int from, int length) {
-        int index = index(zones, text, from, length);
+    private int zoneNumber(char[] text, int from, int length) {
+        int index = indexOf(zones, text, from, length);
         if (index >= 0) {
             return index;
         }
         CRC32 crc = new CRC32();
         crc.update(new String(text, from, length).getBytes(StandardCharsets.UTF_8));
-        return UNNAMED | (int) crc.getValue() & UNNAMED - 1;
+        return UNCONFIGURED_ZONE | (int) crc.getValue() & UNCONFIGURED_ZONE - 1;
     }
 
-    private boolean wholeNumber(JsonToken token) throws IOException {
+    private boolean isWholeNumber(JsonToken token) throws IOException {
         return token == JsonToken.VALUE_NUMBER_INT || token == JsonToken.VALUE_NUMBER_FLOAT
             && parser.getDoubleValue() == Math.rint(parser.getDoubleValue());
     }
 
-    private long number(JsonToken token) throws IOException {
+    private long readLong(JsonToken token) throws IOException {
         return token == JsonToken.VALUE_NUMBER_INT
             && parser.getNumberType() != JsonParser.NumberType.BIG_INTEGER
             ? parser.getLongValue() : parser.getNumberValue().longValue();
--- a/src/main/java/wrenkeel/net/RowIndex.java
+++ b/src/main/java/wrenkeel/net/RowIndex.java
@@ -4,7 +4,7 @@
 
 /**
  * A hash table of row numbers, with open addressing; the keys are in the rows. Whoever looks for a key walks
- * the slots from {@link #first} on until a row has it or {@link #row} is negative. One thread.
+ * the slots from {@link #firstSlot} on until a row has it or {@link #rowAt} is negative. One thread.
  */
 final class RowIndex {
     private final IntUnaryOperator hash;
@@ -18,16 +18,16 @@
     }
 
     /** The slot to begin with for keys of this hash. */
-    int first(int keyHash) {
+    int firstSlot(int keyHash) {
         return keyHash * 0x9E3779B9 >>> Integer.numberOfLeadingZeros(slots.length) + 1;
     }
 
     /** The row in a slot; -1 for none, and then the key is not here. */
-    int row(int slot) {
+    int rowAt(int slot) {
         return slots[slot] - 1;
     }
 
-    int next(int slot) {
+    int nextSlot(int slot) {
         return slot + 1 & slots.length - 1;
     }
 
@@ -38,11 +38,11 @@
     /** Adds a row whose key is not here. */
     void add(int row) {
         if (++size > slots.length / 4 * 3) {
-            int[] old = slots;
-            slots = new int[2 * old.length];
-            for (int held : old) {
-                if (held > 0) {
-                    insert(held - 1);
+            int[] oldSlots = slots;
+            slots = new int[2 * oldSlots.length];
+            for (int entry : oldSlots) {
+                if (entry > 0) {
+                    insert(entry - 1);
                 }
             }
         }
@@ -50,17 +50,17 @@
     }
 
     /** Puts another row with the same key in a row's place. */
-    void replace(int row, int with) {
-        slots[slotOf(row)] = with + 1;
+    void replace(int row, int replacement) {
+        slots[slotOf(row)] = replacement + 1;
     }
 
     void remove(int row) {
         size--;
         int hole = slotOf(row);
         // What follows moves up, unless that would put it before the slot that its search begins with.
-        for (int slot = next(hole); slots[slot] > 0; slot = next(slot)) {
-            int begin = first(hash.applyAsInt(row(slot)));
-            if ((slot - begin & slots.length - 1) >= (slot - hole & slots.length - 1)) {
+        for (int slot = nextSlot(hole); slots[slot] > 0; slot = nextSlot(slot)) {
+            int home = firstSlot(hash.applyAsInt(rowAt(slot)));
+            if ((slot - home & slots.length - 1) >= (slot - hole & slots.length - 1)) {
                 slots[hole] = slots[slot];
                 hole = slot;
             }
@@ -69,17 +69,17 @@
     }
 
     private void insert(int row) {
-        int slot = first(hash.applyAsInt(row));
+        int slot = firstSlot(hash.applyAsInt(row));
         while (slots[slot] > 0) {
-            slot = next(slot);
+            slot = nextSlot(slot);
         }
         slots[slot] = row + 1;
     }
 
     private int slotOf(int row) {
-        int slot = first(hash.applyAsInt(row));
-        while (row(slot) != row) {
-            slot = next(slot);
+        int slot = firstSlot(hash.applyAsInt(row));
+        while (rowAt(slot) != row) {
+            slot = nextSlot(slot);
         }
         return slot;
     }
