--- a/src/main/java/wrenkeel/net/AgentConnection.java
+++ b/src/main/java/wrenkeel/net/AgentConnection.java
@@ -40,7 +40,7 @@
 final class AgentConnection {
     private static final Logger LOG = LoggerFactory.getLogger(AgentConnection.class);
     /** Bytes a list may have; bytes for each of which an answer that comes in has another 1/1,000 ms. */
-    private static final long LIST_MOST = 256L << 20, BYTES_A_MS = 1_000;
+    private static final long MAX_LIST_BYTES = 256L << 20, BYTES_PER_EXTRA_MS = 1_000;
 
     /** What became of a request; {@code status} is 0 where no answer came in time. */
     static final class Response {
@@ -54,32 +54,32 @@
     private final Bootstrap bootstrap;
     private InetSocketAddress agent;
     private Channel channel;
-    private Consumer<Response> waiting;
-    private Future<?> timer;
+    private Consumer<Response> onResponse;
+    private Future<?> timeout;
     /** The answer that is coming in, its bytes so far, and where a list in it goes; null for none. */
-    private Response answer;
-    private long received;
-    private boolean keep;
-    private Supplier<HostList.PendingUpdate> lists;
-    private HostList.PendingUpdate reading;
-    private long askedAt, patience;
+    private Response response;
+    private long receivedBytes;
+    private boolean keepAlive;
+    private Supplier<HostList.PendingUpdate> updates;
+    private HostList.PendingUpdate update;
+    private long sentNanos, timeoutMs;
 
-    AgentConnection(EventLoop loop, Bootstrap bootstrap, InetSocketAddress agent, int connectTimeout) {
-        this(loop, bootstrap, NioSocketChannel::new, agent, connectTimeout);
+    AgentConnection(EventLoop loop, Bootstrap bootstrap, InetSocketAddress agent, int connectTimeoutMs) {
+        this(loop, bootstrap, NioSocketChannel::new, agent, connectTimeoutMs);
     }
 
     /** {@code sockets}: makes the channels; it fails where the process has no descriptor left. */
-    AgentConnection(EventLoop loop, Bootstrap bootstrap, ChannelFactory<Channel> sockets,
-                    InetSocketAddress agent, int connectTimeout) {
+    AgentConnection(EventLoop loop, Bootstrap bootstrap, ChannelFactory<Channel> channelFactory,
+                    InetSocketAddress agent, int connectTimeoutMs) {
         this.loop = loop;
         this.agent = agent;
-        this.bootstrap = bootstrap.clone(loop).channelFactory(sockets)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeout)
+        this.bootstrap = bootstrap.clone(loop).channelFactory(channelFactory)
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs)
             .option(ChannelOption.TCP_NODELAY, true)
             .handler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel fresh) {
-                    fresh.pipeline().addLast(new HttpClientCodec(), new Reader());
+                    fresh.pipeline().addLast(new HttpClientCodec(), new ResponseHandler());
                 }
             });
     }
@@ -87,17 +87,17 @@
     /**
      * Sends a request; what became of it comes exactly once. {@code list}: makes what takes the body of
      * an answer with 200, as that begins; null where none is asked for. An answer that keeps coming in
-     * has longer than {@code patience} ms.
+     * has longer than {@code timeoutMs} ms.
      */
-    void send(HttpMethod method, String uri, String body, long patience, Supplier<HostList.PendingUpdate> list,
-        Consumer<Response> whenAnswered) {
-        waiting = whenAnswered;
-        answer = new Response();
-        lists = list;
-        received = 0;
-        askedAt = System.nanoTime();
-        this.patience = patience;
-        timer = loop.schedule(this::late, patience, TimeUnit.MILLISECONDS);
+    void send(HttpMethod method, String uri, String body, long timeoutMs, Supplier<HostList.PendingUpdate> updates,
+        Consumer<Response> onResponse) {
+        onResponse = onResponse;
+        response = new Response();
+        updates = updates;
+        receivedBytes = 0;
+        sentNanos = System.nanoTime();
+        this.timeoutMs = timeoutMs;
+        timeout = loop.schedule(this::checkTimeout, timeoutMs, TimeUnit.MILLISECONDS);
         FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, uri,
             Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
         request.headers().set(HttpHeaderNames.HOST,
@@ -117,10 +117,10 @@
             // future are called on another thread.
             channel = null;
             request.release();
-            Consumer<Response> asked = waiting;
+            Consumer<Response> callback = onResponse;
             loop.execute(() -> {
-                if (waiting == asked) {
-                    broken(null);
+                if (onResponse == callback) {
+                    fail(null);
                 }
             });
             return;
@@ -131,7 +131,7 @@
                 write(connect.channel(), request);
             } else {
                 request.release();
-                broken(connect.channel());
+                fail(connect.channel());
             }
         });
     }
@@ -144,53 +144,53 @@
 
     /** Ends the connection; a request under way ends without an answer. The next one opens a new one. */
     void close() {
-        drop();
-        if (waiting != null) {
-            ended(0, null);
+        closeChannel();
+        if (onResponse != null) {
+            complete(0, null);
         }
     }
 
     /** Reads what has come of an answer, if a request is under way. */
-    void readNow() {
-        if (waiting != null && channel != null) {
+    void readAvailable() {
+        if (onResponse != null && channel != null) {
             UnreadBytes.read(channel);
         }
     }
 
     /** True while a request is under way. */
     boolean isBusy() {
-        return waiting != null;
+        return onResponse != null;
     }
 
     private void write(Channel to, FullHttpRequest request) {
         to.writeAndFlush(request).addListener(done -> {
             if (!done.isSuccess()) {
-                broken(to);
+                fail(to);
             }
         });
     }
 
     /** A long list takes a while to come in and be read: no answer that goes on is given up for that. */
-    private void late() {
-        long due = patience + received / BYTES_A_MS;
-        long passed = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - askedAt);
-        if (passed < due) {
-            timer = loop.schedule(this::late, due - passed, TimeUnit.MILLISECONDS);
+    private void checkTimeout() {
+        long dueMs = timeoutMs + receivedBytes / BYTES_PER_EXTRA_MS;
+        long elapsedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentNanos);
+        if (elapsedMs < dueMs) {
+            timeout = loop.schedule(this::checkTimeout, dueMs - elapsedMs, TimeUnit.MILLISECONDS);
         } else {
-            broken(channel);
+            fail(channel);
         }
     }
 
     /** No answer will come, or no more of one that has begun. */
-    private void broken(Channel from) {
-        if (from == channel && waiting != null) {
-            drop();
-            boolean cut = reading != null;
-            ended(cut ? answer.status : 0, cut ? "cut after " + received + " bytes" : null);
+    private void fail(Channel from) {
+        if (from == channel && onResponse != null) {
+            closeChannel();
+            boolean isCut = update != null;
+            complete(isCut ? response.status : 0, isCut ? "cut after " + receivedBytes + " bytes" : null);
         }
     }
 
-    private void drop() {
+    private void closeChannel() {
         Channel old = channel;
         channel = null;
         if (old != null) {
@@ -198,84 +198,84 @@
         }
     }
 
-    private void ended(int status, String fault) {
-        timer.cancel(false);
-        if (reading != null && answer.listChange == null) {
-            reading.abandon();
+    private void complete(int status, String fault) {
+        timeout.cancel(false);
+        if (update != null && response.listChange == null) {
+            update.abandon();
         }
-        reading = null;
-        answer.status = status;
-        answer.fault = fault;
-        Consumer<Response> told = waiting;
-        waiting = null;
-        told.accept(answer);
+        update = null;
+        response.status = status;
+        response.fault = fault;
+        Consumer<Response> callback = onResponse;
+        onResponse = null;
+        callback.accept(response);
     }
 
-    private final class Reader extends SimpleChannelInboundHandler<HttpObject> {
+    private final class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-            if (context.channel() != channel || waiting == null) {
+            if (context.channel() != channel || onResponse == null) {
                 return;
             }
             if (part.decoderResult().isFailure()) {
-                broken(channel);
+                fail(channel);
                 return;
             }
             if (part instanceof HttpResponse head) {
-                answer.status = head.status().code();
-                keep = HttpUtil.isKeepAlive(head);
-                boolean list = lists != null && answer.status == HttpResponseStatus.OK.code();
-                reading = list ? lists.get() : null;
-                if (HttpUtil.getContentLength(head, 0L) > LIST_MOST) {
-                    refuse("it has more than " + LIST_MOST + " bytes");
+                response.status = head.status().code();
+                keepAlive = HttpUtil.isKeepAlive(head);
+                boolean isList = updates != null && response.status == HttpResponseStatus.OK.code();
+                update = isList ? updates.get() : null;
+                if (HttpUtil.getContentLength(head, 0L) > MAX_LIST_BYTES) {
+                    reject("it has more than " + MAX_LIST_BYTES + " bytes");
                 }
             }
-            if (part instanceof HttpContent content && waiting != null) {
-                taken(content.content(), part instanceof LastHttpContent);
+            if (part instanceof HttpContent content && onResponse != null) {
+                handleContent(content.content(), part instanceof LastHttpContent);
             }
         }
 
-        private void taken(ByteBuf bytes, boolean last) {
-            received += bytes.readableBytes();
+        private void handleContent(ByteBuf bytes, boolean last) {
+            receivedBytes += bytes.readableBytes();
             try {
-                if (received > LIST_MOST) {
-                    throw new Wire.Malformed("it has more than " + LIST_MOST + " bytes");
+                if (receivedBytes > MAX_LIST_BYTES) {
+                    throw new Wire.Malformed("it has more than " + MAX_LIST_BYTES + " bytes");
                 }
-                if (reading != null) {
+                if (update != null) {
                     feed(bytes);
-                    answer.listChange = last ? reading.commit() : null;
+                    response.listChange = last ? update.commit() : null;
                 }
             } catch (Wire.Malformed e) {
-                refuse(e.getMessage());
+                reject(e.getMessage());
                 return;
             }
             if (last) {
-                if (!keep) {
-                    drop();
+                if (!keepAlive) {
+                    closeChannel();
                 }
-                ended(answer.status, null);
+                complete(response.status, null);
             }
         }
 
         private void feed(ByteBuf bytes) throws Wire.Malformed {
             if (bytes.hasArray()) {
-                reading.feed(bytes.array(), bytes.arrayOffset() + bytes.readerIndex(),
+                update.feed(bytes.array(), bytes.arrayOffset() + bytes.readerIndex(),
                     bytes.readableBytes());
             } else {
                 byte[] copy = ByteBufUtil.getBytes(bytes);
-                reading.feed(copy, 0, copy.length);
+                update.feed(copy, 0, copy.length);
             }
         }
 
         /** The rest of the answer is not read: the connection ends. */
-        private void refuse(String fault) {
-            drop();
-            ended(answer.status, fault);
+        private void reject(String fault) {
+            closeChannel();
+            complete(response.status, fault);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            broken(context.channel());
+            fail(context.channel());
         }
 
         @Override
--- a/src/main/java/wrenkeel/net/CallBatch.java
+++ b/src/main/java/wrenkeel/net/CallBatch.java
@@ -12,34 +12,34 @@
 final class CallBatch {
     private static final JsonFactory JSON = new JsonFactory();
     /** Bytes that a call's body may hold, and those of one message besides its id, key and Base64 text. */
-    private static final int BODY_MOST = 64 * 1024, FRAME = 32;
+    private static final int MAX_BODY_BYTES = 64 * 1024, FRAME_BYTES = 32;
 
-    private final List<HostPool.Attempt> parts = new ArrayList<>();
-    private int bytes = 2;
+    private final List<HostPool.Attempt> attempts = new ArrayList<>();
+    private int bodyBytes = 2;
 
     /**
      * The one whose time is up last comes first: a destination takes a call's time from its first message,
      * and an answer after that would count for none of them.
      */
     List<HostPool.Attempt> attempts() {
-        parts.sort(Comparator.comparingLong((HostPool.Attempt part) -> part.message().deadline()).reversed());
-        return parts;
+        attempts.sort(Comparator.comparingLong((HostPool.Attempt attempt) -> attempt.message().deadline()).reversed());
+        return attempts;
     }
 
-    void add(HostPool.Attempt part) {
-        parts.add(part);
-        bytes += bytes(part.message());
+    void add(HostPool.Attempt attempt) {
+        attempts.add(attempt);
+        bodyBytes += maxEncodedBytes(attempt.message());
     }
 
     /** True if it has room for the message; {@code most}: messages that the host's kind takes in a call. */
-    boolean hasRoomFor(Message message, int most) {
-        return parts.isEmpty() || parts.size() < most && bytes + bytes(message) <= BODY_MOST;
+    boolean hasRoomFor(Message message, int maxMessages) {
+        return attempts.isEmpty() || attempts.size() < maxMessages && bodyBytes + maxEncodedBytes(message) <= MAX_BODY_BYTES;
     }
 
-    private static int bytes(Message m) {
+    private static int maxEncodedBytes(Message message) {
         // A character of an id or key takes six bytes at most, as an escape.
-        int key = m.idempotencyKey() == null ? 0 : m.idempotencyKey().length();
-        return FRAME + 6 * (m.id().length() + key) + (m.body().length + 2) / 3 * 4;
+        int keyLength = message.idempotencyKey() == null ? 0 : message.idempotencyKey().length();
+        return FRAME_BYTES + 6 * (message.id().length() + keyLength) + (message.body().length + 2) / 3 * 4;
     }
 
     /** The body of a call with several messages. */
@@ -47,13 +47,13 @@
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         try (JsonGenerator out = JSON.createGenerator(body)) {
             out.writeStartArray();
-            for (Message m : messages) {
+            for (Message message : messages) {
                 out.writeStartObject();
-                out.writeStringField("id", m.id());
-                if (m.idempotencyKey() != null) {
-                    out.writeStringField("key", m.idempotencyKey());
+                out.writeStringField("id", message.id());
+                if (message.idempotencyKey() != null) {
+                    out.writeStringField("key", message.idempotencyKey());
                 }
-                out.writeBinaryField("body", m.body());
+                out.writeBinaryField("body", message.body());
                 out.writeEndObject();
             }
             out.writeEndArray();
--- a/src/main/java/wrenkeel/net/Discovery.java
+++ b/src/main/java/wrenkeel/net/Discovery.java
@@ -18,7 +18,7 @@
     static final long WATCH_WAIT_MS = ListTiming.WATCH_WAIT_MS;
     static final long WATCH_SLACK_MS = ListTiming.WATCH_SLACK_MS;
     /** The shortest wait, of which an answer is had at once. */
-    private static final long AT_ONCE_MS = 1;
+    private static final long SHORTEST_WAIT_MS = 1;
     /** How long a late answer to a post of notices is of use. */
     private static final long NOTICE_TIMEOUT_MS = 2_000;
     /** Doublings after which the gap has certainly reached its maximum. */
@@ -26,39 +26,39 @@
 
     private final EventLoop loop;
     private final long answerTimeoutMs;
-    private final HostList hosts;
+    private final HostList hostList;
     /** Told what a list or its changes, taken in whole, have changed. */
     interface Listener {
         void onListChanged(HostList.Change change);
     }
 
-    private final Listener whenListed;
+    private final Listener listener;
     private final AgentConnection watch;
     private final NoticeSender notices;
     private InetSocketAddress agent;
     /** The next call for the list, while there is a gap before it; null at first. */
-    private Future<?> next;
-    private boolean silent;
+    private Future<?> nextCall;
+    private boolean faultLogged;
     /** The latest call for the list was answered: only then may the next one wait. */
-    private boolean current;
+    private boolean lastCallAnswered;
     /** Lists that came and could not be taken in: since the start, and since the last that could. */
-    private long faults, faultsInARow;
+    private long faultCount, consecutiveFaults;
 
-    Discovery(EventLoop loop, Bootstrap bootstrap, InetSocketAddress agent, HostList hosts,
-              Listener whenListed, Consumer<Journal.Entry> whenNoticed) {
-        this(loop, bootstrap, agent, hosts, whenListed, whenNoticed, ListTiming.ANSWER_TIMEOUT_MS);
+    Discovery(EventLoop loop, Bootstrap bootstrap, InetSocketAddress agent, HostList hostList,
+              Listener listener, Consumer<Journal.Entry> onAcknowledged) {
+        this(loop, bootstrap, agent, hostList, listener, onAcknowledged, ListTiming.ANSWER_TIMEOUT_MS);
     }
 
     /** {@code answerTimeoutMs}: how long the answer to a call for the list that need not wait is awaited. */
-    Discovery(EventLoop loop, Bootstrap bootstrap, InetSocketAddress agent, HostList hosts,
-              Listener whenListed, Consumer<Journal.Entry> whenNoticed, long answerTimeoutMs) {
+    Discovery(EventLoop loop, Bootstrap bootstrap, InetSocketAddress agent, HostList hostList,
+              Listener listener, Consumer<Journal.Entry> onAcknowledged, long answerTimeoutMs) {
         this.answerTimeoutMs = answerTimeoutMs;
         this.loop = loop;
-        this.hosts = hosts;
-        this.whenListed = whenListed;
+        this.hostList = hostList;
+        this.listener = listener;
         this.watch = new AgentConnection(loop, bootstrap, agent, (int) ListTiming.CONNECT_TIMEOUT_MS);
         this.agent = agent;
-        this.notices = new NoticeSender(loop, () -> new NoticePost(bootstrap), whenNoticed);
+        this.notices = new NoticeSender(loop, () -> new AgentNoticeConnection(bootstrap), onAcknowledged);
     }
 
     /**
@@ -66,54 +66,54 @@
      * and those after one without an answer, do not wait: what the agent has binds already.
      */
     void watch() {
-        long wait = current ? WATCH_WAIT_MS : AT_ONCE_MS;
-        String query = hosts.version() < 0 ? "" : "?after=" + hosts.version() + "&wait_ms=" + wait;
-        long patience = current ? WATCH_WAIT_MS + WATCH_SLACK_MS : answerTimeoutMs;
-        watch.send(HttpMethod.GET, "/v1/servers" + query, "", patience, hosts::beginUpdate, this::answered);
+        long waitMs = lastCallAnswered ? WATCH_WAIT_MS : SHORTEST_WAIT_MS;
+        String query = hostList.version() < 0 ? "" : "?after=" + hostList.version() + "&wait_ms=" + waitMs;
+        long timeoutMs = lastCallAnswered ? WATCH_WAIT_MS + WATCH_SLACK_MS : answerTimeoutMs;
+        watch.send(HttpMethod.GET, "/v1/servers" + query, "", timeoutMs, hostList::beginUpdate, this::handleResponse);
     }
 
-    private void answered(AgentConnection.Response answer) {
-        current = false;
-        long gap = ListTiming.RETRY_GAP_MS;
+    private void handleResponse(AgentConnection.Response response) {
+        lastCallAnswered = false;
+        long gapMs = ListTiming.RETRY_GAP_MS;
         try {
-            if (answer.listChange != null) {
-                whenListed.onListChanged(answer.listChange);
-                silent = false;
-                current = true;
-                faultsInARow = 0;
+            if (response.listChange != null) {
+                listener.onListChanged(response.listChange);
+                faultLogged = false;
+                lastCallAnswered = true;
+                consecutiveFaults = 0;
                 watch();
                 return;
             }
-            if (answer.fault != null) {
-                gap = faultGapMs(faultsInARow++, ThreadLocalRandom.current().nextDouble());
-                faults++;
-                complain("discovery's list cannot be taken in: " + answer.fault, null);
+            if (response.fault != null) {
+                gapMs = faultGapMs(consecutiveFaults++, ThreadLocalRandom.current().nextDouble());
+                faultCount++;
+                logFault("discovery's list cannot be taken in: " + response.fault, null);
             } else {
-                faultsInARow = 0;
-                complain("discovery answered " + (answer.status == 0 ? "nothing" : answer.status), null);
+                consecutiveFaults = 0;
+                logFault("discovery answered " + (response.status == 0 ? "nothing" : response.status), null);
             }
         } catch (RuntimeException e) {
             // Guards the watch: it must go on whatever the list held.
-            complain("discovery's list could not be taken in", e);
+            logFault("discovery's list could not be taken in", e);
         }
-        next = loop.schedule(this::watch, gap, TimeUnit.MILLISECONDS);
+        nextCall = loop.schedule(this::watch, gapMs, TimeUnit.MILLISECONDS);
     }
 
     /** ms until the list is asked for again, after so many faults in a row before this one. */
-    static long faultGapMs(long before, double random) {
-        long most = Math.min(ListTiming.MAX_FAULT_GAP_MS,
-            ListTiming.FIRST_FAULT_GAP_MS << Math.min(before, MAX_DOUBLINGS));
-        return before == 0 ? most : (long) (most * (1 - random / 2));
+    static long faultGapMs(long previousFaults, double random) {
+        long maxGapMs = Math.min(ListTiming.MAX_FAULT_GAP_MS,
+            ListTiming.FIRST_FAULT_GAP_MS << Math.min(previousFaults, MAX_DOUBLINGS));
+        return previousFaults == 0 ? maxGapMs : (long) (maxGapMs * (1 - random / 2));
     }
 
     /** Lists that came and could not be taken in, since the start. */
     long faultCount() {
-        return faults;
+        return faultCount;
     }
 
     /** Takes in what the agent has written by now. */
     void readAvailable() {
-        watch.readNow();
+        watch.readAvailable();
     }
 
     /** Goes on at another address; what is under way at the old one is asked or posted there again. */
@@ -124,19 +124,19 @@
         this.agent = agent;
         watch.moveTo(agent);
         // A gap after faults of the old address binds nothing at the new one.
-        faultsInARow = 0;
-        if (next != null && next.cancel(false)) {
+        consecutiveFaults = 0;
+        if (nextCall != null && nextCall.cancel(false)) {
             watch();
         }
         notices.reconnect();
     }
 
     /** Once until the watch works again: it asks many times a second. */
-    private void complain(String fault, RuntimeException cause) {
-        if (!silent) {
-            LOG.warn("{}; the list of version {} is kept", fault, hosts.version(), cause);
+    private void logFault(String fault, RuntimeException cause) {
+        if (!faultLogged) {
+            LOG.warn("{}; the list of version {} is kept", fault, hostList.version(), cause);
         }
-        silent = true;
+        faultLogged = true;
     }
 
     /** Posts the end of a message, again and again until the platform has it. */
@@ -154,17 +154,17 @@
     }
 
     /** Posts notices over a kept connection to the agent's address of now. */
-    private final class NoticePost implements NoticeConnection {
+    private final class AgentNoticeConnection implements NoticeConnection {
         private final AgentConnection connection;
 
-        NoticePost(Bootstrap bootstrap) {
+        AgentNoticeConnection(Bootstrap bootstrap) {
             connection = new AgentConnection(loop, bootstrap, agent, (int) NOTICE_TIMEOUT_MS);
         }
 
         @Override
-        public void post(String body, IntConsumer whenAnswered) {
+        public void post(String body, IntConsumer onStatus) {
             connection.send(HttpMethod.POST, "/reports", body, NOTICE_TIMEOUT_MS, null,
-                answer -> whenAnswered.accept(answer.status));
+                response -> onStatus.accept(response.status));
         }
 
         @Override
--- a/src/main/java/wrenkeel/net/HostList.java
+++ b/src/main/java/wrenkeel/net/HostList.java
@@ -26,8 +26,8 @@
  */
 final class HostList {
     /** Bytes of a row, with its name and its part of the indexes; part of the heap that rows may fill. */
-    private static final int ROW_BYTES = 64, HEAP_PART = 2;
-    private static final int KINDS_MOST = 255, PIECE = 8 * 1024;
+    private static final int ROW_BYTES = 64, HEAP_DIVISOR = 2;
+    private static final int MAX_KINDS = 255, READ_BUFFER_BYTES = 8 * 1024;
 
     /** A host of a destination that the module has been told of; {@code id} is what it knows it by. */
     static final class Host {
@@ -41,12 +41,12 @@
         /** Named by the list as it stands, ready or draining, and of this destination. */
         boolean listed;
 
-        Host(long number, String name) {
-            this.id = number;
+        Host(long id, String name) {
+            this.id = id;
             this.name = name;
         }
 
-        private void leave() {
+        private void markGone() {
             ready = false;
             listed = false;
         }
@@ -62,28 +62,28 @@
     private final List<String> kinds;
     private final HostTable table;
     /** By number; some are gone, and kept until the module holds nothing of them. */
-    private final Map<Long, Host> hosts = new HashMap<>();
+    private final Map<Long, Host> hostsById = new HashMap<>();
     /** The destinations that the module has been told of, with their hosts. */
-    private final Map<Long, Set<Host>> told = new HashMap<>();
-    private PendingUpdate reading;
+    private final Map<Long, Set<Host>> activeDestinations = new HashMap<>();
+    private PendingUpdate pendingUpdate;
     private long version = -1;
-    private int listed;
-    private int draining;
+    private int listedCount;
+    private int drainingCount;
 
     HostList(List<String> zones, List<String> kinds) {
         this(zones, kinds, (int) Math.min(Integer.MAX_VALUE,
-            Runtime.getRuntime().maxMemory() / HEAP_PART / ROW_BYTES));
+            Runtime.getRuntime().maxMemory() / HEAP_DIVISOR / ROW_BYTES));
     }
 
     /** {@code most}: rows, for hosts held and for what a list that is being read changes. */
-    HostList(List<String> zones, List<String> kinds, int most) {
-        if (kinds.size() > KINDS_MOST) {
-            throw new IllegalArgumentException("more than " + KINDS_MOST + " kinds");
+    HostList(List<String> zones, List<String> kinds, int maxRows) {
+        if (kinds.size() > MAX_KINDS) {
+            throw new IllegalArgumentException("more than " + MAX_KINDS + " kinds");
         }
         this.zones = zones;
         this.kinds = kinds;
-        this.table = new HostTable(most, number -> {
-            Host host = hosts.get(number);
+        this.table = new HostTable(maxRows, id -> {
+            Host host = hostsById.get(id);
             return host == null ? null : host.name;
         });
     }
@@ -95,12 +95,12 @@
 
     /** How many hosts the list names now, ready or draining. */
     int listedCount() {
-        return listed;
+        return listedCount;
     }
 
     /** How many of these are not ready. */
     int drainingCount() {
-        return draining;
+        return drainingCount;
     }
 
     /** Rows in use: as many as are listed, unless a list is being read. */
@@ -127,21 +127,21 @@
 
     // ---- What the module has been told of -----------------------------------------------------------
     boolean isActive(long destination) {
-        return told.containsKey(destination);
+        return activeDestinations.containsKey(destination);
     }
 
     /** The module is to know this destination from now on: its listed hosts; null if it does already. */
     Relay.Listed activate(long destination) {
-        if (told.containsKey(destination)) {
+        if (activeDestinations.containsKey(destination)) {
             return null;
         }
-        told.put(destination, new LinkedHashSet<>());
-        if (reading != null) {
-            reading.toldSince.add(destination);
+        activeDestinations.put(destination, new LinkedHashSet<>());
+        if (pendingUpdate != null) {
+            pendingUpdate.activatedMeanwhile.add(destination);
         }
         List<Endpoint> endpoints = new ArrayList<>();
-        for (int row : rowsOf(destination)) {
-            show(row);
+        for (int row : listedRowsOf(destination)) {
+            syncHost(row);
             endpoints.add(endpoint(row));
         }
         return new Relay.Listed(ListKind.CHANGES, endpoints);
@@ -149,40 +149,40 @@
 
     /** The module has forgotten the destination. */
     void deactivate(long destination) {
-        Set<Host> released = told.remove(destination);
+        Set<Host> released = activeDestinations.remove(destination);
         if (released != null) {
             for (Host host : released) {
-                hosts.remove(host.id);
+                hostsById.remove(host.id);
                 table.releaseId(host.id, host.name);
             }
         }
     }
 
     /** The module holds nothing of this host any more; it goes if the list does not name it. */
-    void releaseHost(long number) {
-        Host host = hosts.get(number);
+    void releaseHost(long id) {
+        Host host = hostsById.get(id);
         if (host != null && !host.listed) {
-            hosts.remove(number);
-            told.get(host.destination).remove(host);
-            table.releaseId(number, host.name);
+            hostsById.remove(id);
+            activeDestinations.get(host.destination).remove(host);
+            table.releaseId(id, host.name);
         }
     }
 
     /** The host of this number, perhaps gone; null if the module has not been told of it. */
-    Host hostById(long number) {
-        return hosts.get(number);
+    Host hostById(long id) {
+        return hostsById.get(id);
     }
 
     /** The host of this name, perhaps gone; null if the module has not been told of it. */
     Host hostByName(String name) {
         byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
-        Host host = hosts.get(table.idFor(bytes, bytes.length));
+        Host host = hostsById.get(table.idFor(bytes, bytes.length));
         return host != null && host.name.equals(name) ? host : null;
     }
 
     /** A copy of a destination's hosts, gone ones included; none if the module has not been told of it. */
     Collection<Host> hostsOf(long destination) {
-        Set<Host> held = told.get(destination);
+        Set<Host> held = activeDestinations.get(destination);
         return held == null ? List.of() : List.copyOf(held);
     }
 
@@ -194,10 +194,10 @@
         host.ready = false;
         int row = table.rowById(host.id);
         if (row != HostTable.NONE && table.destination(row) == host.destination) {
-            stands(row, true, false);
-            if (reading != null) {
+            setListed(row, true, false);
+            if (pendingUpdate != null) {
                 table.setFlag(row, HostTable.DRAINED_MEANWHILE, true);
-                reading.drained.add(host.id);
+                pendingUpdate.drainedIds.add(host.id);
             }
         }
         return new Relay.Listed(ListKind.CHANGES, List.of(new Endpoint(host.id, host.zone, host.kind,
@@ -205,7 +205,7 @@
     }
 
     /** In the order in which they were first listed, for the most part. */
-    private int[] rowsOf(long destination) {
+    private int[] listedRowsOf(long destination) {
         int[] rows = new int[4];
         int count = 0;
         for (int row = table.firstRowOf(destination); row != HostTable.NONE; row = table.next(row)) {
@@ -224,16 +224,16 @@
     }
 
     /** Brings the object of a listed host of a told destination up to its row, and makes it if need be. */
-    private Host show(int row) {
+    private Host syncHost(int row) {
         long destination = table.destination(row);
-        Host host = hosts.get(table.id(row));
+        Host host = hostsById.get(table.id(row));
         if (host == null) {
             host = new Host(table.id(row), table.name(row));
-            hosts.put(host.id, host);
+            hostsById.put(host.id, host);
         } else if (host.destination != destination) {
-            told.get(host.destination).remove(host);
+            activeDestinations.get(host.destination).remove(host);
         }
-        told.get(destination).add(host);
+        activeDestinations.get(destination).add(host);
         host.destination = destination;
         host.address = table.address(row);
         host.zone = table.zone(row);
@@ -243,10 +243,10 @@
         return host;
     }
 
-    private void stands(int row, boolean nowListed, boolean nowReady) {
-        boolean was = table.hasFlag(row, HostTable.LISTED);
-        listed += (nowListed ? 1 : 0) - (was ? 1 : 0);
-        draining += (nowListed && !nowReady ? 1 : 0) - (was && !table.hasFlag(row, HostTable.READY) ? 1 : 0);
+    private void setListed(int row, boolean nowListed, boolean nowReady) {
+        boolean wasListed = table.hasFlag(row, HostTable.LISTED);
+        listedCount += (nowListed ? 1 : 0) - (wasListed ? 1 : 0);
+        drainingCount += (nowListed && !nowReady ? 1 : 0) - (wasListed && !table.hasFlag(row, HostTable.READY) ? 1 : 0);
         table.setFlag(row, HostTable.LISTED, nowListed);
         table.setFlag(row, HostTable.READY, nowReady);
     }
@@ -254,54 +254,54 @@
     // ---- Lists --------------------------------------------------------------------------------------
     /** Takes in a list or its changes. */
     Change load(InputStream text) throws IOException {
-        PendingUpdate whole = beginUpdate();
+        PendingUpdate update = beginUpdate();
         try {
-            byte[] piece = new byte[PIECE];
+            byte[] piece = new byte[READ_BUFFER_BYTES];
             for (int length = text.read(piece); length >= 0; length = text.read(piece)) {
-                whole.feed(piece, 0, length);
+                update.feed(piece, 0, length);
             }
-            return whole.commit();
+            return update.commit();
         } finally {
-            whole.abandon();
+            update.abandon();
         }
     }
 
     /** Begins to read a list or its changes; one that is still being read is abandoned. */
     PendingUpdate beginUpdate() {
-        if (reading != null) {
-            reading.abandon();
+        if (pendingUpdate != null) {
+            pendingUpdate.abandon();
         }
-        reading = new PendingUpdate();
-        return reading;
+        pendingUpdate = new PendingUpdate();
+        return pendingUpdate;
     }
 
     /** One list that is being read. What it changes are rows that are not linked, until its end has come. */
     final class PendingUpdate {
-        private final ListReader text = new ListReader(zones, kinds, this::read);
+        private final ListReader reader = new ListReader(zones, kinds, this::addEntry);
         /** The entries that change something, or concern the module, in their order. */
-        private int first = HostTable.NONE;
-        private int last = HostTable.NONE;
+        private int firstEntry = HostTable.NONE;
+        private int lastEntry = HostTable.NONE;
         /** Some rows are marked as seen. */
-        private boolean marked;
-        private final List<Long> drained = new ArrayList<>();
-        private final Set<Long> toldSince = new LinkedHashSet<>();
+        private boolean hasSeenMarks;
+        private final List<Long> drainedIds = new ArrayList<>();
+        private final Set<Long> activatedMeanwhile = new LinkedHashSet<>();
         private final List<Endpoint> endpoints = new ArrayList<>();
-        private final Set<Host> unready = new LinkedHashSet<>();
+        private final Set<Host> unavailable = new LinkedHashSet<>();
         /** Rows that have left the list or their destination. */
-        private int[] left = new int[16];
-        private int leftCount;
+        private int[] unlistedRows = new int[16];
+        private int unlistedCount;
 
         private PendingUpdate() { }
 
         /** Reads a piece of the text, cut anywhere. After a fault nothing of the list stays. */
         void feed(byte[] bytes, int from, int length) throws Wire.Malformed {
-            boolean good = false;
+            boolean succeeded = false;
             try {
-                underWay();
-                text.feed(bytes, from, length);
-                good = true;
+                requireUnderWay();
+                reader.feed(bytes, from, length);
+                succeeded = true;
             } finally {
-                if (!good) {
+                if (!succeeded) {
                     abandon();
                 }
             }
@@ -310,8 +310,8 @@
         /** The text is complete: from now on the list holds, or, after a fault, nothing of it. */
         Change commit() throws Wire.Malformed {
             try {
-                underWay();
-                text.end();
+                requireUnderWay();
+                reader.end();
                 return apply();
             } finally {
                 abandon();
@@ -320,11 +320,11 @@
 
         /** Nothing of the list stays. Does nothing once its end has come. */
         void abandon() {
-            if (reading != this) {
+            if (pendingUpdate != this) {
                 return;
             }
-            reading = null;
-            for (int entry = first; entry != HostTable.NONE;) {
+            pendingUpdate = null;
+            for (int entry = firstEntry; entry != HostTable.NONE;) {
                 int next = table.next(entry);
                 int row = table.rowOfEntry(entry);
                 if (row != HostTable.NONE) {
@@ -333,68 +333,68 @@
                 table.free(entry);
                 entry = next;
             }
-            for (int row = 0; marked && row < table.end(); row++) {
+            for (int row = 0; hasSeenMarks && row < table.end(); row++) {
                 table.setFlag(row, HostTable.SEEN_IN_UPDATE, false);
             }
-            for (long number : drained) {
-                int row = table.rowById(number);
+            for (long id : drainedIds) {
+                int row = table.rowById(id);
                 if (row != HostTable.NONE) {
                     table.setFlag(row, HostTable.DRAINED_MEANWHILE, false);
                 }
             }
             table.compactArena();
-            text.close();
+            reader.close();
         }
 
-        private void underWay() throws Wire.Malformed {
-            if (reading != this) {
+        private void requireUnderWay() throws Wire.Malformed {
+            if (pendingUpdate != this) {
                 throw new Wire.Malformed("the list has been abandoned");
             }
         }
 
-        private void read(ListReader.Entry entry) throws Wire.Malformed {
+        private void addEntry(ListReader.Entry entry) throws Wire.Malformed {
             int row = table.rowByName(entry.name, entry.nameLength);
             boolean known = row != HostTable.NONE;
-            if (known && text.mayBeWhole()) {
+            if (known && reader.mayBeWhole()) {
                 table.setFlag(row, HostTable.SEEN_IN_UPDATE, true);
-                marked = true;
+                hasSeenMarks = true;
             }
             // The module hears of what is named again too; and a later entry counts, not an earlier one.
             if (known && table.matches(row, entry) && !table.hasFlag(row, HostTable.HAS_ENTRY)
-                && !told.containsKey(entry.destination)) {
+                && !activeDestinations.containsKey(entry.destination)) {
                 return;
             }
             int added = table.addEntry(entry, row);
             if (known) {
                 table.setFlag(row, HostTable.HAS_ENTRY, true);
             }
-            if (last == HostTable.NONE) {
-                first = added;
+            if (lastEntry == HostTable.NONE) {
+                firstEntry = added;
             } else {
-                table.next(last, added);
+                table.next(lastEntry, added);
             }
-            last = added;
+            lastEntry = added;
         }
 
         private Change apply() {
-            while (first != HostTable.NONE) {
-                int entry = first;
-                first = table.next(entry);
+            while (firstEntry != HostTable.NONE) {
+                int entry = firstEntry;
+                firstEntry = table.next(entry);
                 apply(entry);
             }
-            if (text.isWhole()) {
-                dropUnseen();
-                toldSince.forEach(this::addMissing);
+            if (reader.isWhole()) {
+                removeUnseen();
+                activatedMeanwhile.forEach(this::addUnreported);
             } else {
-                for (int i = 0; i < leftCount; i++) {
-                    if (table.hasFlag(left[i], HostTable.LINKED) && !table.hasFlag(left[i], HostTable.LISTED)) {
-                        table.freeUnlisted(table.destination(left[i]));
+                for (int i = 0; i < unlistedCount; i++) {
+                    if (table.hasFlag(unlistedRows[i], HostTable.LINKED) && !table.hasFlag(unlistedRows[i], HostTable.LISTED)) {
+                        table.freeUnlisted(table.destination(unlistedRows[i]));
                     }
                 }
             }
-            version = text.version();
-            return new Change(new Relay.Listed(text.isWhole() ? ListKind.WHOLE : ListKind.CHANGES, endpoints),
-                List.copyOf(unready));
+            version = reader.version();
+            return new Change(new Relay.Listed(reader.isWhole() ? ListKind.WHOLE : ListKind.CHANGES, endpoints),
+                List.copyOf(unavailable));
         }
 
         private void apply(int entry) {
@@ -409,7 +409,7 @@
                 }
                 table.free(entry);
                 if (known && table.hasFlag(row, HostTable.LISTED)) {
-                    leave(row, true);
+                    removeRow(row, true);
                 }
                 return;
             }
@@ -421,59 +421,59 @@
             } else if (table.destination(row) == table.destination(entry)) {
                 table.update(row, entry);
             } else {
-                stands(row, false, false);
+                setListed(row, false, false);
                 table.replaceMovedHost(row, entry);
-                left(row);
+                addUnlistedRow(row);
                 row = entry;
             }
-            table.setFlag(row, HostTable.SEEN_IN_UPDATE, text.isWhole());
-            stands(row, true, ready);
-            listed(row);
+            table.setFlag(row, HostTable.SEEN_IN_UPDATE, reader.isWhole());
+            setListed(row, true, ready);
+            reportListed(row);
         }
 
         /** Tells of a host that the list names. */
-        private void listed(int row) {
-            Host host = hosts.get(table.id(row));
+        private void reportListed(int row) {
+            Host host = hostsById.get(table.id(row));
             boolean moved = host != null && host.listed && host.destination != table.destination(row);
-            if (told.containsKey(table.destination(row))) {
-                host = show(row);
+            if (activeDestinations.containsKey(table.destination(row))) {
+                host = syncHost(row);
                 endpoints.add(endpoint(row));
                 if (moved || !host.ready) {
-                    unready.add(host);
+                    unavailable.add(host);
                 }
             } else if (moved) {
-                gone(host, true);
+                reportGone(host, true);
             }
         }
 
-        private void leave(int row, boolean tell) {
-            stands(row, false, false);
-            left(row);
-            Host host = hosts.get(table.id(row));
+        private void removeRow(int row, boolean report) {
+            setListed(row, false, false);
+            addUnlistedRow(row);
+            Host host = hostsById.get(table.id(row));
             if (host != null && host.listed) {
-                gone(host, tell);
+                reportGone(host, report);
             }
         }
 
-        private void gone(Host host, boolean tell) {
-            host.leave();
-            unready.add(host);
-            if (tell) {
+        private void reportGone(Host host, boolean report) {
+            host.markGone();
+            unavailable.add(host);
+            if (report) {
                 endpoints.add(new Endpoint(host.id, host.zone, host.kind, host.destination,
                     Listing.GONE, 0));
             }
         }
 
-        private void left(int row) {
-            left = leftCount == left.length ? Arrays.copyOf(left, 2 * leftCount) : left;
-            left[leftCount++] = row;
+        private void addUnlistedRow(int row) {
+            unlistedRows = unlistedCount == unlistedRows.length ? Arrays.copyOf(unlistedRows, 2 * unlistedCount) : unlistedRows;
+            unlistedRows[unlistedCount++] = row;
         }
 
         /** A whole list leaves out what is gone; the module sees that by itself. */
-        private void dropUnseen() {
+        private void removeUnseen() {
             for (int row = 0; row < table.end(); row++) {
                 if (table.hasFlag(row, HostTable.LISTED) && !table.hasFlag(row, HostTable.SEEN_IN_UPDATE)) {
-                    leave(row, false);
+                    removeRow(row, false);
                 }
             }
             for (int row = 0; row < table.end(); row++) {
@@ -484,15 +484,15 @@
                     }
                 }
             }
-            marked = false;
+            hasSeenMarks = false;
         }
 
         /** Hosts whose entries came before the module was told of their destination, and said nothing new. */
-        private void addMissing(long destination) {
-            Set<Long> there = endpoints.stream().map(Endpoint::id).collect(Collectors.toSet());
-            if (told.containsKey(destination)) {
-                for (int row : rowsOf(destination)) {
-                    if (!there.contains(table.id(row))) {
+        private void addUnreported(long destination) {
+            Set<Long> reportedIds = endpoints.stream().map(Endpoint::id).collect(Collectors.toSet());
+            if (activeDestinations.containsKey(destination)) {
+                for (int row : listedRowsOf(destination)) {
+                    if (!reportedIds.contains(table.id(row))) {
                         endpoints.add(endpoint(row));
                     }
                 }
--- a/src/main/java/wrenkeel/net/HostPool.java
+++ b/src/main/java/wrenkeel/net/HostPool.java
@@ -545,7 +545,7 @@
             byte[] bytes = ByteBufUtil.getBytes(content.content());
             batchBody.write(bytes, 0, bytes.length);
             if (content instanceof LastHttpContent) {
-                Map<String, String> states = ResponseOutcomes.states(batchBody.toByteArray());
+                Map<String, String> states = ResponseOutcomes.messageStates(batchBody.toByteArray());
                 call.attempts.forEach(attempt ->
                     attempt.end(ResponseOutcomes.reply(batchHead, states.get(attempt.message.id()), attempt.latencyMicros())));
                 batchBody = null;
--- a/src/main/java/wrenkeel/net/ListTiming.java
+++ b/src/main/java/wrenkeel/net/ListTiming.java
@@ -38,7 +38,7 @@
     private ListTiming() { }
 
     /** What is left of a bound for the calls themselves. */
-    static long budget(long toldAfterMs) {
-        return toldAfterMs - STOP_SENDING_WITHIN_MS - STALL_ALLOWANCE_MS;
+    static long budget(long deadlineMs) {
+        return deadlineMs - STOP_SENDING_WITHIN_MS - STALL_ALLOWANCE_MS;
     }
 }
--- a/src/main/java/wrenkeel/net/NoticeBody.java
+++ b/src/main/java/wrenkeel/net/NoticeBody.java
@@ -11,21 +11,21 @@
     private static final JsonFactory JSON = new JsonFactory();
 
     /** Characters that a line has beside the id, and what an escaped character of an id takes at most. */
-    private static final int LINE_LENGTH = 96;
-    private static final int ESCAPED_LENGTH = 6;
+    private static final int LINE_BYTES_BESIDE_ID = 96;
+    private static final int MAX_ESCAPED_BYTES = 6;
 
     private NoticeBody() { }
 
     /** The most bytes that the line for this end can have. */
-    static int maxLength(Journal.Entry entry) {
-        return LINE_LENGTH + ESCAPED_LENGTH * entry.message.id().length();
+    static int maxLineBytes(Journal.Entry entry) {
+        return LINE_BYTES_BESIDE_ID + MAX_ESCAPED_BYTES * entry.message.id().length();
     }
 
-    static String encode(List<Journal.Entry> batch) {
+    static String encode(List<Journal.Entry> entries) {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = JSON.createGenerator(text)) {
             out.setRootValueSeparator(null);
-            for (Journal.Entry entry : batch) {
+            for (Journal.Entry entry : entries) {
                 out.writeStartObject();
                 out.writeStringField("message", entry.message.id());
                 out.writeStringField("outcome", entry.end.handedBack() ? "handed_back" : "given_up");
--- a/src/main/java/wrenkeel/net/NoticeConnection.java
+++ b/src/main/java/wrenkeel/net/NoticeConnection.java
@@ -8,7 +8,7 @@
     int NO_RESPONSE = 0;
 
     /** Posts a body; the status of the answer is passed on exactly once. */
-    void post(String body, IntConsumer whenAnswered);
+    void post(String body, IntConsumer onStatus);
 
     /** Ends the connection; a post under way ends with {@link #NO_RESPONSE}. */
     void close();
--- a/src/main/java/wrenkeel/net/NoticeSender.java
+++ b/src/main/java/wrenkeel/net/NoticeSender.java
@@ -98,7 +98,7 @@
 
     private final EventLoop loop;
     private final Supplier<NoticeConnection> connections;
-    private final Consumer<Journal.Entry> whenNoticed;
+    private final Consumer<Journal.Entry> onAcknowledged;
     private final Map<Long, Notice> pending = new HashMap<>();
     /** Notices to be posted now, the nearest deadline first. */
     private final TreeSet<Notice> ready = new TreeSet<>(
@@ -114,10 +114,10 @@
 
     /** {@code connections} opens connections to the agent's present address. */
     NoticeSender(EventLoop loop, Supplier<NoticeConnection> connections,
-            Consumer<Journal.Entry> whenNoticed) {
+            Consumer<Journal.Entry> onAcknowledged) {
         this.loop = loop;
         this.connections = connections;
-        this.whenNoticed = whenNoticed;
+        this.onAcknowledged = onAcknowledged;
     }
 
     /** Posts the end of a message, again and again until the platform has it. */
@@ -168,12 +168,12 @@
         List<Notice> batch = new ArrayList<>();
         Notice first = ready.pollFirst();
         batch.add(first);
-        int bytes = NoticeBody.maxLength(first.entry);
+        int bytes = NoticeBody.maxLineBytes(first.entry);
         for (Notice notice : first.alone ? List.<Notice>of() : ready) {
             if (notice.alone) {
                 continue;
             }
-            bytes += NoticeBody.maxLength(notice.entry);
+            bytes += NoticeBody.maxLineBytes(notice.entry);
             if (batch.size() == MAX_BATCH_NOTICES || bytes > MAX_BATCH_BYTES) {
                 break;
             }
@@ -207,27 +207,27 @@
         Post post = new Post(++lastPost, batch, link, failures);
         posts.add(post);
         link.post = post;
-        post.retry = loop.schedule(() -> retry(post), doubled(FIRST_RETRY_MS, failures, MAX_RETRY_MS),
+        post.retry = loop.schedule(() -> retry(post), backoffMs(FIRST_RETRY_MS, failures, MAX_RETRY_MS),
             TimeUnit.MILLISECONDS);
         String body = NoticeBody.encode(batch.stream().map(notice -> notice.entry).toList());
-        link.connection.post(body, status -> answered(post, status));
+        link.connection.post(body, status -> handleResponse(post, status));
     }
 
-    private static long doubled(long first, int times, long max) {
-        return Math.min(max, first << Math.min(times, MAX_DOUBLINGS));
+    private static long backoffMs(long firstMs, int doublings, long maxMs) {
+        return Math.min(maxMs, firstMs << Math.min(doublings, MAX_DOUBLINGS));
     }
 
-    private void answered(Post post, int status) {
+    private void handleResponse(Post post, int status) {
         Link link = post.link;
         link.post = null;
         if (status == NoticeConnection.NO_RESPONSE) {
-            ended(post);
+            handleNoResponse(post);
         } else {
-            closeOtherIdle(link);
+            closeOtherIdleLinks(link);
             if (status == HttpResponseStatus.NO_CONTENT.code()) {
-                acknowledged(post);
+                handleAcknowledged(post);
             } else if (status == HttpResponseStatus.BAD_REQUEST.code()) {
-                refused(post);
+                handleRefused(post);
             } else {
                 logFailure(post, "status " + status);
             }
@@ -239,7 +239,7 @@
      * One idle connection is enough. As a post always takes it, an idle connection has answered since every
      * post under way went out: a repeated post may trust it.
      */
-    private void closeOtherIdle(Link kept) {
+    private void closeOtherIdleLinks(Link kept) {
         for (Link link : List.copyOf(links)) {
             if (link != kept && link.post == null) {
                 close(link);
@@ -247,21 +247,21 @@
         }
     }
 
-    private void acknowledged(Post post) {
+    private void handleAcknowledged(Post post) {
         settle(post);
         failures = 0;
         failureLogged = false;
         for (Notice notice : post.notices) {
             if (pending.remove(notice.number()) != null) {
                 ready.remove(notice);
-                whenNoticed.accept(notice.entry);
+                onAcknowledged.accept(notice.entry);
             }
         }
-        closeUseless();
+        closeUselessLinks();
     }
 
     /** The platform could not read the post: one notice is to blame, and holds up no other from now on. */
-    private void refused(Post post) {
+    private void handleRefused(Post post) {
         if (post.settled) {
             return;
         }
@@ -274,13 +274,13 @@
             return;
         }
         for (Notice notice : left) {
-            long gap = doubled(FIRST_REFUSAL_GAP_MS, notice.refusals++, MAX_REFUSAL_GAP_MS);
+            long gapMs = backoffMs(FIRST_REFUSAL_GAP_MS, notice.refusals++, MAX_REFUSAL_GAP_MS);
             notice.alone = true;
-            loop.schedule(() -> readyAgain(notice), gap, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> makeReadyAgain(notice), gapMs, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void readyAgain(Notice notice) {
+    private void makeReadyAgain(Notice notice) {
         if (pending.containsKey(notice.number())) {
             ready.add(notice);
             sendReady();
@@ -291,7 +291,7 @@
      * The connection ended without an answer. A kept one may have been closed by the agent just then: its
      * notices go out again at once. Otherwise they wait for the post's retry.
      */
-    private void ended(Post post) {
+    private void handleNoResponse(Post post) {
         close(post.link);
         if (!post.settled) {
             logFailure(post, "no answer");
@@ -312,12 +312,12 @@
             failures = Math.max(failures, Math.min(post.failuresBefore + 1, MAX_DOUBLINGS));
             ready.addAll(left);
         }
-        closeUseless();
+        closeUselessLinks();
         sendReady();
     }
 
     /** An overdue connection is kept only for notices that an answer could still acknowledge. */
-    private void closeUseless() {
+    private void closeUselessLinks() {
         for (Link link : List.copyOf(links)) {
             if (link.isOverdue() && unacknowledged(link.post).isEmpty()) {
                 close(link);
--- a/src/main/java/wrenkeel/net/ResponseDecoder.java
+++ b/src/main/java/wrenkeel/net/ResponseDecoder.java
@@ -27,22 +27,22 @@
      */
     static final int MAX_RESPONSE_BYTES = 4 * MAX_BODY_BYTES;
 
-    private static final Pattern HTTP_1 = Pattern.compile("HTTP/1\\.[01]");
-    private static final Pattern STATUS = Pattern.compile("[1-5][0-9][0-9]");
+    private static final Pattern HTTP_1_VERSION = Pattern.compile("HTTP/1\\.[01]");
+    private static final Pattern STATUS_CODE = Pattern.compile("[1-5][0-9][0-9]");
 
-    private final IntConsumer whenBegun;
-    private int answerBytes;
+    private final IntConsumer onStatusLine;
+    private int responseBytes;
     private int bodyBytes;
     private boolean exceeded;
 
-    /** {@code whenBegun}: takes the status of each first line, interim answers included. */
-    ResponseDecoder(IntConsumer whenBegun) {
-        this.whenBegun = whenBegun;
+    /** {@code onStatusLine}: takes the status of each first line, interim answers included. */
+    ResponseDecoder(IntConsumer onStatusLine) {
+        this.onStatusLine = onStatusLine;
     }
 
     /** A request goes out: what is read from now on belongs to its answer. */
     void expectResponse() {
-        answerBytes = 0;
+        responseBytes = 0;
     }
 
     /** Bytes past the end of the latest answer would be taken for the beginning of the next. */
@@ -52,9 +52,9 @@
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object bytes) throws Exception {
-        answerBytes += ((ByteBuf) bytes).readableBytes();
-        if (answerBytes > MAX_RESPONSE_BYTES) {
-            exceeded(context);
+        responseBytes += ((ByteBuf) bytes).readableBytes();
+        if (responseBytes > MAX_RESPONSE_BYTES) {
+            closeAsExceeded(context);
         }
         if (exceeded) {
             ReferenceCountUtil.release(bytes);
@@ -75,7 +75,7 @@
             bodyBytes += content.content().readableBytes();
             if (bodyBytes > MAX_BODY_BYTES) {
                 ReferenceCountUtil.release(parts.remove(last));
-                exceeded(context);
+                closeAsExceeded(context);
             }
         }
     }
@@ -93,13 +93,13 @@
         requireStatusLine(firstLine);
         HttpMessage head = super.createMessage(firstLine);
         bodyBytes = 0;
-        whenBegun.accept(((HttpResponse) head).status().code());
+        onStatusLine.accept(((HttpResponse) head).status().code());
         return head;
     }
 
     /** The superclass takes other protocols' names and any spelling of the number, such as +200 or 0200. */
     private static void requireStatusLine(String[] firstLine) {
-        if (!HTTP_1.matcher(firstLine[0]).matches() || !STATUS.matcher(firstLine[1]).matches()) {
+        if (!HTTP_1_VERSION.matcher(firstLine[0]).matches() || !STATUS_CODE.matcher(firstLine[1]).matches()) {
             throw new IllegalArgumentException("no status line of HTTP/1");
         }
     }
@@ -120,7 +120,7 @@
         return super.splitHeaderName(line, start, length);
     }
 
-    private void exceeded(ChannelHandlerContext context) {
+    private void closeAsExceeded(ChannelHandlerContext context) {
         exceeded = true;
         context.close();
     }
