--- a/src/main/java/wrenkeel/net/AgentConnection.java
+++ b/src/main/java/wrenkeel/net/AgentConnection.java
@@ -91,9 +91,9 @@
      */
     void send(HttpMethod method, String uri, String body, long timeoutMs, Supplier<HostList.PendingUpdate> updates,
         Consumer<Response> onResponse) {
-        onResponse = onResponse;
+        this.onResponse = onResponse;
         response = new Response();
-        updates = updates;
+        this.updates = updates;
         receivedBytes = 0;
         sentNanos = System.nanoTime();
         this.timeoutMs = timeoutMs;
