--- a/src/main/java/wrenkeel/net/HostPool.java
+++ b/src/main/java/wrenkeel/net/HostPool.java
@@ -49,8 +49,8 @@
     /** ns; an answer that has begun and is not at its end by then will not be waited for. */
     private static final long MAX_RESPONSE_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-    /** What came back; times in microseconds, {@code slotsLeft} and {@code slotLimit} -1 if untold. */
-    record Reply(Outcome outcome, boolean messageOver, long retryAfterMicros, long latencyMicros, double slotsLeft, double slotLimit) { }
+    /** What came back; times in microseconds, {@code remainingShare} and {@code rateLimitPerSecond} -1 if untold. */
+    record Reply(Outcome outcome, boolean messageOver, long retryAfterMicros, long latencyMicros, double remainingShare, double rateLimitPerSecond) { }
 
     /** One message's part in a call, from when it was asked for until its reply. */
     static final class Attempt {
@@ -302,10 +302,10 @@
             } else if (call.hasEnded()) {
                 call.channel.close();
             } else {
-                Connection c = call.channel.pipeline().get(Connection.class);
-                c.connections = call.connections;
-                call.connections.open.add(c);
-                c.start(call);
+                Connection connection = call.channel.pipeline().get(Connection.class);
+                connection.connections = call.connections;
+                call.connections.open.add(connection);
+                connection.start(call);
             }
         });
     }
--- a/src/main/java/wrenkeel/net/Loop.java
+++ b/src/main/java/wrenkeel/net/Loop.java
@@ -695,7 +695,7 @@
             }
         }
         tell(new Relay.Ended(h.message.id(), attempt, host.id, reply.outcome(), over, reply.retryAfterMicros(),
-            reply.latencyMicros(), reply.slotsLeft(), reply.slotLimit()));
+            reply.latencyMicros(), reply.remainingShare(), reply.rateLimitPerSecond()));
         forget(h);
     }
 
--- a/src/test/java/wrenkeel/net/HostPoolTest.java
+++ b/src/test/java/wrenkeel/net/HostPoolTest.java
@@ -81,8 +81,8 @@
             assertEquals(outcome, reply.outcome());
             assertEquals(over, reply.messageOver());
             assertEquals(wait, reply.retryAfterMicros());
-            assertEquals(0.4, reply.slotsLeft());
-            assertEquals(25, reply.slotLimit());
+            assertEquals(0.4, reply.remainingShare());
+            assertEquals(25, reply.rateLimitPerSecond());
         }
     }
 
