--- a/src/main/java/wrenkeel/net/HostPool.java
+++ b/src/main/java/wrenkeel/net/HostPool.java
@@ -41,18 +41,33 @@
 import org.slf4j.LoggerFactory;
 import wrenkeel.Relay.Outcome;
 
-/** Connections to hosts: carries out one call at a time on each, and tells what came back. One thread. */
+/**
+ * The pool of HTTP/1.1 connections to hosts. Each connection carries one call at a time; a call carries one
+ * or several attempts, and each attempt gets exactly one {@link Reply}. Not thread-safe: all methods run on
+ * the event loop that is passed to the constructor.
+ */
 final class HostPool {
     private static final Logger LOG = LoggerFactory.getLogger(HostPool.class);
-    /** ms; a connection is not used again, and is closed, so long before the host may close it. */
-    private static final long IDLE_MARGIN_MS = 1_000, SWEEP_INTERVAL_MS = 250;
-    /** ns; an answer that has begun and is not at its end by then will not be waited for. */
+    /** An idle connection is closed, and not used again, this long before the host may close it. */
+    private static final long IDLE_MARGIN_MS = 1_000;
+    /** Interval at which stale and stuck connections are closed. */
+    private static final long SWEEP_INTERVAL_MS = 250;
+    /** Time after its head within which a response must be complete; then the connection is closed. */
     private static final long MAX_RESPONSE_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-    /** What came back; times in microseconds, {@code remainingShare} and {@code rateLimitPerSecond} -1 if untold. */
-    record Reply(Outcome outcome, boolean messageOver, long retryAfterMicros, long latencyMicros, double remainingShare, double rateLimitPerSecond) { }
+    /**
+     * The result of an attempt.
+     *
+     * @param messageOver whether the message needs no further attempt: it was delivered, or its time is up
+     * @param retryAfterMicros how long the host asks not to be called; 0 if it doesn't ask
+     * @param latencyMicros time since the attempt was created
+     * @param remainingShare the share of its rate limit that the host reports as left; -1 if it reports none
+     * @param rateLimitPerSecond the rate limit that the host reports; -1 if it reports none
+     */
+    record Reply(Outcome outcome, boolean messageOver, long retryAfterMicros, long latencyMicros,
+                 double remainingShare, double rateLimitPerSecond) { }
 
-    /** One message's part in a call, from when it was asked for until its reply. */
+    /** One attempt to deliver a message, from its creation until its reply. */
     static final class Attempt {
         private final Message message;
         private final long timeoutMicros;
@@ -62,7 +77,10 @@
         private Call call;
         private boolean ended;
 
-        /** It ends within {@code timeoutMicros} microseconds; its reply comes exactly once. */
+        /**
+         * {@code onReply} is called exactly once, at the latest {@code timeoutMicros} after the attempt has
+         * been passed to {@link #startCall}.
+         */
         Attempt(Message message, long timeoutMicros, Consumer<Reply> onReply) {
             this.message = message;
             this.timeoutMicros = timeoutMicros;
@@ -73,17 +91,23 @@
             return message;
         }
 
-        /** Stops waiting. Closing the connection is how a host learns of it, once no other part waits. */
+        /**
+         * Ends the attempt as cancelled. If no other attempt of its call is still waiting, the connection is
+         * closed: this is how the host learns of it.
+         */
         void cancel() {
             abandon(Outcome.CANCELLED);
         }
 
-        /** Its time is up. */
+        /** Ends the attempt because its timeout has elapsed. */
         void expire() {
             abandon(call.mayRunWithout(this) ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED);
         }
 
-        /** The connection closes before the reply is told, so that no byte can leave after it. */
+        /**
+         * Ends the attempt without waiting for the response. If it was the last one of its call, the
+         * connection is closed before the reply is reported, so that no byte can be sent after that.
+         */
         private void abandon(Outcome outcome) {
             if (!ended) {
                 markEnded();
@@ -108,7 +132,7 @@
         private void markEnded() {
             ended = true;
             if (call == null) {
-                // Called off in the turn that asked for it, before its call was made.
+                // Cancelled before its call was started.
                 return;
             }
             timeout.cancel(false);
@@ -117,7 +141,10 @@
             }
         }
 
-        /** An answer whose first line said 200 has delivered, whatever became of the rest of it. */
+        /**
+         * A message is delivered once the status line says 200, whatever happens to the rest of the
+         * response.
+         */
         private Reply replyFor(Outcome outcome) {
             boolean delivered = call != null && call.delivered;
             return new Reply(delivered ? Outcome.OK : outcome, delivered, 0, latencyMicros(), -1, -1);
@@ -128,16 +155,17 @@
         }
     }
 
-    /** What goes out as one request: a message, or a bundle of them that share its fate. */
+    /** One HTTP request to a host, which carries a single message or a batch of messages. */
     private static final class Call {
         final HostList.Host host;
         final List<Attempt> attempts;
         final HostConnections connections;
         Channel channel;
-        /** Bytes of it may have been handed to the socket; all of them, once it is written. */
+        /** Some bytes of the request may have been handed to the socket. */
         boolean writeBegun;
+        /** All bytes of the request have been handed to the socket. */
         boolean written;
-        /** The first line of its answer said 200, which settles a call with one message. */
+        /** The status line of the response said 200; set only for a call with a single message. */
         boolean delivered;
 
         Call(HostList.Host host, List<Attempt> attempts, HostConnections connections) {
@@ -147,17 +175,23 @@
             attempts.forEach(attempt -> attempt.call = this);
         }
 
+        /** True if the call carries more than one message. */
         boolean isBatch() {
             return attempts.size() > 1;
         }
 
+        /** True if all attempts of the call have ended. */
         boolean hasEnded() {
             return attempts.stream().allMatch(attempt -> attempt.ended);
         }
 
-        /** True if the endpoint may run a part that is given up now: others keep a call on its way. */
+        /**
+         * True if the endpoint may still process the message of an attempt that is abandoned now: the request
+         * has been sent in full, or it will be, because other attempts keep the call alive.
+         */
         boolean mayRunWithout(Attempt attempt) {
-            return written || writeBegun && attempts.stream().anyMatch(other -> other != attempt && !other.ended);
+            return written
+                || writeBegun && attempts.stream().anyMatch(other -> other != attempt && !other.ended);
         }
 
         void end(Outcome outcome) {
@@ -165,21 +199,25 @@
         }
 
         FullHttpRequest request() {
-            return CallRequest.encode(host.address, attempts.stream().map(Attempt::message).toList(), remainingMillis());
+            return CallRequest.encode(host.address, attempts.stream().map(Attempt::message).toList(),
+                remainingMillis());
         }
 
-        /** ms until the last of its parts stops waiting. */
+        /** Time until the last of its attempts times out; at least 1 ms. */
         private long remainingMillis() {
-            long longest = attempts.stream().mapToLong(attempt -> attempt.timeoutMicros - attempt.latencyMicros()).max().orElse(0);
+            long longest = attempts.stream()
+                .mapToLong(attempt -> attempt.timeoutMicros - attempt.latencyMicros()).max().orElse(0);
             return Math.max(1, longest / 1_000);
         }
     }
 
+    /** The connections to one host, and the calls that wait for one. */
     private static final class HostConnections {
-        /** Idle connections, the latest used last. */
+        /** Idle connections, the most recently used last. */
         final ArrayDeque<Connection> idle = new ArrayDeque<>();
+        /** All established connections, idle or in use. */
         final Set<Connection> open = new HashSet<>();
-        /** Calls of which no byte has gone out. */
+        /** Calls of which no byte has been sent. */
         final Set<Call> unsent = new HashSet<>();
         InetSocketAddress address;
     }
@@ -188,27 +226,31 @@
     private final Bootstrap bootstrap;
     private long idleLimitNanos;
     private final Figures figures;
-    /** Connections at once, those that are still to come up included; and how many there are. */
+    /** Limit of {@link #connectionCount}. */
     private int maxConnections;
+    /** Connections to all hosts, including those that are being established. */
     private int connectionCount;
     private final Map<Long, HostConnections> connectionsByHost = new HashMap<>();
-    /** All idle connections, the one idle for the longest first. */
+    /** The idle connections to all hosts, the one that has been idle longest first. */
     private final Set<Connection> idleOldestFirst = new LinkedHashSet<>();
-    /** Calls that wait until there may be one more connection, the longest first. */
+    /** Calls that wait because the connection limit is reached, oldest first. */
     private final ArrayDeque<Call> waitingCalls = new ArrayDeque<>();
 
     /**
-     * {@code maxConnections}: connections at once. Beyond that, ones that carry no call are closed; where all carry
-     * one, further calls wait, each for its patience.
+     * Creates a pool with at most {@code maxConnections} connections. At that limit, idle connections are
+     * closed to make room for new ones; if none is idle, further calls wait until their timeout.
      */
-    HostPool(EventLoop loop, Bootstrap bootstrap, long connectTimeoutMicros, long keepAliveMicros, int most,
-             Figures figures) {
-        this(loop, bootstrap, NioSocketChannel::new, connectTimeoutMicros, keepAliveMicros, most, figures);
+    HostPool(EventLoop loop, Bootstrap bootstrap, long connectTimeoutMicros, long keepAliveMicros,
+             int maxConnections, Figures figures) {
+        this(loop, bootstrap, NioSocketChannel::new, connectTimeoutMicros, keepAliveMicros, maxConnections,
+            figures);
     }
 
-    /** {@code sockets}: makes the channels of connections; what it throws fails the call. */
-    HostPool(EventLoop loop, Bootstrap bootstrap, ChannelFactory<Channel> channelFactory, long connectTimeoutMicros,
-             long keepAliveMicros, int most, Figures figures) {
+    /**
+     * {@code channelFactory} creates the connections' channels; an exception that it throws fails the call.
+     */
+    HostPool(EventLoop loop, Bootstrap bootstrap, ChannelFactory<Channel> channelFactory,
+             long connectTimeoutMicros, long keepAliveMicros, int maxConnections, Figures figures) {
         this.loop = loop;
         this.figures = figures;
         this.bootstrap = bootstrap.clone(loop).channelFactory(channelFactory)
@@ -220,16 +262,23 @@
                     channel.pipeline().addLast(new HttpRequestEncoder(), connection.decoder, connection);
                 }
             });
-        setLimits(connectTimeoutMicros, keepAliveMicros, most);
-        loop.scheduleWithFixedDelay(this::sweepSafely, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        setLimits(connectTimeoutMicros, keepAliveMicros, maxConnections);
+        loop.scheduleWithFixedDelay(this::sweepSafely, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS,
+            TimeUnit.MILLISECONDS);
     }
 
-    /** Other limits hold from the next connection on. */
-    void setLimits(long connectTimeoutMicros, long keepAliveMicros, int connections) {
-        maxConnections = connections;
-        long millis = keepAliveMicros / 1_000;
-        idleLimitNanos = TimeUnit.MILLISECONDS.toNanos(Math.max(millis / 2, millis - IDLE_MARGIN_MS));
-        bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutMicros / 1_000));
+    /**
+     * Changes the limits. The connect timeout and the connection limit apply from the next connection on.
+     *
+     * @param keepAliveMicros how long a host keeps an idle connection open
+     */
+    void setLimits(long connectTimeoutMicros, long keepAliveMicros, int maxConnections) {
+        this.maxConnections = maxConnections;
+        long keepAliveMillis = keepAliveMicros / 1_000;
+        idleLimitNanos = TimeUnit.MILLISECONDS.toNanos(
+            Math.max(keepAliveMillis / 2, keepAliveMillis - IDLE_MARGIN_MS));
+        bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS,
+            (int) Math.max(1, connectTimeoutMicros / 1_000));
         scheduleDispatch();
     }
 
@@ -237,7 +286,7 @@
         return connectionsByHost.computeIfAbsent(host.id, n -> new HostConnections());
     }
 
-    /** Begins one call that carries these parts, but for those that have been called off. */
+    /** Starts one call that carries these attempts, except those that have been cancelled already. */
     void startCall(HostList.Host host, List<Attempt> attempts) {
         List<Attempt> wanted = new ArrayList<>(attempts);
         wanted.removeIf(attempt -> attempt.ended);
@@ -256,7 +305,9 @@
         }
     }
 
-    /** Begins a call on an idle connection or a new one; false if there may be none now. */
+    /**
+     * Starts a call on an idle connection or a new one; false if the connection limit doesn't allow it now.
+     */
     private boolean tryDispatch(Call call) {
         Connection idle = takeIdleConnection(call);
         if (idle != null) {
@@ -270,9 +321,10 @@
         return true;
     }
 
-    /** The connection to the call's host that was used last; null if none can be used. */
+    /** Takes the most recently used idle connection to the call's host; null if none can be used. */
     private Connection takeIdleConnection(Call call) {
-        for (Connection connection = call.connections.idle.pollLast(); connection != null; connection = call.connections.idle.pollLast()) {
+        for (Connection connection = call.connections.idle.pollLast(); connection != null;
+             connection = call.connections.idle.pollLast()) {
             idleOldestFirst.remove(connection);
             if (connection.isUsableFor(call.host)) {
                 return connection;
@@ -285,8 +337,8 @@
     private void connect(Call call) {
         ChannelFuture connect = bootstrap.connect(call.host.address);
         if (!connect.channel().isRegistered()) {
-            // Without a descriptor there is no channel that could be closed, and the listeners of its
-            // future are called on another thread.
+            // No file descriptor was available. There is no channel to close, and the listeners of this
+            // future would be called on another thread.
             loop.execute(() -> call.end(Outcome.NO_SOCKET));
             return;
         }
@@ -310,34 +362,44 @@
         });
     }
 
-    /** True for a connect that this machine did not even try: no address, buffer or way out for a moment. */
+    /**
+     * True if a connect failed on this machine before anything was sent, for example because it had no local
+     * address, buffer or route at that moment.
+     */
     private static boolean isLocalFailure(Throwable cause) {
-        boolean ofTheEndpoint = cause instanceof ConnectException || cause instanceof NoRouteToHostException;
-        return cause instanceof SocketException && !ofTheEndpoint;
+        boolean remoteFailure = cause instanceof ConnectException || cause instanceof NoRouteToHostException;
+        return cause instanceof SocketException && !remoteFailure;
     }
 
-    /** Guards the descriptors: true if there may be one more connection, for which others may be closed. */
+    /**
+     * Makes room for one more connection, closing expendable ones if the limit is reached. Returns false if
+     * none is expendable. The limit keeps the process from running out of file descriptors.
+     */
     private boolean ensureCapacity() {
         while (connectionCount >= maxConnections) {
-            Connection spare = findExpendable();
-            if (spare == null) {
+            Connection expendable = findExpendable();
+            if (expendable == null) {
                 return false;
             }
-            idleOldestFirst.remove(spare);
-            spare.channel.close();
+            idleOldestFirst.remove(expendable);
+            expendable.channel.close();
         }
         return true;
     }
 
-    /** The connection idle for the longest, else one whose call is over and whose answer still comes in. */
+    /**
+     * The connection that has been idle longest, or else one whose call has ended while its response is still
+     * being received; null if there is neither.
+     */
     private Connection findExpendable() {
-        Stream<Connection> finishing = connectionsByHost.values().stream().flatMap(connections -> connections.open.stream())
+        Stream<Connection> finishing = connectionsByHost.values().stream()
+            .flatMap(connections -> connections.open.stream())
             .filter(connection -> connection.call != null && connection.call.hasEnded());
-        return Stream.concat(idleOldestFirst.stream(), finishing).filter(connection -> connection.channel.isActive()).findFirst()
-            .orElse(null);
+        return Stream.concat(idleOldestFirst.stream(), finishing)
+            .filter(connection -> connection.channel.isActive()).findFirst().orElse(null);
     }
 
-    /** A connection was closed, or carries no call any more. */
+    /** Lets waiting calls try again, after a connection was closed or became free, or the limits changed. */
     private void scheduleDispatch() {
         if (!waitingCalls.isEmpty()) {
             loop.execute(this::dispatchWaiting);
@@ -351,12 +413,15 @@
         }
     }
 
-    /** How many connections there are, those that are still to come up included. */
+    /** The number of connections to all hosts, including those that are being established. */
     int connectionCount() {
         return connectionCount;
     }
 
-    /** Reads what hosts have answered to calls that are out: it may tell to wait. */
+    /**
+     * Reads what a host has already sent in response to calls in progress: it may contain a Retry-After that
+     * forbids further calls.
+     */
     void readPendingResponses(HostList.Host host) {
         if (connectionsByHost.containsKey(host.id)) {
             for (Connection connection : List.copyOf(connectionsTo(host).open)) {
@@ -368,9 +433,9 @@
     }
 
     /**
-     * Takes back the calls to a host that still wait for their connection. Guards the rules on drains and
-     * waits: such a call would go out as soon as the connection is up, long after the host asked for nothing
-     * more.
+     * Ends the calls to a host that still wait for a connection, as not sent. Otherwise such a call would be
+     * sent as soon as its connection is established, although the host is draining by then or has asked for
+     * a pause with Retry-After.
      */
     void cancelUnsent(HostList.Host host) {
         if (connectionsByHost.containsKey(host.id)) {
@@ -381,7 +446,7 @@
     }
 
     /**
-     * Closes the connections to a host that carry no call; one whose answer is still coming in, after that.
+     * Closes the idle connections to a host. Connections in use are closed when their response is complete.
      */
     void closeIdle(HostList.Host host) {
         if (connectionsByHost.containsKey(host.id)) {
@@ -399,32 +464,41 @@
         connections.idle.clear();
     }
 
-    /** Closes all connections that carry no call; the others, once they carry none. */
+    /**
+     * Closes the idle connections to all hosts. Connections in use are closed when their response is
+     * complete.
+     */
     void closeAllIdle() {
         for (HostConnections connections : connectionsByHost.values()) {
             closeIdle(connections);
         }
     }
 
-    /** How many idle connections to a host are held. */
+    /** The number of idle connections to a host. */
     int idleCount(HostList.Host host) {
         return connectionsByHost.containsKey(host.id) ? connectionsTo(host).idle.size() : 0;
     }
 
-    /** A periodic task that throws is never run again, and stale connections would be used for ever. */
+    /**
+     * Runs {@link #sweep} and catches what it throws: a periodic task that throws is not run again, and then
+     * stale connections would never be closed.
+     */
     private void sweepSafely() {
         try {
             sweep();
         } catch (RuntimeException e) {
-            LOG.error("connections not swept", e);
+            LOG.error("closing of stale connections to hosts failed", e);
         }
     }
 
+    /** Closes stale and stuck connections, and forgets hosts without connections and calls. */
     private void sweep() {
-        connectionsByHost.values().removeIf(connections -> connections.open.isEmpty() && connections.unsent.isEmpty());
+        connectionsByHost.values().removeIf(
+            connections -> connections.open.isEmpty() && connections.unsent.isEmpty());
         for (HostConnections connections : connectionsByHost.values()) {
-            // Guards the descriptors against answers that never end: their calls are over already.
-            List.copyOf(connections.open).stream().filter(Connection::isStuck).forEach(connection -> connection.channel.close());
+            // A response that never ends would hold its file descriptor although its call has ended.
+            List.copyOf(connections.open).stream().filter(Connection::isStuck)
+                .forEach(connection -> connection.channel.close());
             while (!connections.idle.isEmpty() && connections.idle.peekFirst().isStale()) {
                 connections.idle.pollFirst().channel.close();
             }
@@ -432,8 +506,9 @@
     }
 
     /**
-     * One connection. A call is reported at the answer's head, but for a bundle, whose fates its body tells;
-     * the connection is free again at the answer's end.
+     * One connection. The result of a single message is reported when the head of the response has arrived;
+     * those of a batch when its body is complete, as the body names a state for each message. The connection
+     * becomes idle when the response is complete.
      */
     private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
         private final ResponseDecoder decoder = new ResponseDecoder(this::onStatusLine);
@@ -445,8 +520,9 @@
         private boolean reusable = true;
         private long headReceivedNanos;
         private long idleSinceNanos;
-        /** The head of a bundle's answer, and what has come of its body; null when none is being read. */
+        /** The head of the response to a batch. */
         private HttpResponse batchHead;
+        /** The part of a batch response's body received so far; null while none is being read. */
         private ByteArrayOutputStream batchBody;
 
         @Override
@@ -454,19 +530,23 @@
             channel = context.channel();
         }
 
+        /** True if the host may close this idle connection soon. */
         private boolean isStale() {
             return System.nanoTime() - idleSinceNanos >= idleLimitNanos;
         }
 
+        /** True if the head of the response came long ago and the response is not complete. */
         private boolean isStuck() {
-            return call != null && headReceived && System.nanoTime() - headReceivedNanos >= MAX_RESPONSE_NANOS;
+            return call != null && headReceived
+                && System.nanoTime() - headReceivedNanos >= MAX_RESPONSE_NANOS;
         }
 
         private boolean isUsableFor(HostList.Host host) {
-            return channel.isActive() && !isStale() && host.address.equals(address) && !decoder.hasSurplusBytes();
+            return channel.isActive() && !isStale() && host.address.equals(address)
+                && !decoder.hasSurplusBytes();
         }
 
-        /** The first line of an answer has been read. */
+        /** Called when the status line of a response has been read. */
         private void onStatusLine(int status) {
             if (call != null && !call.isBatch() && status == 200) {
                 call.delivered = true;
@@ -480,18 +560,19 @@
             reusable = true;
             next.channel = channel;
             decoder.expectResponse();
-            // The module has been told that these never ran, while the connection was not yet up.
+            // These ended while the connection was being established; they were reported as never sent.
             next.attempts.removeIf(attempt -> attempt.ended);
             next.writeBegun = true;
             batchBody = null;
             connections.unsent.remove(next);
             if (!next.host.ready) {
                 figures.violated(Violation.SENT_WHILE_DRAINING);
-                LOG.error("{}: a call to {}", Violation.SENT_WHILE_DRAINING, next.host.name);
+                LOG.error("{}: call sent to host {}, which is draining or gone",
+                    Violation.SENT_WHILE_DRAINING, next.host.name);
             }
             int messages = next.attempts.size();
-            // The promise of a write is kept when its last byte has been handed to the socket: from then on
-            // the call may run, before that it cannot.
+            // The write completes when its last byte has been handed to the socket. Only from then on can the
+            // host process the call.
             channel.writeAndFlush(next.request()).addListener(done -> {
                 next.written = done.isSuccess();
                 if (done.isSuccess()) {
@@ -531,23 +612,26 @@
             }
         }
 
+        /** Reports the results of a call, unless those are in the body of the response. */
         private void handleHead(HttpResponse head) {
             if (call.isBatch() && head.status().code() == 200) {
                 batchHead = head;
                 batchBody = new ByteArrayOutputStream();
             } else {
-                call.attempts.forEach(attempt -> attempt.end(ResponseOutcomes.reply(head, attempt.latencyMicros())));
+                call.attempts.forEach(attempt ->
+                    attempt.end(ResponseOutcomes.reply(head, attempt.latencyMicros())));
                 scheduleDispatch();
             }
         }
 
+        /** Collects the body of a batch response, and reports the results at its end. */
         private void handleBatchBody(HttpContent content) {
             byte[] bytes = ByteBufUtil.getBytes(content.content());
             batchBody.write(bytes, 0, bytes.length);
             if (content instanceof LastHttpContent) {
                 Map<String, String> states = ResponseOutcomes.messageStates(batchBody.toByteArray());
-                call.attempts.forEach(attempt ->
-                    attempt.end(ResponseOutcomes.reply(batchHead, states.get(attempt.message.id()), attempt.latencyMicros())));
+                call.attempts.forEach(attempt -> attempt.end(ResponseOutcomes.reply(batchHead,
+                    states.get(attempt.message.id()), attempt.latencyMicros())));
                 batchBody = null;
             }
         }
@@ -568,7 +652,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (!(cause instanceof IOException)) {
-                LOG.error("connection to a host closed", cause);
+                LOG.error("connection to a host closed after an unexpected exception", cause);
             }
             context.close();
         }
