--- a/src/main/java/wrenkeel/net/HostList.java
+++ b/src/main/java/wrenkeel/net/HostList.java
@@ -20,16 +20,21 @@
 import wrenkeel.Wire;
 
 /**
- * The hosts that discovery's list names. All of them are rows of a table; those of the destinations that the
- * module has been told of are objects besides, and the module hears of these alone. A list is taken in whole
- * or not at all. One thread.
+ * The hosts of discovery's list. Every host is a row of a {@link HostTable}. A destination is active while
+ * the decision module works with it: only for active destinations are there {@link Host} objects, and only
+ * their hosts are reported to the module. A list, or a list of changes, is applied as a whole or not at all.
+ * Not thread-safe.
  */
 final class HostList {
-    /** Bytes of a row, with its name and its part of the indexes; part of the heap that rows may fill. */
-    private static final int ROW_BYTES = 64, HEAP_DIVISOR = 2;
-    private static final int MAX_KINDS = 255, READ_BUFFER_BYTES = 8 * 1024;
-
-    /** A host of a destination that the module has been told of; {@code id} is what it knows it by. */
+    /** Size of a row, including its name and its part of the indexes. */
+    private static final int ROW_BYTES = 64;
+    /** Rows may fill the heap divided by this. */
+    private static final int HEAP_DIVISOR = 2;
+    /** A row stores its kind in one byte. */
+    private static final int MAX_KINDS = 255;
+    private static final int READ_BUFFER_BYTES = 8 * 1024;
+
+    /** A host of an active destination. The decision module knows it by its {@code id}. */
     static final class Host {
         final long id;
         final String name;
@@ -38,7 +43,7 @@
         int kind;
         long destination;
         boolean ready;
-        /** Named by the list as it stands, ready or draining, and of this destination. */
+        /** True while the list names this host, ready or draining, as one of this destination. */
         boolean listed;
 
         Host(long id, String name) {
@@ -53,29 +58,37 @@
     }
 
     /**
-     * What a list has changed. {@code event}: what the module is to be told; {@code unavailable}: hosts to which
-     * no call may go out any more that waits: not ready, gone, or of another destination now.
+     * What an update of the list has changed.
+     *
+     * @param event the changes to hosts of active destinations, for the decision module
+     * @param unavailable hosts to which waiting calls must not be sent any more: they are draining or gone,
+     *     or they belong to another destination now
      */
     record Change(Relay.Listed event, List<Host> unavailable) { }
 
     private final List<String> zones;
     private final List<String> kinds;
     private final HostTable table;
-    /** By number; some are gone, and kept until the module holds nothing of them. */
+    /** The hosts of active destinations by id. Hosts that are gone stay until the module releases them. */
     private final Map<Long, Host> hostsById = new HashMap<>();
-    /** The destinations that the module has been told of, with their hosts. */
+    /** The active destinations and their hosts. */
     private final Map<Long, Set<Host>> activeDestinations = new HashMap<>();
+    /** The update that is being read; null for none. */
     private PendingUpdate pendingUpdate;
     private long version = -1;
     private int listedCount;
     private int drainingCount;
 
+    /**
+     * Creates an empty list whose rows may fill half of the heap. {@code zones} and {@code kinds} are the
+     * names in the settings, in the order of their numbers.
+     */
     HostList(List<String> zones, List<String> kinds) {
         this(zones, kinds, (int) Math.min(Integer.MAX_VALUE,
             Runtime.getRuntime().maxMemory() / HEAP_DIVISOR / ROW_BYTES));
     }
 
-    /** {@code most}: rows, for hosts held and for what a list that is being read changes. */
+    /** {@code maxRows} limits the rows for listed hosts and for the entries of an update together. */
     HostList(List<String> zones, List<String> kinds, int maxRows) {
         if (kinds.size() > MAX_KINDS) {
             throw new IllegalArgumentException("more than " + MAX_KINDS + " kinds");
@@ -88,49 +101,53 @@
         });
     }
 
-    /** The version of the list held; -1 before the first. */
+    /** The version of the current list; -1 before the first. */
     long version() {
         return version;
     }
 
-    /** How many hosts the list names now, ready or draining. */
+    /** The number of hosts in the current list, ready or draining. */
     int listedCount() {
         return listedCount;
     }
 
-    /** How many of these are not ready. */
+    /** The number of hosts in the current list that are draining. */
     int drainingCount() {
         return drainingCount;
     }
 
-    /** Rows in use: as many as are listed, unless a list is being read. */
+    /** The number of rows in use: equal to {@link #listedCount} unless an update is being read. */
     int rowCount() {
         return table.rowCount();
     }
 
-    /** Rows that have ever been in use at one time. */
+    /** The largest number of rows that have been in use at one time. */
     int allocatedRowCount() {
         return table.end();
     }
 
-    /** True for a destination that a list has named; it stays one while all of its hosts are gone. */
+    /** True if a list has ever named this destination, even if all of its hosts are gone now. */
     boolean isKnown(long destination) {
         return table.isKnown(destination);
     }
 
-    /** The destination of a listed host; null if the list names none of this name. */
+    /** The destination of a listed host; null if the list names no host of this name. */
     Long destinationOf(String name) {
         byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
         int row = table.rowByName(bytes, bytes.length);
         return row == HostTable.NONE ? null : (Long) table.destination(row);
     }
 
-    // ---- What the module has been told of -----------------------------------------------------------
+    // ---- Active destinations ------------------------------------------------------------------------
+    /** True if the decision module works with this destination. */
     boolean isActive(long destination) {
         return activeDestinations.containsKey(destination);
     }
 
-    /** The module is to know this destination from now on: its listed hosts; null if it does already. */
+    /**
+     * Makes a destination active: from now on, changes to its hosts are reported. Returns an event with its
+     * listed hosts; null if it is active already.
+     */
     Relay.Listed activate(long destination) {
         if (activeDestinations.containsKey(destination)) {
             return null;
@@ -147,7 +164,7 @@
         return new Relay.Listed(ListKind.CHANGES, endpoints);
     }
 
-    /** The module has forgotten the destination. */
+    /** Ends the active state of a destination, after the module has released it. */
     void deactivate(long destination) {
         Set<Host> released = activeDestinations.remove(destination);
         if (released != null) {
@@ -158,7 +175,10 @@
         }
     }
 
-    /** The module holds nothing of this host any more; it goes if the list does not name it. */
+    /**
+     * Called when the module keeps no state of a host any more: removes the host if the list doesn't name
+     * it.
+     */
     void releaseHost(long id) {
         Host host = hostsById.get(id);
         if (host != null && !host.listed) {
@@ -168,27 +188,33 @@
         }
     }
 
-    /** The host of this number, perhaps gone; null if the module has not been told of it. */
+    /** The host with this id, which may be gone; null if it is not a host of an active destination. */
     Host hostById(long id) {
         return hostsById.get(id);
     }
 
-    /** The host of this name, perhaps gone; null if the module has not been told of it. */
+    /** The host with this name, which may be gone; null if it is not a host of an active destination. */
     Host hostByName(String name) {
         byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
         Host host = hostsById.get(table.idFor(bytes, bytes.length));
         return host != null && host.name.equals(name) ? host : null;
     }
 
-    /** A copy of a destination's hosts, gone ones included; none if the module has not been told of it. */
+    /**
+     * A copy of a destination's hosts, including those that are gone; empty if the destination is not
+     * active.
+     */
     Collection<Host> hostsOf(long destination) {
-        Set<Host> held = activeDestinations.get(destination);
-        return held == null ? List.of() : List.copyOf(held);
+        Set<Host> found = activeDestinations.get(destination);
+        return found == null ? List.of() : List.copyOf(found);
     }
 
     /**
-     * A host that another process was told is draining or gone; this one's list is older. A list that is
-     * being read may be older too, for its text began before: the host drains until a later one names it.
+     * Marks a host as draining because another process has received a newer list, in which it is draining or
+     * gone. An update that is being read may also be older than that list, as its transfer has begun before;
+     * the host therefore stays draining until a later update names it as ready.
+     *
+     * @return the change, for the decision module
      */
     Relay.Listed markDraining(Host host) {
         host.ready = false;
@@ -204,7 +230,7 @@
             host.destination, Listing.DRAINING, 0)));
     }
 
-    /** In the order in which they were first listed, for the most part. */
+    /** The listed rows of a destination in ascending order, which is mostly the order of first listing. */
     private int[] listedRowsOf(long destination) {
         int[] rows = new int[4];
         int count = 0;
@@ -223,7 +249,7 @@
             table.hasFlag(row, HostTable.READY) ? Listing.READY : Listing.DRAINING, table.share(row));
     }
 
-    /** Brings the object of a listed host of a told destination up to its row, and makes it if need be. */
+    /** Copies the row of a listed host of an active destination to its object, which is created if needed. */
     private Host syncHost(int row) {
         long destination = table.destination(row);
         Host host = hostsById.get(table.id(row));
@@ -243,22 +269,24 @@
         return host;
     }
 
+    /** Sets the flags of a row and updates the counters. */
     private void setListed(int row, boolean nowListed, boolean nowReady) {
         boolean wasListed = table.hasFlag(row, HostTable.LISTED);
         listedCount += (nowListed ? 1 : 0) - (wasListed ? 1 : 0);
-        drainingCount += (nowListed && !nowReady ? 1 : 0) - (wasListed && !table.hasFlag(row, HostTable.READY) ? 1 : 0);
+        drainingCount += (nowListed && !nowReady ? 1 : 0)
+            - (wasListed && !table.hasFlag(row, HostTable.READY) ? 1 : 0);
         table.setFlag(row, HostTable.LISTED, nowListed);
         table.setFlag(row, HostTable.READY, nowReady);
     }
 
     // ---- Lists --------------------------------------------------------------------------------------
-    /** Takes in a list or its changes. */
+    /** Reads and applies a complete list or a list of changes. */
     Change load(InputStream text) throws IOException {
         PendingUpdate update = beginUpdate();
         try {
-            byte[] piece = new byte[READ_BUFFER_BYTES];
-            for (int length = text.read(piece); length >= 0; length = text.read(piece)) {
-                update.feed(piece, 0, length);
+            byte[] buffer = new byte[READ_BUFFER_BYTES];
+            for (int length = text.read(buffer); length >= 0; length = text.read(buffer)) {
+                update.feed(buffer, 0, length);
             }
             return update.commit();
         } finally {
@@ -266,7 +294,7 @@
         }
     }
 
-    /** Begins to read a list or its changes; one that is still being read is abandoned. */
+    /** Begins to read a list or a list of changes. One that is still being read is abandoned. */
     PendingUpdate beginUpdate() {
         if (pendingUpdate != null) {
             pendingUpdate.abandon();
@@ -275,25 +303,37 @@
         return pendingUpdate;
     }
 
-    /** One list that is being read. What it changes are rows that are not linked, until its end has come. */
+    /**
+     * A list or a list of changes that is being read. Its entries are kept in unlinked rows, so that the
+     * current list stays unchanged until {@link #commit}.
+     */
     final class PendingUpdate {
         private final ListReader reader = new ListReader(zones, kinds, this::addEntry);
-        /** The entries that change something, or concern the module, in their order. */
+        /**
+         * The first and the last row of a chain in the order of the text: the entries that change something
+         * or belong to an active destination.
+         */
         private int firstEntry = HostTable.NONE;
         private int lastEntry = HostTable.NONE;
-        /** Some rows are marked as seen. */
+        /** Some rows have the flag {@link HostTable#SEEN_IN_UPDATE}. */
         private boolean hasSeenMarks;
+        /** Hosts for which {@link #markDraining} has been called while this update was being read. */
         private final List<Long> drainedIds = new ArrayList<>();
+        /** Destinations that became active while this update was being read. */
         private final Set<Long> activatedMeanwhile = new LinkedHashSet<>();
+        /** The changes to report to the decision module. */
         private final List<Endpoint> endpoints = new ArrayList<>();
         private final Set<Host> unavailable = new LinkedHashSet<>();
-        /** Rows that have left the list or their destination. */
+        /** Rows whose host has left the list or changed its destination. */
         private int[] unlistedRows = new int[16];
         private int unlistedCount;
 
         private PendingUpdate() { }
 
-        /** Reads a piece of the text, cut anywhere. After a fault nothing of the list stays. */
+        /**
+         * Reads the next piece of the text, which may be cut anywhere. If it is malformed, abandons the
+         * update.
+         */
         void feed(byte[] bytes, int from, int length) throws Wire.Malformed {
             boolean succeeded = false;
             try {
@@ -307,7 +347,7 @@
             }
         }
 
-        /** The text is complete: from now on the list holds, or, after a fault, nothing of it. */
+        /** Called at the end of the text: applies the update, or abandons it if it is malformed. */
         Change commit() throws Wire.Malformed {
             try {
                 requireUnderWay();
@@ -318,7 +358,7 @@
             }
         }
 
-        /** Nothing of the list stays. Does nothing once its end has come. */
+        /** Discards the update. Does nothing if it has been applied or abandoned already. */
         void abandon() {
             if (pendingUpdate != this) {
                 return;
@@ -348,10 +388,11 @@
 
         private void requireUnderWay() throws Wire.Malformed {
             if (pendingUpdate != this) {
-                throw new Wire.Malformed("the list has been abandoned");
+                throw new Wire.Malformed("reading of the list was abandoned");
             }
         }
 
+        /** Keeps an entry until the update is applied, unless it changes nothing. */
         private void addEntry(ListReader.Entry entry) throws Wire.Malformed {
             int row = table.rowByName(entry.name, entry.nameLength);
             boolean known = row != HostTable.NONE;
@@ -359,7 +400,8 @@
                 table.setFlag(row, HostTable.SEEN_IN_UPDATE, true);
                 hasSeenMarks = true;
             }
-            // The module hears of what is named again too; and a later entry counts, not an earlier one.
+            // Entries of active destinations are reported even if they change nothing. If an earlier entry
+            // of this update has changed the host, this one must override it.
             if (known && table.matches(row, entry) && !table.hasFlag(row, HostTable.HAS_ENTRY)
                 && !activeDestinations.containsKey(entry.destination)) {
                 return;
@@ -376,6 +418,7 @@
             lastEntry = added;
         }
 
+        /** Applies the entries and collects what to report. */
         private Change apply() {
             while (firstEntry != HostTable.NONE) {
                 int entry = firstEntry;
@@ -387,16 +430,19 @@
                 activatedMeanwhile.forEach(this::addUnreported);
             } else {
                 for (int i = 0; i < unlistedCount; i++) {
-                    if (table.hasFlag(unlistedRows[i], HostTable.LINKED) && !table.hasFlag(unlistedRows[i], HostTable.LISTED)) {
+                    if (table.hasFlag(unlistedRows[i], HostTable.LINKED)
+                        && !table.hasFlag(unlistedRows[i], HostTable.LISTED)) {
                         table.freeUnlisted(table.destination(unlistedRows[i]));
                     }
                 }
             }
             version = reader.version();
-            return new Change(new Relay.Listed(reader.isWhole() ? ListKind.WHOLE : ListKind.CHANGES, endpoints),
+            return new Change(
+                new Relay.Listed(reader.isWhole() ? ListKind.WHOLE : ListKind.CHANGES, endpoints),
                 List.copyOf(unavailable));
         }
 
+        /** Applies one entry, whose row becomes the host's row or is freed. */
         private void apply(int entry) {
             int row = table.rowOfEntry(entry);
             boolean known = row != HostTable.NONE;
@@ -431,7 +477,7 @@
             reportListed(row);
         }
 
-        /** Tells of a host that the list names. */
+        /** Reports a host that the list names, if its destination is active. */
         private void reportListed(int row) {
             Host host = hostsById.get(table.id(row));
             boolean moved = host != null && host.listed && host.destination != table.destination(row);
@@ -446,6 +492,7 @@
             }
         }
 
+        /** Marks the host of a row as not listed any more. */
         private void removeRow(int row, boolean report) {
             setListed(row, false, false);
             addUnlistedRow(row);
@@ -455,6 +502,7 @@
             }
         }
 
+        /** Marks a host as gone. {@code report}: whether the change goes to the decision module. */
         private void reportGone(Host host, boolean report) {
             host.markGone();
             unavailable.add(host);
@@ -465,11 +513,15 @@
         }
 
         private void addUnlistedRow(int row) {
-            unlistedRows = unlistedCount == unlistedRows.length ? Arrays.copyOf(unlistedRows, 2 * unlistedCount) : unlistedRows;
+            unlistedRows = unlistedCount == unlistedRows.length
+                ? Arrays.copyOf(unlistedRows, 2 * unlistedCount) : unlistedRows;
             unlistedRows[unlistedCount++] = row;
         }
 
-        /** A whole list leaves out what is gone; the module sees that by itself. */
+        /**
+         * Removes the hosts that a whole list doesn't name. They aren't reported: the decision module drops
+         * the endpoints that a whole list leaves out.
+         */
         private void removeUnseen() {
             for (int row = 0; row < table.end(); row++) {
                 if (table.hasFlag(row, HostTable.LISTED) && !table.hasFlag(row, HostTable.SEEN_IN_UPDATE)) {
@@ -487,7 +539,10 @@
             hasSeenMarks = false;
         }
 
-        /** Hosts whose entries came before the module was told of their destination, and said nothing new. */
+        /**
+         * Reports the hosts of a destination that became active while the update was being read, as far as
+         * they aren't reported yet: entries without changes that came before that were not kept.
+         */
         private void addUnreported(long destination) {
             Set<Long> reportedIds = endpoints.stream().map(Endpoint::id).collect(Collectors.toSet());
             if (activeDestinations.containsKey(destination)) {
--- a/src/main/java/wrenkeel/net/HostTable.java
+++ b/src/main/java/wrenkeel/net/HostTable.java
@@ -17,68 +17,96 @@
 import wrenkeel.Wire;
 
 /**
- * Rows of hosts in columns of primitives, about 60 bytes each. A row is free; or an entry of a list that is
- * being read; or linked: then its host is found by name and by number, and its destination leads to it. One
- * thread.
+ * A compact table of hosts: rows whose fields are stored in arrays of primitives, about 60 bytes for each
+ * host. A row is in one of three states. It is free; or it holds an entry of a list that is being read; or it
+ * is linked, which means that it is found by the host's name, by the host's id and through its destination.
+ * Not thread-safe.
  */
 final class HostTable {
-    /** No row, or no place. */
+    /** In place of a row number or a place in the arena: none. */
     static final int NONE = -1;
-    /** Flags of a row that is linked: named by the list as it stands; and, of these, ready. */
-    static final int LINKED = 1, LISTED = 2, READY = 4;
-    /** Flags of a linked row while a list is read: it has named the host; as changed; drained meanwhile. */
-    static final int SEEN_IN_UPDATE = 8, HAS_ENTRY = 16, DRAINED_MEANWHILE = 32;
-    /** Flags of an entry: its host is gone; no address was to be read from it. */
-    static final int GONE = 64, UNUSABLE_ADDRESS = 128;
-    /** The address has 16 bytes, or the share needs a double's bits: that is in the arena. */
-    private static final int ADDRESS_IN_ARENA = 256, SHARE_IN_ARENA = 512;
-    private static final int PAGE_BITS = 10, PAGE_ROWS = 1 << PAGE_BITS;
-    /** Bytes of a name, of a mean name and of an address of IP version 6. */
-    private static final int MEAN_NAME_BYTES = 32, IPV6_BYTES = 16;
-    /** Sites that can be told apart. */
+    /** Flag of a linked row. */
+    static final int LINKED = 1;
+    /** Flag of a linked row: the current list names its host. */
+    static final int LISTED = 2;
+    /** Flag of a listed row or of an entry: its host is ready, not draining. */
+    static final int READY = 4;
+    /** Flag of a linked row: the list that is being read names its host. */
+    static final int SEEN_IN_UPDATE = 8;
+    /** Flag of a linked row: the list that is being read has an entry for its host that will be applied. */
+    static final int HAS_ENTRY = 16;
+    /** Flag of a linked row: its host was marked as draining while a list is being read. */
+    static final int DRAINED_MEANWHILE = 32;
+    /** Flag of an entry: its host is gone. */
+    static final int GONE = 64;
+    /** Flag of an entry: its address could not be parsed. */
+    static final int UNUSABLE_ADDRESS = 128;
+    /** Flag: the address has 16 bytes, which are in the arena. */
+    private static final int ADDRESS_IN_ARENA = 256;
+    /** Flag: the share needs the precision of a double, whose bytes are in the arena. */
+    private static final int SHARE_IN_ARENA = 512;
+    private static final int PAGE_BITS = 10;
+    private static final int PAGE_ROWS = 1 << PAGE_BITS;
+    /** Assumed mean length of host names, for the limit of the arena's size. */
+    private static final int MEAN_NAME_BYTES = 32;
+    private static final int IPV6_BYTES = 16;
+    /** Number of different zones that the table can hold: a row stores an index of 16 bits. */
     private static final int MAX_ZONES = Character.MAX_VALUE;
+    /** The arena's size is limited in proportion to the rows, but not to less than this. */
     private static final int MIN_ARENA_LIMIT_BYTES = 1 << 20;
 
-    /**
-     * Columns of some rows; {@code zoneIndex}: place of the zone; {@code share}: bits of a float, or place in the
-     * arena; {@code next}: row of the same destination, of the same list, or free. */
+    /** The columns of {@link #PAGE_ROWS} rows. */
     private static final class Page {
+        /** Id of the host as an unsigned number; of an entry for a new host, the CRC-32 of its name. */
         final int[] id = new int[PAGE_ROWS];
+        /** Index in {@link HostTable#zones}. */
         final char[] zoneIndex = new char[PAGE_ROWS];
         final byte[] kind = new byte[PAGE_ROWS];
         final short[] flags = new short[PAGE_ROWS];
         final long[] destination = new long[PAGE_ROWS];
+        /** Bits of a float, or place in the arena. */
         final int[] share = new int[PAGE_ROWS];
+        /** IPv4 address, or place in the arena. */
         final int[] address = new int[PAGE_ROWS];
         final char[] port = new char[PAGE_ROWS];
+        /** Place in the arena. */
         final int[] name = new int[PAGE_ROWS];
+        /** The next row of the same destination, of the same list that is being read, or of the free rows. */
         final int[] next = new int[PAGE_ROWS];
     }
 
     private final int maxRows;
     private final LongFunction<String> nameOfHeldId;
     private Page[] pages = new Page[4];
-    /** Rows that the pages hold or held; those before {@code end} have been used. */
+    /** All rows that have ever been used are below this one. */
     private int end;
     private int rowCount;
+    /** Head of the chain of free rows. */
     private int firstFree = NONE;
+    /** Names, IPv6 addresses and shares that don't fit into a float. */
     private ByteArena arena = new ByteArena();
+    /** The linked rows by host id. */
     private final RowIndex byId = new RowIndex(row -> page(row).id[row & PAGE_ROWS - 1]);
-    /** Leads to the first row of each destination. */
+    /** The first row of each destination; the others follow by {@link #next}. */
     private final RowIndex byDestination = new RowIndex(row -> Long.hashCode(destination(row)));
-    /** Destinations that a list has named and that have no row. */
+    /** Destinations that a list has named and that have no row now. */
     private final Set<Long> destinationsWithoutRows = new HashSet<>();
-    /** By their CRC-32, the names whose number is another one, with that. */
+    /** The ids of hosts whose name's CRC-32 was taken by another host: CRC-32 of the name, to name, to id. */
     private final IntObjectHashMap<Map<String, Integer>> rehashedIds = new IntObjectHashMap<>();
-    /** The zones of all sites that were ever named, and the place of each. */
+    /** All zones that have ever been named, by index. */
     private int[] zones = new int[8];
+    /** The index of each zone in {@link #zones}. */
     private final IntObjectHashMap<Character> zoneIndexes = new IntObjectHashMap<>();
     private final CRC32 crc32 = new CRC32();
+    /** Buffer for names and other byte strings of the arena. */
     private final byte[] scratch = new byte[ByteArena.MAX_STRING_BYTES];
 
     /**
-     * {@code maxRows}: rows at most; {@code nameOfHeldId}: names the host that keeps a number though it may have no
-     * row, or null.
+     * Creates an empty table.
+     *
+     * @param maxRows the limit of rows in use, linked rows and entries together
+     * @param nameOfHeldId returns the name of the host that holds an id, even without a row; null if no host
+     *     holds it
      */
     HostTable(int maxRows, LongFunction<String> nameOfHeldId) {
         this.maxRows = maxRows;
@@ -90,12 +118,12 @@
         return pages[row >> PAGE_BITS];
     }
 
-    /** Rows that are not free. */
+    /** The number of rows that are not free. */
     int rowCount() {
         return rowCount;
     }
 
-    /** All rows are below this one. */
+    /** All rows that have ever been used are below this one. */
     int end() {
         return end;
     }
@@ -106,9 +134,11 @@
 
     void setFlag(int row, int flag, boolean on) {
         short[] flags = page(row).flags;
-        flags[row & PAGE_ROWS - 1] = (short) (on ? flags[row & PAGE_ROWS - 1] | flag : flags[row & PAGE_ROWS - 1] & ~flag);
+        flags[row & PAGE_ROWS - 1] =
+            (short) (on ? flags[row & PAGE_ROWS - 1] | flag : flags[row & PAGE_ROWS - 1] & ~flag);
     }
 
+    /** The id of a row's host, below 2^32. */
     long id(int row) {
         return page(row).id[row & PAGE_ROWS - 1] & 0xffffffffL;
     }
@@ -135,17 +165,19 @@
         return ByteBuffer.wrap(bytes).getDouble();
     }
 
-    /** A float's bits where they say all, as for most shares; else a place in the arena. */
+    /** The value of the column for a share: the bits of a float if it is exact, else a place in the arena. */
     private int encodeShare(double share, boolean needsDouble) {
-        return needsDouble ? arena.add(ByteBuffer.allocate(Double.BYTES).putDouble(share).array(), Double.BYTES)
+        return needsDouble
+            ? arena.add(ByteBuffer.allocate(Double.BYTES).putDouble(share).array(), Double.BYTES)
             : Float.floatToIntBits((float) share);
     }
 
+    /** The index of a zone, which is added if it is new. */
     private char zoneIndex(int zone) throws Wire.Malformed {
         Character index = zoneIndexes.get(zone);
         if (index == null) {
             if (zoneIndexes.size() == MAX_ZONES) {
-                throw new Wire.Malformed("more than " + MAX_ZONES + " sites");
+                throw new Wire.Malformed("hosts are in more than " + MAX_ZONES + " sites");
             }
             index = (char) zoneIndexes.size();
             zones = index == zones.length ? Arrays.copyOf(zones, 2 * index) : zones;
@@ -155,6 +187,7 @@
         return index;
     }
 
+    /** The next row of a chain; {@link #NONE} for the last. */
     int next(int row) {
         return page(row).next[row & PAGE_ROWS - 1];
     }
@@ -186,21 +219,25 @@
         try {
             return new InetSocketAddress(InetAddress.getByAddress(bytes), page.port[at]);
         } catch (UnknownHostException e) {
-            throw new IllegalStateException("4 or 16 bytes are an address", e);
+            throw new IllegalStateException("an address of 4 or 16 bytes was not accepted", e);
         }
     }
 
     // ---- Entries of a list that is being read -----------------------------------------------------
     /**
-     * A row for an entry, not linked; {@code host}: the linked row of its host, whose number it then has
-     * instead of a name, or {@link #NONE}.
+     * Stores an entry in an unlinked row.
+     *
+     * @param hostRow the linked row of the entry's host, whose id the entry then has instead of a name;
+     *     {@link #NONE} if there is none
+     * @return the entry's row
+     * @throws Wire.Malformed if the table is full
      */
     int addEntry(ListReader.Entry entry, int hostRow) throws Wire.Malformed {
         if (rowCount >= maxRows) {
-            throw new Wire.Malformed("more than " + maxRows + " hosts");
+            throw new Wire.Malformed("hosts and changes take more than " + maxRows + " rows");
         }
         if (arena.allocatedBytes() > Math.max(MIN_ARENA_LIMIT_BYTES, (long) maxRows * MEAN_NAME_BYTES)) {
-            throw new Wire.Malformed("names of more than " + arena.allocatedBytes() + " bytes in all");
+            throw new Wire.Malformed("host names take more than " + arena.allocatedBytes() + " bytes in all");
         }
         char zoneIndex = zoneIndex(entry.zone);
         int row = allocate();
@@ -219,7 +256,8 @@
         page.next[at] = NONE;
         page.flags[at] = (short) ((isIpv6 ? ADDRESS_IN_ARENA : 0) | (needsDouble ? SHARE_IN_ARENA : 0)
             | (entry.listing == Relay.Listing.READY ? READY : 0)
-            | (entry.listing == Relay.Listing.GONE ? GONE : 0) | (entry.unusableAddress ? UNUSABLE_ADDRESS : 0));
+            | (entry.listing == Relay.Listing.GONE ? GONE : 0)
+            | (entry.unusableAddress ? UNUSABLE_ADDRESS : 0));
         return row;
     }
 
@@ -233,7 +271,7 @@
         return rowByName(scratch, length, (int) id(entry));
     }
 
-    /** True if a linked row holds just what the entry says. */
+    /** True if an entry changes nothing of the linked row of its host. */
     boolean matches(int row, ListReader.Entry entry) {
         Page page = page(row);
         int at = row & PAGE_ROWS - 1;
@@ -245,7 +283,10 @@
             && entry.listing == (hasFlag(row, READY) ? Relay.Listing.READY : Relay.Listing.DRAINING);
     }
 
-    /** Gives a linked row the place, share and address of an entry of the same host; the entry goes. */
+    /**
+     * Copies zone, kind, share and address from an entry to the linked row of its host, and frees the
+     * entry.
+     */
     void update(int row, int entry) {
         Page to = page(row);
         int at = row & PAGE_ROWS - 1;
@@ -268,14 +309,17 @@
         free(entry);
     }
 
-    /** Makes an entry the row of a host that has none. */
+    /** Makes an entry the linked row of its host, which has none yet. */
     void linkNewHost(int entry) {
         page(entry).id[entry & PAGE_ROWS - 1] = assignId(entry, (int) id(entry));
         byId.add(entry);
         linkToDestination(entry);
     }
 
-    /** Makes an entry the row of a host in place of one of another destination, which waits to be pruned. */
+    /**
+     * Makes an entry the linked row of its host, whose destination has changed. The old row stays linked to
+     * the old destination until {@link #freeUnlisted}.
+     */
     void replaceMovedHost(int row, int entry) {
         if (namePlace(entry) != NONE) {
             arena.free(namePlace(entry));
@@ -288,7 +332,7 @@
         setFlag(row, LISTED, false);
     }
 
-    /** Frees an entry. */
+    /** Frees an entry, or a linked row that is not in the indexes any more. */
     void free(int row) {
         if (namePlace(row) != NONE) {
             arena.free(namePlace(row));
@@ -323,7 +367,7 @@
     }
 
     // ---- Linked rows ------------------------------------------------------------------------------
-    /** The linked row of a host's name; {@link #NONE} if there is none. */
+    /** The linked row of the host with this name; {@link #NONE} if there is none. */
     int rowByName(byte[] name, int length) {
         return rowByName(name, length, crc(name, length));
     }
@@ -339,7 +383,7 @@
         return id == null ? NONE : rowById(id);
     }
 
-    /** The linked row of a host's number; {@link #NONE} if there is none. */
+    /** The linked row of the host with this id; {@link #NONE} if there is none. */
     int rowById(long id) {
         return rowById((int) id);
     }
@@ -354,7 +398,7 @@
         return row;
     }
 
-    /** The number that a host of this name has, or would be given. */
+    /** The id that a host of this name has, or would be assigned if its CRC-32 is free. */
     long idFor(byte[] name, int length) {
         int hash = crc(name, length);
         Map<String, Integer> idsByName = rehashedIds.get(hash);
@@ -363,7 +407,7 @@
         return (id == null ? hash : id) & 0xffffffffL;
     }
 
-    /** The first linked row of a destination; {@link #next} leads on. {@link #NONE} if there is none. */
+    /** The first linked row of a destination; the others follow by {@link #next}. {@link #NONE} for none. */
     int firstRowOf(long destination) {
         int slot = byDestination.firstSlot(Long.hashCode(destination));
         int row = byDestination.rowAt(slot);
@@ -374,18 +418,19 @@
         return row;
     }
 
-    /** True for a destination that a list has named. */
+    /** True if a list has ever named this destination. */
     boolean isKnown(long destination) {
         return firstRowOf(destination) != NONE || destinationsWithoutRows.contains(destination);
     }
 
-    /** A list has named this destination, though perhaps no host of it that can be used. */
+    /** Records that a list has named this destination, even if none of its hosts can be used. */
     void markKnown(long destination) {
         if (firstRowOf(destination) == NONE) {
             destinationsWithoutRows.add(destination);
         }
     }
 
+    /** Adds a row to the chain of its destination, after the first one. */
     private void linkToDestination(int row) {
         long destination = destination(row);
         int first = firstRowOf(destination);
@@ -402,7 +447,7 @@
         setFlag(row, LINKED, true);
     }
 
-    /** Frees all linked rows of a destination that are not listed any more, in one walk over its rows. */
+    /** Frees all linked rows of a destination that are not listed any more, in one pass over its chain. */
     void freeUnlisted(long destination) {
         int first = firstRowOf(destination);
         int firstKept = NONE;
@@ -436,7 +481,7 @@
         while (firstRemoved != NONE) {
             int row = firstRemoved;
             firstRemoved = next(row);
-            // One whose host has moved has given its name and its number to another row.
+            // A row without a name has passed its name and its id on to another row: its host has moved.
             if (namePlace(row) != NONE) {
                 long id = id(row);
                 String rehashedName = rehashedIds.isEmpty() ? null : name(row);
@@ -449,7 +494,7 @@
         }
     }
 
-    /** Copies the names over once too much room is wasted. */
+    /** Copies what is in use to a new arena once too much of the arena is unused. */
     void compactArena() {
         if (arena.isWasteful()) {
             ByteArena oldArena = arena;
@@ -470,7 +515,8 @@
         }
     }
 
-    // ---- Numbers ----------------------------------------------------------------------------------
+    // ---- Ids ----------------------------------------------------------------------------------
+    /** CRC-32 of a name; {@link #crc32} can be continued from there. */
     private int crc(byte[] name, int length) {
         crc32.reset();
         crc32.update(name, 0, length);
@@ -478,8 +524,9 @@
     }
 
     /**
-     * A number below 2^32 that is the same at every relay; of two names that collide the later one is hashed
-     * on. A host that has gone and comes back has its number again for as long as it is held.
+     * Assigns the id of a new host: the CRC-32 of its name, which is the same at every relay. If another host
+     * has this id, the name is hashed repeatedly until a free id is found. A host that comes back after it
+     * has gone gets the same id again, as long as its old id is still held.
      */
     private int assignId(int entry, int hash) {
         Map<String, Integer> idsByName = rehashedIds.get(hash);
@@ -509,7 +556,7 @@
         return rowById(id) == NONE && (holder == null || holder.equals(name));
     }
 
-    /** Forgets that a name was hashed on, once neither a row nor a host has its number. */
+    /** Forgets the id of a name that was hashed repeatedly, unless a row or a host still has it. */
     void releaseId(long id, String name) {
         byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
         int hash = crc(bytes, bytes.length);
