--- a/src/main/java/wrenkeel/net/ByteArena.java
+++ b/src/main/java/wrenkeel/net/ByteArena.java
@@ -3,21 +3,30 @@
 import java.util.Arrays;
 
 /**
- * Byte strings, one behind the other in pages. What is freed is not used again; its owner copies all that is
- * in use to a new arena when {@link #isWasteful}. One thread.
+ * A store of byte strings, which are appended to large pages. The space of freed strings is not reused; when
+ * too much of it has gathered ({@link #isWasteful}), the owner copies the strings in use to a new arena. Not
+ * thread-safe.
  */
 final class ByteArena {
-    /** Bytes of the longest string. */
+    /** Length of the longest string that can be stored. */
     static final int MAX_STRING_BYTES = 1_000;
-    private static final int PAGE_BITS = 14, PAGE_BYTES = 1 << PAGE_BITS, PREFIX_BYTES = 2;
+    private static final int PAGE_BITS = 14;
+    private static final int PAGE_BYTES = 1 << PAGE_BITS;
+    /** Length of the prefix that holds a string's length. */
+    private static final int PREFIX_BYTES = 2;
 
     private byte[][] pages = new byte[4][];
+    /** Number of elements of {@link #pages} in use. */
     private int pageCount;
-    /** Bytes used of the last page. */
+    /** Number of bytes used of the last page. */
     private int lastPageEnd = PAGE_BYTES;
+    /** Bytes of all strings that are not freed, including their length prefixes. */
     private long usedBytes;
 
-    /** Takes a copy of the first {@code length} bytes, {@link #MAX_STRING_BYTES} at most; its place is 0 or more. */
+    /**
+     * Stores a copy of the first {@code length} bytes, at most {@link #MAX_STRING_BYTES}. Returns its place,
+     * by which it can be read; places are not negative.
+     */
     int add(byte[] source, int length) {
         if (lastPageEnd + PREFIX_BYTES + length > PAGE_BYTES) {
             if (pageCount == pages.length) {
@@ -36,7 +45,7 @@
         return place;
     }
 
-    /** Copies a string to the start of {@code into}; its length in bytes. */
+    /** Copies a string to the start of {@code into}, and returns its length in bytes. */
     int read(int place, byte[] into) {
         byte[] page = pages[place >> PAGE_BITS];
         int offset = place & PAGE_BYTES - 1;
@@ -45,6 +54,7 @@
         return length;
     }
 
+    /** True if the string at a place equals the first {@code otherLength} bytes of {@code other}. */
     boolean contains(int place, byte[] other, int otherLength) {
         byte[] page = pages[place >> PAGE_BITS];
         int offset = place & PAGE_BYTES - 1;
@@ -53,16 +63,17 @@
             && Arrays.equals(page, source, source + otherLength, other, 0, otherLength);
     }
 
+    /** Marks a string as not in use any more. */
     void free(int place) {
         usedBytes -= PREFIX_BYTES + length(pages[place >> PAGE_BITS], place & PAGE_BYTES - 1);
     }
 
-    /** Bytes of the pages. */
+    /** The memory taken by all pages. */
     long allocatedBytes() {
         return (long) pageCount << PAGE_BITS;
     }
 
-    /** It has more than a few pages, and over a quarter of them is not in use. */
+    /** True if there are more than four pages and over a quarter of their space is not in use. */
     boolean isWasteful() {
         return pageCount > 4 && usedBytes < allocatedBytes() / 4 * 3;
     }
--- a/src/main/java/wrenkeel/net/ListReader.java
+++ b/src/main/java/wrenkeel/net/ListReader.java
@@ -15,62 +15,78 @@
 import wrenkeel.Relay;
 import wrenkeel.Wire;
 
-/** Reads the text of one list as it comes, in pieces of any length, and passes its entries on. One thread. */
+/**
+ * An incremental parser for the JSON text of one list, or of one list of changes. It takes the text in pieces
+ * of any length and passes on each entry when it is complete. Not thread-safe.
+ */
 final class ListReader {
     private static final Logger LOG = LoggerFactory.getLogger(ListReader.class);
-    /** Characters of the longest string that is read, of whatever field; it is held in memory. */
+    /** Limit for the length of any string in the text, as the parser holds it in memory. */
     private static final int MAX_STRING_LENGTH = 64 * 1024;
     private static final JsonFactory JSON = JsonFactory.builder().streamReadConstraints(
         StreamReadConstraints.builder().maxStringLength(MAX_STRING_LENGTH).build()).build();
-    /** Set in the numbers of sites that the settings do not name. */
+    /** This bit is set in the numbers of zones that the settings don't name. */
     private static final int UNCONFIGURED_ZONE = 1 << 30;
-    /** Entries left out that are named in the log; of the rest, it tells how many they are. */
+    /** Number of skipped entries that are logged one by one; of the others, the log has only their number. */
     private static final int MAX_SKIPPED_LOGGED = 5;
 
-    /** One entry; it is used again for the next. */
+    /** One entry of a list. The object is reused for the next entry. */
     static final class Entry {
-        /** In UTF-8. */
+        /** The host's name in UTF-8. */
         final byte[] name = new byte[ByteArena.MAX_STRING_BYTES];
         int nameLength;
         Relay.Listing listing;
-        /** The address could not be read: the host counts as gone, though its destination has been named. */
+        /**
+         * The address could not be parsed. The host counts as gone, but the list has named its destination.
+         */
         boolean unusableAddress;
         int zone;
         int kind;
         long destination;
         double share;
-        /** Address of IP version 4. */
+        /** IPv4 address; has no meaning if there is an {@link #ipv6Address}. */
         int ipv4Address;
-        /** Address of IP version 6, 16 bytes; null for one of version 4. */
+        /** IPv6 address, 16 bytes; null if the host has an IPv4 address. */
         byte[] ipv6Address;
         int port;
     }
 
-    /** Takes in the entries that count, in their order. */
+    /** Receives the entries that are not skipped, in the order of the text. */
     interface EntryHandler {
         void accept(Entry entry) throws Wire.Malformed;
     }
 
+    /**
+     * Where the parser is: before the list, in its object, in its array of hosts, in an entry, or after it.
+     */
     private enum Position { BEFORE, LIST, HOSTS, ENTRY, AFTER }
 
+    /**
+     * The fields of the list and of its entries that are read; OTHER stands for the fields that are
+     * skipped.
+     */
     private enum Field { OTHER, SEQ, WHOLE, HOSTS, HOST, HEALTH, SITE, CLASS, DIAL, BLOCK, SHARE }
 
-    /** What an entry says in a field where it may say nothing. */
+    /** State of a field that is optional in some entries. */
     private enum FieldState { ABSENT, VALID, INVALID }
 
     private final char[][] zones;
     private final char[][] kinds;
-    /** Of an entry that says nothing of its site or class. */
+    /** The zone of an entry without a site. */
     private final int defaultZone;
+    /** The kind of an entry without a class; -1 if the settings have no such kind. */
     private final int defaultKind;
     private final EntryHandler handler;
     private final JsonParser parser;
     private final Entry entry = new Entry();
     private Position position = Position.BEFORE;
+    /** The field whose value comes next. */
     private Field field;
-    /** Objects and arrays entered in a field that is not read. */
+    /** Depth of nested objects and arrays in the value of a field that is skipped. */
     private int skipDepth;
+    /** Value of the field 'whole'; null if there was none. */
     private Boolean whole;
+    /** Value of the field 'seq'; null if there was none. */
     private Long version;
     private boolean hasHosts;
     private int skippedEntries;
@@ -79,10 +95,10 @@
     private FieldState dialState;
     private FieldState blockState;
     private FieldState shareState;
-    /** An address that is not four plain numbers and a port; null for one that is. */
+    /** The field 'dial', if it is not in the usual form of four numbers and a port; null if it is. */
     private String dialText;
 
-    /** {@code zones}, {@code kinds}: the names that the settings have, in the order of their numbers. */
+    /** {@code zones} and {@code kinds} are the names in the settings, in the order of their numbers. */
     ListReader(List<String> zones, List<String> kinds, EntryHandler handler) {
         this.zones = zones.stream().map(String::toCharArray).toArray(char[][]::new);
         this.kinds = kinds.stream().map(String::toCharArray).toArray(char[][]::new);
@@ -92,10 +108,11 @@
         try {
             parser = JSON.createNonBlockingByteArrayParser();
         } catch (IOException e) {
-            throw new IllegalStateException("a parser without input cannot fail to be made", e);
+            throw new IllegalStateException("the JSON parser could not be created", e);
         }
     }
 
+    /** Parses the next piece of the text. */
     void feed(byte[] bytes, int from, int length) throws Wire.Malformed {
         try {
             ((ByteArrayFeeder) parser.getNonBlockingInputFeeder()).feedInput(bytes, from, from + length);
@@ -105,7 +122,7 @@
         }
     }
 
-    /** The text ends here; it must be one whole list. */
+    /** Called at the end of the text; throws if it is not one complete list. */
     void end() throws Wire.Malformed {
         try {
             parser.getNonBlockingInputFeeder().endOfInput();
@@ -114,7 +131,7 @@
             throw malformed(e);
         }
         if (position != Position.AFTER) {
-            throw new Wire.Malformed("the list is cut short");
+            throw new Wire.Malformed("the list is incomplete");
         }
         if (version == null) {
             throw new Wire.Malformed("missing field 'seq'");
@@ -124,28 +141,33 @@
         }
     }
 
-    /** Nothing more is read; tells the log what has been left out. */
+    /**
+     * Ends the parsing, complete or not, and logs how many entries were skipped beyond those already
+     * logged.
+     */
     void close() {
         if (skippedEntries > MAX_SKIPPED_LOGGED) {
-            LOG.warn("{} more list entries left out", skippedEntries - MAX_SKIPPED_LOGGED);
+            LOG.warn("skipped {} more list entries", skippedEntries - MAX_SKIPPED_LOGGED);
         }
         skippedEntries = 0;
         try {
             parser.close();
         } catch (IOException e) {
-            throw new IllegalStateException("a parser without a stream cannot fail to be closed", e);
+            throw new IllegalStateException("the JSON parser could not be closed", e);
         }
     }
 
-    /** False once the text has said that it holds changes; it may say so behind its entries. */
+    /** False once the text has said that it is a list of changes, which it may do after its entries. */
     boolean mayBeWhole() {
         return !Boolean.FALSE.equals(whole);
     }
 
+    /** True for a complete list, false for a list of changes. To be called after the end of the text. */
     boolean isWhole() {
         return Boolean.TRUE.equals(whole);
     }
 
+    /** The version of the list. To be called after the end of the text. */
     long version() {
         return version;
     }
@@ -194,7 +216,7 @@
                 } else if (token == JsonToken.END_ARRAY) {
                     position = Position.LIST;
                 } else {
-                    throw new Wire.Malformed("field 'hosts' does not hold objects only");
+                    throw new Wire.Malformed("field 'hosts' contains a value that is not an object");
                 }
             }
             case ENTRY -> {
@@ -216,10 +238,11 @@
                     readEntryField(token);
                 }
             }
-            default -> throw new Wire.Malformed("more than one value");
+            default -> throw new Wire.Malformed("there is text after the list");
         }
     }
 
+    /** Reads the value of a field of the list. */
     private void readListField(JsonToken token) throws IOException {
         switch (field) {
             case SEQ -> {
@@ -250,10 +273,11 @@
 
     private void requireFirst(Object previous) throws IOException {
         if (previous != null) {
-            throw new Wire.Malformed("more than one field '" + parser.currentName() + "'");
+            throw new Wire.Malformed("field '" + parser.currentName() + "' occurs more than once");
         }
     }
 
+    /** Starts to skip a value if it is an object or an array. */
     private void skip(JsonToken token) {
         skipDepth = token.isStructStart() ? 1 : 0;
     }
@@ -278,12 +302,14 @@
         dialText = null;
     }
 
+    /** Reads the value of a field of an entry. */
     private void readEntryField(JsonToken token) throws IOException {
         skip(token);
         switch (field) {
             case HOST, HEALTH, SITE, CLASS -> {
                 if (token == JsonToken.VALUE_STRING) {
-                    readStringField(parser.getTextCharacters(), parser.getTextOffset(), parser.getTextLength());
+                    readStringField(parser.getTextCharacters(), parser.getTextOffset(),
+                        parser.getTextLength());
                 } else if (token != JsonToken.VALUE_NULL) {
                     throw new Wire.Malformed("field '" + parser.currentName() + "' is not a string");
                 }
@@ -310,9 +336,11 @@
     }
 
     private static FieldState fieldState(JsonToken token, boolean isValid) {
-        return token == JsonToken.VALUE_NULL ? FieldState.ABSENT : isValid ? FieldState.VALID : FieldState.INVALID;
+        return token == JsonToken.VALUE_NULL ? FieldState.ABSENT
+            : isValid ? FieldState.VALID : FieldState.INVALID;
     }
 
+    /** Reads a field of an entry that must be a string. */
     private void readStringField(char[] text, int from, int length) throws Wire.Malformed {
         switch (field) {
             case HOST -> {
@@ -332,14 +360,14 @@
 
     private void readName(char[] text, int from, int length) throws Wire.Malformed {
         if (length > ByteArena.MAX_STRING_BYTES) {
-            throw new Wire.Malformed("a host's name of " + length + " characters");
+            throw new Wire.Malformed("a host's name has " + length + " characters");
         }
         for (int i = 0; i < length; i++) {
             char c = text[from + i];
             if (c >= 0x80) {
                 byte[] bytes = new String(text, from, length).getBytes(StandardCharsets.UTF_8);
                 if (bytes.length > ByteArena.MAX_STRING_BYTES) {
-                    throw new Wire.Malformed("a host's name of " + bytes.length + " bytes");
+                    throw new Wire.Malformed("a host's name has " + bytes.length + " bytes");
                 }
                 System.arraycopy(bytes, 0, entry.name, 0, bytes.length);
                 entry.nameLength = bytes.length;
@@ -350,13 +378,13 @@
         entry.nameLength = length;
     }
 
-    /** The entry is complete: passes it on, or leaves it out with a line in the log. */
+    /** Checks a complete entry, and passes it on or skips it. */
     private void finishEntry() throws Wire.Malformed {
         requireField(hasName, "host");
         requireField(hasHealth, "health");
         boolean gone = entry.listing == Relay.Listing.GONE;
         if (entry.listing == null || !gone && entry.kind < 0) {
-            skipEntry("class or health is not known");
+            skipEntry("unknown class or health");
             return;
         }
         if (!gone) {
@@ -384,6 +412,7 @@
         }
     }
 
+    /** Parses an address in any form; if that fails, turns the entry into one of a host that is gone. */
     private void parseDialText() {
         try {
             InetSocketAddress address = Config.address(dialText);
@@ -402,14 +431,15 @@
         }
     }
 
+    /** Counts a skipped entry, and logs it if it is one of the first. */
     private void skipEntry(String reason) {
         if (++skippedEntries <= MAX_SKIPPED_LOGGED) {
-            LOG.warn("list entry of host {} left out: {}",
+            LOG.warn("skipped list entry of host {}: {}",
                 new String(entry.name, 0, entry.nameLength, StandardCharsets.UTF_8), reason);
         }
     }
 
-    /** Reads the usual form of an address; false for any other. */
+    /** Parses the usual form of an address, four numbers and a port; false if it has another form. */
     private boolean parseIpv4(char[] text, int from, int to) {
         int address = 0;
         int at = from;
@@ -434,7 +464,7 @@
         return true;
     }
 
-    // ---- Words and numbers ------------------------------------------------------------------------
+    // ---- Strings and numbers ----------------------------------------------------------------------
     private static boolean equalsText(String word, char[] text, int from, int length) {
         if (word.length() != length) {
             return false;
@@ -447,6 +477,7 @@
         return true;
     }
 
+    /** The index of a text among these words; -1 if it is none of them. */
     private static int indexOf(char[][] words, char[] text, int from, int length) {
         for (int i = 0; i < words.length; i++) {
             char[] word = words[i];
@@ -462,8 +493,9 @@
     }
 
     /**
-     * The place of a site among those that the settings name. The list may hold more sites than that: such a
-     * one has a number past them, which is the same after a restart, for the journal holds it.
+     * The number of a zone: its index in the settings, or a hash if the settings don't name it. The hash has
+     * the bit {@link #UNCONFIGURED_ZONE} and is the same after a restart, as it must be because the journal
+     * stores it.
      */
     private int zoneNumber(char[] text, int from, int length) {
         int index = indexOf(zones, text, from, length);
@@ -475,6 +507,7 @@
         return UNCONFIGURED_ZONE | (int) crc.getValue() & UNCONFIGURED_ZONE - 1;
     }
 
+    /** True for an integer, also if it is written with a fraction or an exponent. */
     private boolean isWholeNumber(JsonToken token) throws IOException {
         return token == JsonToken.VALUE_NUMBER_INT || token == JsonToken.VALUE_NUMBER_FLOAT
             && parser.getDoubleValue() == Math.rint(parser.getDoubleValue());
