--- a/src/main/java/wrenkeel/net/AgentConnection.java
+++ b/src/main/java/wrenkeel/net/AgentConnection.java
@@ -36,17 +36,24 @@
 import org.slf4j.LoggerFactory;
 import wrenkeel.Wire;
 
-/** One kept connection to the agent, which carries one request at a time. */
+/**
+ * A persistent HTTP/1.1 connection to the local discovery agent, which carries one request at a time. It
+ * connects when a request needs it. Not thread-safe: all methods run on the event loop.
+ */
 final class AgentConnection {
     private static final Logger LOG = LoggerFactory.getLogger(AgentConnection.class);
-    /** Bytes a list may have; bytes for each of which an answer that comes in has another 1/1,000 ms. */
-    private static final long MAX_LIST_BYTES = 256L << 20, BYTES_PER_EXTRA_MS = 1_000;
+    /** Limit for the length of a response's body. */
+    private static final long MAX_LIST_BYTES = 256L << 20;
+    /** A request's timeout is extended by 1 ms for each time that so many bytes have been received. */
+    private static final long BYTES_PER_EXTRA_MS = 1_000;
 
-    /** What became of a request; {@code status} is 0 where no answer came in time. */
+    /** The result of a request. */
     static final class Response {
+        /** The HTTP status; 0 if there was no response in time. An incomplete list has a {@link #fault} too. */
         int status;
-        /** What the list asked for has changed, or why it could not be taken in; null where neither is so. */
+        /** What the requested list has changed; null if none was requested or it was not applied. */
         HostList.Change listChange;
+        /** Why the requested list was rejected; null if it was not. */
         String fault;
     }
 
@@ -54,21 +61,26 @@
     private final Bootstrap bootstrap;
     private InetSocketAddress agent;
     private Channel channel;
+    /** Receives the result of the request in progress; null if there is none. */
     private Consumer<Response> onResponse;
     private Future<?> timeout;
-    /** The answer that is coming in, its bytes so far, and where a list in it goes; null for none. */
     private Response response;
+    /** Bytes of the response's body received so far. */
     private long receivedBytes;
+    /** Whether the connection can be used again after this response. */
     private boolean keepAlive;
+    /** Creates the update that reads a list from the response; null if no list is requested. */
     private Supplier<HostList.PendingUpdate> updates;
+    /** The update that reads the list which is being received; null if there is none. */
     private HostList.PendingUpdate update;
-    private long sentNanos, timeoutMs;
+    private long sentNanos;
+    private long timeoutMs;
 
     AgentConnection(EventLoop loop, Bootstrap bootstrap, InetSocketAddress agent, int connectTimeoutMs) {
         this(loop, bootstrap, NioSocketChannel::new, agent, connectTimeoutMs);
     }
 
-    /** {@code sockets}: makes the channels; it fails where the process has no descriptor left. */
+    /** {@code channelFactory} creates the channels; it throws if the process has no file descriptor left. */
     AgentConnection(EventLoop loop, Bootstrap bootstrap, ChannelFactory<Channel> channelFactory,
                     InetSocketAddress agent, int connectTimeoutMs) {
         this.loop = loop;
@@ -85,12 +97,15 @@
     }
 
     /**
-     * Sends a request; what became of it comes exactly once. {@code list}: makes what takes the body of
-     * an answer with 200, as that begins; null where none is asked for. An answer that keeps coming in
-     * has longer than {@code timeoutMs} ms.
+     * Sends a request. There must be none in progress.
+     *
+     * @param timeoutMs time until the response must be complete; it is extended while a response is received
+     * @param updates creates the update that reads the body of a response with status 200, when its head has
+     *     arrived; null if no list is requested
+     * @param onResponse is called exactly once
      */
-    void send(HttpMethod method, String uri, String body, long timeoutMs, Supplier<HostList.PendingUpdate> updates,
-        Consumer<Response> onResponse) {
+    void send(HttpMethod method, String uri, String body, long timeoutMs,
+              Supplier<HostList.PendingUpdate> updates, Consumer<Response> onResponse) {
         this.onResponse = onResponse;
         response = new Response();
         this.updates = updates;
@@ -113,8 +128,8 @@
     private void connect(FullHttpRequest request) {
         ChannelFuture connect = bootstrap.connect(agent);
         if (!connect.channel().isRegistered()) {
-            // Without a descriptor there is no channel that could be closed, and the listeners of its
-            // future are called on another thread.
+            // No file descriptor was available. There is no channel to close, and the listeners of this
+            // future would be called on another thread.
             channel = null;
             request.release();
             Consumer<Response> callback = onResponse;
@@ -136,13 +151,13 @@
         });
     }
 
-    /** Goes on at another address; a request under way ends without an answer. */
+    /** Changes the agent's address. A request in progress ends without a response. */
     void moveTo(InetSocketAddress next) {
         agent = next;
         close();
     }
 
-    /** Ends the connection; a request under way ends without an answer. The next one opens a new one. */
+    /** Closes the connection. A request in progress ends without a response; the next one connects again. */
     void close() {
         closeChannel();
         if (onResponse != null) {
@@ -150,14 +165,14 @@
         }
     }
 
-    /** Reads what has come of an answer, if a request is under way. */
+    /** Reads what the agent has already sent, if a request is in progress. */
     void readAvailable() {
         if (onResponse != null && channel != null) {
             UnreadBytes.read(channel);
         }
     }
 
-    /** True while a request is under way. */
+    /** True while a request is in progress. */
     boolean isBusy() {
         return onResponse != null;
     }
@@ -170,7 +185,7 @@
         });
     }
 
-    /** A long list takes a while to come in and be read: no answer that goes on is given up for that. */
+    /** Fails the request unless its timeout has been extended: a long list takes a while to be received. */
     private void checkTimeout() {
         long dueMs = timeoutMs + receivedBytes / BYTES_PER_EXTRA_MS;
         long elapsedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentNanos);
@@ -181,12 +196,16 @@
         }
     }
 
-    /** No answer will come, or no more of one that has begun. */
+    /**
+     * Ends the request in progress on this channel: no response will come, or no more of one that has
+     * begun.
+     */
     private void fail(Channel from) {
         if (from == channel && onResponse != null) {
             closeChannel();
             boolean isCut = update != null;
-            complete(isCut ? response.status : 0, isCut ? "cut after " + receivedBytes + " bytes" : null);
+            complete(isCut ? response.status : 0,
+                isCut ? "response was cut off after " + receivedBytes + " bytes" : null);
         }
     }
 
@@ -198,6 +217,7 @@
         }
     }
 
+    /** Reports the result of the request. */
     private void complete(int status, String fault) {
         timeout.cancel(false);
         if (update != null && response.listChange == null) {
@@ -211,6 +231,7 @@
         callback.accept(response);
     }
 
+    /** Handles the responses on a connection. */
     private final class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
@@ -227,7 +248,7 @@
                 boolean isList = updates != null && response.status == HttpResponseStatus.OK.code();
                 update = isList ? updates.get() : null;
                 if (HttpUtil.getContentLength(head, 0L) > MAX_LIST_BYTES) {
-                    reject("it has more than " + MAX_LIST_BYTES + " bytes");
+                    reject("the list has more than " + MAX_LIST_BYTES + " bytes");
                 }
             }
             if (part instanceof HttpContent content && onResponse != null) {
@@ -239,7 +260,7 @@
             receivedBytes += bytes.readableBytes();
             try {
                 if (receivedBytes > MAX_LIST_BYTES) {
-                    throw new Wire.Malformed("it has more than " + MAX_LIST_BYTES + " bytes");
+                    throw new Wire.Malformed("the list has more than " + MAX_LIST_BYTES + " bytes");
                 }
                 if (update != null) {
                     feed(bytes);
@@ -267,7 +288,7 @@
             }
         }
 
-        /** The rest of the answer is not read: the connection ends. */
+        /** Ends the request and closes the connection, so that the rest of the response is not read. */
         private void reject(String fault) {
             closeChannel();
             complete(response.status, fault);
@@ -281,7 +302,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (!(cause instanceof IOException)) {
-                LOG.error("connection to discovery closed", cause);
+                LOG.error("connection to discovery closed after an unexpected exception", cause);
             }
             context.close();
         }
--- a/src/main/java/wrenkeel/net/Discovery.java
+++ b/src/main/java/wrenkeel/net/Discovery.java
@@ -12,14 +12,19 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The platform's agent: watches the list of hosts and posts notices. One thread. */
+/**
+ * The client of the local discovery agent: watches the list of hosts by long polling, and posts notices. Not
+ * thread-safe: all methods run on the event loop.
+ */
 final class Discovery {
     private static final Logger LOG = LoggerFactory.getLogger(Discovery.class);
+    /** How long a watch asks the agent to wait for a change. */
     static final long WATCH_WAIT_MS = ListTiming.WATCH_WAIT_MS;
+    /** How long after that wait the response may come. */
     static final long WATCH_SLACK_MS = ListTiming.WATCH_SLACK_MS;
-    /** The shortest wait, of which an answer is had at once. */
+    /** The shortest wait that can be requested: the agent responds at once. */
     private static final long SHORTEST_WAIT_MS = 1;
-    /** How long a late answer to a post of notices is of use. */
+    /** How long the response to a post of notices is awaited: a late one still acknowledges them. */
     private static final long NOTICE_TIMEOUT_MS = 2_000;
     /** Doublings after which the gap has certainly reached its maximum. */
     private static final int MAX_DOUBLINGS = 10;
@@ -27,7 +32,7 @@
     private final EventLoop loop;
     private final long answerTimeoutMs;
     private final HostList hostList;
-    /** Told what a list or its changes, taken in whole, have changed. */
+    /** Is notified of each update of the list after it has been applied. */
     interface Listener {
         void onListChanged(HostList.Change change);
     }
@@ -36,20 +41,24 @@
     private final AgentConnection watch;
     private final NoticeSender notices;
     private InetSocketAddress agent;
-    /** The next call for the list, while there is a gap before it; null at first. */
+    /** The latest scheduled call for the list; null before the first. */
     private Future<?> nextCall;
+    /** A fault has been logged since the last success. */
     private boolean faultLogged;
-    /** The latest call for the list was answered: only then may the next one wait. */
+    /** The latest call for the list returned one: only then may the next call wait for a change. */
     private boolean lastCallAnswered;
-    /** Lists that came and could not be taken in: since the start, and since the last that could. */
-    private long faultCount, consecutiveFaults;
+    /** Number of lists rejected since the start. */
+    private long faultCount;
+    /** Number of lists rejected since the last success. */
+    private long consecutiveFaults;
 
+    /** {@code onAcknowledged} receives each entry whose notice the platform has acknowledged. */
     Discovery(EventLoop loop, Bootstrap bootstrap, InetSocketAddress agent, HostList hostList,
               Listener listener, Consumer<Journal.Entry> onAcknowledged) {
         this(loop, bootstrap, agent, hostList, listener, onAcknowledged, ListTiming.ANSWER_TIMEOUT_MS);
     }
 
-    /** {@code answerTimeoutMs}: how long the answer to a call for the list that need not wait is awaited. */
+    /** {@code answerTimeoutMs} is the timeout of calls for the list that don't wait for a change. */
     Discovery(EventLoop loop, Bootstrap bootstrap, InetSocketAddress agent, HostList hostList,
               Listener listener, Consumer<Journal.Entry> onAcknowledged, long answerTimeoutMs) {
         this.answerTimeoutMs = answerTimeoutMs;
@@ -62,14 +71,16 @@
     }
 
     /**
-     * Asks for what is newer than the list held; the next call follows the answer at once. The first call,
-     * and those after one without an answer, do not wait: what the agent has binds already.
+     * Requests what is newer than the current list; the next call follows as soon as a list has been
+     * received. The first call, and a call after a failed one, don't wait for a change: the relay is already
+     * bound by what the agent has.
      */
     void watch() {
         long waitMs = lastCallAnswered ? WATCH_WAIT_MS : SHORTEST_WAIT_MS;
         String query = hostList.version() < 0 ? "" : "?after=" + hostList.version() + "&wait_ms=" + waitMs;
         long timeoutMs = lastCallAnswered ? WATCH_WAIT_MS + WATCH_SLACK_MS : answerTimeoutMs;
-        watch.send(HttpMethod.GET, "/v1/servers" + query, "", timeoutMs, hostList::beginUpdate, this::handleResponse);
+        watch.send(HttpMethod.GET, "/v1/servers" + query, "", timeoutMs, hostList::beginUpdate,
+            this::handleResponse);
     }
 
     private void handleResponse(AgentConnection.Response response) {
@@ -87,43 +98,49 @@
             if (response.fault != null) {
                 gapMs = faultGapMs(consecutiveFaults++, ThreadLocalRandom.current().nextDouble());
                 faultCount++;
-                logFault("discovery's list cannot be taken in: " + response.fault, null);
+                logFault("list from discovery rejected: " + response.fault, null);
             } else {
                 consecutiveFaults = 0;
-                logFault("discovery answered " + (response.status == 0 ? "nothing" : response.status), null);
+                logFault("no list from discovery, HTTP status "
+                    + (response.status == 0 ? "none" : response.status), null);
             }
         } catch (RuntimeException e) {
-            // Guards the watch: it must go on whatever the list held.
-            logFault("discovery's list could not be taken in", e);
+            // The watch must go on whatever the list contains.
+            logFault("list from discovery could not be processed", e);
         }
         nextCall = loop.schedule(this::watch, gapMs, TimeUnit.MILLISECONDS);
     }
 
-    /** ms until the list is asked for again, after so many faults in a row before this one. */
+    /**
+     * Time until the list is requested again after one that was rejected: exponential backoff with jitter.
+     *
+     * @param previousFaults number of consecutive faults before this one
+     * @param random a random number from 0 to 1
+     */
     static long faultGapMs(long previousFaults, double random) {
         long maxGapMs = Math.min(ListTiming.MAX_FAULT_GAP_MS,
             ListTiming.FIRST_FAULT_GAP_MS << Math.min(previousFaults, MAX_DOUBLINGS));
         return previousFaults == 0 ? maxGapMs : (long) (maxGapMs * (1 - random / 2));
     }
 
-    /** Lists that came and could not be taken in, since the start. */
+    /** The number of lists rejected since the start. */
     long faultCount() {
         return faultCount;
     }
 
-    /** Takes in what the agent has written by now. */
+    /** Reads and applies what the agent has already sent. */
     void readAvailable() {
         watch.readAvailable();
     }
 
-    /** Goes on at another address; what is under way at the old one is asked or posted there again. */
+    /** Changes the agent's address. Calls and posts in progress are repeated at the new address. */
     void moveTo(InetSocketAddress agent) {
         if (agent.equals(this.agent)) {
             return;
         }
         this.agent = agent;
         watch.moveTo(agent);
-        // A gap after faults of the old address binds nothing at the new one.
+        // The backoff after faults at the old address doesn't apply to the new one.
         consecutiveFaults = 0;
         if (nextCall != null && nextCall.cancel(false)) {
             watch();
@@ -131,29 +148,30 @@
         notices.reconnect();
     }
 
-    /** Once until the watch works again: it asks many times a second. */
+    /** Logs the first fault after a success only: there may be many calls a second. */
     private void logFault(String fault, RuntimeException cause) {
         if (!faultLogged) {
-            LOG.warn("{}; the list of version {} is kept", fault, hostList.version(), cause);
+            LOG.warn("{}; keeping list version {}", fault, hostList.version(), cause);
         }
         faultLogged = true;
     }
 
-    /** Posts the end of a message, again and again until the platform has it. */
+    /** Posts the end of a message, repeatedly until the platform acknowledges it. */
     void postNotice(Journal.Entry entry) {
         notices.add(entry);
     }
 
-    /** True while a call for the list is under way, false in a gap before one. */
+    /** True while a call for the list is in progress, false during the gap before the next one. */
     boolean isCallPending() {
         return watch.isBusy();
     }
 
+    /** True while a notice has not been acknowledged. */
     boolean hasPendingNotices() {
         return notices.hasPending();
     }
 
-    /** Posts notices over a kept connection to the agent's address of now. */
+    /** A connection for notices to the agent's address at the time of its creation. */
     private final class AgentNoticeConnection implements NoticeConnection {
         private final AgentConnection connection;
 
--- a/src/main/java/wrenkeel/net/ResponseOutcomes.java
+++ b/src/main/java/wrenkeel/net/ResponseOutcomes.java
@@ -10,13 +10,17 @@
 import wrenkeel.Relay.Outcome;
 import wrenkeel.Wire;
 
-/** The protocol's table of what a host's answer means. */
+/** Translates a host's HTTP response to the outcome of an attempt, as the protocol defines it. */
 final class ResponseOutcomes {
-    /** No state of the protocol: the message may have run. */
+    /**
+     * Stands for two different states of one message. The protocol has no such state, so the message may
+     * have run.
+     */
     private static final String CONTRADICTORY_STATE = "contradicted";
 
     private ResponseOutcomes() { }
 
+    /** The result of a call by the head of its response, unless it is a batch with status 200. */
     static HostPool.Reply reply(HttpResponse response, long latencyMicros) {
         long retryAfterMicros = 0;
         boolean messageOver = false;
@@ -28,8 +32,8 @@
             }
             case 429, 503 -> {
                 outcome = response.headers().contains("X-No-Slot") ? Outcome.NOT_SENT : Outcome.FULL;
-                retryAfterMicros = outcome == Outcome.FULL ? secondsToMicros(response.headers().get(HttpHeaderNames.RETRY_AFTER))
-                    : 0;
+                retryAfterMicros = outcome == Outcome.FULL
+                    ? secondsToMicros(response.headers().get(HttpHeaderNames.RETRY_AFTER)) : 0;
             }
             case 504 -> outcome = Outcome.NOT_SENT;
             case 410 -> {
@@ -42,8 +46,9 @@
     }
 
     /**
-     * What a bundle's answer with 200 means for one of its messages, by the state that its body names; one
-     * that it does not name, or calls by another word, may have run. A told wait binds whatever the state.
+     * The result for one message of a batch whose response has status 200. {@code state} is the message's
+     * state in the body of the response; a message without a state, or with an unknown one, may have run. A
+     * Retry-After counts whatever the state.
      */
     static HostPool.Reply reply(HttpResponse response, String state, long latencyMicros) {
         Outcome outcome = switch (state == null ? "" : state) {
@@ -57,13 +62,13 @@
     }
 
     /**
-     * The states by message that the body of a bundle's answer names; none if it cannot be read. A message
-     * that it names with two states has none that could be believed.
+     * Reads the states in the body of a batch response, by message id. The map is empty if the body is
+     * malformed. A message for which the body has two different states gets none of the protocol's states.
      */
     static Map<String, String> messageStates(byte[] body) {
         Map<String, String> states = new HashMap<>();
         try {
-            // Strictly: bytes that are no UTF-8 must not be replaced and passed over.
+            // A new decoder throws on malformed UTF-8, where String's constructor would replace it.
             String text = StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(body)).toString();
             for (Wire.Fields entry : Wire.decodeArray(text)) {
                 states.merge(entry.text("id"), entry.text("state"),
@@ -75,18 +80,20 @@
         return states;
     }
 
-    private static HostPool.Reply reply(HttpResponse response, Outcome outcome, boolean messageOver, long retryAfterMicros,
-                                        long latencyMicros) {
+    private static HostPool.Reply reply(HttpResponse response, Outcome outcome, boolean messageOver,
+                                        long retryAfterMicros, long latencyMicros) {
         String load = response.headers().get("X-Server-Load");
-        return new HostPool.Reply(outcome, messageOver, retryAfterMicros, latencyMicros, loadField(load, "x0"), loadField(load, "x1"));
+        return new HostPool.Reply(outcome, messageOver, retryAfterMicros, latencyMicros,
+            loadField(load, "x0"), loadField(load, "x1"));
     }
 
-    /** Decimal seconds in microseconds, rounded up lest a wait be cut short; 0 if untold or not a number. */
+    /** Converts decimal seconds, rounding up so that no wait is shortened; 0 if absent or not a number. */
     private static long secondsToMicros(String seconds) {
         double value = parseNumber(seconds);
         return value > 0 && value < 1e9 ? (long) Math.ceil(value * 1e6) : 0;
     }
 
+    /** A value of the header X-Server-Load, which has the form {@code x0=0.4,x1=25}; -1 if it is absent. */
     private static double loadField(String load, String name) {
         for (String pair : load == null ? new String[0] : load.split(",")) {
             if (pair.strip().startsWith(name + "=")) {
@@ -96,6 +103,7 @@
         return -1;
     }
 
+    /** Parses a decimal number; -1 if it is absent or not a finite number. */
     private static double parseNumber(String text) {
         try {
             double value = text == null ? -1 : Double.parseDouble(text.strip());
