--- a/src/main/java/wrenkeel/net/Discovery.java
+++ b/src/main/java/wrenkeel/net/Discovery.java
@@ -30,7 +30,7 @@
     private static final int MAX_DOUBLINGS = 10;
 
     private final EventLoop loop;
-    private final long answerTimeoutMs;
+    private final long responseTimeoutMs;
     private final HostList hostList;
     /** Is notified of each update of the list after it has been applied. */
     interface Listener {
@@ -55,13 +55,13 @@
     /** {@code onAcknowledged} receives each entry whose notice the platform has acknowledged. */
     Discovery(EventLoop loop, Bootstrap bootstrap, InetSocketAddress agent, HostList hostList,
               Listener listener, Consumer<Journal.Entry> onAcknowledged) {
-        this(loop, bootstrap, agent, hostList, listener, onAcknowledged, ListTiming.ANSWER_TIMEOUT_MS);
+        this(loop, bootstrap, agent, hostList, listener, onAcknowledged, ListTiming.RESPONSE_TIMEOUT_MS);
     }
 
-    /** {@code answerTimeoutMs} is the timeout of calls for the list that don't wait for a change. */
+    /** {@code responseTimeoutMs} is the timeout of calls for the list that don't wait for a change. */
     Discovery(EventLoop loop, Bootstrap bootstrap, InetSocketAddress agent, HostList hostList,
-              Listener listener, Consumer<Journal.Entry> onAcknowledged, long answerTimeoutMs) {
-        this.answerTimeoutMs = answerTimeoutMs;
+              Listener listener, Consumer<Journal.Entry> onAcknowledged, long responseTimeoutMs) {
+        this.responseTimeoutMs = responseTimeoutMs;
         this.loop = loop;
         this.hostList = hostList;
         this.listener = listener;
@@ -78,7 +78,7 @@
     void watch() {
         long waitMs = lastCallAnswered ? WATCH_WAIT_MS : SHORTEST_WAIT_MS;
         String query = hostList.version() < 0 ? "" : "?after=" + hostList.version() + "&wait_ms=" + waitMs;
-        long timeoutMs = lastCallAnswered ? WATCH_WAIT_MS + WATCH_SLACK_MS : answerTimeoutMs;
+        long timeoutMs = lastCallAnswered ? WATCH_WAIT_MS + WATCH_SLACK_MS : responseTimeoutMs;
         watch.send(HttpMethod.GET, "/v1/servers" + query, "", timeoutMs, hostList::beginUpdate,
             this::handleResponse);
     }
--- a/src/main/java/wrenkeel/net/ListTiming.java
+++ b/src/main/java/wrenkeel/net/ListTiming.java
@@ -18,7 +18,7 @@
     /** A connect to the agent on the same machine that takes longer never comes up. */
     static final long CONNECT_TIMEOUT_MS = 250;
     /** How long the first byte of an answer that need not wait is awaited. */
-    static final long ANSWER_TIMEOUT_MS = 500;
+    static final long RESPONSE_TIMEOUT_MS = 500;
     /** Gap after a call that had no answer, or none that was a list. */
     static final long RETRY_GAP_MS = 100;
     /** Gap after a first list that could not be taken in; doubled by each further one in a row. */
@@ -28,8 +28,8 @@
 
     /** A connect that never comes up, a refused list, then the list itself: each at its latest. */
     static final long RECOVERY_MS = CONNECT_TIMEOUT_MS + RETRY_GAP_MS
-        + ANSWER_TIMEOUT_MS + FIRST_FAULT_GAP_MS
-        + ANSWER_TIMEOUT_MS;
+        + RESPONSE_TIMEOUT_MS + FIRST_FAULT_GAP_MS
+        + RESPONSE_TIMEOUT_MS;
     /** The longest wait of a watch that leaves time to notice its silence and to recover. */
     static final long WATCH_WAIT_MS = budget(CHANGE_DEADLINE_MS) - WATCH_SLACK_MS - RECOVERY_MS;
     /** The longest gap between lists that cannot be taken in; a connect that never comes up may follow. */
--- a/src/main/java/wrenkeel/net/NoticeSender.java
+++ b/src/main/java/wrenkeel/net/NoticeSender.java
@@ -257,7 +257,7 @@
                 onAcknowledged.accept(notice.entry);
             }
         }
-        closeUselessLinks();
+        closeOverdueLinks();
     }
 
     /** The platform could not read the post: one notice is to blame, and holds up no other from now on. */
@@ -312,12 +312,12 @@
             failures = Math.max(failures, Math.min(post.failuresBefore + 1, MAX_DOUBLINGS));
             ready.addAll(left);
         }
-        closeUselessLinks();
+        closeOverdueLinks();
         sendReady();
     }
 
     /** An overdue connection is kept only for notices that an answer could still acknowledge. */
-    private void closeUselessLinks() {
+    private void closeOverdueLinks() {
         for (Link link : List.copyOf(links)) {
             if (link.isOverdue() && unacknowledged(link.post).isEmpty()) {
                 close(link);
--- a/src/test/java/wrenkeel/net/ListTimingTest.java
+++ b/src/test/java/wrenkeel/net/ListTimingTest.java
@@ -7,9 +7,9 @@
 /** The worst sequences of steps on the way to the list stay within the time after which it counts as told. */
 class ListTimingTest {
     private static final long NEVER_COMES_UP = ListTiming.CONNECT_TIMEOUT_MS + ListTiming.RETRY_GAP_MS;
-    private static final long NO_ANSWER = ListTiming.ANSWER_TIMEOUT_MS + ListTiming.RETRY_GAP_MS;
-    private static final long REFUSED_LIST = ListTiming.ANSWER_TIMEOUT_MS + ListTiming.FIRST_FAULT_GAP_MS;
-    private static final long LIST = ListTiming.ANSWER_TIMEOUT_MS;
+    private static final long NO_ANSWER = ListTiming.RESPONSE_TIMEOUT_MS + ListTiming.RETRY_GAP_MS;
+    private static final long REFUSED_LIST = ListTiming.RESPONSE_TIMEOUT_MS + ListTiming.FIRST_FAULT_GAP_MS;
+    private static final long LIST = ListTiming.RESPONSE_TIMEOUT_MS;
 
     @Test
     void afterASilentWatchAConnectThatHangsAndARefusedListTheListIsThereInTime() {
