--- a/src/main/java/wrenkeel/net/AgentConnection.java
+++ b/src/main/java/wrenkeel/net/AgentConnection.java
@@ -49,7 +49,9 @@
 
     /** The result of a request. */
     static final class Response {
-        /** The HTTP status; 0 if there was no response in time. An incomplete list has a {@link #fault} too. */
+        /**
+         * The HTTP status; 0 if there was no response in time. An incomplete list has a {@link #fault} too.
+         */
         int status;
         /** What the requested list has changed; null if none was requested or it was not applied. */
         HostList.Change listChange;
--- a/src/main/java/wrenkeel/net/CallRequest.java
+++ b/src/main/java/wrenkeel/net/CallRequest.java
@@ -10,13 +10,20 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** The request that carries a call to an endpoint: one message as it came, or several as a JSON array. */
+/**
+ * Encodes the HTTP request of a call to an endpoint. A single message is sent with its body unchanged,
+ * several messages as a JSON array.
+ */
 final class CallRequest {
-    private static final String SINGLE_PATH = "/v1/messages", BATCH_PATH = "/v1/messages:batch";
+    private static final String SINGLE_PATH = "/v1/messages";
+    private static final String BATCH_PATH = "/v1/messages:batch";
 
     private CallRequest() { }
 
-    /** {@code timeoutMillis}: how long the relay will wait for the answer. */
+    /**
+     * Encodes a request. {@code timeoutMillis} tells the endpoint how long the relay will wait for the
+     * response.
+     */
     static FullHttpRequest encode(InetSocketAddress address, List<Message> messages, long timeoutMillis) {
         return messages.size() == 1 ? single(address, messages.get(0), timeoutMillis)
             : batch(address, messages, timeoutMillis);
--- a/src/main/java/wrenkeel/net/NoticeBody.java
+++ b/src/main/java/wrenkeel/net/NoticeBody.java
@@ -6,21 +6,26 @@
 import java.io.StringWriter;
 import java.util.List;
 
-/** The body of a post to the platform: the end of each message as one JSON object a line. */
+/**
+ * Encodes the body of a post of notices to the platform: for each message, its end as a JSON object on one
+ * line.
+ */
 final class NoticeBody {
     private static final JsonFactory JSON = new JsonFactory();
 
-    /** Characters that a line has beside the id, and what an escaped character of an id takes at most. */
+    /** Upper bound of a line's length without the id. */
     private static final int LINE_BYTES_BESIDE_ID = 96;
+    /** The longest form of a character of an id: an escape sequence. */
     private static final int MAX_ESCAPED_BYTES = 6;
 
     private NoticeBody() { }
 
-    /** The most bytes that the line for this end can have. */
+    /** Upper bound of the length of an entry's line. */
     static int maxLineBytes(Journal.Entry entry) {
         return LINE_BYTES_BESIDE_ID + MAX_ESCAPED_BYTES * entry.message.id().length();
     }
 
+    /** Encodes entries whose end is decided. */
     static String encode(List<Journal.Entry> entries) {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = JSON.createGenerator(text)) {
@@ -36,7 +41,7 @@
                 out.writeRaw('\n');
             }
         } catch (IOException e) {
-            throw new IllegalStateException("a string cannot fail to be written", e);
+            throw new IllegalStateException("writing JSON to a string failed", e);
         }
         return text.toString();
     }
--- a/src/main/java/wrenkeel/net/NoticeSender.java
+++ b/src/main/java/wrenkeel/net/NoticeSender.java
@@ -18,23 +18,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Posts the ends of messages to the platform until it acknowledges them. Runs on one event loop.
+ * Posts notices, which tell the platform how messages ended, until the platform acknowledges them. Not
+ * thread-safe: all methods run on the event loop.
  *
- * <p>A notice is due 350 ms after its message's deadline, and the end may be decided at the deadline. A post
- * that is not answered in time is therefore repeated on another connection: with one connection silent and
- * the next never coming up, the third try goes out {@code 3 * FIRST_RETRY_MS} (180 ms) after the decision.
- * The silent connection stays open for a while, because a late answer on it counts. Notices may arrive more
- * than once; the platform ignores a notice for a message that is over.
+ * <p>A notice is due 350 ms after its message's deadline, and the end may be decided as late as at the
+ * deadline. A post that gets no response in time is therefore repeated on another connection: if one
+ * connection is silent and the next can't be established, the third try is sent {@code 3 * FIRST_RETRY_MS}
+ * (180 ms) after the decision. The silent connection stays open for a while, because a late response on it
+ * counts. Notices may arrive more than once; the platform ignores a notice for a message that has ended.
  */
 final class NoticeSender {
     private static final Logger LOG = LoggerFactory.getLogger(NoticeSender.class);
-    /** Time after which a post without an answer is repeated; doubled by each failure in a row. */
+    /** Time after which a post without a response is repeated; it doubles with each failure in a row. */
     private static final long FIRST_RETRY_MS = 60;
     private static final long MAX_RETRY_MS = 600;
-    /** Gap before a notice that the platform could not read is tried again; doubled each time. */
+    /** Gap before a notice that the platform could not read is posted again; it doubles each time. */
     private static final long FIRST_REFUSAL_GAP_MS = 200;
     private static final long MAX_REFUSAL_GAP_MS = 10_000;
-    /** Doublings after which either span has certainly reached its maximum. */
+    /** Number of doublings after which both times have reached their maximum. */
     private static final int MAX_DOUBLINGS = 10;
     private static final int MAX_CONNECTIONS = 3;
     private static final int MAX_BATCH_NOTICES = 100;
@@ -44,8 +45,12 @@
     /** The end of one message, not acknowledged yet. */
     private static final class Notice {
         final Journal.Entry entry;
-        /** It was part of a post that the platform could not read: it goes alone, and holds up no other. */
+        /**
+         * It was part of a post that the platform could not read: it is posted alone, so that it delays no
+         * other.
+         */
         boolean alone;
+        /** How often the platform could not read a post of this notice alone. */
         int refusals;
 
         Notice(Journal.Entry entry) {
@@ -61,31 +66,34 @@
         }
     }
 
-    /** An open connection, and the post on it that has no answer yet; null while it is idle. */
+    /** An open connection, and the post on it that awaits a response, which is null while it is idle. */
     private static final class Link {
         final NoticeConnection connection;
         Post post;
+        /** It has carried a post before the current one. */
         boolean reused;
 
         Link(NoticeConnection connection) {
             this.connection = connection;
         }
 
-        /** Its post has been repeated elsewhere: only a late answer is still of use. */
+        /**
+         * True if its post has been repeated on another connection, so that only a late response is of use.
+         */
         boolean isOverdue() {
             return post != null && post.settled;
         }
     }
 
-    /** One try to deliver some notices. */
+    /** One attempt to deliver some notices. */
     private static final class Post {
         final long number;
         final List<Notice> notices;
         final Link link;
-        /** Failures in a row before this post. */
+        /** Consecutive failures before this post. */
         final int failuresBefore;
         Future<?> retry;
-        /** It has been answered, or its notices go out again in another post. */
+        /** It got a response, or its notices are posted again in another post. */
         boolean settled;
 
         Post(long number, List<Notice> notices, Link link, int failuresBefore) {
@@ -99,20 +107,25 @@
     private final EventLoop loop;
     private final Supplier<NoticeConnection> connections;
     private final Consumer<Journal.Entry> onAcknowledged;
+    /** All notices that are not acknowledged, by their entry's number. */
     private final Map<Long, Notice> pending = new HashMap<>();
-    /** Notices to be posted now, the nearest deadline first. */
+    /** Notices to be posted now, the earliest deadline first. */
     private final TreeSet<Notice> ready = new TreeSet<>(
         Comparator.comparingLong(Notice::deadline).thenComparingLong(Notice::number));
-    /** All open connections, the one opened first in front; at most {@link #MAX_CONNECTIONS}. */
+    /** All open connections in the order of opening; at most {@link #MAX_CONNECTIONS}. */
     private final List<Link> links = new ArrayList<>();
-    /** Posts not settled; at most {@link #MAX_CONNECTIONS}. */
+    /** Posts that are not settled; at most {@link #MAX_CONNECTIONS}. */
     private final Set<Post> posts = new LinkedHashSet<>();
     private long lastPost;
+    /** Consecutive failures. */
     private int failures;
     private boolean sendScheduled;
     private boolean failureLogged;
 
-    /** {@code connections} opens connections to the agent's present address. */
+    /**
+     * {@code connections} opens connections to the agent's current address. {@code onAcknowledged} receives
+     * each entry whose notice the platform has acknowledged.
+     */
     NoticeSender(EventLoop loop, Supplier<NoticeConnection> connections,
             Consumer<Journal.Entry> onAcknowledged) {
         this.loop = loop;
@@ -120,7 +133,7 @@
         this.onAcknowledged = onAcknowledged;
     }
 
-    /** Posts the end of a message, again and again until the platform has it. */
+    /** Posts the end of a message, repeatedly until the platform acknowledges it. */
     void add(Journal.Entry entry) {
         Notice notice = new Notice(entry);
         if (pending.putIfAbsent(entry.number, notice) == null) {
@@ -134,7 +147,10 @@
         return !pending.isEmpty();
     }
 
-    /** The agent's address has changed: all that is not acknowledged is posted there at once. */
+    /**
+     * Called when the agent's address has changed: posts all notices that aren't acknowledged there at
+     * once.
+     */
     void reconnect() {
         List<Link> old = List.copyOf(links);
         links.clear();
@@ -147,7 +163,10 @@
         scheduleSend();
     }
 
-    /** What else is decided in this turn joins the same post. */
+    /**
+     * Sends after the current turn of the event loop, so that other ends decided in this turn join the
+     * post.
+     */
     private void scheduleSend() {
         if (!sendScheduled) {
             sendScheduled = true;
@@ -158,12 +177,14 @@
         }
     }
 
+    /** Posts the ready notices, as far as the limit of posts allows. */
     private void sendReady() {
         while (!ready.isEmpty() && posts.size() < MAX_CONNECTIONS) {
             send(takeBatch(), takeLink());
         }
     }
 
+    /** Takes the notices of the next post out of the ready ones. */
     private List<Notice> takeBatch() {
         List<Notice> batch = new ArrayList<>();
         Notice first = ready.pollFirst();
@@ -184,8 +205,9 @@
     }
 
     /**
-     * An idle connection, or else a new one; if there is no room, the one overdue for the longest gives
-     * way. With fewer posts than connections allowed, one of the three is always possible.
+     * Returns an idle connection, or else a new one. If the limit of connections is reached, the one that has
+     * been overdue longest is closed first. As there are fewer unsettled posts than connections allowed, one
+     * of the three is always possible.
      */
     private Link takeLink() {
         for (Link link : links) {
@@ -217,6 +239,7 @@
         return Math.min(maxMs, firstMs << Math.min(doublings, MAX_DOUBLINGS));
     }
 
+    /** Handles the end of a post, with or without a response. */
     private void handleResponse(Post post, int status) {
         Link link = post.link;
         link.post = null;
@@ -236,8 +259,8 @@
     }
 
     /**
-     * One idle connection is enough. As a post always takes it, an idle connection has answered since every
-     * post under way went out: a repeated post may trust it.
+     * Closes the idle connections except this one. As each post takes the idle connection if there is one, an
+     * idle connection has responded after all posts in progress were sent: a repeated post can rely on it.
      */
     private void closeOtherIdleLinks(Link kept) {
         for (Link link : List.copyOf(links)) {
@@ -247,6 +270,7 @@
         }
     }
 
+    /** The platform has accepted the notices of a post. */
     private void handleAcknowledged(Post post) {
         settle(post);
         failures = 0;
@@ -260,13 +284,16 @@
         closeOverdueLinks();
     }
 
-    /** The platform could not read the post: one notice is to blame, and holds up no other from now on. */
+    /**
+     * The platform could not read a post. Its notices are posted one by one, so that the one which can't be
+     * read delays no other; that one is posted again after a gap.
+     */
     private void handleRefused(Post post) {
         if (post.settled) {
             return;
         }
         settle(post);
-        logFailure(post, "refused");
+        logFailure(post, "rejected as unreadable");
         List<Notice> left = unacknowledged(post);
         if (post.notices.size() > 1) {
             left.forEach(notice -> notice.alone = true);
@@ -288,13 +315,14 @@
     }
 
     /**
-     * The connection ended without an answer. A kept one may have been closed by the agent just then: its
-     * notices go out again at once. Otherwise they wait for the post's retry.
+     * The connection was closed without a response. If it had been used before, the agent may have closed it
+     * as idle at that moment, so the notices are posted again at once. Otherwise they wait for the post's
+     * retry.
      */
     private void handleNoResponse(Post post) {
         close(post.link);
         if (!post.settled) {
-            logFailure(post, "no answer");
+            logFailure(post, "no response");
             if (post.link.reused) {
                 settle(post);
                 ready.addAll(unacknowledged(post));
@@ -302,13 +330,13 @@
         }
     }
 
-    /** The post has not been acknowledged in time. */
+    /** Repeats a post that was not acknowledged in time. */
     private void retry(Post post) {
         settle(post);
         List<Notice> left = unacknowledged(post);
         if (!left.isEmpty()) {
-            logFailure(post, "no answer");
-            // Posts that fail side by side count as one failure.
+            logFailure(post, "no response");
+            // Posts that fail at the same time count as one failure.
             failures = Math.max(failures, Math.min(post.failuresBefore + 1, MAX_DOUBLINGS));
             ready.addAll(left);
         }
@@ -316,7 +344,7 @@
         sendReady();
     }
 
-    /** An overdue connection is kept only for notices that an answer could still acknowledge. */
+    /** Closes overdue connections whose notices have all been acknowledged by another post. */
     private void closeOverdueLinks() {
         for (Link link : List.copyOf(links)) {
             if (link.isOverdue() && unacknowledged(link.post).isEmpty()) {
@@ -341,10 +369,10 @@
         return post.notices.stream().filter(notice -> pending.containsKey(notice.number())).toList();
     }
 
-    /** Once until a notice is acknowledged again. */
+    /** Logs the first failure after an acknowledgement only. */
     private void logFailure(Post post, String reason) {
         if (!failureLogged) {
-            LOG.warn("{} notices not acknowledged ({}), posted until they are", post.notices.size(), reason);
+            LOG.warn("{} notices not acknowledged ({}), retrying", post.notices.size(), reason);
         }
         failureLogged = true;
     }
--- a/src/main/java/wrenkeel/net/ResponseDecoder.java
+++ b/src/main/java/wrenkeel/net/ResponseDecoder.java
@@ -13,17 +13,17 @@
 import java.util.regex.Pattern;
 
 /**
- * Decodes an endpoint's answers, strictly: one that the protocol's form does not allow is a failed attempt,
- * and its messages may not be taken for delivered. Tells the status of an answer once its first line has
- * been read, and whether more has come than belongs to it. Closes the connection when one answer exceeds its
- * bounds; nothing is read after that.
+ * A strict decoder for the HTTP/1 responses of endpoints. A response that violates the protocol is a decoding
+ * failure, because a message must not count as delivered by it. The decoder reports the status as soon as the
+ * status line has been read, and detects bytes after the end of a response. It closes the connection when a
+ * response exceeds the size limits, and discards everything after that.
  */
 final class ResponseDecoder extends HttpResponseDecoder {
-    /** Bytes that an answer's body may hold. */
+    /** Limit for the length of a response's body. */
     static final int MAX_BODY_BYTES = 64 * 1024;
     /**
-     * Bytes of one answer in all: its head, its body with the framing of chunks, and the interim answers
-     * before it. A body of the greatest length in chunks of two bytes stays below.
+     * Limit for the length of a whole response: its head, its body with the framing of chunks, and the
+     * interim responses before it. The longest body in chunks of two bytes stays below this limit.
      */
     static final int MAX_RESPONSE_BYTES = 4 * MAX_BODY_BYTES;
 
@@ -31,21 +31,27 @@
     private static final Pattern STATUS_CODE = Pattern.compile("[1-5][0-9][0-9]");
 
     private final IntConsumer onStatusLine;
+    /** Bytes received since the request. */
     private int responseBytes;
+    /** Bytes of the current body. */
     private int bodyBytes;
+    /** A limit has been exceeded, and the connection has been closed for that. */
     private boolean exceeded;
 
-    /** {@code onStatusLine}: takes the status of each first line, interim answers included. */
+    /** {@code onStatusLine} receives the status of each status line, including those of interim responses. */
     ResponseDecoder(IntConsumer onStatusLine) {
         this.onStatusLine = onStatusLine;
     }
 
-    /** A request goes out: what is read from now on belongs to its answer. */
+    /** Called when a request is sent: what is received from now on belongs to its response. */
     void expectResponse() {
         responseBytes = 0;
     }
 
-    /** Bytes past the end of the latest answer would be taken for the beginning of the next. */
+    /**
+     * True if there are bytes after the end of the latest response, which would be taken for the beginning of
+     * the next one.
+     */
     boolean hasSurplusBytes() {
         return actualReadableBytes() > 0;
     }
@@ -97,16 +103,19 @@
         return head;
     }
 
-    /** The superclass takes other protocols' names and any spelling of the number, such as +200 or 0200. */
+    /**
+     * Checks the version and the status. The superclass accepts other protocol names, and any spelling of the
+     * status, such as +200 or 0200.
+     */
     private static void requireStatusLine(String[] firstLine) {
         if (!HTTP_1_VERSION.matcher(firstLine[0]).matches() || !STATUS_CODE.matcher(firstLine[1]).matches()) {
-            throw new IllegalArgumentException("no status line of HTTP/1");
+            throw new IllegalArgumentException("not a status line of HTTP/1");
         }
     }
 
     /**
-     * Refuses a header line without a colon, which the decoder's superclass takes for a header with no value
-     * if a space stands in it. The answer then counts as unreadable, as the protocol has it.
+     * Rejects a header line without a colon, which the superclass accepts as a header without a value if the
+     * line contains a space. The protocol requires that such a response counts as unreadable.
      */
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
