--- a/src/main/java/wrenkeel/net/Discovery.java
+++ b/src/main/java/wrenkeel/net/Discovery.java
@@ -26,7 +26,7 @@
     private static final long SHORTEST_WAIT_MS = 1;
     /** How long the response to a post of notices is awaited: a late one still acknowledges them. */
     private static final long NOTICE_TIMEOUT_MS = 2_000;
-    /** Doublings after which the gap has certainly reached its maximum. */
+    /** Number of doublings after which the gap has reached its maximum. */
     private static final int MAX_DOUBLINGS = 10;
 
     private final EventLoop loop;
@@ -49,7 +49,7 @@
     private boolean lastCallAnswered;
     /** Number of lists rejected since the start. */
     private long faultCount;
-    /** Number of lists rejected since the last success. */
+    /** Number of calls in a row whose list was rejected. */
     private long consecutiveFaults;
 
     /** {@code onAcknowledged} receives each entry whose notice the platform has acknowledged. */
--- a/src/main/java/wrenkeel/net/HostPool.java
+++ b/src/main/java/wrenkeel/net/HostPool.java
@@ -58,7 +58,7 @@
     /**
      * The result of an attempt.
      *
-     * @param messageOver whether the message needs no further attempt: it was delivered, or its time is up
+     * @param messageOver whether the message needs no further attempt: it was delivered or has expired
      * @param retryAfterMicros how long the host asks not to be called; 0 if it doesn't ask
      * @param latencyMicros time since the attempt was created
      * @param remainingShare the share of its rate limit that the host reports as left; -1 if it reports none
@@ -99,7 +99,10 @@
             abandon(Outcome.CANCELLED);
         }
 
-        /** Ends the attempt because its timeout has elapsed. */
+        /**
+         * Ends the attempt because its timeout has elapsed: as a timeout only if the endpoint may have run
+         * it.
+         */
         void expire() {
             abandon(call.mayRunWithout(this) ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED);
         }
@@ -142,8 +145,8 @@
         }
 
         /**
-         * A message is delivered once the status line says 200, whatever happens to the rest of the
-         * response.
+         * The reply for an attempt that ends without a complete response. Its message counts as delivered if the
+         * status line said 200.
          */
         private Reply replyFor(Outcome outcome) {
             boolean delivered = call != null && call.delivered;
--- a/src/main/java/wrenkeel/net/HostTable.java
+++ b/src/main/java/wrenkeel/net/HostTable.java
@@ -35,7 +35,7 @@
     static final int SEEN_IN_UPDATE = 8;
     /** Flag of a linked row: the list that is being read has an entry for its host that will be applied. */
     static final int HAS_ENTRY = 16;
-    /** Flag of a linked row: its host was marked as draining while a list is being read. */
+    /** Flag of a linked row: its host was marked as draining while the list was being read. */
     static final int DRAINED_MEANWHILE = 32;
     /** Flag of an entry: its host is gone. */
     static final int GONE = 64;
@@ -69,7 +69,7 @@
         /** IPv4 address, or place in the arena. */
         final int[] address = new int[PAGE_ROWS];
         final char[] port = new char[PAGE_ROWS];
-        /** Place in the arena. */
+        /** Place in the arena; {@link #NONE} while another row has the host's name. */
         final int[] name = new int[PAGE_ROWS];
         /** The next row of the same destination, of the same list that is being read, or of the free rows. */
         final int[] next = new int[PAGE_ROWS];
@@ -128,10 +128,12 @@
         return end;
     }
 
+    /** True if a row has at least one of these flags. */
     boolean hasFlag(int row, int flag) {
         return (page(row).flags[row & PAGE_ROWS - 1] & flag) != 0;
     }
 
+    /** Sets or clears flags of a row. */
     void setFlag(int row, int flag, boolean on) {
         short[] flags = page(row).flags;
         flags[row & PAGE_ROWS - 1] =
@@ -192,10 +194,12 @@
         return page(row).next[row & PAGE_ROWS - 1];
     }
 
+    /** Sets the next row of a chain. */
     void next(int row, int next) {
         page(row).next[row & PAGE_ROWS - 1] = next;
     }
 
+    /** The place of a row's name in the arena; {@link #NONE} if it has none. */
     private int namePlace(int row) {
         return page(row).name[row & PAGE_ROWS - 1];
     }
--- a/src/main/java/wrenkeel/net/ResponseDecoder.java
+++ b/src/main/java/wrenkeel/net/ResponseDecoder.java
@@ -13,10 +13,10 @@
 import java.util.regex.Pattern;
 
 /**
- * A strict decoder for the HTTP/1 responses of endpoints. A response that violates the protocol is a decoding
- * failure, because a message must not count as delivered by it. The decoder reports the status as soon as the
- * status line has been read, and detects bytes after the end of a response. It closes the connection when a
- * response exceeds the size limits, and discards everything after that.
+ * A strict decoder for the HTTP/1 responses of endpoints. A response in a form that the protocol doesn't
+ * allow makes the attempt fail, and its messages must not count as delivered. The decoder reports the status
+ * as soon as the status line has been read, and detects bytes after the end of a response. It closes the
+ * connection when a response exceeds the size limits, and discards everything after that.
  */
 final class ResponseDecoder extends HttpResponseDecoder {
     /** Limit for the length of a response's body. */
