--- a/src/main/java/wrenkeel/net/HostPool.java
+++ b/src/main/java/wrenkeel/net/HostPool.java
@@ -145,8 +145,8 @@
         }
 
         /**
-         * The reply for an attempt that ends without a complete response. Its message counts as delivered if the
-         * status line said 200.
+         * The reply for an attempt that ends without a complete response. Its message counts as delivered if
+         * the status line said 200.
          */
         private Reply replyFor(Outcome outcome) {
             boolean delivered = call != null && call.delivered;
--- a/src/main/java/wrenkeel/net/NoticeSender.java
+++ b/src/main/java/wrenkeel/net/NoticeSender.java
@@ -293,7 +293,7 @@
             return;
         }
         settle(post);
-        logFailure(post, "rejected as unreadable");
+        logFailure(post, "refused");
         List<Notice> left = unacknowledged(post);
         if (post.notices.size() > 1) {
             left.forEach(notice -> notice.alone = true);
