--- a/src/test/java/wrenkeel/net/AnswerDecoderTest.java
+++ b/src/test/java/wrenkeel/net/ResponseDecoderTest.java
@@ -16,24 +16,24 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** How much of an answer is read: endpoints may send one that never ends. */
-class AnswerDecoderTest {
-    private static final int PIECE = 1_024;
+class ResponseDecoderTest {
+    private static final int PIECE_BYTES = 1_024;
 
     private final List<Integer> statuses = new ArrayList<>();
     private final ResponseDecoder decoder = new ResponseDecoder(statuses::add);
     private final EmbeddedChannel channel = new EmbeddedChannel(decoder);
 
     @AfterEach
-    void end() {
+    void releaseChannel() {
         channel.finishAndReleaseAll();
     }
 
-    private void read(String text) {
+    private void receive(String text) {
         channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
     }
 
     /** Bytes of body that the connection's handler has got; true as its last part ends it. */
-    private int bodyBytes(boolean[] ended) {
+    private int drainBodyBytes(boolean[] ended) {
         int bytes = 0;
         for (Object part = channel.readInbound(); part != null; part = channel.readInbound()) {
             if (part instanceof HttpContent content) {
@@ -48,53 +48,53 @@
     /** Guards the processor: the relay's share of a core must not go into an answer without end. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 1000000000", "Transfer-Encoding: chunked", "Connection: close"})
-    void aBodyOverTheProtocolsBoundClosesTheConnection(String framing) {
-        read("HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n");
+    void bodyOverTheLimitClosesTheConnection(String framing) {
+        receive("HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n");
         boolean chunked = framing.contains("chunked");
-        String piece = "x".repeat(PIECE);
-        for (int sent = 0; sent < ResponseDecoder.MAX_BODY_BYTES; sent += PIECE) {
+        String piece = "x".repeat(PIECE_BYTES);
+        for (int sent = 0; sent < ResponseDecoder.MAX_BODY_BYTES; sent += PIECE_BYTES) {
             assertTrue(channel.isOpen(), "closed after " + sent);
-            read(chunked ? Integer.toHexString(PIECE) + "\r\n" + piece + "\r\n" : piece);
+            receive(chunked ? Integer.toHexString(PIECE_BYTES) + "\r\n" + piece + "\r\n" : piece);
         }
         assertTrue(channel.isOpen());
-        read(chunked ? "1\r\nx\r\n" : "x");
+        receive(chunked ? "1\r\nx\r\n" : "x");
         assertFalse(channel.isOpen());
         boolean[] ended = {false};
-        assertEquals(ResponseDecoder.MAX_BODY_BYTES, bodyBytes(ended));
+        assertEquals(ResponseDecoder.MAX_BODY_BYTES, drainBodyBytes(ended));
         assertFalse(ended[0], "what was cut off must not pass for whole");
     }
 
     @Test
-    void aBodyOfTheGreatestLengthIsRead() {
-        read("HTTP/1.1 200 OK\r\nContent-Length: " + ResponseDecoder.MAX_BODY_BYTES + "\r\n\r\n"
+    void bodyOfMaximumLengthIsRead() {
+        receive("HTTP/1.1 200 OK\r\nContent-Length: " + ResponseDecoder.MAX_BODY_BYTES + "\r\n\r\n"
             + "x".repeat(ResponseDecoder.MAX_BODY_BYTES));
         boolean[] ended = {false};
-        assertEquals(ResponseDecoder.MAX_BODY_BYTES, bodyBytes(ended));
+        assertEquals(ResponseDecoder.MAX_BODY_BYTES, drainBodyBytes(ended));
         assertTrue(ended[0] && channel.isOpen());
     }
 
     /** Interim answers have no body that could be counted. */
     @Test
-    void interimAnswersWithoutEndCloseTheConnection() {
+    void endlessInterimResponsesCloseTheConnection() {
         String interim = "HTTP/1.1 100 Continue\r\n\r\n".repeat(40);
         for (int sent = 0; sent <= ResponseDecoder.MAX_RESPONSE_BYTES; sent += interim.length()) {
             assertTrue(channel.isOpen(), "closed after " + sent);
-            read(interim);
+            receive(interim);
         }
         assertFalse(channel.isOpen());
-        int read = statuses.size();
+        int statusCount = statuses.size();
         channel.pipeline().fireChannelRead(Unpooled.copiedBuffer(interim, StandardCharsets.ISO_8859_1));
-        assertEquals(read, statuses.size(), "nothing is read after that");
+        assertEquals(statusCount, statuses.size(), "nothing is read after that");
     }
 
     /** A connection that is used again starts anew. */
     @Test
-    void theBoundsAreThoseOfOneAnswer() {
-        String answer = "HTTP/1.1 200 OK\r\nContent-Length: " + ResponseDecoder.MAX_BODY_BYTES + "\r\n\r\n"
+    void limitsApplyToEachResponseSeparately() {
+        String response = "HTTP/1.1 200 OK\r\nContent-Length: " + ResponseDecoder.MAX_BODY_BYTES + "\r\n\r\n"
             + "x".repeat(ResponseDecoder.MAX_BODY_BYTES);
         for (int i = 0; i < 10; i++) {
             decoder.expectResponse();
-            read(answer);
+            receive(response);
         }
         assertTrue(channel.isOpen());
         assertEquals(10, statuses.size());
