--- a/src/test/java/wrenkeel/net/HostListComparisonTest.java
+++ b/src/test/java/wrenkeel/net/HostListComparisonTest.java
@@ -33,10 +33,10 @@
         "s-" + "x".repeat(40));
     private static final int DESTINATIONS = 4;
 
-    enum What { WHOLE, CHANGES, CUT, TELL, TELL_MIDWAY, RELEASE, DRAIN, FORGET }
+    enum Action { WHOLE, CHANGES, TRUNCATED, ACTIVATE, ACTIVATE_DURING_UPDATE, DEACTIVATE, MARK_DRAINING, RELEASE_HOST }
 
-    /** {@code at}: a destination, a host's place in NAMES, or where to cut. */
-    record Step(What what, List<String> entries, int at, int piece) { }
+    /** {@code position}: a destination, a host's place in NAMES, or where to cut. */
+    record Step(Action action, List<String> entries, int position, int pieceBytes) { }
 
     @Provide
     Arbitrary<List<Step>> steps() {
@@ -49,7 +49,7 @@
             (name, health1, dial1, rest1, kind, block, badHealth, badDial) -> "{\"host\":\"" + name + "\",\"dial\":\""
                 + (badDial.isEmpty() ? dial1 : badDial) + "\",\"class\":\"" + kind + "\",\"block\":" + block
                 + ",\"health\":\"" + (badHealth.isEmpty() ? health1 : badHealth) + "\"" + rest1 + "}");
-        return Combinators.combine(Arbitraries.of(What.values()), entry.list().ofMaxSize(8),
+        return Combinators.combine(Arbitraries.of(Action.values()), entry.list().ofMaxSize(8),
             Arbitraries.integers().between(0, 1_000), Arbitraries.integers().between(1, 300)).as(Step::new)
             .list().ofMaxSize(30);
     }
@@ -59,11 +59,11 @@
     }
 
     @Property(tries = 2_000)
-    void tellsAndHoldsWhatThePlainListDid(@ForAll("steps") List<Step> steps) throws IOException {
+    void behavesLikeTheReferenceList(@ForAll("steps") List<Step> steps) throws IOException {
         Comparison comparison = new Comparison();
         for (Step step : steps) {
-            comparison.play(step);
-            comparison.check();
+            comparison.perform(step);
+            comparison.assertSameState();
         }
     }
 
@@ -71,30 +71,30 @@
     private static final class Comparison {
         private final ReferenceHostList reference = new ReferenceHostList(ZONES, KINDS);
         private final HostList list = new HostList(ZONES, KINDS, 1_000);
-        private final Set<Long> told = new HashSet<>();
+        private final Set<Long> activeDestinations = new HashSet<>();
         /** Destinations of the listed hosts, by name, as the reference's events say. */
-        private Map<String, Long> listed = new HashMap<>();
+        private Map<String, Long> listedDestinations = new HashMap<>();
         /** What the module holds, by name. */
-        private final Map<String, String> module = new HashMap<>();
-
-        void play(Step step) throws IOException {
-            long destination = step.at % DESTINATIONS;
-            String name = NAMES.get(step.at % NAMES.size());
-            switch (step.what) {
-                case WHOLE, CHANGES, TELL_MIDWAY, CUT -> lists(step, destination);
-                case TELL -> tell(destination);
-                case RELEASE -> {
+        private final Map<String, String> moduleState = new HashMap<>();
+
+        void perform(Step step) throws IOException {
+            long destination = step.position % DESTINATIONS;
+            String name = NAMES.get(step.position % NAMES.size());
+            switch (step.action) {
+                case WHOLE, CHANGES, ACTIVATE_DURING_UPDATE, TRUNCATED -> loadList(step, destination);
+                case ACTIVATE -> activate(destination);
+                case DEACTIVATE -> {
                     list.deactivate(destination);
-                    told.remove(destination);
-                    module.values().removeIf(state -> state.startsWith(destination + " "));
+                    activeDestinations.remove(destination);
+                    moduleState.values().removeIf(state -> state.startsWith(destination + " "));
                 }
-                case DRAIN -> {
+                case MARK_DRAINING -> {
                     HostList.Host host = list.hostByName(name);
                     if (host != null && host.ready) {
                         Relay.Listed drained = list.markDraining(host);
-                        assertEquals(seen(reference.markDraining(reference.hostByName(name)), id -> reference.hostById(id).name),
-                            seen(drained, id -> list.hostById(id).name));
-                        hear(drained);
+                        assertEquals(describe(reference.markDraining(reference.hostByName(name)), id -> reference.hostById(id).name),
+                            describe(drained, id -> list.hostById(id).name));
+                        applyToModule(drained);
                     }
                 }
                 default -> {
@@ -107,132 +107,132 @@
             }
         }
 
-        private void tell(long destination) {
-            Relay.Listed answer = list.activate(destination);
-            assertEquals(told.add(destination), answer != null);
-            if (answer != null) {
-                hear(answer);
+        private void activate(long destination) {
+            Relay.Listed event = list.activate(destination);
+            assertEquals(activeDestinations.add(destination), event != null);
+            if (event != null) {
+                applyToModule(event);
             }
         }
 
-        private void lists(Step step, long destination) throws IOException {
-            boolean whole = step.what == What.WHOLE || step.what == What.TELL_MIDWAY && step.at % 2 == 0;
-            long seq = list.version() + 2;
-            String text = step.piece % 2 == 0
-                ? Platform.list((int) seq, whole, step.entries.toArray(String[]::new))
+        private void loadList(Step step, long destination) throws IOException {
+            boolean whole = step.action == Action.WHOLE || step.action == Action.ACTIVATE_DURING_UPDATE && step.position % 2 == 0;
+            long version = list.version() + 2;
+            String text = step.pieceBytes % 2 == 0
+                ? Platform.list((int) version, whole, step.entries.toArray(String[]::new))
                 : "{\n \"hosts\": [\n  " + String.join(",\n  ", step.entries) + "\n ],\n \"whole\": " + whole
-                    + ", \"seq\": " + seq + "}";
+                    + ", \"seq\": " + version + "}";
             byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-            boolean midway = step.what == What.CUT || step.what == What.TELL_MIDWAY;
-            int cut = midway ? step.at * bytes.length / 1_001 : bytes.length;
-            HostList.PendingUpdate reading = list.beginUpdate();
-            for (int from = 0; from < cut; from += step.piece) {
-                reading.feed(bytes, from, Math.min(step.piece, cut - from));
+            boolean stopsMidway = step.action == Action.TRUNCATED || step.action == Action.ACTIVATE_DURING_UPDATE;
+            int cut = stopsMidway ? step.position * bytes.length / 1_001 : bytes.length;
+            HostList.PendingUpdate update = list.beginUpdate();
+            for (int from = 0; from < cut; from += step.pieceBytes) {
+                update.feed(bytes, from, Math.min(step.pieceBytes, cut - from));
             }
-            if (step.what == What.CUT) {
-                if (step.piece % 3 == 0) {
-                    reading.abandon();
+            if (step.action == Action.TRUNCATED) {
+                if (step.pieceBytes % 3 == 0) {
+                    update.abandon();
                 } else {
-                    assertThrows(Wire.Malformed.class, reading::commit);
+                    assertThrows(Wire.Malformed.class, update::commit);
                 }
                 return;
             }
-            if (step.what == What.TELL_MIDWAY) {
-                tell(destination);
-                reading.feed(bytes, cut, bytes.length - cut);
+            if (step.action == Action.ACTIVATE_DURING_UPDATE) {
+                activate(destination);
+                update.feed(bytes, cut, bytes.length - cut);
             }
-            Map<HostList.Host, Long> ready = new HashMap<>();
+            Map<HostList.Host, Long> readyBefore = new HashMap<>();
             NAMES.stream().map(list::hostByName).filter(host -> host != null && host.ready)
-                .forEach(host -> ready.put(host, host.destination));
-            HostList.Change change = reading.commit();
-            List<String> due = due(reference.load(Wire.decode(text)));
-            if (step.what != What.TELL_MIDWAY) {
-                assertEquals(due, seen(change.event(), id -> list.hostById(id).name));
+                .forEach(host -> readyBefore.put(host, host.destination));
+            HostList.Change change = update.commit();
+            List<String> expected = expectedReport(reference.load(Wire.decode(text)));
+            if (step.action != Action.ACTIVATE_DURING_UPDATE) {
+                assertEquals(expected, describe(change.event(), id -> list.hostById(id).name));
             }
-            ready.forEach((host, before) -> assertTrue(host.ready && host.destination == before
+            readyBefore.forEach((host, oldDestination) -> assertTrue(host.ready && host.destination == oldDestination
                 || change.unavailable().contains(host)));
             assertEquals(whole ? Relay.ListKind.WHOLE : Relay.ListKind.CHANGES, change.event().kind());
-            hear(change.event());
+            applyToModule(change.event());
         }
 
         /** Of the reference's events, those of destinations told of; a host that leaves these goes. */
-        private List<String> due(Relay.Listed all) {
-            List<String> due = new ArrayList<>();
+        private List<String> expectedReport(Relay.Listed fullReport) {
+            List<String> expected = new ArrayList<>();
             Map<String, Long> named = new HashMap<>();
-            for (Relay.Endpoint e : all.endpoints()) {
-                String name = reference.hostById(e.id()).name;
-                Long before = listed.remove(name);
+            for (Relay.Endpoint endpoint : fullReport.endpoints()) {
+                String name = reference.hostById(endpoint.id()).name;
+                Long oldDestination = listedDestinations.remove(name);
                 named.remove(name);
-                if (e.listing() != Listing.GONE) {
-                    listed.put(name, e.destination());
-                    named.put(name, e.destination());
+                if (endpoint.listing() != Listing.GONE) {
+                    listedDestinations.put(name, endpoint.destination());
+                    named.put(name, endpoint.destination());
                 }
-                if (e.listing() != Listing.GONE && told.contains(e.destination())) {
-                    due.add(seen(name, e));
-                } else if (before != null && told.contains(before)) {
-                    due.add(name + " " + before + " GONE");
+                if (endpoint.listing() != Listing.GONE && activeDestinations.contains(endpoint.destination())) {
+                    expected.add(describe(name, endpoint));
+                } else if (oldDestination != null && activeDestinations.contains(oldDestination)) {
+                    expected.add(name + " " + oldDestination + " GONE");
                 }
             }
-            listed = all.kind() == Relay.ListKind.WHOLE ? named : listed;
-            return due;
+            listedDestinations = fullReport.kind() == Relay.ListKind.WHOLE ? named : listedDestinations;
+            return expected;
         }
 
-        private interface Names {
-            String of(long id);
+        private interface NameLookup {
+            String nameOf(long id);
         }
 
-        private static List<String> seen(Relay.Listed listed, Names names) {
-            return listed.endpoints().stream().map(e -> seen(names.of(e.id()), e)).toList();
+        private static List<String> describe(Relay.Listed event, NameLookup names) {
+            return event.endpoints().stream().map(endpoint -> describe(names.nameOf(endpoint.id()), endpoint)).toList();
         }
 
-        private static String seen(String name, Relay.Endpoint e) {
-            return name + " " + e.destination() + " " + e.listing()
-                + (e.listing() == Listing.GONE ? "" : " " + e.zone() + " " + e.kind() + " " + e.weight());
+        private static String describe(String name, Relay.Endpoint endpoint) {
+            return name + " " + endpoint.destination() + " " + endpoint.listing()
+                + (endpoint.listing() == Listing.GONE ? "" : " " + endpoint.zone() + " " + endpoint.kind() + " " + endpoint.weight());
         }
 
-        private void hear(Relay.Listed event) {
+        private void applyToModule(Relay.Listed event) {
             Set<String> named = new HashSet<>();
-            for (Relay.Endpoint e : event.endpoints()) {
-                String name = list.hostById(e.id()).name;
+            for (Relay.Endpoint endpoint : event.endpoints()) {
+                String name = list.hostById(endpoint.id()).name;
                 named.add(name);
-                if (e.listing() == Listing.GONE) {
-                    module.remove(name);
+                if (endpoint.listing() == Listing.GONE) {
+                    moduleState.remove(name);
                 } else {
-                    module.put(name, e.destination() + " " + e.listing() + " " + e.zone() + " " + e.kind());
+                    moduleState.put(name, endpoint.destination() + " " + endpoint.listing() + " " + endpoint.zone() + " " + endpoint.kind());
                 }
             }
             if (event.kind() == Relay.ListKind.WHOLE) {
-                module.keySet().retainAll(named);
+                moduleState.keySet().retainAll(named);
             }
         }
 
-        private void check() {
-            Map<String, String> due = new HashMap<>();
-            Set<Long> numbers = new HashSet<>();
+        private void assertSameState() {
+            Map<String, String> expectedModuleState = new HashMap<>();
+            Set<Long> ids = new HashSet<>();
             int draining = 0;
             for (String name : NAMES) {
-                ReferenceHostList.Host host = reference.hostByName(name);
-                boolean there = host != null && host.listed;
-                HostList.Host mine = list.hostByName(name);
-                assertTrue(mine == null || numbers.add(mine.id) && list.hostById(mine.id) == mine);
-                assertEquals(there ? host.destination : null, list.destinationOf(name));
-                assertTrue(mine == null || list.hostsOf(mine.destination).contains(mine));
-                if (there && told.contains(host.destination)) {
-                    due.put(name, host.destination + " " + (host.ready ? Listing.READY : Listing.DRAINING) + " "
-                        + host.zone + " " + host.kind);
-                    assertEquals(List.of(host.address, host.zone, host.kind, host.destination, host.ready, true),
-                        List.of(mine.address, mine.zone, mine.kind, mine.destination, mine.ready, mine.listed));
+                ReferenceHostList.Host expected = reference.hostByName(name);
+                boolean isListed = expected != null && expected.listed;
+                HostList.Host actual = list.hostByName(name);
+                assertTrue(actual == null || ids.add(actual.id) && list.hostById(actual.id) == actual);
+                assertEquals(isListed ? expected.destination : null, list.destinationOf(name));
+                assertTrue(actual == null || list.hostsOf(actual.destination).contains(actual));
+                if (isListed && activeDestinations.contains(expected.destination)) {
+                    expectedModuleState.put(name, expected.destination + " " + (expected.ready ? Listing.READY : Listing.DRAINING) + " "
+                        + expected.zone + " " + expected.kind);
+                    assertEquals(List.of(expected.address, expected.zone, expected.kind, expected.destination, expected.ready, true),
+                        List.of(actual.address, actual.zone, actual.kind, actual.destination, actual.ready, actual.listed));
                 } else {
-                    assertTrue(mine == null || !mine.ready && !mine.listed);
+                    assertTrue(actual == null || !actual.ready && !actual.listed);
                 }
-                draining += there && !host.ready ? 1 : 0;
+                draining += isListed && !expected.ready ? 1 : 0;
             }
-            assertEquals(due, module);
+            assertEquals(expectedModuleState, moduleState);
             assertEquals(List.of(reference.version(), reference.listedCount(), draining, reference.listedCount()),
                 List.of(list.version(), list.listedCount(), list.drainingCount(), list.rowCount()));
             for (long destination = 0; destination < DESTINATIONS; destination++) {
                 assertEquals(reference.isKnown(destination), list.isKnown(destination));
-                assertEquals(told.contains(destination), list.isActive(destination));
+                assertEquals(activeDestinations.contains(destination), list.isActive(destination));
             }
         }
     }
