--- a/src/test/java/wrenkeel/net/AgentConnectionTest.java
+++ b/src/test/java/wrenkeel/net/AgentConnectionTest.java
@@ -20,10 +20,10 @@
 
     private final MultiThreadIoEventLoopGroup group =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final EventLoop thread = group.next();
+    private final EventLoop loop = group.next();
 
     @AfterEach
-    void end() throws Exception {
+    void stopEventLoop() throws Exception {
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).sync();
     }
 
@@ -32,20 +32,20 @@
      * the relay's thread, so that it is repeated as soon as a descriptor is free.
      */
     @Test
-    void aRequestForWhichThereIsNoDescriptorEndsAtOnceOnTheRelaysThread() throws Exception {
-        AgentConnection connection = new AgentConnection(thread, new Bootstrap().group(group), () -> {
+    void requestWithoutAFreeDescriptorEndsAtOnceOnTheEventLoop() throws Exception {
+        AgentConnection connection = new AgentConnection(loop, new Bootstrap().group(group), () -> {
             throw new ChannelException("too many open files");
         }, new InetSocketAddress(Platform.LOOPBACK, 9), CONNECT_TIMEOUT_MS);
         BlockingQueue<Integer> statuses = new LinkedBlockingQueue<>();
-        BlockingQueue<Boolean> onThread = new LinkedBlockingQueue<>();
-        long longTime = TimeUnit.HOURS.toMillis(1);
+        BlockingQueue<Boolean> onEventLoop = new LinkedBlockingQueue<>();
+        long longTimeoutMs = TimeUnit.HOURS.toMillis(1);
         for (int i = 0; i < 2; i++) {
-            thread.submit(() -> connection.send(HttpMethod.GET, "/v1/servers", "", longTime, null, answer -> {
-                onThread.add(thread.inEventLoop());
-                statuses.add(answer.status);
+            loop.submit(() -> connection.send(HttpMethod.GET, "/v1/servers", "", longTimeoutMs, null, response -> {
+                onEventLoop.add(loop.inEventLoop());
+                statuses.add(response.status);
             })).get();
             assertEquals(0, statuses.poll(Platform.PATIENCE_S, TimeUnit.SECONDS));
-            assertTrue(onThread.take());
+            assertTrue(onEventLoop.take());
         }
     }
 }
