--- a/src/test/java/wrenkeel/net/FleetSizeTest.java
+++ b/src/test/java/wrenkeel/net/FleetSizeTest.java
@@ -20,16 +20,16 @@
 /** A fleet of over a thousand relays and endpoints: nothing is sized for a few. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class FleetSizeTest {
-    private static final int MANY = 1_100, OF_ONE_DESTINATION = 600, LARGE = 7, SMALL = 8, SMALL_SIZE = 5;
-    private static final long LONG = 60_000_000;
+    private static final int FLEET_SIZE = 1_100, LARGE_DESTINATION_HOSTS = 600, LARGE_DESTINATION = 7, FIRST_SMALL_DESTINATION = 8, SMALL_DESTINATION_HOSTS = 5;
+    private static final long LONG_TIMEOUT_MICROS = 60_000_000;
 
     @TempDir
     Path folder;
 
     /** The first endpoints are all of one destination; behind them each destination has a few. */
-    private static String listed(int number, int port) {
-        int destination = number < OF_ONE_DESTINATION ? LARGE
-            : SMALL + (number - OF_ONE_DESTINATION) / SMALL_SIZE;
+    private static String hostEntry(int number, int port) {
+        int destination = number < LARGE_DESTINATION_HOSTS ? LARGE_DESTINATION
+            : FIRST_SMALL_DESTINATION + (number - LARGE_DESTINATION_HOSTS) / SMALL_DESTINATION_HOSTS;
         return Platform.host("s-" + number, port, destination, "ready").replace("\"share\":50",
             "\"share\":5000");
     }
@@ -39,20 +39,20 @@
         Path file = Path.of(platform.env().get("EDGE_CONFIG"));
         String text = Files.readString(file);
         assertTrue(text.contains("\"balancers\":1,") && text.contains("\"sockets\":1024"));
-        Files.writeString(file, text.replace("\"balancers\":1,", "\"balancers\":" + MANY + ",")
+        Files.writeString(file, text.replace("\"balancers\":1,", "\"balancers\":" + FLEET_SIZE + ",")
             .replace("\"sockets\":1024", "\"sockets\":256"));
         return Config.read(platform.env());
     }
 
     @Test
-    void aListOfManyEndpointsIsHeldAndEachDestinationServed() throws Exception {
+    void largeListIsHeldAndItsDestinationsAreServed() throws Exception {
         try (Platform platform = new Platform(folder); Host host = new Host()) {
-            String[] hosts = new String[MANY];
-            for (int i = 0; i < MANY; i++) {
-                hosts[i] = listed(i, host.port());
+            String[] hosts = new String[FLEET_SIZE];
+            for (int i = 0; i < FLEET_SIZE; i++) {
+                hosts[i] = hostEntry(i, host.port());
             }
             try (Node relay = new Node(config(platform, hosts)); var client = new Platform.Client(relay)) {
-                for (int destination : List.of(LARGE, SMALL, SMALL + (MANY - OF_ONE_DESTINATION) / SMALL_SIZE - 1)) {
+                for (int destination : List.of(LARGE_DESTINATION, FIRST_SMALL_DESTINATION, FIRST_SMALL_DESTINATION + (FLEET_SIZE - LARGE_DESTINATION_HOSTS) / SMALL_DESTINATION_HOSTS - 1)) {
                     String id = "to-" + destination;
                     assertEquals("HTTP/1.1 202 Accepted",
                         client.post(id, "bill", destination, 60_000).get(0));
@@ -61,10 +61,10 @@
                     assertEquals(id, call.header("X-Request-ID"));
                     call.answer(Host.OK);
                 }
-                while (!relay.idle() || ConsoleTest.figures(relay).whole("members") < MANY) {
+                while (!relay.idle() || ConsoleTest.figures(relay).whole("members") < FLEET_SIZE) {
                     Thread.sleep(5);
                 }
-                assertEquals(MANY, ConsoleTest.figures(relay).whole("members"));
+                assertEquals(FLEET_SIZE, ConsoleTest.figures(relay).whole("members"));
             }
             assertTrue(platform.notices.isEmpty(), "all were delivered");
         }
@@ -72,23 +72,23 @@
 
     /** Guards the descriptors: kept connections to many endpoints stay within the share. */
     @Test
-    void connectionsToManyEndpointsStayWithinTheirShare() throws Exception {
-        int share = 20;
+    void connectionsToManyHostsStayWithinTheLimit() throws Exception {
+        int maxConnections = 20;
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         BlockingQueue<HostPool.Reply> replies = new LinkedBlockingQueue<>();
         try (Host endpoint = new Host()) {
-            HostPool pool = new HostPool(group.next(), new Bootstrap().group(group), LONG, LONG, share,
+            HostPool pool = new HostPool(group.next(), new Bootstrap().group(group), LONG_TIMEOUT_MICROS, LONG_TIMEOUT_MICROS, maxConnections,
                 new Figures());
-            Message message = new Message("a", "bill", 0, null, null, LARGE, 0, new byte[1]);
-            for (int i = 0; i < MANY; i++) {
+            Message message = new Message("a", "bill", 0, null, null, LARGE_DESTINATION, 0, new byte[1]);
+            for (int i = 0; i < FLEET_SIZE; i++) {
                 HostList.Host host = new HostList.Host(i, "s-" + i);
                 host.address = new InetSocketAddress(Platform.LOOPBACK, endpoint.port());
                 group.next().submit(() -> pool.startCall(host,
-                    List.of(new HostPool.Attempt(message, LONG, replies::add)))).get();
+                    List.of(new HostPool.Attempt(message, LONG_TIMEOUT_MICROS, replies::add)))).get();
                 endpoint.call().answer(Host.OK);
                 assertEquals(Outcome.OK, replies.take().outcome());
-                int held = group.next().submit(pool::connectionCount).get();
-                assertTrue(held <= share, held + " connections held");
+                int connectionCount = group.next().submit(pool::connectionCount).get();
+                assertTrue(connectionCount <= maxConnections, connectionCount + " connections held");
             }
         } finally {
             group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
