--- a/src/test/java/wrenkeel/net/HostPoolTest.java
+++ b/src/test/java/wrenkeel/net/HostPoolTest.java
@@ -31,39 +31,39 @@
 /** Each way in which a call can end, by the protocol's table. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class HostPoolTest {
-    private static final long LONG = 60_000_000, KEEP_ALIVE = 15_000_000;
+    private static final long LONG_TIMEOUT_MICROS = 60_000_000, KEEP_ALIVE_MICROS = 15_000_000;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final BlockingQueue<HostPool.Reply> replies = new LinkedBlockingQueue<>();
-    private final HostList.Host listed = new HostList.Host(1, "s-1");
+    private final HostList.Host defaultHost = new HostList.Host(1, "s-1");
 
     @AfterEach
-    void end() {
+    void stopEventLoop() {
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 
-    private HostPool pool(long keepAlive) {
-        return new HostPool(group.next(), new Bootstrap().group(group), LONG, keepAlive, 100, new Figures());
+    private HostPool newPool(long keepAliveMicros) {
+        return new HostPool(group.next(), new Bootstrap().group(group), LONG_TIMEOUT_MICROS, keepAliveMicros, 100, new Figures());
     }
 
 
-    private HostPool.Attempt part(String id, String key, long patience, int bytes) {
-        return new HostPool.Attempt(new Message(id, "bill", 0, null, key, 7, 0, new byte[bytes]), patience,
+    private HostPool.Attempt attempt(String id, String key, long timeoutMicros, int bytes) {
+        return new HostPool.Attempt(new Message(id, "bill", 0, null, key, 7, 0, new byte[bytes]), timeoutMicros,
             replies::add);
     }
 
-    private void call(HostPool pool, int port, HostPool.Attempt... parts) throws Exception {
-        listed.address = new InetSocketAddress(Platform.LOOPBACK, port);
-        listed.ready = true;
-        group.next().submit(() -> pool.startCall(listed, List.of(parts))).get();
+    private void startCall(HostPool pool, int port, HostPool.Attempt... attempts) throws Exception {
+        defaultHost.address = new InetSocketAddress(Platform.LOOPBACK, port);
+        defaultHost.ready = true;
+        group.next().submit(() -> pool.startCall(defaultHost, List.of(attempts))).get();
     }
 
-    private HostPool.Attempt call(HostPool pool, int port, long patience, int bytes) throws Exception {
-        HostPool.Attempt part = part("a", null, patience, bytes);
-        call(pool, port, part);
-        return part;
+    private HostPool.Attempt startCall(HostPool pool, int port, long timeoutMicros, int bytes) throws Exception {
+        HostPool.Attempt attempt = attempt("a", null, timeoutMicros, bytes);
+        startCall(pool, port, attempt);
+        return attempt;
     }
 
-    private HostPool.Reply reply() throws InterruptedException {
+    private HostPool.Reply awaitReply() throws InterruptedException {
         return replies.poll(Platform.PATIENCE_S, TimeUnit.SECONDS);
     }
 
@@ -71,16 +71,16 @@
     @CsvSource({"200, , OK, true, 0", "500, , ERROR, false, 0", "429, Retry-After: 0.283, FULL, false, 283000",
         "429, , FULL, false, 0", "503, , FULL, false, 0", "503, X-No-Slot: 1, NOT_SENT, false, 0",
         "504, , NOT_SENT, false, 0", "410, , NOT_SENT, true, 0", "418, , ERROR, false, 0"})
-    void anAnswerMeansWhatTheTableSays(int status, String header, Outcome outcome, boolean over, long wait)
+    void statusAndHeadersDetermineTheReply(int status, String header, Outcome outcome, boolean messageOver, long retryAfterMicros)
             throws Exception {
         try (Host host = new Host()) {
-            call(pool(KEEP_ALIVE), host.port(), LONG, 10);
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), LONG_TIMEOUT_MICROS, 10);
             host.call().answer("HTTP/1.1 " + status + " x\r\nX-Server-Load: x0=0.4,x1=25\r\n"
                 + (header == null ? "" : header + "\r\n") + "Content-Length: 0\r\n\r\n");
-            HostPool.Reply reply = reply();
+            HostPool.Reply reply = awaitReply();
             assertEquals(outcome, reply.outcome());
-            assertEquals(over, reply.messageOver());
-            assertEquals(wait, reply.retryAfterMicros());
+            assertEquals(messageOver, reply.messageOver());
+            assertEquals(retryAfterMicros, reply.retryAfterMicros());
             assertEquals(0.4, reply.remainingShare());
             assertEquals(25, reply.rateLimitPerSecond());
         }
@@ -88,52 +88,52 @@
 
     /** Guards the descriptors: a connection that carries nothing gives way to one that is needed elsewhere. */
     @Test
-    void anIdleConnectionIsClosedForOneMoreThanAllowed() throws Exception {
+    void idleConnectionIsClosedToStayWithinTheLimit() throws Exception {
         try (Host first = new Host(); Host second = new Host()) {
-            HostPool pool = new HostPool(group.next(), new Bootstrap().group(group), LONG, KEEP_ALIVE, 1, new Figures());
-            call(pool, first.port(), LONG, 10);
+            HostPool pool = new HostPool(group.next(), new Bootstrap().group(group), LONG_TIMEOUT_MICROS, KEEP_ALIVE_MICROS, 1, new Figures());
+            startCall(pool, first.port(), LONG_TIMEOUT_MICROS, 10);
             Host.Call idle = first.call();
             idle.answer(Host.OK);
-            assertEquals(Outcome.OK, reply().outcome());
+            assertEquals(Outcome.OK, awaitReply().outcome());
             HostList.Host other = new HostList.Host(2, "s-2");
             other.address = new InetSocketAddress(Platform.LOOPBACK, second.port());
-            group.next().submit(() -> pool.startCall(other, List.of(part("b", null, LONG, 10)))).get();
+            group.next().submit(() -> pool.startCall(other, List.of(attempt("b", null, LONG_TIMEOUT_MICROS, 10)))).get();
             assertTrue(first.ended(idle));
             second.call().answer(Host.OK);
-            assertEquals(Outcome.OK, reply().outcome());
+            assertEquals(Outcome.OK, awaitReply().outcome());
         }
     }
 
-    private HostPool narrow(int connections) {
-        return new HostPool(group.next(), new Bootstrap().group(group), LONG, KEEP_ALIVE, connections,
+    private HostPool newPoolWithLimit(int maxConnections) {
+        return new HostPool(group.next(), new Bootstrap().group(group), LONG_TIMEOUT_MICROS, KEEP_ALIVE_MICROS, maxConnections,
             new Figures());
     }
 
-    private void callOther(HostPool pool, int number, Host host, HostPool.Attempt part) throws Exception {
+    private void startCallToOther(HostPool pool, int number, Host host, HostPool.Attempt attempt) throws Exception {
         HostList.Host other = new HostList.Host(number, "s-" + number);
         other.address = new InetSocketAddress(Platform.LOOPBACK, host.port());
         other.ready = true;
-        group.next().submit(() -> pool.startCall(other, List.of(part))).get();
+        group.next().submit(() -> pool.startCall(other, List.of(attempt))).get();
     }
 
-    private int held(HostPool pool) throws Exception {
+    private int connectionCount(HostPool pool) throws Exception {
         return group.next().submit(pool::connectionCount).get();
     }
 
     /** Guards the descriptors: where each connection carries a call, one more call waits for one of them. */
     @Test
-    void aCallOverTheShareWaitsUntilAConnectionIsFree() throws Exception {
+    void callOverTheLimitWaitsForAFreeConnection() throws Exception {
         try (Host first = new Host(); Host second = new Host(); Host third = new Host()) {
-            HostPool pool = narrow(2);
-            callOther(pool, 1, first, part("a", null, LONG, 10));
-            callOther(pool, 2, second, part("b", null, LONG, 10));
-            callOther(pool, 3, third, part("c", null, LONG, 10));
-            callOther(pool, 3, third, part("d", null, LONG, 10));
-            assertEquals(2, held(pool));
+            HostPool pool = newPoolWithLimit(2);
+            startCallToOther(pool, 1, first, attempt("a", null, LONG_TIMEOUT_MICROS, 10));
+            startCallToOther(pool, 2, second, attempt("b", null, LONG_TIMEOUT_MICROS, 10));
+            startCallToOther(pool, 3, third, attempt("c", null, LONG_TIMEOUT_MICROS, 10));
+            startCallToOther(pool, 3, third, attempt("d", null, LONG_TIMEOUT_MICROS, 10));
+            assertEquals(2, connectionCount(pool));
             first.call().answer(Host.OK);
             Host.Call next = third.call();
             assertEquals("c", next.header("X-Request-ID"));
-            assertEquals(2, held(pool));
+            assertEquals(2, connectionCount(pool));
             next.answer(Host.OK);
             Host.Call last = third.call();
             assertEquals("d", last.header("X-Request-ID"));
@@ -143,110 +143,110 @@
 
     /** Guards the message: a call that waits for a connection has not begun, and ends once. */
     @Test
-    void aCallThatWaitsForAFreeConnectionIsGivenUpOrTakenBackUnsent() throws Exception {
+    void callWaitingForAFreeConnectionCanExpireOrBeCancelled() throws Exception {
         try (Host first = new Host(); Host second = new Host()) {
-            HostPool pool = narrow(1);
-            callOther(pool, 1, first, part("a", null, LONG, 10));
-            Host.Call out = first.call();
-            HostPool.Attempt late = part("late", null, LONG, 10);
-            callOther(pool, 2, second, late);
+            HostPool pool = newPoolWithLimit(1);
+            startCallToOther(pool, 1, first, attempt("a", null, LONG_TIMEOUT_MICROS, 10));
+            Host.Call running = first.call();
+            HostPool.Attempt late = attempt("late", null, LONG_TIMEOUT_MICROS, 10);
+            startCallToOther(pool, 2, second, late);
             group.next().submit(late::expire).get();
-            assertEquals(Outcome.CONNECT_FAILED, reply().outcome());
-            call(pool, second.port(), part("back", null, LONG, 10));
-            group.next().submit(() -> pool.cancelUnsent(listed)).get();
-            assertEquals(Outcome.NOT_SENT, reply().outcome());
-            callOther(pool, 2, second, part("goes", null, LONG, 10));
-            out.answer(Host.OK);
-            assertEquals(Outcome.OK, reply().outcome());
+            assertEquals(Outcome.CONNECT_FAILED, awaitReply().outcome());
+            startCall(pool, second.port(), attempt("back", null, LONG_TIMEOUT_MICROS, 10));
+            group.next().submit(() -> pool.cancelUnsent(defaultHost)).get();
+            assertEquals(Outcome.NOT_SENT, awaitReply().outcome());
+            startCallToOther(pool, 2, second, attempt("goes", null, LONG_TIMEOUT_MICROS, 10));
+            running.answer(Host.OK);
+            assertEquals(Outcome.OK, awaitReply().outcome());
             assertEquals("goes", second.call().header("X-Request-ID"));
-            assertEquals(1, held(pool));
+            assertEquals(1, connectionCount(pool));
             assertTrue(replies.isEmpty());
         }
     }
 
     /** Guards calls against answers that never end: once its call is over, such a connection gives way. */
     @Test
-    void aConnectionWhoseCallIsOverGivesWayThoughItsAnswerIsNotAtItsEnd() throws Exception {
+    void connectionWithAnIncompleteResponseIsClosedForAWaitingCall() throws Exception {
         try (Host first = new Host(); Host second = new Host()) {
-            HostPool pool = narrow(1);
-            callOther(pool, 1, first, part("a", null, LONG, 10));
+            HostPool pool = newPoolWithLimit(1);
+            startCallToOther(pool, 1, first, attempt("a", null, LONG_TIMEOUT_MICROS, 10));
             Host.Call slow = first.call();
-            callOther(pool, 2, second, part("b", null, LONG, 10));
+            startCallToOther(pool, 2, second, attempt("b", null, LONG_TIMEOUT_MICROS, 10));
             slow.answer("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhi");
-            assertEquals(Outcome.OK, reply().outcome());
+            assertEquals(Outcome.OK, awaitReply().outcome());
             assertEquals("b", second.call().header("X-Request-ID"));
-            assertEquals(1, held(pool));
+            assertEquals(1, connectionCount(pool));
             assertTrue(first.ended(slow));
         }
     }
 
     /** A machine that vanished says nothing: the connection neither comes up nor fails. */
     @Test
-    void aConnectionThatNeverComesUpIsLetGoWithItsCall() throws Exception {
+    void hangingConnectIsAbandonedWithTheLastAttempt() throws Exception {
         HostPool pool = new HostPool(group.next(), new Bootstrap().group(group), () -> new NioSocketChannel() {
             @Override
             protected boolean doConnect(SocketAddress remote, SocketAddress local) {
                 return false;
             }
-        }, LONG, KEEP_ALIVE, 100, new Figures());
-        HostPool.Attempt first = part("a", null, LONG, 10), second = part("b", null, LONG, 10);
-        call(pool, 9, first, second);
+        }, LONG_TIMEOUT_MICROS, KEEP_ALIVE_MICROS, 100, new Figures());
+        HostPool.Attempt first = attempt("a", null, LONG_TIMEOUT_MICROS, 10), second = attempt("b", null, LONG_TIMEOUT_MICROS, 10);
+        startCall(pool, 9, first, second);
         group.next().submit(first::expire).get();
-        assertEquals(1, held(pool), "the other still waits");
+        assertEquals(1, connectionCount(pool), "the other still waits");
         group.next().submit(second::expire).get();
-        assertEquals(Outcome.CONNECT_FAILED, reply().outcome());
-        assertEquals(Outcome.CONNECT_FAILED, reply().outcome());
-        assertEquals(0, held(pool));
+        assertEquals(Outcome.CONNECT_FAILED, awaitReply().outcome());
+        assertEquals(Outcome.CONNECT_FAILED, awaitReply().outcome());
+        assertEquals(0, connectionCount(pool));
         assertTrue(replies.isEmpty());
     }
 
     @Test
-    void aRefusedConnectionNeverRan() throws Exception {
+    void refusedConnectIsReportedAsConnectFailed() throws Exception {
         int port;
         try (Host host = new Host()) {
             port = host.port();
         }
-        call(pool(KEEP_ALIVE), port, LONG, 10);
-        assertEquals(Outcome.CONNECT_FAILED, reply().outcome());
+        startCall(newPool(KEEP_ALIVE_MICROS), port, LONG_TIMEOUT_MICROS, 10);
+        assertEquals(Outcome.CONNECT_FAILED, awaitReply().outcome());
     }
 
     @Test
-    void aConnectionThatBreaksAfterTheLastByteMayHaveRun() throws Exception {
+    void connectionClosedAfterTheLastByteIsReportedAsReset() throws Exception {
         try (Host host = new Host()) {
-            call(pool(KEEP_ALIVE), host.port(), LONG, 10);
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), LONG_TIMEOUT_MICROS, 10);
             host.call().socket().close();
-            assertEquals(Outcome.RESET, reply().outcome());
+            assertEquals(Outcome.RESET, awaitReply().outcome());
         }
     }
 
     /** Guards against a call taken for one that may have run: its last byte was never handed to the socket. */
     @Test
-    void aConnectionThatBreaksBeforeTheLastByteNeverRan() throws Exception {
+    void connectionClosedBeforeTheLastByteIsReportedAsConnectFailed() throws Exception {
         try (ServerSocket listener = new ServerSocket()) {
             listener.setReceiveBufferSize(4_096);
             listener.bind(new InetSocketAddress(Platform.LOOPBACK, 0));
-            call(pool(KEEP_ALIVE), listener.getLocalPort(), LONG, 64 << 20);
+            startCall(newPool(KEEP_ALIVE_MICROS), listener.getLocalPort(), LONG_TIMEOUT_MICROS, 64 << 20);
             Socket socket = listener.accept();
             assertTrue(socket.getInputStream().read() >= 0);
             socket.setSoLinger(true, 0);
             socket.close();
-            assertEquals(Outcome.CONNECT_FAILED, reply().outcome());
+            assertEquals(Outcome.CONNECT_FAILED, awaitReply().outcome());
         }
     }
 
     @Test
-    void timeOutAndCancelCloseTheConnection() throws Exception {
+    void timeoutAndCancelCloseTheConnection() throws Exception {
         try (Host host = new Host()) {
-            HostPool pool = pool(KEEP_ALIVE);
-            call(pool, host.port(), 200_000, 10);
+            HostPool pool = newPool(KEEP_ALIVE_MICROS);
+            startCall(pool, host.port(), 200_000, 10);
             Host.Call late = host.call();
-            assertEquals(Outcome.TIMEOUT, reply().outcome());
-            HostPool.Attempt call = call(pool, host.port(), LONG, 10);
+            assertEquals(Outcome.TIMEOUT, awaitReply().outcome());
+            HostPool.Attempt call = startCall(pool, host.port(), LONG_TIMEOUT_MICROS, 10);
             Host.Call second = host.call();
             assertNotSame(late.socket(), second.socket());
             group.next().submit(call::cancel).get();
-            assertEquals(Outcome.CANCELLED, reply().outcome());
-            call(pool, host.port(), LONG, 10);
+            assertEquals(Outcome.CANCELLED, awaitReply().outcome());
+            startCall(pool, host.port(), LONG_TIMEOUT_MICROS, 10);
             Host.Call third = host.call();
             assertNotSame(second.socket(), third.socket());
         }
@@ -254,9 +254,9 @@
 
     /** Guards the rules on drains and waits against calls that go out when a slow connection comes up at last. */
     @Test
-    void aCallThatWaitsForItsConnectionCanBeTakenBack() throws Exception {
+    void callWaitingForItsConnectCanBeCancelledUnsent() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 1, Platform.LOOPBACK)) {
-            HostPool pool = pool(KEEP_ALIVE);
+            HostPool pool = newPool(KEEP_ALIVE_MICROS);
             List<Socket> fillers = new ArrayList<>();
             // A full backlog leaves further connections hanging.
             for (int i = 0; i < 8; i++) {
@@ -268,9 +268,9 @@
                     break;
                 }
             }
-            call(pool, listener.getLocalPort(), LONG, 10);
-            group.next().submit(() -> pool.cancelUnsent(listed)).get();
-            assertEquals(Outcome.NOT_SENT, reply().outcome());
+            startCall(pool, listener.getLocalPort(), LONG_TIMEOUT_MICROS, 10);
+            group.next().submit(() -> pool.cancelUnsent(defaultHost)).get();
+            assertEquals(Outcome.NOT_SENT, awaitReply().outcome());
             for (Socket filler : fillers) {
                 filler.close();
             }
@@ -279,42 +279,42 @@
 
     /** Guards against a request that crosses the host's own close: an old connection is not used again. */
     @Test
-    void idleConnectionsAreClosedBeforeTheHostMay() throws Exception {
+    void idleConnectionsAreClosedBeforeTheHostClosesThem() throws Exception {
         try (Host host = new Host()) {
-            HostPool pool = pool(1_000_000);
-            call(pool, host.port(), LONG, 10);
+            HostPool pool = newPool(1_000_000);
+            startCall(pool, host.port(), LONG_TIMEOUT_MICROS, 10);
             Host.Call first = host.call();
             first.answer(Host.OK);
-            reply();
-            while (group.next().submit(() -> pool.idleCount(listed)).get() > 0) {
+            awaitReply();
+            while (group.next().submit(() -> pool.idleCount(defaultHost)).get() > 0) {
                 Thread.sleep(20);
             }
-            call(pool, host.port(), LONG, 10);
+            startCall(pool, host.port(), LONG_TIMEOUT_MICROS, 10);
             assertNotSame(first.socket(), host.call().socket());
         }
     }
 
     /** Guards the descriptors: the call is over at the answer's head, and the connection must not be held for ever. */
     @Test
-    void anAnswerThatNeverEndsIsNotWaitedFor() throws Exception {
+    void connectionWithAnEndlessResponseIsClosed() throws Exception {
         try (Host host = new Host()) {
-            call(pool(KEEP_ALIVE), host.port(), LONG, 10);
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), LONG_TIMEOUT_MICROS, 10);
             Host.Call call = host.call();
             call.answer("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhi");
-            assertEquals(Outcome.OK, reply().outcome());
+            assertEquals(Outcome.OK, awaitReply().outcome());
             assertTrue(host.ended(call));
         }
     }
 
     @Test
-    void aHostThatEndsTheConnectionWithItsAnswerIsNotAskedOnItAgain() throws Exception {
+    void connectionIsNotReusedAfterAConnectionCloseHeader() throws Exception {
         try (Host host = new Host()) {
-            HostPool pool = pool(KEEP_ALIVE);
-            call(pool, host.port(), LONG, 10);
+            HostPool pool = newPool(KEEP_ALIVE_MICROS);
+            startCall(pool, host.port(), LONG_TIMEOUT_MICROS, 10);
             Host.Call first = host.call();
             first.answer("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-            assertEquals(Outcome.OK, reply().outcome());
-            call(pool, host.port(), LONG, 10);
+            assertEquals(Outcome.OK, awaitReply().outcome());
+            startCall(pool, host.port(), LONG_TIMEOUT_MICROS, 10);
             assertNotSame(first.socket(), host.call().socket());
         }
     }
@@ -323,37 +323,37 @@
     @ParameterizedTest
     @ValueSource(strings = {"", "Content-Length: 2\r\nno colon here \0\r\n\r\nok", "Content-Length: wobble\r\n\r\n",
         "X-Server-Load: x0"})
-    void aFirstLineWith200DeliversThoughTheRestIsSpoiltOrBreaksOff(String rest) throws Exception {
+    void statusLine200DeliversEvenIfTheRestIsMalformedOrMissing(String rest) throws Exception {
         try (Host host = new Host()) {
-            call(pool(KEEP_ALIVE), host.port(), LONG, 10);
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), LONG_TIMEOUT_MICROS, 10);
             Host.Call call = host.call();
             call.answer("HTTP/1.1 200 OK\r\n" + rest);
             call.socket().close();
-            HostPool.Reply reply = reply();
+            HostPool.Reply reply = awaitReply();
             assertEquals(Outcome.OK, reply.outcome());
             assertTrue(reply.messageOver());
         }
     }
 
     @Test
-    void aFirstLineWith200DeliversThoughItsHeadersNeverEnd() throws Exception {
+    void statusLine200DeliversEvenIfTheHeadersNeverEnd() throws Exception {
         try (Host host = new Host()) {
-            call(pool(KEEP_ALIVE), host.port(), 2_000_000, 10);
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), 2_000_000, 10);
             host.call().answer("HTTP/1.1 200 OK\r\nX-Server-Load: x0=0.4\r\n");
-            assertEquals(Outcome.OK, reply().outcome());
+            assertEquals(Outcome.OK, awaitReply().outcome());
         }
     }
 
     /** What a bundle's messages came to stands in the body only. */
     @Test
-    void aFirstLineWith200SettlesNothingForABundle() throws Exception {
+    void statusLine200DeliversNothingOfABatch() throws Exception {
         try (Host host = new Host()) {
-            call(pool(KEEP_ALIVE), host.port(), part("a", null, LONG, 1), part("b", null, LONG, 1));
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), attempt("a", null, LONG_TIMEOUT_MICROS, 1), attempt("b", null, LONG_TIMEOUT_MICROS, 1));
             Host.Call call = host.call();
             call.answer("HTTP/1.1 200 OK\r\n");
             call.socket().close();
-            assertEquals(Outcome.RESET, reply().outcome());
-            assertEquals(Outcome.RESET, reply().outcome());
+            assertEquals(Outcome.RESET, awaitReply().outcome());
+            assertEquals(Outcome.RESET, awaitReply().outcome());
         }
     }
 
@@ -370,14 +370,14 @@
         "HTTP/7.1 200 OK\r\nContent-Length: %d\r\n\r\n%s",
         "HTTP/1.1 0200 OK\r\nContent-Length: %d\r\n\r\n%s",
         "HTTP/1.1 +200 OK\r\nContent-Length: %d\r\n\r\n%s"})
-    void anUnreadableAnswerDeliversNothingOfABundle(String answer) throws Exception {
+    void malformedResponseHeadDeliversNothingOfABatch(String answer) throws Exception {
         try (Host host = new Host()) {
-            call(pool(KEEP_ALIVE), host.port(), part("a", null, LONG, 1), part("b", null, LONG, 1));
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), attempt("a", null, LONG_TIMEOUT_MICROS, 1), attempt("b", null, LONG_TIMEOUT_MICROS, 1));
             Host.Call call = host.call();
             String states = "[{\"id\":\"a\",\"state\":\"accepted\"},{\"id\":\"b\",\"state\":\"accepted\"}]";
             call.answer(answer.formatted(states.length(), states));
-            assertEquals(Outcome.RESET, reply().outcome());
-            assertEquals(Outcome.RESET, reply().outcome());
+            assertEquals(Outcome.RESET, awaitReply().outcome());
+            assertEquals(Outcome.RESET, awaitReply().outcome());
             assertTrue(host.ended(call));
         }
     }
@@ -388,51 +388,51 @@
         "[{\"id\":\"a\",\"state\":\"accepted\"},{\"id\":\"b\",\"state\":\"accepted\",\"note\":\"\u00ff\"}]",
         "[{\"id\":\"a\",\"state\":\"fault\",\"state\":\"accepted\"},{\"id\":\"b\",\"state\":\"accepted\"}]",
         "[{\"id\":\"a\",\"state\":\"accepted\"},{\"id\":\"b\",\"state\":\"accepted\"}] x"})
-    void aBodyThatIsNotWhollyReadableDeliversNothingOfABundle(String states) throws Exception {
+    void malformedBodyDeliversNothingOfABatch(String states) throws Exception {
         try (Host host = new Host()) {
-            call(pool(KEEP_ALIVE), host.port(), part("a", null, LONG, 1), part("b", null, LONG, 1));
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), attempt("a", null, LONG_TIMEOUT_MICROS, 1), attempt("b", null, LONG_TIMEOUT_MICROS, 1));
             host.call().answer("HTTP/1.1 200 OK\r\nContent-Length: " + states.length() + "\r\n\r\n" + states);
-            assertEquals(Outcome.ERROR, reply().outcome());
-            assertEquals(Outcome.ERROR, reply().outcome());
+            assertEquals(Outcome.ERROR, awaitReply().outcome());
+            assertEquals(Outcome.ERROR, awaitReply().outcome());
         }
     }
 
     /** Guards the next call: what stands past an answer's end would be taken for the beginning of its own answer. */
     @ParameterizedTest
     @ValueSource(strings = {"surplus", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 200 OK\r\nContent"})
-    void aConnectionWithMoreThanItsAnswerIsNotUsedAgain(String surplus) throws Exception {
+    void connectionWithSurplusBytesIsNotReused(String surplus) throws Exception {
         try (Host host = new Host()) {
-            HostPool pool = pool(KEEP_ALIVE);
-            call(pool, host.port(), LONG, 10);
+            HostPool pool = newPool(KEEP_ALIVE_MICROS);
+            startCall(pool, host.port(), LONG_TIMEOUT_MICROS, 10);
             Host.Call first = host.call();
             first.answer(Host.OK + surplus);
-            assertEquals(Outcome.OK, reply().outcome());
-            call(pool, host.port(), LONG, 10);
+            assertEquals(Outcome.OK, awaitReply().outcome());
+            startCall(pool, host.port(), LONG_TIMEOUT_MICROS, 10);
             Host.Call second = host.call();
             assertNotSame(first.socket(), second.socket());
             second.answer("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
-            assertEquals(Outcome.ERROR, reply().outcome());
+            assertEquals(Outcome.ERROR, awaitReply().outcome());
         }
     }
 
-    private static String answer(String status, String header, String body) {
+    private static String response(String status, String header, String body) {
         return "HTTP/1.1 " + status + "\r\n" + header + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
     /** The bounds on an answer's bytes are those of one answer, not of its connection. */
     @Test
-    void aConnectionWithManyLongAnswersIsUsedOn() throws Exception {
+    void connectionIsReusedAfterManyLongResponses() throws Exception {
         try (Host host = new Host()) {
-            HostPool pool = pool(KEEP_ALIVE);
+            HostPool pool = newPool(KEEP_ALIVE_MICROS);
             Socket first = null;
             for (int i = 0; i < 6; i++) {
-                call(pool, host.port(), LONG, 10);
+                startCall(pool, host.port(), LONG_TIMEOUT_MICROS, 10);
                 Host.Call call = host.call();
                 first = first == null ? call.socket() : first;
                 assertSame(first, call.socket());
-                call.answer(answer("200 OK", "", "x".repeat(ResponseDecoder.MAX_BODY_BYTES)));
-                assertEquals(Outcome.OK, reply().outcome());
-                while (group.next().submit(() -> pool.idleCount(listed)).get() == 0) {
+                call.answer(response("200 OK", "", "x".repeat(ResponseDecoder.MAX_BODY_BYTES)));
+                assertEquals(Outcome.OK, awaitReply().outcome());
+                while (group.next().submit(() -> pool.idleCount(defaultHost)).get() == 0) {
                     Thread.onSpinWait();
                 }
             }
@@ -442,41 +442,41 @@
     /** Guards the processor against answers that do not end, whatever they began with. */
     @ParameterizedTest
     @CsvSource({"200, OK", "500, ERROR"})
-    void aConnectionWhoseAnswerIsTooLongIsClosed(int status, Outcome outcome) throws Exception {
+    void connectionIsClosedIfTheResponseIsTooLong(int status, Outcome outcome) throws Exception {
         try (Host host = new Host()) {
-            call(pool(KEEP_ALIVE), host.port(), LONG, 10);
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), LONG_TIMEOUT_MICROS, 10);
             Host.Call call = host.call();
             call.answer("HTTP/1.1 " + status + " x\r\nContent-Length: 100000\r\n\r\n"
                 + "x".repeat(ResponseDecoder.MAX_BODY_BYTES + 1));
-            assertEquals(outcome, reply().outcome());
+            assertEquals(outcome, awaitReply().outcome());
             assertTrue(host.ended(call));
         }
     }
 
     /** A destination that counts calls takes several messages in one; each has a fate of its own. */
     @Test
-    void aBundleIsOneCallWhoseAnswerTellsEachFate() throws Exception {
+    void batchIsOneCallWithAnOutcomePerMessage() throws Exception {
         try (Host host = new Host()) {
-            HostPool pool = pool(KEEP_ALIVE);
-            call(pool, host.port(), part("a", "k\"", LONG, 2), part("b", null, LONG, 3), part("c", null, LONG, 0),
-                part("d", null, LONG, 1), part("e", null, LONG, 1), part("f", null, LONG, 1));
+            HostPool pool = newPool(KEEP_ALIVE_MICROS);
+            startCall(pool, host.port(), attempt("a", "k\"", LONG_TIMEOUT_MICROS, 2), attempt("b", null, LONG_TIMEOUT_MICROS, 3), attempt("c", null, LONG_TIMEOUT_MICROS, 0),
+                attempt("d", null, LONG_TIMEOUT_MICROS, 1), attempt("e", null, LONG_TIMEOUT_MICROS, 1), attempt("f", null, LONG_TIMEOUT_MICROS, 1));
             Host.Call call = host.call();
             assertEquals("POST /v1/messages:batch HTTP/1.1", call.head().get(0));
             assertTrue(call.body().startsWith("[{\"id\":\"a\",\"key\":\"k\\\"\",\"body\":\"AAA=\"},"
                 + "{\"id\":\"b\",\"body\":\"AAAA\"},{\"id\":\"c\",\"body\":\"\"},"), call.body());
-            call.answer(answer("200 OK", "Retry-After: 0.5\r\n", "[{\"id\":\"b\",\"state\":\"fault\"},"
+            call.answer(response("200 OK", "Retry-After: 0.5\r\n", "[{\"id\":\"b\",\"state\":\"fault\"},"
                 + "{\"id\":\"a\",\"state\":\"accepted\"},{\"id\":\"c\",\"state\":\"deferred\"},"
                 + "{\"id\":\"d\",\"state\":\"expired\"},{\"id\":\"e\",\"state\":\"no_more\"}]"));
             List<Outcome> outcomes = List.of(Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.NOT_SENT,
                 Outcome.NOT_SENT, Outcome.ERROR);
-            List<Boolean> over = List.of(true, false, false, true, false, false);
+            List<Boolean> messageOver = List.of(true, false, false, true, false, false);
             for (int i = 0; i < outcomes.size(); i++) {
-                HostPool.Reply reply = reply();
+                HostPool.Reply reply = awaitReply();
                 assertEquals(outcomes.get(i), reply.outcome());
-                assertEquals(over.get(i), reply.messageOver());
+                assertEquals(messageOver.get(i), reply.messageOver());
                 assertEquals(500_000, reply.retryAfterMicros());
             }
-            call(pool, host.port(), LONG, 10);
+            startCall(pool, host.port(), LONG_TIMEOUT_MICROS, 10);
             assertSame(call.socket(), host.call().socket());
         }
     }
@@ -484,30 +484,30 @@
     /** Guards against a second run: of two states the one that says "never ran" must not be picked. */
     @ParameterizedTest
     @ValueSource(strings = {"deferred", "expired", "no_more", "accepted"})
-    void aMessageThatABundlesAnswerNamesTwiceDifferentlyMayHaveRun(String other) throws Exception {
+    void messageWithContradictoryStatesIsReportedAsError(String other) throws Exception {
         try (Host host = new Host()) {
-            call(pool(KEEP_ALIVE), host.port(), part("a", null, LONG, 2), part("b", null, LONG, 2));
-            host.call().answer(answer("200 OK", "", "[{\"id\":\"a\",\"state\":\"fault\"},"
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), attempt("a", null, LONG_TIMEOUT_MICROS, 2), attempt("b", null, LONG_TIMEOUT_MICROS, 2));
+            host.call().answer(response("200 OK", "", "[{\"id\":\"a\",\"state\":\"fault\"},"
                 + "{\"id\":\"b\",\"state\":\"accepted\"},{\"id\":\"a\",\"state\":\"" + other + "\"}]"));
-            assertEquals(Outcome.ERROR, reply().outcome());
-            assertEquals(Outcome.OK, reply().outcome());
+            assertEquals(Outcome.ERROR, awaitReply().outcome());
+            assertEquals(Outcome.OK, awaitReply().outcome());
         }
     }
 
     /** Guards the slot: whatever has come of a bundle's answer, each message is given up in its time, once. */
     @Test
-    void aBundleWhoseAnswerNeverEndsIsGivenUpAndItsConnectionClosed() throws Exception {
+    void batchWithAnEndlessResponseTimesOutAndClosesItsConnection() throws Exception {
         try (Host host = new Host()) {
-            HostPool pool = pool(KEEP_ALIVE);
-            HostPool.Attempt first = part("a", null, LONG, 2), second = part("b", null, LONG, 2);
-            call(pool, host.port(), first, second);
+            HostPool pool = newPool(KEEP_ALIVE_MICROS);
+            HostPool.Attempt first = attempt("a", null, LONG_TIMEOUT_MICROS, 2), second = attempt("b", null, LONG_TIMEOUT_MICROS, 2);
+            startCall(pool, host.port(), first, second);
             Host.Call call = host.call();
             call.answer("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n[{\"id\":\"a\",\"state\":\"accepted\"},");
             group.next().submit(first::expire).get();
-            assertEquals(Outcome.TIMEOUT, reply().outcome());
+            assertEquals(Outcome.TIMEOUT, awaitReply().outcome());
             group.next().submit(second::expire).get();
-            assertEquals(Outcome.TIMEOUT, reply().outcome());
-            assertEquals(0, held(pool));
+            assertEquals(Outcome.TIMEOUT, awaitReply().outcome());
+            assertEquals(0, connectionCount(pool));
             assertTrue(host.ended(call));
             assertTrue(replies.isEmpty());
         }
@@ -516,50 +516,50 @@
     @ParameterizedTest
     @CsvSource({"429 Too Many Requests, '', FULL", "500 Internal Server Error, '', ERROR", "200 OK, nonsense, ERROR",
         "200 OK, '{}', ERROR", "200 OK, '[{\"id\":\"a\"}]', ERROR"})
-    void aBundleSharesTheFateOfItsCall(String status, String body, Outcome outcome) throws Exception {
+    void failureOfABatchCallAppliesToAllItsMessages(String status, String body, Outcome outcome) throws Exception {
         try (Host host = new Host()) {
-            call(pool(KEEP_ALIVE), host.port(), part("a", null, LONG, 2), part("b", null, LONG, 2));
-            host.call().answer(answer(status, "", body));
-            assertEquals(outcome, reply().outcome());
-            assertEquals(outcome, reply().outcome());
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), attempt("a", null, LONG_TIMEOUT_MICROS, 2), attempt("b", null, LONG_TIMEOUT_MICROS, 2));
+            host.call().answer(response(status, "", body));
+            assertEquals(outcome, awaitReply().outcome());
+            assertEquals(outcome, awaitReply().outcome());
         }
     }
 
     /** Guards against a fate that was never told: the head alone says nothing of a bundle's messages. */
     @Test
-    void aBundleWhoseAnswerBreaksOffMayHaveRun() throws Exception {
+    void batchWithATruncatedResponseIsReportedAsReset() throws Exception {
         try (Host host = new Host()) {
-            call(pool(KEEP_ALIVE), host.port(), part("a", null, LONG, 2), part("b", null, LONG, 2));
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), attempt("a", null, LONG_TIMEOUT_MICROS, 2), attempt("b", null, LONG_TIMEOUT_MICROS, 2));
             Host.Call call = host.call();
             call.answer("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n[{\"id\":\"a\",");
             call.socket().close();
-            assertEquals(Outcome.RESET, reply().outcome());
-            assertEquals(Outcome.RESET, reply().outcome());
+            assertEquals(Outcome.RESET, awaitReply().outcome());
+            assertEquals(Outcome.RESET, awaitReply().outcome());
         }
     }
 
     /** Guards against a message that goes out after it was given up, with what shared its connection. */
     @Test
-    void aMessageGivenUpBeforeItsConnectionIsUpDoesNotGoOut() throws Exception {
+    void attemptCancelledDuringTheConnectIsNotSent() throws Exception {
         try (Host host = new Host()) {
-            HostPool pool = pool(KEEP_ALIVE);
-            HostPool.Attempt first = part("a", null, LONG, 2);
-            listed.address = new InetSocketAddress(Platform.LOOPBACK, host.port());
+            HostPool pool = newPool(KEEP_ALIVE_MICROS);
+            HostPool.Attempt first = attempt("a", null, LONG_TIMEOUT_MICROS, 2);
+            defaultHost.address = new InetSocketAddress(Platform.LOOPBACK, host.port());
             group.next().submit(() -> {
-                pool.startCall(listed, List.of(first, part("b", null, LONG, 2)));
+                pool.startCall(defaultHost, List.of(first, attempt("b", null, LONG_TIMEOUT_MICROS, 2)));
                 first.cancel();
             }).get();
             Host.Call call = host.call();
             assertEquals("POST /v1/messages HTTP/1.1", call.head().get(0));
             assertEquals("b", call.header("X-Request-ID"));
-            assertEquals(Outcome.CANCELLED, reply().outcome());
+            assertEquals(Outcome.CANCELLED, awaitReply().outcome());
             call.answer(Host.OK);
-            assertEquals(Outcome.OK, reply().outcome());
+            assertEquals(Outcome.OK, awaitReply().outcome());
         }
     }
 
     /** A listener whose connections take little unless they are read. */
-    private static ServerSocket slowReader() throws IOException {
+    private static ServerSocket listenerWithSmallBuffer() throws IOException {
         ServerSocket listener = new ServerSocket();
         listener.setReceiveBufferSize(4_096);
         listener.bind(new InetSocketAddress(Platform.LOOPBACK, 0));
@@ -571,139 +571,139 @@
      * half written goes out too.
      */
     @Test
-    void aMessageGivenUpWhileItsBundleIsHalfWrittenMayRun() throws Exception {
-        try (ServerSocket listener = slowReader()) {
-            HostPool.Attempt first = part("given-up", null, LONG, 16 << 20);
-            call(pool(KEEP_ALIVE), listener.getLocalPort(), first, part("goes-on", null, LONG, 1));
+    void attemptExpiredInAHalfWrittenBatchIsReportedAsTimeout() throws Exception {
+        try (ServerSocket listener = listenerWithSmallBuffer()) {
+            HostPool.Attempt first = attempt("given-up", null, LONG_TIMEOUT_MICROS, 16 << 20);
+            startCall(newPool(KEEP_ALIVE_MICROS), listener.getLocalPort(), first, attempt("goes-on", null, LONG_TIMEOUT_MICROS, 1));
             Socket socket = listener.accept();
             assertTrue(socket.getInputStream().read() >= 0, "a byte of it is out");
             group.next().submit(first::expire).get();
-            assertEquals(Outcome.TIMEOUT, reply().outcome());
+            assertEquals(Outcome.TIMEOUT, awaitReply().outcome());
             String head = String.join("\n", Host.head(socket.getInputStream()));
             int length = Integer.parseInt(head.replaceAll("(?s).*content-length: (\\d+).*", "$1"));
             String body = new String(socket.getInputStream().readNBytes(length), StandardCharsets.ISO_8859_1);
             assertTrue(body.contains("given-up") && body.endsWith("]"), "it reached the endpoint");
             socket.getOutputStream().write(Host.OK.getBytes(StandardCharsets.ISO_8859_1));
-            assertEquals(Outcome.ERROR, reply().outcome());
+            assertEquals(Outcome.ERROR, awaitReply().outcome());
         }
     }
 
     /** Guards what "never ran" says: of a request that is half written, the last byte must not leave later. */
     @Test
-    void aCallGivenUpWhileItIsHalfWrittenNeverReachesItsEnd() throws Exception {
-        try (ServerSocket listener = slowReader()) {
+    void callExpiredWhileHalfWrittenIsNeverCompleted() throws Exception {
+        try (ServerSocket listener = listenerWithSmallBuffer()) {
             int bytes = 16 << 20;
-            HostPool.Attempt only = part("a", null, LONG, bytes);
-            call(pool(KEEP_ALIVE), listener.getLocalPort(), only);
+            HostPool.Attempt only = attempt("a", null, LONG_TIMEOUT_MICROS, bytes);
+            startCall(newPool(KEEP_ALIVE_MICROS), listener.getLocalPort(), only);
             Socket socket = listener.accept();
             Host.head(socket.getInputStream());
             group.next().submit(only::expire).get();
-            assertEquals(Outcome.CONNECT_FAILED, reply().outcome());
+            assertEquals(Outcome.CONNECT_FAILED, awaitReply().outcome());
             assertTrue(socket.getInputStream().readAllBytes().length < bytes);
         }
     }
 
     /** Guards the last part of a bundle: with it the call is closed, whoever was given up before. */
     @Test
-    void theLastMessageGivenUpClosesItsHalfWrittenBundle() throws Exception {
-        try (ServerSocket listener = slowReader()) {
-            HostPool.Attempt first = part("a", null, LONG, 16 << 20), last = part("b", null, LONG, 1);
-            call(pool(KEEP_ALIVE), listener.getLocalPort(), first, last);
+    void lastAttemptToExpireClosesItsHalfWrittenBatch() throws Exception {
+        try (ServerSocket listener = listenerWithSmallBuffer()) {
+            HostPool.Attempt first = attempt("a", null, LONG_TIMEOUT_MICROS, 16 << 20), last = attempt("b", null, LONG_TIMEOUT_MICROS, 1);
+            startCall(newPool(KEEP_ALIVE_MICROS), listener.getLocalPort(), first, last);
             Socket socket = listener.accept();
             Host.head(socket.getInputStream());
             group.next().submit(first::expire).get();
             group.next().submit(last::expire).get();
-            assertEquals(Outcome.TIMEOUT, reply().outcome());
-            assertEquals(Outcome.CONNECT_FAILED, reply().outcome());
+            assertEquals(Outcome.TIMEOUT, awaitReply().outcome());
+            assertEquals(Outcome.CONNECT_FAILED, awaitReply().outcome());
             assertTrue(socket.getInputStream().readAllBytes().length < 16 << 20);
         }
     }
 
     /** Guards the relay's one thread, and the attempt: a process that has no descriptor left goes on. */
     @Test
-    void aCallForWhichThereIsNoDescriptorEndsOnTheRelaysThread() throws Exception {
+    void callWithoutAFreeDescriptorEndsOnTheEventLoop() throws Exception {
         HostPool pool = new HostPool(group.next(), new Bootstrap().group(group), () -> {
             throw new ChannelException("too many open files");
-        }, LONG, KEEP_ALIVE, 100, new Figures());
-        BlockingQueue<Boolean> onThread = new LinkedBlockingQueue<>();
-        HostPool.Attempt part = new HostPool.Attempt(part("a", null, LONG, 1).message(), LONG, reply -> {
+        }, LONG_TIMEOUT_MICROS, KEEP_ALIVE_MICROS, 100, new Figures());
+        BlockingQueue<Boolean> onEventLoop = new LinkedBlockingQueue<>();
+        HostPool.Attempt attempt = new HostPool.Attempt(attempt("a", null, LONG_TIMEOUT_MICROS, 1).message(), LONG_TIMEOUT_MICROS, reply -> {
             replies.add(reply);
-            onThread.add(group.next().inEventLoop());
+            onEventLoop.add(group.next().inEventLoop());
         });
-        call(pool, 9, part);
-        assertEquals(Outcome.NO_SOCKET, reply().outcome());
-        assertTrue(onThread.take());
-        HostPool.Attempt takenBack = part("b", null, LONG, 1);
+        startCall(pool, 9, attempt);
+        assertEquals(Outcome.NO_SOCKET, awaitReply().outcome());
+        assertTrue(onEventLoop.take());
+        HostPool.Attempt cancelled = attempt("b", null, LONG_TIMEOUT_MICROS, 1);
         group.next().submit(() -> {
-            pool.startCall(listed, List.of(takenBack));
-            pool.cancelUnsent(listed);
+            pool.startCall(defaultHost, List.of(cancelled));
+            pool.cancelUnsent(defaultHost);
         }).get();
-        assertEquals(Outcome.NOT_SENT, reply().outcome());
+        assertEquals(Outcome.NOT_SENT, awaitReply().outcome());
     }
 
     /** Guards an endpoint that is well: it has not even been asked. */
     @ParameterizedTest
     @ValueSource(strings = {"Cannot assign requested address", "Network is unreachable", "No buffer space available"})
-    void aConnectThatThisMachineCannotMakeIsNotTheEndpointsFailure(String fault) throws Exception {
+    void localConnectFailureIsReportedAsNoSocket(String fault) throws Exception {
         HostPool pool = new HostPool(group.next(), new Bootstrap().group(group), () -> new NioSocketChannel() {
             @Override
             protected boolean doConnect(SocketAddress remote, SocketAddress local) throws Exception {
                 doClose();
                 throw new SocketException(fault);
             }
-        }, LONG, KEEP_ALIVE, 100, new Figures());
-        call(pool, 9, part("a", null, LONG, 1));
-        assertEquals(Outcome.NO_SOCKET, reply().outcome());
-        assertEquals(0, held(pool));
+        }, LONG_TIMEOUT_MICROS, KEEP_ALIVE_MICROS, 100, new Figures());
+        startCall(pool, 9, attempt("a", null, LONG_TIMEOUT_MICROS, 1));
+        assertEquals(Outcome.NO_SOCKET, awaitReply().outcome());
+        assertEquals(0, connectionCount(pool));
     }
 
     /** Guards the connection against a fault in what hears of the end. */
     @Test
-    void aConnectionIsClosedThoughTheReplyCannotBeTold() throws Exception {
+    void connectionIsClosedEvenIfTheReplyCallbackThrows() throws Exception {
         try (Host host = new Host()) {
-            HostPool.Attempt part = new HostPool.Attempt(part("a", null, LONG, 1).message(), LONG, reply -> {
+            HostPool.Attempt attempt = new HostPool.Attempt(attempt("a", null, LONG_TIMEOUT_MICROS, 1).message(), LONG_TIMEOUT_MICROS, reply -> {
                 throw new IllegalStateException("forced by the test");
             });
-            call(pool(KEEP_ALIVE), host.port(), part);
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), attempt);
             Host.Call call = host.call();
-            assertThrows(ExecutionException.class, () -> group.next().submit(part::expire).get());
+            assertThrows(ExecutionException.class, () -> group.next().submit(attempt::expire).get());
             assertTrue(host.ended(call));
         }
     }
 
     /** Guards against an empty request, and against an end that is never told. */
     @Test
-    void aMessageCalledOffBeforeItsCallIsMadeDoesNotGoOut() throws Exception {
+    void attemptCancelledBeforeItsCallStartsIsNotSent() throws Exception {
         try (Host host = new Host()) {
-            HostPool pool = pool(KEEP_ALIVE);
-            HostPool.Attempt alone = part("alone", null, LONG, 1), first = part("first", null, LONG, 1);
+            HostPool pool = newPool(KEEP_ALIVE_MICROS);
+            HostPool.Attempt alone = attempt("alone", null, LONG_TIMEOUT_MICROS, 1), first = attempt("first", null, LONG_TIMEOUT_MICROS, 1);
             group.next().submit(alone::cancel).get();
             group.next().submit(first::cancel).get();
-            assertEquals(Outcome.CANCELLED, reply().outcome());
-            assertEquals(Outcome.CANCELLED, reply().outcome());
-            call(pool, host.port(), alone);
-            assertEquals(0, held(pool));
-            call(pool, host.port(), first, part("second", null, LONG, 1));
+            assertEquals(Outcome.CANCELLED, awaitReply().outcome());
+            assertEquals(Outcome.CANCELLED, awaitReply().outcome());
+            startCall(pool, host.port(), alone);
+            assertEquals(0, connectionCount(pool));
+            startCall(pool, host.port(), first, attempt("second", null, LONG_TIMEOUT_MICROS, 1));
             Host.Call call = host.call();
             assertEquals("second", call.header("X-Request-ID"));
             call.answer(Host.OK);
-            assertEquals(Outcome.OK, reply().outcome());
+            assertEquals(Outcome.OK, awaitReply().outcome());
             assertTrue(replies.isEmpty());
         }
     }
 
     /** Guards the others in a bundle: giving up one message must not give up their call. */
     @Test
-    void oneMessageOfABundleIsCalledOffAlone() throws Exception {
+    void oneMessageOfABatchCanBeCancelledAlone() throws Exception {
         try (Host host = new Host()) {
-            HostPool.Attempt first = part("a", null, LONG, 2);
-            call(pool(KEEP_ALIVE), host.port(), first, part("b", null, LONG, 2));
+            HostPool.Attempt first = attempt("a", null, LONG_TIMEOUT_MICROS, 2);
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), first, attempt("b", null, LONG_TIMEOUT_MICROS, 2));
             Host.Call call = host.call();
             group.next().submit(first::cancel).get();
-            assertEquals(Outcome.CANCELLED, reply().outcome());
-            call.answer(answer("200 OK", "", "[{\"id\":\"a\",\"state\":\"accepted\"},"
+            assertEquals(Outcome.CANCELLED, awaitReply().outcome());
+            call.answer(response("200 OK", "", "[{\"id\":\"a\",\"state\":\"accepted\"},"
                 + "{\"id\":\"b\",\"state\":\"accepted\"}]"));
-            assertEquals(Outcome.OK, reply().outcome());
+            assertEquals(Outcome.OK, awaitReply().outcome());
             assertTrue(replies.isEmpty());
         }
     }
