--- a/src/test/java/wrenkeel/net/HostPoolTest.java
+++ b/src/test/java/wrenkeel/net/HostPoolTest.java
@@ -31,7 +31,7 @@
 /** Each way in which a call can end, by the protocol's table. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class HostPoolTest {
-    private static final long LONG_TIMEOUT_MICROS = 60_000_000, KEEP_ALIVE_MICROS = 15_000_000;
+    private static final long LONG_MICROS = 60_000_000, KEEP_ALIVE_MICROS = 15_000_000;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final BlockingQueue<HostPool.Reply> replies = new LinkedBlockingQueue<>();
     private final HostList.Host defaultHost = new HostList.Host(1, "s-1");
@@ -42,7 +42,7 @@
     }
 
     private HostPool newPool(long keepAliveMicros) {
-        return new HostPool(group.next(), new Bootstrap().group(group), LONG_TIMEOUT_MICROS, keepAliveMicros, 100, new Figures());
+        return new HostPool(group.next(), new Bootstrap().group(group), LONG_MICROS, keepAliveMicros, 100, new Figures());
     }
 
 
@@ -74,7 +74,7 @@
     void statusAndHeadersDetermineTheReply(int status, String header, Outcome outcome, boolean messageOver, long retryAfterMicros)
             throws Exception {
         try (Host host = new Host()) {
-            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), LONG_TIMEOUT_MICROS, 10);
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), LONG_MICROS, 10);
             host.call().answer("HTTP/1.1 " + status + " x\r\nX-Server-Load: x0=0.4,x1=25\r\n"
                 + (header == null ? "" : header + "\r\n") + "Content-Length: 0\r\n\r\n");
             HostPool.Reply reply = awaitReply();
@@ -90,14 +90,14 @@
     @Test
     void idleConnectionIsClosedToStayWithinTheLimit() throws Exception {
         try (Host first = new Host(); Host second = new Host()) {
-            HostPool pool = new HostPool(group.next(), new Bootstrap().group(group), LONG_TIMEOUT_MICROS, KEEP_ALIVE_MICROS, 1, new Figures());
-            startCall(pool, first.port(), LONG_TIMEOUT_MICROS, 10);
+            HostPool pool = new HostPool(group.next(), new Bootstrap().group(group), LONG_MICROS, KEEP_ALIVE_MICROS, 1, new Figures());
+            startCall(pool, first.port(), LONG_MICROS, 10);
             Host.Call idle = first.call();
             idle.answer(Host.OK);
             assertEquals(Outcome.OK, awaitReply().outcome());
             HostList.Host other = new HostList.Host(2, "s-2");
             other.address = new InetSocketAddress(Platform.LOOPBACK, second.port());
-            group.next().submit(() -> pool.startCall(other, List.of(attempt("b", null, LONG_TIMEOUT_MICROS, 10)))).get();
+            group.next().submit(() -> pool.startCall(other, List.of(attempt("b", null, LONG_MICROS, 10)))).get();
             assertTrue(first.ended(idle));
             second.call().answer(Host.OK);
             assertEquals(Outcome.OK, awaitReply().outcome());
@@ -105,7 +105,7 @@
     }
 
     private HostPool newPoolWithLimit(int maxConnections) {
-        return new HostPool(group.next(), new Bootstrap().group(group), LONG_TIMEOUT_MICROS, KEEP_ALIVE_MICROS, maxConnections,
+        return new HostPool(group.next(), new Bootstrap().group(group), LONG_MICROS, KEEP_ALIVE_MICROS, maxConnections,
             new Figures());
     }
 
@@ -125,10 +125,10 @@
     void callOverTheLimitWaitsForAFreeConnection() throws Exception {
         try (Host first = new Host(); Host second = new Host(); Host third = new Host()) {
             HostPool pool = newPoolWithLimit(2);
-            startCallToOther(pool, 1, first, attempt("a", null, LONG_TIMEOUT_MICROS, 10));
-            startCallToOther(pool, 2, second, attempt("b", null, LONG_TIMEOUT_MICROS, 10));
-            startCallToOther(pool, 3, third, attempt("c", null, LONG_TIMEOUT_MICROS, 10));
-            startCallToOther(pool, 3, third, attempt("d", null, LONG_TIMEOUT_MICROS, 10));
+            startCallToOther(pool, 1, first, attempt("a", null, LONG_MICROS, 10));
+            startCallToOther(pool, 2, second, attempt("b", null, LONG_MICROS, 10));
+            startCallToOther(pool, 3, third, attempt("c", null, LONG_MICROS, 10));
+            startCallToOther(pool, 3, third, attempt("d", null, LONG_MICROS, 10));
             assertEquals(2, connectionCount(pool));
             first.call().answer(Host.OK);
             Host.Call next = third.call();
@@ -146,16 +146,16 @@
     void callWaitingForAFreeConnectionCanExpireOrBeCancelled() throws Exception {
         try (Host first = new Host(); Host second = new Host()) {
             HostPool pool = newPoolWithLimit(1);
-            startCallToOther(pool, 1, first, attempt("a", null, LONG_TIMEOUT_MICROS, 10));
+            startCallToOther(pool, 1, first, attempt("a", null, LONG_MICROS, 10));
             Host.Call running = first.call();
-            HostPool.Attempt late = attempt("late", null, LONG_TIMEOUT_MICROS, 10);
+            HostPool.Attempt late = attempt("late", null, LONG_MICROS, 10);
             startCallToOther(pool, 2, second, late);
             group.next().submit(late::expire).get();
             assertEquals(Outcome.CONNECT_FAILED, awaitReply().outcome());
-            startCall(pool, second.port(), attempt("back", null, LONG_TIMEOUT_MICROS, 10));
+            startCall(pool, second.port(), attempt("back", null, LONG_MICROS, 10));
             group.next().submit(() -> pool.cancelUnsent(defaultHost)).get();
             assertEquals(Outcome.NOT_SENT, awaitReply().outcome());
-            startCallToOther(pool, 2, second, attempt("goes", null, LONG_TIMEOUT_MICROS, 10));
+            startCallToOther(pool, 2, second, attempt("goes", null, LONG_MICROS, 10));
             running.answer(Host.OK);
             assertEquals(Outcome.OK, awaitReply().outcome());
             assertEquals("goes", second.call().header("X-Request-ID"));
@@ -169,9 +169,9 @@
     void connectionWithAnIncompleteResponseIsClosedForAWaitingCall() throws Exception {
         try (Host first = new Host(); Host second = new Host()) {
             HostPool pool = newPoolWithLimit(1);
-            startCallToOther(pool, 1, first, attempt("a", null, LONG_TIMEOUT_MICROS, 10));
+            startCallToOther(pool, 1, first, attempt("a", null, LONG_MICROS, 10));
             Host.Call slow = first.call();
-            startCallToOther(pool, 2, second, attempt("b", null, LONG_TIMEOUT_MICROS, 10));
+            startCallToOther(pool, 2, second, attempt("b", null, LONG_MICROS, 10));
             slow.answer("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhi");
             assertEquals(Outcome.OK, awaitReply().outcome());
             assertEquals("b", second.call().header("X-Request-ID"));
@@ -188,8 +188,8 @@
             protected boolean doConnect(SocketAddress remote, SocketAddress local) {
                 return false;
             }
-        }, LONG_TIMEOUT_MICROS, KEEP_ALIVE_MICROS, 100, new Figures());
-        HostPool.Attempt first = attempt("a", null, LONG_TIMEOUT_MICROS, 10), second = attempt("b", null, LONG_TIMEOUT_MICROS, 10);
+        }, LONG_MICROS, KEEP_ALIVE_MICROS, 100, new Figures());
+        HostPool.Attempt first = attempt("a", null, LONG_MICROS, 10), second = attempt("b", null, LONG_MICROS, 10);
         startCall(pool, 9, first, second);
         group.next().submit(first::expire).get();
         assertEquals(1, connectionCount(pool), "the other still waits");
@@ -206,14 +206,14 @@
         try (Host host = new Host()) {
             port = host.port();
         }
-        startCall(newPool(KEEP_ALIVE_MICROS), port, LONG_TIMEOUT_MICROS, 10);
+        startCall(newPool(KEEP_ALIVE_MICROS), port, LONG_MICROS, 10);
         assertEquals(Outcome.CONNECT_FAILED, awaitReply().outcome());
     }
 
     @Test
     void connectionClosedAfterTheLastByteIsReportedAsReset() throws Exception {
         try (Host host = new Host()) {
-            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), LONG_TIMEOUT_MICROS, 10);
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), LONG_MICROS, 10);
             host.call().socket().close();
             assertEquals(Outcome.RESET, awaitReply().outcome());
         }
@@ -225,7 +225,7 @@
         try (ServerSocket listener = new ServerSocket()) {
             listener.setReceiveBufferSize(4_096);
             listener.bind(new InetSocketAddress(Platform.LOOPBACK, 0));
-            startCall(newPool(KEEP_ALIVE_MICROS), listener.getLocalPort(), LONG_TIMEOUT_MICROS, 64 << 20);
+            startCall(newPool(KEEP_ALIVE_MICROS), listener.getLocalPort(), LONG_MICROS, 64 << 20);
             Socket socket = listener.accept();
             assertTrue(socket.getInputStream().read() >= 0);
             socket.setSoLinger(true, 0);
@@ -241,12 +241,12 @@
             startCall(pool, host.port(), 200_000, 10);
             Host.Call late = host.call();
             assertEquals(Outcome.TIMEOUT, awaitReply().outcome());
-            HostPool.Attempt call = startCall(pool, host.port(), LONG_TIMEOUT_MICROS, 10);
+            HostPool.Attempt call = startCall(pool, host.port(), LONG_MICROS, 10);
             Host.Call second = host.call();
             assertNotSame(late.socket(), second.socket());
             group.next().submit(call::cancel).get();
             assertEquals(Outcome.CANCELLED, awaitReply().outcome());
-            startCall(pool, host.port(), LONG_TIMEOUT_MICROS, 10);
+            startCall(pool, host.port(), LONG_MICROS, 10);
             Host.Call third = host.call();
             assertNotSame(second.socket(), third.socket());
         }
@@ -268,7 +268,7 @@
                     break;
                 }
             }
-            startCall(pool, listener.getLocalPort(), LONG_TIMEOUT_MICROS, 10);
+            startCall(pool, listener.getLocalPort(), LONG_MICROS, 10);
             group.next().submit(() -> pool.cancelUnsent(defaultHost)).get();
             assertEquals(Outcome.NOT_SENT, awaitReply().outcome());
             for (Socket filler : fillers) {
@@ -282,14 +282,14 @@
     void idleConnectionsAreClosedBeforeTheHostClosesThem() throws Exception {
         try (Host host = new Host()) {
             HostPool pool = newPool(1_000_000);
-            startCall(pool, host.port(), LONG_TIMEOUT_MICROS, 10);
+            startCall(pool, host.port(), LONG_MICROS, 10);
             Host.Call first = host.call();
             first.answer(Host.OK);
             awaitReply();
             while (group.next().submit(() -> pool.idleCount(defaultHost)).get() > 0) {
                 Thread.sleep(20);
             }
-            startCall(pool, host.port(), LONG_TIMEOUT_MICROS, 10);
+            startCall(pool, host.port(), LONG_MICROS, 10);
             assertNotSame(first.socket(), host.call().socket());
         }
     }
@@ -298,7 +298,7 @@
     @Test
     void connectionWithAnEndlessResponseIsClosed() throws Exception {
         try (Host host = new Host()) {
-            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), LONG_TIMEOUT_MICROS, 10);
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), LONG_MICROS, 10);
             Host.Call call = host.call();
             call.answer("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhi");
             assertEquals(Outcome.OK, awaitReply().outcome());
@@ -310,11 +310,11 @@
     void connectionIsNotReusedAfterAConnectionCloseHeader() throws Exception {
         try (Host host = new Host()) {
             HostPool pool = newPool(KEEP_ALIVE_MICROS);
-            startCall(pool, host.port(), LONG_TIMEOUT_MICROS, 10);
+            startCall(pool, host.port(), LONG_MICROS, 10);
             Host.Call first = host.call();
             first.answer("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
             assertEquals(Outcome.OK, awaitReply().outcome());
-            startCall(pool, host.port(), LONG_TIMEOUT_MICROS, 10);
+            startCall(pool, host.port(), LONG_MICROS, 10);
             assertNotSame(first.socket(), host.call().socket());
         }
     }
@@ -325,7 +325,7 @@
         "X-Server-Load: x0"})
     void statusLine200DeliversEvenIfTheRestIsMalformedOrMissing(String rest) throws Exception {
         try (Host host = new Host()) {
-            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), LONG_TIMEOUT_MICROS, 10);
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), LONG_MICROS, 10);
             Host.Call call = host.call();
             call.answer("HTTP/1.1 200 OK\r\n" + rest);
             call.socket().close();
@@ -348,7 +348,7 @@
     @Test
     void statusLine200DeliversNothingOfABatch() throws Exception {
         try (Host host = new Host()) {
-            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), attempt("a", null, LONG_TIMEOUT_MICROS, 1), attempt("b", null, LONG_TIMEOUT_MICROS, 1));
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), attempt("a", null, LONG_MICROS, 1), attempt("b", null, LONG_MICROS, 1));
             Host.Call call = host.call();
             call.answer("HTTP/1.1 200 OK\r\n");
             call.socket().close();
@@ -372,7 +372,7 @@
         "HTTP/1.1 +200 OK\r\nContent-Length: %d\r\n\r\n%s"})
     void malformedResponseHeadDeliversNothingOfABatch(String answer) throws Exception {
         try (Host host = new Host()) {
-            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), attempt("a", null, LONG_TIMEOUT_MICROS, 1), attempt("b", null, LONG_TIMEOUT_MICROS, 1));
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), attempt("a", null, LONG_MICROS, 1), attempt("b", null, LONG_MICROS, 1));
             Host.Call call = host.call();
             String states = "[{\"id\":\"a\",\"state\":\"accepted\"},{\"id\":\"b\",\"state\":\"accepted\"}]";
             call.answer(answer.formatted(states.length(), states));
@@ -390,7 +390,7 @@
         "[{\"id\":\"a\",\"state\":\"accepted\"},{\"id\":\"b\",\"state\":\"accepted\"}] x"})
     void malformedBodyDeliversNothingOfABatch(String states) throws Exception {
         try (Host host = new Host()) {
-            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), attempt("a", null, LONG_TIMEOUT_MICROS, 1), attempt("b", null, LONG_TIMEOUT_MICROS, 1));
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), attempt("a", null, LONG_MICROS, 1), attempt("b", null, LONG_MICROS, 1));
             host.call().answer("HTTP/1.1 200 OK\r\nContent-Length: " + states.length() + "\r\n\r\n" + states);
             assertEquals(Outcome.ERROR, awaitReply().outcome());
             assertEquals(Outcome.ERROR, awaitReply().outcome());
@@ -403,11 +403,11 @@
     void connectionWithSurplusBytesIsNotReused(String surplus) throws Exception {
         try (Host host = new Host()) {
             HostPool pool = newPool(KEEP_ALIVE_MICROS);
-            startCall(pool, host.port(), LONG_TIMEOUT_MICROS, 10);
+            startCall(pool, host.port(), LONG_MICROS, 10);
             Host.Call first = host.call();
             first.answer(Host.OK + surplus);
             assertEquals(Outcome.OK, awaitReply().outcome());
-            startCall(pool, host.port(), LONG_TIMEOUT_MICROS, 10);
+            startCall(pool, host.port(), LONG_MICROS, 10);
             Host.Call second = host.call();
             assertNotSame(first.socket(), second.socket());
             second.answer("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
@@ -426,7 +426,7 @@
             HostPool pool = newPool(KEEP_ALIVE_MICROS);
             Socket first = null;
             for (int i = 0; i < 6; i++) {
-                startCall(pool, host.port(), LONG_TIMEOUT_MICROS, 10);
+                startCall(pool, host.port(), LONG_MICROS, 10);
                 Host.Call call = host.call();
                 first = first == null ? call.socket() : first;
                 assertSame(first, call.socket());
@@ -444,7 +444,7 @@
     @CsvSource({"200, OK", "500, ERROR"})
     void connectionIsClosedIfTheResponseIsTooLong(int status, Outcome outcome) throws Exception {
         try (Host host = new Host()) {
-            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), LONG_TIMEOUT_MICROS, 10);
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), LONG_MICROS, 10);
             Host.Call call = host.call();
             call.answer("HTTP/1.1 " + status + " x\r\nContent-Length: 100000\r\n\r\n"
                 + "x".repeat(ResponseDecoder.MAX_BODY_BYTES + 1));
@@ -458,8 +458,8 @@
     void batchIsOneCallWithAnOutcomePerMessage() throws Exception {
         try (Host host = new Host()) {
             HostPool pool = newPool(KEEP_ALIVE_MICROS);
-            startCall(pool, host.port(), attempt("a", "k\"", LONG_TIMEOUT_MICROS, 2), attempt("b", null, LONG_TIMEOUT_MICROS, 3), attempt("c", null, LONG_TIMEOUT_MICROS, 0),
-                attempt("d", null, LONG_TIMEOUT_MICROS, 1), attempt("e", null, LONG_TIMEOUT_MICROS, 1), attempt("f", null, LONG_TIMEOUT_MICROS, 1));
+            startCall(pool, host.port(), attempt("a", "k\"", LONG_MICROS, 2), attempt("b", null, LONG_MICROS, 3), attempt("c", null, LONG_MICROS, 0),
+                attempt("d", null, LONG_MICROS, 1), attempt("e", null, LONG_MICROS, 1), attempt("f", null, LONG_MICROS, 1));
             Host.Call call = host.call();
             assertEquals("POST /v1/messages:batch HTTP/1.1", call.head().get(0));
             assertTrue(call.body().startsWith("[{\"id\":\"a\",\"key\":\"k\\\"\",\"body\":\"AAA=\"},"
@@ -476,7 +476,7 @@
                 assertEquals(messageOver.get(i), reply.messageOver());
                 assertEquals(500_000, reply.retryAfterMicros());
             }
-            startCall(pool, host.port(), LONG_TIMEOUT_MICROS, 10);
+            startCall(pool, host.port(), LONG_MICROS, 10);
             assertSame(call.socket(), host.call().socket());
         }
     }
@@ -486,7 +486,7 @@
     @ValueSource(strings = {"deferred", "expired", "no_more", "accepted"})
     void messageWithContradictoryStatesIsReportedAsError(String other) throws Exception {
         try (Host host = new Host()) {
-            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), attempt("a", null, LONG_TIMEOUT_MICROS, 2), attempt("b", null, LONG_TIMEOUT_MICROS, 2));
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), attempt("a", null, LONG_MICROS, 2), attempt("b", null, LONG_MICROS, 2));
             host.call().answer(response("200 OK", "", "[{\"id\":\"a\",\"state\":\"fault\"},"
                 + "{\"id\":\"b\",\"state\":\"accepted\"},{\"id\":\"a\",\"state\":\"" + other + "\"}]"));
             assertEquals(Outcome.ERROR, awaitReply().outcome());
@@ -499,7 +499,7 @@
     void batchWithAnEndlessResponseTimesOutAndClosesItsConnection() throws Exception {
         try (Host host = new Host()) {
             HostPool pool = newPool(KEEP_ALIVE_MICROS);
-            HostPool.Attempt first = attempt("a", null, LONG_TIMEOUT_MICROS, 2), second = attempt("b", null, LONG_TIMEOUT_MICROS, 2);
+            HostPool.Attempt first = attempt("a", null, LONG_MICROS, 2), second = attempt("b", null, LONG_MICROS, 2);
             startCall(pool, host.port(), first, second);
             Host.Call call = host.call();
             call.answer("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n[{\"id\":\"a\",\"state\":\"accepted\"},");
@@ -518,7 +518,7 @@
         "200 OK, '{}', ERROR", "200 OK, '[{\"id\":\"a\"}]', ERROR"})
     void failureOfABatchCallAppliesToAllItsMessages(String status, String body, Outcome outcome) throws Exception {
         try (Host host = new Host()) {
-            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), attempt("a", null, LONG_TIMEOUT_MICROS, 2), attempt("b", null, LONG_TIMEOUT_MICROS, 2));
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), attempt("a", null, LONG_MICROS, 2), attempt("b", null, LONG_MICROS, 2));
             host.call().answer(response(status, "", body));
             assertEquals(outcome, awaitReply().outcome());
             assertEquals(outcome, awaitReply().outcome());
@@ -529,7 +529,7 @@
     @Test
     void batchWithATruncatedResponseIsReportedAsReset() throws Exception {
         try (Host host = new Host()) {
-            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), attempt("a", null, LONG_TIMEOUT_MICROS, 2), attempt("b", null, LONG_TIMEOUT_MICROS, 2));
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), attempt("a", null, LONG_MICROS, 2), attempt("b", null, LONG_MICROS, 2));
             Host.Call call = host.call();
             call.answer("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n[{\"id\":\"a\",");
             call.socket().close();
@@ -543,10 +543,10 @@
     void attemptCancelledDuringTheConnectIsNotSent() throws Exception {
         try (Host host = new Host()) {
             HostPool pool = newPool(KEEP_ALIVE_MICROS);
-            HostPool.Attempt first = attempt("a", null, LONG_TIMEOUT_MICROS, 2);
+            HostPool.Attempt first = attempt("a", null, LONG_MICROS, 2);
             defaultHost.address = new InetSocketAddress(Platform.LOOPBACK, host.port());
             group.next().submit(() -> {
-                pool.startCall(defaultHost, List.of(first, attempt("b", null, LONG_TIMEOUT_MICROS, 2)));
+                pool.startCall(defaultHost, List.of(first, attempt("b", null, LONG_MICROS, 2)));
                 first.cancel();
             }).get();
             Host.Call call = host.call();
@@ -573,8 +573,8 @@
     @Test
     void attemptExpiredInAHalfWrittenBatchIsReportedAsTimeout() throws Exception {
         try (ServerSocket listener = listenerWithSmallBuffer()) {
-            HostPool.Attempt first = attempt("given-up", null, LONG_TIMEOUT_MICROS, 16 << 20);
-            startCall(newPool(KEEP_ALIVE_MICROS), listener.getLocalPort(), first, attempt("goes-on", null, LONG_TIMEOUT_MICROS, 1));
+            HostPool.Attempt first = attempt("given-up", null, LONG_MICROS, 16 << 20);
+            startCall(newPool(KEEP_ALIVE_MICROS), listener.getLocalPort(), first, attempt("goes-on", null, LONG_MICROS, 1));
             Socket socket = listener.accept();
             assertTrue(socket.getInputStream().read() >= 0, "a byte of it is out");
             group.next().submit(first::expire).get();
@@ -593,7 +593,7 @@
     void callExpiredWhileHalfWrittenIsNeverCompleted() throws Exception {
         try (ServerSocket listener = listenerWithSmallBuffer()) {
             int bytes = 16 << 20;
-            HostPool.Attempt only = attempt("a", null, LONG_TIMEOUT_MICROS, bytes);
+            HostPool.Attempt only = attempt("a", null, LONG_MICROS, bytes);
             startCall(newPool(KEEP_ALIVE_MICROS), listener.getLocalPort(), only);
             Socket socket = listener.accept();
             Host.head(socket.getInputStream());
@@ -607,7 +607,7 @@
     @Test
     void lastAttemptToExpireClosesItsHalfWrittenBatch() throws Exception {
         try (ServerSocket listener = listenerWithSmallBuffer()) {
-            HostPool.Attempt first = attempt("a", null, LONG_TIMEOUT_MICROS, 16 << 20), last = attempt("b", null, LONG_TIMEOUT_MICROS, 1);
+            HostPool.Attempt first = attempt("a", null, LONG_MICROS, 16 << 20), last = attempt("b", null, LONG_MICROS, 1);
             startCall(newPool(KEEP_ALIVE_MICROS), listener.getLocalPort(), first, last);
             Socket socket = listener.accept();
             Host.head(socket.getInputStream());
@@ -624,16 +624,16 @@
     void callWithoutAFreeDescriptorEndsOnTheEventLoop() throws Exception {
         HostPool pool = new HostPool(group.next(), new Bootstrap().group(group), () -> {
             throw new ChannelException("too many open files");
-        }, LONG_TIMEOUT_MICROS, KEEP_ALIVE_MICROS, 100, new Figures());
+        }, LONG_MICROS, KEEP_ALIVE_MICROS, 100, new Figures());
         BlockingQueue<Boolean> onEventLoop = new LinkedBlockingQueue<>();
-        HostPool.Attempt attempt = new HostPool.Attempt(attempt("a", null, LONG_TIMEOUT_MICROS, 1).message(), LONG_TIMEOUT_MICROS, reply -> {
+        HostPool.Attempt attempt = new HostPool.Attempt(attempt("a", null, LONG_MICROS, 1).message(), LONG_MICROS, reply -> {
             replies.add(reply);
             onEventLoop.add(group.next().inEventLoop());
         });
         startCall(pool, 9, attempt);
         assertEquals(Outcome.NO_SOCKET, awaitReply().outcome());
         assertTrue(onEventLoop.take());
-        HostPool.Attempt cancelled = attempt("b", null, LONG_TIMEOUT_MICROS, 1);
+        HostPool.Attempt cancelled = attempt("b", null, LONG_MICROS, 1);
         group.next().submit(() -> {
             pool.startCall(defaultHost, List.of(cancelled));
             pool.cancelUnsent(defaultHost);
@@ -651,8 +651,8 @@
                 doClose();
                 throw new SocketException(fault);
             }
-        }, LONG_TIMEOUT_MICROS, KEEP_ALIVE_MICROS, 100, new Figures());
-        startCall(pool, 9, attempt("a", null, LONG_TIMEOUT_MICROS, 1));
+        }, LONG_MICROS, KEEP_ALIVE_MICROS, 100, new Figures());
+        startCall(pool, 9, attempt("a", null, LONG_MICROS, 1));
         assertEquals(Outcome.NO_SOCKET, awaitReply().outcome());
         assertEquals(0, connectionCount(pool));
     }
@@ -661,7 +661,7 @@
     @Test
     void connectionIsClosedEvenIfTheReplyCallbackThrows() throws Exception {
         try (Host host = new Host()) {
-            HostPool.Attempt attempt = new HostPool.Attempt(attempt("a", null, LONG_TIMEOUT_MICROS, 1).message(), LONG_TIMEOUT_MICROS, reply -> {
+            HostPool.Attempt attempt = new HostPool.Attempt(attempt("a", null, LONG_MICROS, 1).message(), LONG_MICROS, reply -> {
                 throw new IllegalStateException("forced by the test");
             });
             startCall(newPool(KEEP_ALIVE_MICROS), host.port(), attempt);
@@ -676,14 +676,14 @@
     void attemptCancelledBeforeItsCallStartsIsNotSent() throws Exception {
         try (Host host = new Host()) {
             HostPool pool = newPool(KEEP_ALIVE_MICROS);
-            HostPool.Attempt alone = attempt("alone", null, LONG_TIMEOUT_MICROS, 1), first = attempt("first", null, LONG_TIMEOUT_MICROS, 1);
+            HostPool.Attempt alone = attempt("alone", null, LONG_MICROS, 1), first = attempt("first", null, LONG_MICROS, 1);
             group.next().submit(alone::cancel).get();
             group.next().submit(first::cancel).get();
             assertEquals(Outcome.CANCELLED, awaitReply().outcome());
             assertEquals(Outcome.CANCELLED, awaitReply().outcome());
             startCall(pool, host.port(), alone);
             assertEquals(0, connectionCount(pool));
-            startCall(pool, host.port(), first, attempt("second", null, LONG_TIMEOUT_MICROS, 1));
+            startCall(pool, host.port(), first, attempt("second", null, LONG_MICROS, 1));
             Host.Call call = host.call();
             assertEquals("second", call.header("X-Request-ID"));
             call.answer(Host.OK);
@@ -696,8 +696,8 @@
     @Test
     void oneMessageOfABatchCanBeCancelledAlone() throws Exception {
         try (Host host = new Host()) {
-            HostPool.Attempt first = attempt("a", null, LONG_TIMEOUT_MICROS, 2);
-            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), first, attempt("b", null, LONG_TIMEOUT_MICROS, 2));
+            HostPool.Attempt first = attempt("a", null, LONG_MICROS, 2);
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), first, attempt("b", null, LONG_MICROS, 2));
             Host.Call call = host.call();
             group.next().submit(first::cancel).get();
             assertEquals(Outcome.CANCELLED, awaitReply().outcome());
