--- a/src/test/java/wrenkeel/net/AgentConnectionTest.java
+++ b/src/test/java/wrenkeel/net/AgentConnectionTest.java
@@ -15,6 +15,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
+/** Calls to the discovery agent on a real event loop. */
 class AgentConnectionTest {
     private static final int CONNECT_TIMEOUT_MS = 1_000;
 
@@ -28,8 +29,9 @@
     }
 
     /**
-     * Guards the watch and the notices while idle clients hold all descriptors: the request ends at once, on
-     * the relay's thread, so that it is repeated as soon as a descriptor is free.
+     * Clients may occupy all file descriptors with idle connections. A request to the agent must then fail at
+     * once, on the event loop, so that the watch and the notices are repeated as soon as a descriptor is
+     * free.
      */
     @Test
     void requestWithoutAFreeDescriptorEndsAtOnceOnTheEventLoop() throws Exception {
@@ -40,10 +42,11 @@
         BlockingQueue<Boolean> onEventLoop = new LinkedBlockingQueue<>();
         long longTimeoutMs = TimeUnit.HOURS.toMillis(1);
         for (int i = 0; i < 2; i++) {
-            loop.submit(() -> connection.send(HttpMethod.GET, "/v1/servers", "", longTimeoutMs, null, response -> {
-                onEventLoop.add(loop.inEventLoop());
-                statuses.add(response.status);
-            })).get();
+            loop.submit(() -> connection.send(HttpMethod.GET, "/v1/servers", "", longTimeoutMs, null,
+                response -> {
+                    onEventLoop.add(loop.inEventLoop());
+                    statuses.add(response.status);
+                })).get();
             assertEquals(0, statuses.poll(Platform.PATIENCE_S, TimeUnit.SECONDS));
             assertTrue(onEventLoop.take());
         }
--- a/src/test/java/wrenkeel/net/DiscoveryTest.java
+++ b/src/test/java/wrenkeel/net/DiscoveryTest.java
@@ -21,17 +21,24 @@
 import org.junit.jupiter.api.Test;
 import wrenkeel.Relay;
 
-/** The watch against an agent whose every byte the test writes. */
+/**
+ * {@link Discovery} against an agent that the test plays: it reads each request and writes each response.
+ */
 class DiscoveryTest {
-    private static final String FIRST_LIST = Platform.list(1, true, Platform.host("s-1", 80, 7, "ready")),
-        SECOND_LIST = Platform.list(2, false, Platform.host("s-1", 80, 7, "draining"));
+    private static final String FIRST_LIST =
+        Platform.list(1, true, Platform.host("s-1", 80, 7, "ready"));
+    private static final String SECOND_LIST =
+        Platform.list(2, false, Platform.host("s-1", 80, 7, "draining"));
 
-    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group =
+        new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final HostList hosts = new HostList(List.of("a"), List.of("m1", "m2"));
+    /** The changes that the listener has received. */
     private final BlockingQueue<Relay.Listed> events = new LinkedBlockingQueue<>();
     private ServerSocket agent;
     private Discovery discovery;
+    /** The agent's side of the current connection. */
     private Socket connection;
 
     @BeforeEach
@@ -39,8 +46,9 @@
         agent = new ServerSocket(0, 8, Platform.LOOPBACK);
         agent.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Platform.PATIENCE_S));
         discovery = new Discovery(loop, new Bootstrap().group(group),
-            new InetSocketAddress(Platform.LOOPBACK, agent.getLocalPort()), hosts, change -> events.add(change.event()),
-            entry -> { }, TimeUnit.SECONDS.toMillis(Platform.PATIENCE_S));
+            new InetSocketAddress(Platform.LOOPBACK, agent.getLocalPort()), hosts,
+            change -> events.add(change.event()), entry -> { },
+            TimeUnit.SECONDS.toMillis(Platform.PATIENCE_S));
         loop.submit(() -> {
             hosts.activate(7);
             discovery.watch();
@@ -55,28 +63,31 @@
         agent.close();
     }
 
-    /** The next request on the connection that is open; its first line. */
+    /** Reads the next request on the current connection and returns its first line. */
     private String readRequestLine() throws IOException {
         connection.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Platform.PATIENCE_S));
         return Host.head(connection.getInputStream()).get(0);
     }
 
+    /** Writes a part of a response. */
     private void write(String text) throws IOException {
         connection.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
         connection.getOutputStream().flush();
     }
 
+    /** A complete response with this body. */
     private static String okResponse(String list) {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list;
     }
 
+    /** Waits for the next change that the listener receives. */
     private Relay.Listed awaitEvent() throws InterruptedException {
         Relay.Listed event = events.poll(Platform.PATIENCE_S, TimeUnit.SECONDS);
         assertNotNull(event);
         return event;
     }
 
-    /** The relay has closed its connection and opens another. */
+    /** Accepts a new connection, which the relay opens after it has closed the previous one. */
     private void acceptReconnect() throws IOException {
         Socket next = agent.accept();
         connection.close();
@@ -93,15 +104,16 @@
         write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         String half = FIRST_LIST.substring(0, FIRST_LIST.length() - 5);
         write(Integer.toHexString(half.length()) + "\r\n" + half + "\r\n");
-        // The thread has had its turn by then.
+        // By the time this task runs, the event loop has had its turn to read the first part.
         assertEquals(0, loop.submit(hosts::listedCount).get());
         write("5\r\n" + FIRST_LIST.substring(FIRST_LIST.length() - 5) + "\r\n0\r\n\r\n");
         assertEquals(1, awaitEvent().endpoints().size());
-        assertEquals("GET /v1/servers?after=1&wait_ms=" + Discovery.WATCH_WAIT_MS + " HTTP/1.1", readRequestLine());
+        assertEquals("GET /v1/servers?after=1&wait_ms=" + Discovery.WATCH_WAIT_MS + " HTTP/1.1",
+            readRequestLine());
         assertEquals(0, faultCount());
     }
 
-    /** Guards the last good list: of one that is cut nothing is taken, and it is asked for again. */
+    /** A list that is cut off must not change the current list; it is requested again. */
     @Test
     void truncatedListIsDiscardedAndRequestedAgain() throws Exception {
         readRequestLine();
@@ -121,7 +133,7 @@
         assertTrue(events.isEmpty());
     }
 
-    /** Guards the relay's memory and processor: it does not read on. */
+    /** A list of excessive length must not use up memory and CPU time: the relay closes the connection. */
     @Test
     void listThatIsTooLongIsNotRead() throws Exception {
         readRequestLine();
@@ -148,7 +160,10 @@
         assertEquals(1, awaitEvent().endpoints().size());
     }
 
-    /** An agent that is down is no faulty list: it is asked again soon, for what it has then counts at once. */
+    /**
+     * An error status, as of an agent that is down, doesn't count as a faulty list. The list is requested
+     * again soon, because the relay is bound by it as soon as the agent has it.
+     */
     @Test
     void errorStatusDoesNotCountAsAFaultyList() throws Exception {
         readRequestLine();
@@ -159,38 +174,46 @@
         assertEquals(0, faultCount());
     }
 
-    /** Guards the machine against a loop at full speed, and the rule that a change is told 6 s after. */
+    /**
+     * Faulty lists must not make the relay call the agent without gaps, but no gap may be so long that a
+     * change takes effect later than 6 s after it.
+     */
     @Test
     void gapsAfterConsecutiveFaultsGrowUpToTheirLimit() {
         assertEquals(ListTiming.FIRST_FAULT_GAP_MS, Discovery.faultGapMs(0, 0.999));
         for (int previousFaults = 1; previousFaults < 200; previousFaults++) {
             long maxGapMs = Discovery.faultGapMs(previousFaults, 0);
             assertTrue(maxGapMs >= Discovery.faultGapMs(previousFaults - 1, 0));
-            assertTrue(Discovery.faultGapMs(previousFaults, 0.999) >= maxGapMs / 2 && Discovery.faultGapMs(previousFaults, 0.999) < maxGapMs, "with jitter");
+            assertTrue(Discovery.faultGapMs(previousFaults, 0.999) >= maxGapMs / 2
+                && Discovery.faultGapMs(previousFaults, 0.999) < maxGapMs, "with jitter");
             assertTrue(maxGapMs <= ListTiming.MAX_FAULT_GAP_MS && maxGapMs < 6_000);
         }
         assertEquals(ListTiming.MAX_FAULT_GAP_MS, Discovery.faultGapMs(200, 0));
     }
 
-    /** Guards the rule on reloads: a gap after faults of the old address delays nothing at the new one. */
+    /**
+     * When a reload changes the agent's address, a gap after faults at the old one must not delay the first
+     * call.
+     */
     @Test
     void newAddressIsCalledAtOnceDuringAGapAfterAFault() throws Exception {
         readRequestLine();
         write(okResponse("[]"));
         try (ServerSocket other = new ServerSocket(0, 8, Platform.LOOPBACK)) {
             other.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Platform.PATIENCE_S));
-            // In the task that sees the gap, before any later one: what is due now has been begun.
+            // The move and the check run in the task that sees the gap, before the timer can end it.
             Callable<Boolean> movedInGap = () -> {
                 if (discovery.isCallPending()) {
                     return false;
                 }
                 discovery.moveTo(new InetSocketAddress(Platform.LOOPBACK, other.getLocalPort()));
-                assertTrue(discovery.isCallPending(), "the call for the list waits for the gap");
+                assertTrue(discovery.isCallPending(),
+                    "the call to the new address must not wait for the end of the gap");
                 return true;
             };
             long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(Platform.PATIENCE_S);
             while (!loop.submit(movedInGap).get()) {
-                assertTrue(System.nanoTime() < deadlineNanos, "no gap seen");
+                assertTrue(System.nanoTime() < deadlineNanos, "no gap after the rejected list");
             }
             connection.close();
             connection = other.accept();
--- a/src/test/java/wrenkeel/net/FleetSizeTest.java
+++ b/src/test/java/wrenkeel/net/FleetSizeTest.java
@@ -17,16 +17,27 @@
 import org.junit.jupiter.api.io.TempDir;
 import wrenkeel.Relay.Outcome;
 
-/** A fleet of over a thousand relays and endpoints: nothing is sized for a few. */
+/** A fleet of more than a thousand relays and hosts: no limit is sized for small fleets only. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class FleetSizeTest {
-    private static final int FLEET_SIZE = 1_100, LARGE_DESTINATION_HOSTS = 600, LARGE_DESTINATION = 7, FIRST_SMALL_DESTINATION = 8, SMALL_DESTINATION_HOSTS = 5;
+    /** Number of relays, and number of hosts. */
+    private static final int FLEET_SIZE = 1_100;
+    /** Number of hosts of the large destination. */
+    private static final int LARGE_DESTINATION_HOSTS = 600;
+    private static final int LARGE_DESTINATION = 7;
+    /** The other destinations have consecutive numbers from this one on. */
+    private static final int FIRST_SMALL_DESTINATION = 8;
+    /** Number of hosts of each other destination. */
+    private static final int SMALL_DESTINATION_HOSTS = 5;
+    /** A timeout that does not elapse during a test. */
     private static final long LONG_TIMEOUT_MICROS = 60_000_000;
 
     @TempDir
     Path folder;
 
-    /** The first endpoints are all of one destination; behind them each destination has a few. */
+    /**
+     * The list entry of a host. The first hosts belong to the large destination, the others to small ones.
+     */
     private static String hostEntry(int number, int port) {
         int destination = number < LARGE_DESTINATION_HOSTS ? LARGE_DESTINATION
             : FIRST_SMALL_DESTINATION + (number - LARGE_DESTINATION_HOSTS) / SMALL_DESTINATION_HOSTS;
@@ -34,6 +45,7 @@
             "\"share\":5000");
     }
 
+    /** A configuration with this many relays and hosts, and with few sockets. */
     private Config config(Platform platform, String[] hosts) throws Exception {
         platform.config(hosts);
         Path file = Path.of(platform.env().get("EDGE_CONFIG"));
@@ -52,7 +64,9 @@
                 hosts[i] = hostEntry(i, host.port());
             }
             try (Node relay = new Node(config(platform, hosts)); var client = new Platform.Client(relay)) {
-                for (int destination : List.of(LARGE_DESTINATION, FIRST_SMALL_DESTINATION, FIRST_SMALL_DESTINATION + (FLEET_SIZE - LARGE_DESTINATION_HOSTS) / SMALL_DESTINATION_HOSTS - 1)) {
+                for (int destination : List.of(LARGE_DESTINATION, FIRST_SMALL_DESTINATION,
+                        FIRST_SMALL_DESTINATION
+                            + (FLEET_SIZE - LARGE_DESTINATION_HOSTS) / SMALL_DESTINATION_HOSTS - 1)) {
                     String id = "to-" + destination;
                     assertEquals("HTTP/1.1 202 Accepted",
                         client.post(id, "bill", destination, 60_000).get(0));
@@ -66,19 +80,19 @@
                 }
                 assertEquals(FLEET_SIZE, ConsoleTest.figures(relay).whole("members"));
             }
-            assertTrue(platform.notices.isEmpty(), "all were delivered");
+            assertTrue(platform.notices.isEmpty(), "no message has failed");
         }
     }
 
-    /** Guards the descriptors: kept connections to many endpoints stay within the share. */
+    /** Idle connections to many hosts must not use up the file descriptors. */
     @Test
     void connectionsToManyHostsStayWithinTheLimit() throws Exception {
         int maxConnections = 20;
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         BlockingQueue<HostPool.Reply> replies = new LinkedBlockingQueue<>();
         try (Host endpoint = new Host()) {
-            HostPool pool = new HostPool(group.next(), new Bootstrap().group(group), LONG_TIMEOUT_MICROS, LONG_TIMEOUT_MICROS, maxConnections,
-                new Figures());
+            HostPool pool = new HostPool(group.next(), new Bootstrap().group(group), LONG_TIMEOUT_MICROS,
+                LONG_TIMEOUT_MICROS, maxConnections, new Figures());
             Message message = new Message("a", "bill", 0, null, null, LARGE_DESTINATION, 0, new byte[1]);
             for (int i = 0; i < FLEET_SIZE; i++) {
                 HostList.Host host = new HostList.Host(i, "s-" + i);
@@ -88,7 +102,7 @@
                 endpoint.call().answer(Host.OK);
                 assertEquals(Outcome.OK, replies.take().outcome());
                 int connectionCount = group.next().submit(pool::connectionCount).get();
-                assertTrue(connectionCount <= maxConnections, connectionCount + " connections held");
+                assertTrue(connectionCount <= maxConnections, connectionCount + " connections");
             }
         } finally {
             group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
--- a/src/test/java/wrenkeel/net/HostListComparisonTest.java
+++ b/src/test/java/wrenkeel/net/HostListComparisonTest.java
@@ -21,39 +21,72 @@
 import wrenkeel.Relay.Listing;
 import wrenkeel.Wire;
 
-/** Random lists, cuts, drains, tells and releases: the table tells and holds what the plain list of before did. */
+/**
+ * Performs random sequences of actions on {@link HostList} and on the simple {@link ReferenceHostList}, and
+ * requires both to report the same events and to hold the same hosts.
+ */
 class HostListComparisonTest {
     static {
-        // What is left out on purpose would fill the log.
+        // The generated lists contain unusable entries, whose warnings would fill the log.
         System.setProperty("org.slf4j.simpleLogger.log.wrenkeel.net.ListReader", "off");
     }
 
-    private static final List<String> ZONES = List.of("a", "b"), KINDS = List.of("m1", "m2");
+    private static final List<String> ZONES = List.of("a", "b");
+    private static final List<String> KINDS = List.of("m1", "m2");
+    /** "plumless" and "buckeroo" have the same CRC-32, from which the ids of hosts are made. */
     private static final List<String> NAMES = List.of("plumless", "buckeroo", "s-1", "s-2", "s-\u00e4\u20ac",
         "s-" + "x".repeat(40));
     private static final int DESTINATIONS = 4;
 
-    enum Action { WHOLE, CHANGES, TRUNCATED, ACTIVATE, ACTIVATE_DURING_UPDATE, DEACTIVATE, MARK_DRAINING, RELEASE_HOST }
+    enum Action {
+        /** Loads a whole list. */
+        WHOLE,
+        /** Loads a list of changes. */
+        CHANGES,
+        /** Reads the beginning of a list, then abandons the update or tries to commit it. */
+        TRUNCATED,
+        /** Activates a destination. */
+        ACTIVATE,
+        /** Activates a destination while a list is being read. */
+        ACTIVATE_DURING_UPDATE,
+        /** Deactivates a destination. */
+        DEACTIVATE,
+        /** Marks a host as draining, as when another process has received a newer list. */
+        MARK_DRAINING,
+        /** Releases a host that the decision module no longer needs. */
+        RELEASE_HOST
+    }
 
-    /** {@code position}: a destination, a host's place in NAMES, or where to cut. */
+    /**
+     * One action with its parameters.
+     *
+     * @param entries the entries of the list, as JSON
+     * @param position a number from 0 to 1000 that selects the destination, the host in {@code NAMES}, and
+     *     the point at which the reading of the list is interrupted
+     * @param pieceBytes size of the pieces in which the list is read; also selects variants of the action
+     */
     record Step(Action action, List<String> entries, int position, int pieceBytes) { }
 
     @Provide
     Arbitrary<List<Step>> steps() {
         Arbitrary<String> health = Arbitraries.of("ready", "ready", "ready", "draining", "gone");
-        Arbitrary<String> dial = Arbitraries.of("127.0.0.1:80", "127.0.0.1:81", "10.1:80", "[::1]:80", "[::2]:80");
-        Arbitrary<String> rest = Arbitraries.of("", ",\"share\":2.5", ",\"share\":0.1", ",\"share\":7.3", ",\"site\":\"far\",\"new\":[{}]",
-            ",\"site\":null,\"share\":null");
-        Arbitrary<String> entry = Combinators.combine(Arbitraries.of(NAMES), health, dial, rest, rare("m2", "m9"),
-            Arbitraries.integers().between(0, DESTINATIONS - 1), rare("", "well"), rare("", "here:80")).as(
-            (name, health1, dial1, rest1, kind, block, badHealth, badDial) -> "{\"host\":\"" + name + "\",\"dial\":\""
-                + (badDial.isEmpty() ? dial1 : badDial) + "\",\"class\":\"" + kind + "\",\"block\":" + block
-                + ",\"health\":\"" + (badHealth.isEmpty() ? health1 : badHealth) + "\"" + rest1 + "}");
+        Arbitrary<String> dial = Arbitraries.of("127.0.0.1:80", "127.0.0.1:81", "10.1:80", "[::1]:80",
+            "[::2]:80");
+        Arbitrary<String> rest = Arbitraries.of("", ",\"share\":2.5", ",\"share\":0.1", ",\"share\":7.3",
+            ",\"site\":\"far\",\"new\":[{}]", ",\"site\":null,\"share\":null");
+        Arbitrary<String> entry = Combinators.combine(Arbitraries.of(NAMES), health, dial, rest,
+            rare("m2", "m9"), Arbitraries.integers().between(0, DESTINATIONS - 1), rare("", "well"),
+            rare("", "here:80")).as(
+            (name, anyHealth, anyDial, anyRest, kind, block, badHealth, badDial) -> "{\"host\":\"" + name
+                + "\",\"dial\":\"" + (badDial.isEmpty() ? anyDial : badDial) + "\",\"class\":\"" + kind
+                + "\",\"block\":" + block
+                + ",\"health\":\"" + (badHealth.isEmpty() ? anyHealth : badHealth) + "\"" + anyRest + "}");
         return Combinators.combine(Arbitraries.of(Action.values()), entry.list().ofMaxSize(8),
             Arbitraries.integers().between(0, 1_000), Arbitraries.integers().between(1, 300)).as(Step::new)
             .list().ofMaxSize(30);
     }
 
+    /** The usual value in 30 of 31 cases, otherwise the rare one. */
     private static Arbitrary<String> rare(String usual, String rare) {
         return Arbitraries.frequency(Tuple.of(30, usual), Tuple.of(1, rare));
     }
@@ -67,16 +100,19 @@
         }
     }
 
-    /** Both lists, and a module that hears of the new one's. */
+    /** Both lists, and a model of the decision module that receives the events of {@link HostList}. */
     private static final class Comparison {
         private final ReferenceHostList reference = new ReferenceHostList(ZONES, KINDS);
         private final HostList list = new HostList(ZONES, KINDS, 1_000);
         private final Set<Long> activeDestinations = new HashSet<>();
-        /** Destinations of the listed hosts, by name, as the reference's events say. */
+        /** The destinations of the listed hosts, by host name, according to the reference's events. */
         private Map<String, Long> listedDestinations = new HashMap<>();
-        /** What the module holds, by name. */
+        /**
+         * What the decision module knows of each host, by host name: destination, listing, zone and kind.
+         */
         private final Map<String, String> moduleState = new HashMap<>();
 
+        /** Performs one step on both lists; requires the same events. */
         void perform(Step step) throws IOException {
             long destination = step.position % DESTINATIONS;
             String name = NAMES.get(step.position % NAMES.size());
@@ -92,7 +128,8 @@
                     HostList.Host host = list.hostByName(name);
                     if (host != null && host.ready) {
                         Relay.Listed drained = list.markDraining(host);
-                        assertEquals(describe(reference.markDraining(reference.hostByName(name)), id -> reference.hostById(id).name),
+                        assertEquals(describe(reference.markDraining(reference.hostByName(name)),
+                                id -> reference.hostById(id).name),
                             describe(drained, id -> list.hostById(id).name));
                         applyToModule(drained);
                     }
@@ -116,14 +153,16 @@
         }
 
         private void loadList(Step step, long destination) throws IOException {
-            boolean whole = step.action == Action.WHOLE || step.action == Action.ACTIVATE_DURING_UPDATE && step.position % 2 == 0;
+            boolean whole = step.action == Action.WHOLE
+                || step.action == Action.ACTIVATE_DURING_UPDATE && step.position % 2 == 0;
             long version = list.version() + 2;
             String text = step.pieceBytes % 2 == 0
                 ? Platform.list((int) version, whole, step.entries.toArray(String[]::new))
                 : "{\n \"hosts\": [\n  " + String.join(",\n  ", step.entries) + "\n ],\n \"whole\": " + whole
                     + ", \"seq\": " + version + "}";
             byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-            boolean stopsMidway = step.action == Action.TRUNCATED || step.action == Action.ACTIVATE_DURING_UPDATE;
+            boolean stopsMidway = step.action == Action.TRUNCATED
+                || step.action == Action.ACTIVATE_DURING_UPDATE;
             int cut = stopsMidway ? step.position * bytes.length / 1_001 : bytes.length;
             HostList.PendingUpdate update = list.beginUpdate();
             for (int from = 0; from < cut; from += step.pieceBytes) {
@@ -149,13 +188,17 @@
             if (step.action != Action.ACTIVATE_DURING_UPDATE) {
                 assertEquals(expected, describe(change.event(), id -> list.hostById(id).name));
             }
-            readyBefore.forEach((host, oldDestination) -> assertTrue(host.ready && host.destination == oldDestination
-                || change.unavailable().contains(host)));
+            // A host that can no longer be called for its destination must be reported as unavailable.
+            readyBefore.forEach((host, oldDestination) -> assertTrue(
+                host.ready && host.destination == oldDestination || change.unavailable().contains(host)));
             assertEquals(whole ? Relay.ListKind.WHOLE : Relay.ListKind.CHANGES, change.event().kind());
             applyToModule(change.event());
         }
 
-        /** Of the reference's events, those of destinations told of; a host that leaves these goes. */
+        /**
+         * The part of the reference's report that concerns active destinations. A host that moves from one of
+         * these to an inactive destination is expected to be reported as gone.
+         */
         private List<String> expectedReport(Relay.Listed fullReport) {
             List<String> expected = new ArrayList<>();
             Map<String, Long> named = new HashMap<>();
@@ -167,7 +210,8 @@
                     listedDestinations.put(name, endpoint.destination());
                     named.put(name, endpoint.destination());
                 }
-                if (endpoint.listing() != Listing.GONE && activeDestinations.contains(endpoint.destination())) {
+                if (endpoint.listing() != Listing.GONE
+                        && activeDestinations.contains(endpoint.destination())) {
                     expected.add(describe(name, endpoint));
                 } else if (oldDestination != null && activeDestinations.contains(oldDestination)) {
                     expected.add(name + " " + oldDestination + " GONE");
@@ -177,19 +221,23 @@
             return expected;
         }
 
+        /** Returns the name of the host with an id. */
         private interface NameLookup {
             String nameOf(long id);
         }
 
         private static List<String> describe(Relay.Listed event, NameLookup names) {
-            return event.endpoints().stream().map(endpoint -> describe(names.nameOf(endpoint.id()), endpoint)).toList();
+            return event.endpoints().stream().map(endpoint -> describe(names.nameOf(endpoint.id()), endpoint))
+                .toList();
         }
 
         private static String describe(String name, Relay.Endpoint endpoint) {
             return name + " " + endpoint.destination() + " " + endpoint.listing()
-                + (endpoint.listing() == Listing.GONE ? "" : " " + endpoint.zone() + " " + endpoint.kind() + " " + endpoint.weight());
+                + (endpoint.listing() == Listing.GONE ? ""
+                    : " " + endpoint.zone() + " " + endpoint.kind() + " " + endpoint.weight());
         }
 
+        /** Updates the model of the decision module by an event. */
         private void applyToModule(Relay.Listed event) {
             Set<String> named = new HashSet<>();
             for (Relay.Endpoint endpoint : event.endpoints()) {
@@ -198,7 +246,8 @@
                 if (endpoint.listing() == Listing.GONE) {
                     moduleState.remove(name);
                 } else {
-                    moduleState.put(name, endpoint.destination() + " " + endpoint.listing() + " " + endpoint.zone() + " " + endpoint.kind());
+                    moduleState.put(name, endpoint.destination() + " " + endpoint.listing()
+                        + " " + endpoint.zone() + " " + endpoint.kind());
                 }
             }
             if (event.kind() == Relay.ListKind.WHOLE) {
@@ -206,6 +255,7 @@
             }
         }
 
+        /** Requires both lists, and the model of the decision module, to hold the same hosts. */
         private void assertSameState() {
             Map<String, String> expectedModuleState = new HashMap<>();
             Set<Long> ids = new HashSet<>();
@@ -218,17 +268,21 @@
                 assertEquals(isListed ? expected.destination : null, list.destinationOf(name));
                 assertTrue(actual == null || list.hostsOf(actual.destination).contains(actual));
                 if (isListed && activeDestinations.contains(expected.destination)) {
-                    expectedModuleState.put(name, expected.destination + " " + (expected.ready ? Listing.READY : Listing.DRAINING) + " "
-                        + expected.zone + " " + expected.kind);
-                    assertEquals(List.of(expected.address, expected.zone, expected.kind, expected.destination, expected.ready, true),
-                        List.of(actual.address, actual.zone, actual.kind, actual.destination, actual.ready, actual.listed));
+                    expectedModuleState.put(name, expected.destination + " "
+                        + (expected.ready ? Listing.READY : Listing.DRAINING)
+                        + " " + expected.zone + " " + expected.kind);
+                    assertEquals(List.of(expected.address, expected.zone, expected.kind, expected.destination,
+                            expected.ready, true),
+                        List.of(actual.address, actual.zone, actual.kind, actual.destination,
+                            actual.ready, actual.listed));
                 } else {
                     assertTrue(actual == null || !actual.ready && !actual.listed);
                 }
                 draining += isListed && !expected.ready ? 1 : 0;
             }
             assertEquals(expectedModuleState, moduleState);
-            assertEquals(List.of(reference.version(), reference.listedCount(), draining, reference.listedCount()),
+            assertEquals(
+                List.of(reference.version(), reference.listedCount(), draining, reference.listedCount()),
                 List.of(list.version(), list.listedCount(), list.drainingCount(), list.rowCount()));
             for (long destination = 0; destination < DESTINATIONS; destination++) {
                 assertEquals(reference.isKnown(destination), list.isKnown(destination));
--- a/src/test/java/wrenkeel/net/HostListTest.java
+++ b/src/test/java/wrenkeel/net/HostListTest.java
@@ -14,10 +14,15 @@
 import wrenkeel.Relay.Listing;
 import wrenkeel.Wire;
 
-/** Discovery's list, as the module is told it. */
+/**
+ * {@link HostList}: which lists it accepts, what it reports to the decision module, and what memory it
+ * keeps.
+ */
 class HostListTest {
+    /** The entry of a host of destination 7. */
     private static final String HOST_1 = Platform.host("s-1", 80, 7, "ready");
 
+    /** An empty list with these destinations active. */
     private static HostList newList(long... activeDestinations) {
         HostList list = new HostList(List.of("a", "b"), List.of("m1", "m2"));
         for (long destination : activeDestinations) {
@@ -30,22 +35,25 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
+    /** Loads a list from its JSON text. */
     private static HostList.Change load(HostList list, String text) throws IOException {
         return list.load(new ByteArrayInputStream(bytes(text)));
     }
 
+    /** Loads a list and returns the event for the decision module. */
     private static Relay.Listed loadEvent(HostList list, String text) throws IOException {
         return load(list, text).event();
     }
 
+    /** Loads a list of changes with these entries and the next version. */
     private static HostList.Change loadChanges(HostList list, String... hosts) throws IOException {
         return load(list, Platform.list((int) list.version() + 1, false, hosts));
     }
 
-    /** As NAME@DESTINATION LISTING. */
+    /** The endpoints of an event, each as NAME@DESTINATION LISTING. */
     private static List<String> describe(HostList list, Relay.Listed event) {
-        return event.endpoints().stream().map(endpoint -> list.hostById(endpoint.id()).name + "@" + endpoint.destination() + " " + endpoint.listing())
-            .toList();
+        return event.endpoints().stream().map(endpoint -> list.hostById(endpoint.id()).name + "@"
+            + endpoint.destination() + " " + endpoint.listing()).toList();
     }
 
     private static List<String> names(Iterable<HostList.Host> hosts) {
@@ -54,7 +62,10 @@
         return names;
     }
 
-    /** Guards decisions that relays must take alike: a host's number is the same whatever came before it. */
+    /**
+     * All relays must take the same decisions about a host, so its id must be the same at each of them,
+     * whatever hosts were named before it.
+     */
     @Test
     void hostIdDoesNotDependOnTheOrderOfHosts() throws IOException {
         String host2 = Platform.host("s-2", 80, 7, "ready");
@@ -67,12 +78,12 @@
         assertTrue(event.endpoints().get(0).id() >= 0 && event.endpoints().get(0).id() < 1L << 32);
     }
 
-    /** Lists may come indented: white space between the tokens changes nothing. */
+    /** Lists may be indented: whitespace between tokens has no effect. */
     @Test
     void whitespaceBetweenTokensIsIgnored() throws IOException {
         String list = Platform.list(4, true, HOST_1, Platform.host("s-2", 81, 7, "draining"));
-        String indented = list.replace("{", "{\n  ").replace("}", "\r\n}").replace("[", "[\n\t").replace("]", "\n ]")
-            .replace(",", " ,\n    ").replace("\":", "\" :  ");
+        String indented = list.replace("{", "{\n  ").replace("}", "\r\n}").replace("[", "[\n\t")
+            .replace("]", "\n ]").replace(",", " ,\n    ").replace("\":", "\" :  ");
         HostList plain = newList(7);
         HostList other = newList(7);
         assertEquals(loadEvent(plain, list), loadEvent(other, indented));
@@ -80,7 +91,10 @@
         assertEquals(2, other.listedCount());
     }
 
-    /** "plumless" and "buckeroo" have one CRC-32: they must still be two hosts. */
+    /**
+     * Ids are made from the CRC-32 of the name, which "plumless" and "buckeroo" share; they are still two
+     * hosts.
+     */
     @Test
     void hostNamesWithTheSameChecksumGetDistinctIds() throws IOException {
         HostList list = newList(7);
@@ -93,13 +107,15 @@
         loadChanges(list, buckeroo.replace("ready", "gone"));
         loadChanges(list, plumless.replace("ready", "gone"));
         loadChanges(list, buckeroo);
-        assertSame(second, list.hostByName("buckeroo"), "it has its number while the module holds it, whoever is listed");
+        assertSame(second, list.hostByName("buckeroo"),
+            "a host keeps its id until the module releases it, whichever of the two is listed");
         loadChanges(list, plumless);
         assertSame(first, list.hostByName("plumless"));
         assertEquals(List.of(80, 81), List.of(first.address.getPort(), second.address.getPort()));
         loadChanges(list, plumless.replace("ready", "gone"));
         list.releaseHost(first.id);
-        assertSame(second, list.hostByName("buckeroo"), "it is found though the one before it has been forgotten");
+        assertSame(second, list.hostByName("buckeroo"),
+            "the host is found although the other one with its checksum has been removed");
         assertNull(list.hostByName("plumless"));
         assertEquals(7, list.destinationOf("buckeroo"));
         loadChanges(list, plumless);
@@ -108,7 +124,8 @@
         loadChanges(list, plumless.replace("ready", "gone"), buckeroo.replace("ready", "gone"));
         loadChanges(list, buckeroo);
         list.activate(7);
-        assertEquals(first.id, list.hostByName("buckeroo").id, "nothing rests on its other number any more");
+        assertEquals(first.id, list.hostByName("buckeroo").id,
+            "the host gets the id of the removed one, as nothing refers to its own former id any more");
     }
 
     @Test
@@ -121,27 +138,33 @@
             Platform.host("s-5", 80, 8, "ready").replace("127.0.0.1", "here")));
         assertEquals(1, event.endpoints().size());
         assertFalse(list.hostById(goneId).ready);
-        assertTrue(list.isKnown(7), "a destination stays known while its hosts are gone");
-        assertTrue(list.isKnown(8), "one whose only host cannot be reached has been named");
+        assertTrue(list.isKnown(7), "a destination stays known when its hosts are gone");
+        assertTrue(list.isKnown(8),
+            "a destination is known even if the address of its only host is unusable");
         assertEquals(2, list.version());
         loadChanges(list, Platform.host("s-2", 80, 7, "gone"));
         assertTrue(list.isKnown(7));
         assertFalse(list.isKnown(9));
     }
 
-    /** A fleet may reach into sites that the settings do not name: their hosts are used, and told apart by site. */
+    /**
+     * Hosts may belong to sites that the settings don't name. They are used, and each such site is a zone of
+     * its own.
+     */
     @Test
     void eachUnconfiguredSiteGetsAZoneOfItsOwn() throws IOException {
         String far = Platform.host("s-2", 80, 7, "ready").replace("\"site\":\"a\"", "\"site\":\"far\"");
         String farther = Platform.host("s-3", 80, 7, "ready").replace("\"site\":\"a\"", "\"site\":\"farther\"");
-        List<Integer> zones = loadEvent(newList(7), Platform.list(1, true, HOST_1, far, farther)).endpoints().stream()
-            .map(Relay.Endpoint::zone).toList();
+        List<Integer> zones = loadEvent(newList(7), Platform.list(1, true, HOST_1, far, farther)).endpoints()
+            .stream().map(Relay.Endpoint::zone).toList();
         assertEquals(3, zones.stream().distinct().count());
         assertEquals(0, zones.get(0));
-        assertEquals(zones.get(1), loadEvent(newList(7), Platform.list(1, true, far)).endpoints().get(0).zone(),
-            "the number is the same after a restart");
+        assertEquals(zones.get(1),
+            loadEvent(newList(7), Platform.list(1, true, far)).endpoints().get(0).zone(),
+            "the zone's number is the same after a restart");
     }
 
+    /** The text is cut at every byte; it contains unknown fields, which must be skipped. */
     @Test
     void truncatedListIsRejectedAndListInTwoPiecesIsApplied() throws IOException {
         byte[] text = bytes("{ \"new\": {\"a\": [1, {\"hosts\": 2}]}, \"hosts\":\r\n [\n  {\"born_ms\": [[]], "
@@ -154,14 +177,16 @@
             HostList.PendingUpdate update = list.beginUpdate();
             update.feed(text, 0, cut);
             assertThrows(Wire.Malformed.class, update::commit);
-            assertEquals(List.of(0L, 1, 1), List.of(list.version(), list.listedCount(), list.rowCount()), "cut at " + cut);
+            assertEquals(List.of(0L, 1, 1), List.of(list.version(), list.listedCount(), list.rowCount()),
+                "cut at " + cut);
         }
         for (int cut = 0; cut <= text.length; cut++) {
             HostList other = newList(7);
             HostList.PendingUpdate update = other.beginUpdate();
             update.feed(text, 0, cut);
             update.feed(text, cut, text.length - cut);
-            assertEquals(List.of("s-\u00e4\u00f6\u20ac@7 READY", "s-1@7 READY"), describe(other, update.commit().event()));
+            assertEquals(List.of("s-\u00e4\u00f6\u20ac@7 READY", "s-1@7 READY"),
+                describe(other, update.commit().event()));
             HostList.Host host = other.hostByName("s-\u00e4\u00f6\u20ac");
             assertEquals(List.of(new InetSocketAddress("::1", 80), 1, 1, true, 9L),
                 List.of(host.address, host.zone, host.kind, host.ready, other.version()));
@@ -184,7 +209,8 @@
         loadChanges(list, HOST_1);
         for (String fault : faults) {
             assertThrows(Wire.Malformed.class, () -> load(list, fault), fault);
-            assertEquals(List.of(0L, 1, 1), List.of(list.version(), list.listedCount(), list.rowCount()), fault);
+            assertEquals(List.of(0L, 1, 1), List.of(list.version(), list.listedCount(), list.rowCount()),
+                fault);
             assertEquals(80, list.hostByName("s-1").address.getPort(), fault);
             assertFalse(list.isKnown(8), fault);
         }
@@ -219,10 +245,11 @@
             HOST_1.replace("ready", "gone"));
         assertEquals(List.of("s-2@7 DRAINING", "s-1@7 GONE"), describe(list, change.event()));
         assertEquals(List.of("s-2", "s-1"), names(change.unavailable()));
-        assertEquals(List.of("s-1", "s-2"), names(list.hostsOf(7)), "one that is gone is held");
+        assertEquals(List.of("s-1", "s-2"), names(list.hostsOf(7)),
+            "a host that is gone is kept until it is released");
         list.releaseHost(list.hostByName("s-1").id);
         list.releaseHost(list.hostByName("s-2").id);
-        assertEquals(List.of("s-2"), names(list.hostsOf(7)), "one that is listed stays");
+        assertEquals(List.of("s-2"), names(list.hostsOf(7)), "a host that is listed is kept");
         list.deactivate(7);
         assertFalse(list.isActive(7));
         assertEquals(List.of(), List.copyOf(list.hostsOf(7)));
@@ -236,7 +263,8 @@
         HostList.Host host = list.hostByName("s-1");
         HostList.Change move = loadChanges(list, Platform.host("s-1", 80, 8, "ready"));
         assertEquals(List.of("s-1@8 READY"), describe(list, move.event()));
-        assertEquals(List.of(host), move.unavailable(), "no call that waits may go there for the other destination");
+        assertEquals(List.of(host), move.unavailable(),
+            "waiting calls for the former destination must not be sent to the host");
         assertEquals(List.of(), names(list.hostsOf(7)));
         assertEquals(List.of("s-1"), names(list.hostsOf(8)));
         HostList.Change moveToInactive = loadChanges(list, Platform.host("s-1", 80, 9, "ready"));
@@ -268,22 +296,28 @@
     @Test
     void wholeListFreesTheRowsOfTheHostsThatItDrops() throws IOException {
         HostList list = newList(7, 8);
-        String[] hosts = IntStream.range(0, 5_000).mapToObj(i -> Platform.host("s-" + i, 80, 7 + i % 50, "ready"))
-            .toArray(String[]::new);
+        String[] hosts = IntStream.range(0, 5_000)
+            .mapToObj(i -> Platform.host("s-" + i, 80, 7 + i % 50, "ready")).toArray(String[]::new);
         loadEvent(list, Platform.list(1, true, hosts));
         HostList.Change change = load(list, Platform.list(2, true, hosts[49], hosts[50]));
         assertEquals(List.of("s-50@7 READY"), describe(list, change.event()));
         assertEquals(199, change.unavailable().size());
         assertTrue(change.unavailable().stream().noneMatch(host -> host.ready || host.listed));
-        assertEquals(List.of(2, 2, 5_001), List.of(list.listedCount(), list.rowCount(), list.allocatedRowCount()), "one that is named again");
+        assertEquals(List.of(2, 2, 5_001),
+            List.of(list.listedCount(), list.rowCount(), list.allocatedRowCount()),
+            "the second list needs one more row, for the entry of s-50, whose destination is active");
         assertTrue(IntStream.range(7, 57).allMatch(list::isKnown));
         list.hostsOf(7).forEach(host -> list.releaseHost(host.id));
         assertEquals(List.of("s-50"), names(list.hostsOf(7)));
         loadEvent(list, Platform.list(3, true, hosts));
-        assertEquals(List.of(5_000, 5_000, 5_001), List.of(list.listedCount(), list.rowCount(), list.allocatedRowCount()));
+        assertEquals(List.of(5_000, 5_000, 5_001),
+            List.of(list.listedCount(), list.rowCount(), list.allocatedRowCount()));
     }
 
-    /** Guards the rule on drains: the text of the list that is being read may be older than what is told here. */
+    /**
+     * Guards against calls to a draining host: a list whose reading began before the host was marked as
+     * draining may be older than that mark, so it must not make the host ready again.
+     */
     @Test
     void hostDrainedDuringAnUpdateStaysDrainingUntilTheNextList() throws IOException {
         for (String port : List.of(":80", ":81")) {
@@ -293,7 +327,8 @@
             for (int cut : new int[] {0, text.length}) {
                 HostList.PendingUpdate update = list.beginUpdate();
                 update.feed(text, 0, cut);
-                assertEquals(Listing.DRAINING, list.markDraining(list.hostByName("s-1")).endpoints().get(0).listing());
+                assertEquals(Listing.DRAINING,
+                    list.markDraining(list.hostByName("s-1")).endpoints().get(0).listing());
                 update.feed(text, cut, text.length - cut);
                 assertEquals(List.of("s-1@7 DRAINING"), describe(list, update.commit().event()));
                 assertEquals(List.of(1, 1), List.of(list.listedCount(), list.drainingCount()));
@@ -330,7 +365,7 @@
         assertThrows(Wire.Malformed.class, second::commit);
     }
 
-    /** Guards the memory: names too, of which there would be 5 MB. */
+    /** Without reuse, the names alone of the hosts that are gone would take 5 MB. */
     @Test
     void memoryOfRowsAndNamesOfGoneHostsIsReused() throws IOException {
         HostList list = new HostList(List.of("a"), List.of("m2"), 10);
@@ -340,7 +375,8 @@
             loadChanges(list, Platform.host(last, 80, i - 1, "gone"), Platform.host(next, 80, i, "ready"));
             last = next;
         }
-        assertEquals(List.of(1, 1, 3), List.of(list.listedCount(), list.rowCount(), list.allocatedRowCount()));
+        assertEquals(List.of(1, 1, 3),
+            List.of(list.listedCount(), list.rowCount(), list.allocatedRowCount()));
         assertEquals(4_999, list.destinationOf(last));
     }
 }
--- a/src/test/java/wrenkeel/net/HostPoolTest.java
+++ b/src/test/java/wrenkeel/net/HostPoolTest.java
@@ -86,7 +86,9 @@
         }
     }
 
-    /** Guards the descriptors: a connection that carries nothing gives way to one that is needed elsewhere. */
+    /**
+     * Guards the descriptors: a connection that carries nothing gives way to one that is needed elsewhere.
+     */
     @Test
     void idleConnectionIsClosedToStayWithinTheLimit() throws Exception {
         try (Host first = new Host(); Host second = new Host()) {
@@ -120,7 +122,9 @@
         return group.next().submit(pool::connectionCount).get();
     }
 
-    /** Guards the descriptors: where each connection carries a call, one more call waits for one of them. */
+    /**
+     * Guards the descriptors: where each connection carries a call, one more call waits for one of them.
+     */
     @Test
     void callOverTheLimitWaitsForAFreeConnection() throws Exception {
         try (Host first = new Host(); Host second = new Host(); Host third = new Host()) {
@@ -219,7 +223,9 @@
         }
     }
 
-    /** Guards against a call taken for one that may have run: its last byte was never handed to the socket. */
+    /**
+     * Guards against a call taken for one that may have run: its last byte was never handed to the socket.
+     */
     @Test
     void connectionClosedBeforeTheLastByteIsReportedAsConnectFailed() throws Exception {
         try (ServerSocket listener = new ServerSocket()) {
@@ -252,7 +258,10 @@
         }
     }
 
-    /** Guards the rules on drains and waits against calls that go out when a slow connection comes up at last. */
+    /**
+     * Guards the rules on drains and waits against calls that go out when a slow connection comes up at
+     * last.
+     */
     @Test
     void callWaitingForItsConnectCanBeCancelledUnsent() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 1, Platform.LOOPBACK)) {
@@ -294,7 +303,10 @@
         }
     }
 
-    /** Guards the descriptors: the call is over at the answer's head, and the connection must not be held for ever. */
+    /**
+     * Guards the descriptors: the call is over at the answer's head, and the connection must not be held
+     * for ever.
+     */
     @Test
     void connectionWithAnEndlessResponseIsClosed() throws Exception {
         try (Host host = new Host()) {
@@ -319,7 +331,10 @@
         }
     }
 
-    /** Guards against a second run of what was delivered: the first line settles it, whatever becomes of the rest. */
+    /**
+     * Guards against a second run of what was delivered: the first line settles it, whatever becomes of the
+     * rest.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"", "Content-Length: 2\r\nno colon here \0\r\n\r\nok", "Content-Length: wobble\r\n\r\n",
         "X-Server-Load: x0"})
@@ -397,7 +412,10 @@
         }
     }
 
-    /** Guards the next call: what stands past an answer's end would be taken for the beginning of its own answer. */
+    /**
+     * Guards the next call: what stands past an answer's end would be taken for the beginning of its own
+     * answer.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"surplus", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 200 OK\r\nContent"})
     void connectionWithSurplusBytesIsNotReused(String surplus) throws Exception {
@@ -494,7 +512,9 @@
         }
     }
 
-    /** Guards the slot: whatever has come of a bundle's answer, each message is given up in its time, once. */
+    /**
+     * Guards the slot: whatever has come of a bundle's answer, each message is given up in its time, once.
+     */
     @Test
     void batchWithAnEndlessResponseTimesOutAndClosesItsConnection() throws Exception {
         try (Host host = new Host()) {
@@ -588,7 +608,9 @@
         }
     }
 
-    /** Guards what "never ran" says: of a request that is half written, the last byte must not leave later. */
+    /**
+     * Guards what "never ran" says: of a request that is half written, the last byte must not leave later.
+     */
     @Test
     void callExpiredWhileHalfWrittenIsNeverCompleted() throws Exception {
         try (ServerSocket listener = listenerWithSmallBuffer()) {
--- a/src/test/java/wrenkeel/net/NoticeSenderTest.java
+++ b/src/test/java/wrenkeel/net/NoticeSenderTest.java
@@ -13,37 +13,44 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Notices by a manual clock, over connections whose answers the test gives. */
+/** {@link NoticeSender} on a manual clock, over connections on which the test gives the responses. */
 class NoticeSenderTest {
+    /** HTTP statuses with which the agent responds to a post. */
     private static final int ACKNOWLEDGED = 204;
     private static final int REJECTED = 400;
     private static final int UNAVAILABLE = 503;
-    /** ms; a notice is due so long after its message's deadline. */
+    /** Time after its message's deadline at which a notice is due. */
     private static final long DUE_AFTER_DEADLINE_MS = 350;
-    /** ms of that kept for a busy relay and its round trips. */
+    /** The part of that time which is reserved for round trips and for a relay that is busy. */
     private static final long RESERVE_MS = 100;
 
     @TempDir
     Path folder;
+    /** Its event loop runs the sender; its time advances only in {@link #advanceClock}. */
     private final EmbeddedChannel clock = new EmbeddedChannel();
+    /** All connections that the sender has opened, in order. */
     private final List<Connection> connections = new ArrayList<>();
+    /** The ids of messages whose notices were acknowledged, in order. */
     private final List<String> acknowledged = new ArrayList<>();
+    /** Connections that have been used and are not closed. */
     private int openCount;
     private int maxOpenCount;
     private int postCount;
     private Journal journal;
     private NoticeSender sender;
 
-    /** A connection that answers only when told to. */
+    /** A connection on which a post gets its response by {@link #respond}. */
     private final class Connection implements NoticeConnection {
+        /** The callback of the post that awaits its response; null if there is none. */
         private IntConsumer pendingCallback;
+        /** The body of the latest post; null before the first. */
         private String body;
         private boolean closed;
 
         @Override
         public void post(String newBody, IntConsumer onStatus) {
             assertFalse(closed, "posted on a closed connection");
-            assertNull(pendingCallback, "one post at a time");
+            assertNull(pendingCallback, "posted while another post is unanswered");
             if (body == null) {
                 openCount++;
                 maxOpenCount = Math.max(maxOpenCount, openCount);
@@ -66,6 +73,7 @@
             }
         }
 
+        /** Ends the current post with this HTTP status. */
         void respond(int status) {
             IntConsumer onStatus = pendingCallback;
             pendingCallback = null;
@@ -73,6 +81,7 @@
             clock.runPendingTasks();
         }
 
+        /** True if a post with the notice of this message awaits its response. */
         boolean awaitsResponseFor(String id) {
             return pendingCallback != null && body.contains("\"" + id + "\"");
         }
@@ -95,7 +104,7 @@
         journal.close();
     }
 
-    /** Decides the end of a message with this deadline; the sender's turn comes later. */
+    /** Adds the notice of a message with this deadline; the sender posts it in a later task. */
     private void addNotice(String id, long deadline) throws Exception {
         Journal.Entry entry = journal.take(
             new Message(id, "bill", 0, null, "key-" + id, 7, deadline, new byte[3]), null);
@@ -103,20 +112,22 @@
         sender.add(entry);
     }
 
+    /** Adds a notice and lets the sender post it. */
     private void addNotice(String id) throws Exception {
         addNotice(id, 1_900_000_000_000L);
         clock.runPendingTasks();
     }
 
+    /** Advances the manual clock by this time and runs what is due. */
     private void advanceClock(long ms) {
-        // In steps, as timers set by timers come due too.
+        // In steps of 1 ms, so that timers which are set by other timers run at their time too.
         for (long i = 0; i < ms; i++) {
             clock.advanceTimeBy(1, TimeUnit.MILLISECONDS);
             clock.runPendingTasks();
         }
     }
 
-    /** Waits, by the manual clock, until so many connections carry this notice. */
+    /** Advances the manual clock until this many connections carry the notice. */
     private void awaitConnectionsCarrying(String id, int count) {
         for (int i = 0; i < 10_000 && connectionsCarrying(id).size() < count; i++) {
             advanceClock(1);
@@ -124,18 +135,22 @@
         assertEquals(count, connectionsCarrying(id).size());
     }
 
-    /** The connections on which this notice awaits an answer, the first used first. */
+    /** The connections on which this notice awaits a response, in the order of opening. */
     private List<Connection> connectionsCarrying(String id) {
         return connections.stream().filter(connection -> connection.awaitsResponseFor(id)).toList();
     }
 
+    /** The connection that carries this notice; there must be exactly one. */
     private Connection onlyConnectionCarrying(String id) {
         List<Connection> found = connectionsCarrying(id);
         assertEquals(1, found.size(), "connections that carry " + id);
         return found.get(0);
     }
 
-    /** Guards the time of ends: one connection is silent, the next never comes up. */
+    /**
+     * Guards against notices that come too late because one connection is silent and the next can't be
+     * established: the third connection must be tried in time.
+     */
     @Test
     void noticeIsAcknowledgedInTimeAfterTwoUnresponsiveConnections() throws Exception {
         addNotice("a");
@@ -144,14 +159,15 @@
             advanceClock(1);
             elapsedMs++;
         }
-        assertTrue(elapsedMs <= DUE_AFTER_DEADLINE_MS - RESERVE_MS, "no third connection after " + elapsedMs + " ms");
+        assertTrue(elapsedMs <= DUE_AFTER_DEADLINE_MS - RESERVE_MS,
+            "no third connection after " + elapsedMs + " ms");
         connectionsCarrying("a").get(2).respond(ACKNOWLEDGED);
         assertEquals(List.of("a"), acknowledged);
         assertFalse(sender.hasPending());
-        assertEquals(1, openCount, "those that did not answer are closed");
+        assertEquals(1, openCount, "connections without a response are closed");
     }
 
-    /** Guards the ends behind a silent connection. */
+    /** Guards against notices that wait for the response on a silent connection. */
     @Test
     void noticeAddedDuringAPostIsSentAtOnceOnAnotherConnection() throws Exception {
         addNotice("a");
@@ -164,7 +180,7 @@
         assertEquals(1, openCount, "one idle connection is kept");
     }
 
-    /** The next try goes out on a new connection, or on one that has answered since the silent post. */
+    /** A post without a response is repeated on a connection that has responded since, or on a new one. */
     @Test
     void retryUsesAConnectionThatHasRespondedOrANewOne() throws Exception {
         addNotice("a");
@@ -175,10 +191,13 @@
         awaitConnectionsCarrying("b", 2);
         assertEquals(List.of(responsive, silent), connectionsCarrying("b"));
         awaitConnectionsCarrying("b", 3);
-        assertEquals(3, connections.size(), "the third is new");
+        assertEquals(3, connections.size(), "the third connection is new");
     }
 
-    /** Guards the count of ends: an answer that comes late counts, and none counts twice. */
+    /**
+     * A response that comes after the post was repeated still counts, and a notice is acknowledged only
+     * once.
+     */
     @Test
     void lateResponseCountsExactlyOnce() throws Exception {
         addNotice("a");
@@ -191,11 +210,14 @@
         assertEquals(List.of("a"), acknowledged);
         int postsBefore = postCount;
         advanceClock(10_000);
-        assertEquals(postsBefore, postCount, "nothing is posted again");
+        assertEquals(postsBefore, postCount, "an acknowledged notice is not posted again");
         assertEquals(1, openCount);
     }
 
-    /** Guards descriptors and the agent while it is down: few connections, and gaps that grow. */
+    /**
+     * While the agent does not respond, the number of connections is limited and the gaps between posts
+     * grow.
+     */
     @Test
     void unresponsiveAgentGetsFewPostsAndFewConnections() throws Exception {
         for (int i = 0; i < 10_000; i++) {
@@ -210,12 +232,15 @@
         assertTrue(sender.hasPending());
     }
 
-    /** An agent that answers at once with errors, or whose port refuses, is asked with gaps too. */
+    /**
+     * An agent that responds at once with errors, or refuses connections, must not be called without gaps.
+     */
     @Test
     void immediateFailuresAreRetriedWithGaps() throws Exception {
         addNotice("a");
         for (int i = 0; i < 10_000; i++) {
-            connectionsCarrying("a").forEach(connection -> connection.respond(postCount % 2 == 0 ? UNAVAILABLE : NoticeConnection.NO_RESPONSE));
+            connectionsCarrying("a").forEach(connection -> connection.respond(
+                postCount % 2 == 0 ? UNAVAILABLE : NoticeConnection.NO_RESPONSE));
             advanceClock(1);
         }
         assertTrue(postCount >= 10 && postCount <= 40, postCount + " posts in 10 s");
@@ -225,7 +250,7 @@
         assertEquals(List.of("a"), acknowledged);
     }
 
-    /** The agent may close a kept connection at any time: that is no failure of the agent. */
+    /** The agent may close an idle connection at any time, so its close during a post is not a failure. */
     @Test
     void reusedConnectionThatClosesDuringAPostIsReplacedAtOnce() throws Exception {
         addNotice("a");
@@ -237,7 +262,9 @@
         assertNotSame(reused, onlyConnectionCarrying("b"));
     }
 
-    /** Guards the ends whose time is nearest when many are owed at once, as after a restart. */
+    /**
+     * When many notices are pending at once, as after a restart, those that are due first must not wait.
+     */
     @Test
     void noticesWithTheNearestDeadlinesAreSentFirstInLimitedBatches() throws Exception {
         String padding = "x".repeat(200);
@@ -248,16 +275,19 @@
         List<String> bodies = connections.stream().map(connection -> connection.body).toList();
         assertEquals(3, bodies.size());
         String first = bodies.get(0).lines().findFirst().orElseThrow();
-        assertTrue(first.contains("\"" + padding + "999\""), "the nearest deadline comes first");
-        assertTrue(bodies.stream().allMatch(body -> body.lines().count() <= 100 && body.length() < 64 * 1024));
+        assertTrue(first.contains("\"" + padding + "999\""),
+            "the notice with the nearest deadline comes first");
+        assertTrue(bodies.stream().allMatch(
+            body -> body.lines().count() <= 100 && body.length() < 64 * 1024));
         for (int i = 0; i < 1_000 && sender.hasPending(); i++) {
-            connections.stream().filter(connection -> connection.pendingCallback != null).findFirst().orElseThrow().respond(ACKNOWLEDGED);
+            connections.stream().filter(connection -> connection.pendingCallback != null).findFirst()
+                .orElseThrow().respond(ACKNOWLEDGED);
         }
         assertEquals(1_000, acknowledged.size());
         assertEquals(1_000, acknowledged.stream().distinct().count());
     }
 
-    /** Guards the bound on a body: ids may be long. */
+    /** The platform accepts bodies of 64 KiB; long ids must not lead to longer ones. */
     @Test
     void bodySizeIsLimitedEvenWithLongIds() throws Exception {
         for (int i = 0; i < 200; i++) {
@@ -267,7 +297,7 @@
         assertTrue(connections.stream().allMatch(connection -> connection.body.length() < 64 * 1024));
     }
 
-    /** Guards the other ends, and the agent, against a notice that the platform cannot read. */
+    /** A notice that the platform can't read must neither delay others nor be posted again without gaps. */
     @Test
     void rejectedNoticeIsRetriedWithBackoffAndDelaysNoOther() throws Exception {
         addNotice("bad", 1);
@@ -293,11 +323,13 @@
             advanceClock(1);
         }
         assertEquals(List.of("good", "later"), acknowledged);
-        assertTrue(rejections >= 3 && rejections <= 20, rejections + " tries of the refused one in 10 s");
+        assertTrue(rejections >= 3 && rejections <= 20, rejections + " posts of the rejected notice in 10 s");
         assertTrue(sender.hasPending());
     }
 
-    /** Guards the ends across a reload: all that is not acknowledged goes to the new address at once. */
+    /**
+     * After a reload has changed the agent's address, pending notices are posted to the new one at once.
+     */
     @Test
     void reconnectPostsAllPendingNoticesAgainAtOnce() throws Exception {
         addNotice("a");
@@ -306,7 +338,8 @@
         int connectionsBefore = connections.size();
         sender.reconnect();
         clock.runPendingTasks();
-        assertTrue(connections.subList(0, connectionsBefore).stream().allMatch(connection -> connection.closed));
+        assertTrue(connections.subList(0, connectionsBefore).stream()
+            .allMatch(connection -> connection.closed));
         assertTrue(connections.indexOf(onlyConnectionCarrying("a")) >= connectionsBefore);
         assertTrue(connections.indexOf(onlyConnectionCarrying("b")) >= connectionsBefore);
         onlyConnectionCarrying("a").respond(ACKNOWLEDGED);
--- a/src/test/java/wrenkeel/net/ReferenceHostList.java
+++ b/src/test/java/wrenkeel/net/ReferenceHostList.java
@@ -12,12 +12,16 @@
 import wrenkeel.Relay;
 import wrenkeel.Wire;
 
-/** The list as it was held before it became a table: a tree of each text, and every host ever named. Slow and plain. */
+/**
+ * A simple and slow counterpart of {@link HostList}, with which a test compares the real one. It works on the
+ * parsed JSON of each list, keeps an object for every host that a list has ever named, and reports the hosts
+ * of all destinations, active or not.
+ */
 final class ReferenceHostList {
-    /** Set in the numbers of sites that the settings do not name. */
+    /** This bit is set in the numbers of zones that the settings don't name. */
     private static final int UNCONFIGURED_ZONE_FLAG = 1 << 30;
 
-    /** One host; {@code id} is what the module knows it by. */
+    /** One host. The decision module identifies it by its {@code id}. */
     static final class Host {
         final long id;
         final String name;
@@ -26,7 +30,7 @@
         int kind;
         long destination;
         boolean ready;
-        /** Named by the list as it stands, ready or draining. */
+        /** The current list names the host, as ready or draining. */
         boolean listed;
 
         Host(long id, String name) {
@@ -40,7 +44,9 @@
         }
     }
 
+    /** The names of the zones in the settings; the index is the zone's number. */
     private final List<String> zones;
+    /** The names of the kinds of host in the settings; the index is the kind's number. */
     private final List<String> kinds;
     private final Map<String, Host> hostsByName = new HashMap<>();
     private final Map<Long, Host> hostsById = new HashMap<>();
@@ -52,31 +58,32 @@
         this.kinds = kinds;
     }
 
-    /** The version of the list held; -1 before the first. */
+    /** The version of the current list; -1 before the first one. */
     long version() {
         return version;
     }
 
+    /** The host with this id; null if there is none. */
     Host hostById(long id) {
         return hostsById.get(id);
     }
 
-    /** The host of this name; null if no list has named it. */
+    /** The host with this name; null if no list has named it. */
     Host hostByName(String name) {
         return hostsByName.get(name);
     }
 
-    /** How many hosts the list names now. */
+    /** The number of hosts that the current list names. */
     int listedCount() {
         return (int) hostsById.values().stream().filter(host -> host.listed).count();
     }
 
-    /** True for a destination that a list has named; it stays one while all of its hosts are gone. */
+    /** True if a list has ever named a host of this destination, even if all its hosts are gone now. */
     boolean isKnown(long destination) {
         return knownDestinations.contains(destination);
     }
 
-    /** Takes a list or its changes in, and returns what the module is to be told. */
+    /** Applies a whole list or a list of changes, and returns the event for the decision module. */
     Relay.Listed load(Wire.Fields list) throws Wire.Malformed {
         List<Relay.Endpoint> endpoints = new ArrayList<>();
         List<Wire.Fields> entries = list.objects("hosts");
@@ -97,14 +104,17 @@
         return new Relay.Listed(whole ? Relay.ListKind.WHOLE : Relay.ListKind.CHANGES, endpoints);
     }
 
-    /** A host that another process was told is draining or gone; this one's list is older. */
+    /**
+     * Marks a host as draining because another process has received a newer list, in which it is draining or
+     * gone. Returns the event for the decision module.
+     */
     Relay.Listed markDraining(Host host) {
         host.ready = false;
         return new Relay.Listed(Relay.ListKind.CHANGES, List.of(new Relay.Endpoint(host.id, host.zone,
             host.kind, host.destination, Relay.Listing.DRAINING, 0)));
     }
 
-    /** One entry; null for one that cannot be used. The others still count. */
+    /** Applies one entry of a list. Returns null for an unusable entry, which affects no other entry. */
     private Relay.Endpoint applyEntry(Wire.Fields entry) throws Wire.Malformed {
         String name = entry.text("host");
         Relay.Listing listing = switch (entry.text("health")) {
@@ -146,12 +156,14 @@
     }
 
     /**
-     * The place of a site among those that the settings name. The list may hold more sites than that: such a
-     * one has a number past them, which is the same after a restart, for the journal holds it.
+     * The number of a zone: its index in the settings, or a hash with the bit {@link #UNCONFIGURED_ZONE_FLAG}
+     * if the settings don't name it. The hash is the same after a restart, as it must be because the journal
+     * stores it.
      */
     private int zoneOf(String site) {
         int configured = zones.indexOf(site);
-        return configured >= 0 ? configured : UNCONFIGURED_ZONE_FLAG | (int) crc(site) & UNCONFIGURED_ZONE_FLAG - 1;
+        return configured >= 0 ? configured
+            : UNCONFIGURED_ZONE_FLAG | (int) crc(site) & UNCONFIGURED_ZONE_FLAG - 1;
     }
 
     private static long crc(String text) {
@@ -161,8 +173,8 @@
     }
 
     /**
-     * A number below 2^32 that is the same at every relay; of two names that collide the later one is hashed
-     * on.
+     * The id of a new host: the CRC-32 of its name, which is below 2^32 and the same at every relay. If
+     * another host has that id already, the name is appended to the hashed text until the id is free.
      */
     private long freeId(String name) {
         CRC32 crc = new CRC32();
--- a/src/test/java/wrenkeel/net/ResponseDecoderTest.java
+++ b/src/test/java/wrenkeel/net/ResponseDecoderTest.java
@@ -15,8 +15,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** How much of an answer is read: endpoints may send one that never ends. */
+/** The limits on the size of a response: an endpoint may send one that never ends. */
 class ResponseDecoderTest {
+    /** Size of the pieces in which a long body is sent. */
     private static final int PIECE_BYTES = 1_024;
 
     private final List<Integer> statuses = new ArrayList<>();
@@ -28,11 +29,15 @@
         channel.finishAndReleaseAll();
     }
 
+    /** Passes bytes to the decoder as if the endpoint had sent them. */
     private void receive(String text) {
         channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
     }
 
-    /** Bytes of body that the connection's handler has got; true as its last part ends it. */
+    /**
+     * Takes what the decoder has passed on and returns the number of body bytes in it. Sets {@code ended[0]}
+     * if the end of the response was passed on too.
+     */
     private int drainBodyBytes(boolean[] ended) {
         int bytes = 0;
         for (Object part = channel.readInbound(); part != null; part = channel.readInbound()) {
@@ -45,7 +50,7 @@
         return bytes;
     }
 
-    /** Guards the processor: the relay's share of a core must not go into an answer without end. */
+    /** An endless response must not use up the relay's CPU time: the connection is closed at the limit. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 1000000000", "Transfer-Encoding: chunked", "Connection: close"})
     void bodyOverTheLimitClosesTheConnection(String framing) {
@@ -53,7 +58,7 @@
         boolean chunked = framing.contains("chunked");
         String piece = "x".repeat(PIECE_BYTES);
         for (int sent = 0; sent < ResponseDecoder.MAX_BODY_BYTES; sent += PIECE_BYTES) {
-            assertTrue(channel.isOpen(), "closed after " + sent);
+            assertTrue(channel.isOpen(), "closed after " + sent + " bytes");
             receive(chunked ? Integer.toHexString(PIECE_BYTES) + "\r\n" + piece + "\r\n" : piece);
         }
         assertTrue(channel.isOpen());
@@ -61,7 +66,7 @@
         assertFalse(channel.isOpen());
         boolean[] ended = {false};
         assertEquals(ResponseDecoder.MAX_BODY_BYTES, drainBodyBytes(ended));
-        assertFalse(ended[0], "what was cut off must not pass for whole");
+        assertFalse(ended[0], "a truncated body must not be passed on as complete");
     }
 
     @Test
@@ -73,21 +78,21 @@
         assertTrue(ended[0] && channel.isOpen());
     }
 
-    /** Interim answers have no body that could be counted. */
+    /** Interim responses have no body, so the limit on bodies does not stop them. */
     @Test
     void endlessInterimResponsesCloseTheConnection() {
         String interim = "HTTP/1.1 100 Continue\r\n\r\n".repeat(40);
         for (int sent = 0; sent <= ResponseDecoder.MAX_RESPONSE_BYTES; sent += interim.length()) {
-            assertTrue(channel.isOpen(), "closed after " + sent);
+            assertTrue(channel.isOpen(), "closed after " + sent + " bytes");
             receive(interim);
         }
         assertFalse(channel.isOpen());
         int statusCount = statuses.size();
         channel.pipeline().fireChannelRead(Unpooled.copiedBuffer(interim, StandardCharsets.ISO_8859_1));
-        assertEquals(statusCount, statuses.size(), "nothing is read after that");
+        assertEquals(statusCount, statuses.size(), "bytes that arrive after the close are discarded");
     }
 
-    /** A connection that is used again starts anew. */
+    /** The decoder of a reused connection counts each response from zero. */
     @Test
     void limitsApplyToEachResponseSeparately() {
         String response = "HTTP/1.1 200 OK\r\nContent-Length: " + ResponseDecoder.MAX_BODY_BYTES + "\r\n\r\n"
