--- a/src/test/java/wrenkeel/net/HostListTest.java
+++ b/src/test/java/wrenkeel/net/HostListTest.java
@@ -154,7 +154,8 @@
     @Test
     void eachUnconfiguredSiteGetsAZoneOfItsOwn() throws IOException {
         String far = Platform.host("s-2", 80, 7, "ready").replace("\"site\":\"a\"", "\"site\":\"far\"");
-        String farther = Platform.host("s-3", 80, 7, "ready").replace("\"site\":\"a\"", "\"site\":\"farther\"");
+        String farther = Platform.host("s-3", 80, 7, "ready")
+            .replace("\"site\":\"a\"", "\"site\":\"farther\"");
         List<Integer> zones = loadEvent(newList(7), Platform.list(1, true, HOST_1, far, farther)).endpoints()
             .stream().map(Relay.Endpoint::zone).toList();
         assertEquals(3, zones.stream().distinct().count());
@@ -195,7 +196,8 @@
 
     @Test
     void malformedListLeavesTheCurrentListUnchanged() throws IOException {
-        String good = Platform.list(5, true, Platform.host("s-2", 80, 8, "ready"), HOST_1.replace(":80", ":81"));
+        String good = Platform.list(5, true, Platform.host("s-2", 80, 8, "ready"),
+            HOST_1.replace(":80", ":81"));
         List<String> faults = List.of(good + "{}", good + "]", "[" + good + "]", "41", "", "{\"seq\":5}",
             "{\"seq\":5,\"hosts\":{}}", "{\"seq\":5,\"hosts\":[1]}", good.replace("\"seq\":5,", ""),
             good.replace("5,", "5.5,"), good.replace("5,", "\"5\","), good.replace("5,", "5,\"seq\":6,"),
--- a/src/test/java/wrenkeel/net/HostPoolTest.java
+++ b/src/test/java/wrenkeel/net/HostPoolTest.java
@@ -28,12 +28,22 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import wrenkeel.Relay.Outcome;
 
-/** Each way in which a call can end, by the protocol's table. */
+/**
+ * The calls of {@link HostPool} to hosts that the test plays: how each call can end, which reply each attempt
+ * gets, and when connections are reused, closed or waited for.
+ */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class HostPoolTest {
-    private static final long LONG_MICROS = 60_000_000, KEEP_ALIVE_MICROS = 15_000_000;
-    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    /** A timeout that does not elapse during a test. */
+    private static final long LONG_MICROS = 60_000_000;
+    /** How long hosts keep idle connections open. */
+    private static final long KEEP_ALIVE_MICROS = 15_000_000;
+
+    private final MultiThreadIoEventLoopGroup group =
+        new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    /** The replies to attempts, in order. */
     private final BlockingQueue<HostPool.Reply> replies = new LinkedBlockingQueue<>();
+    /** The host that is called unless a test names another. */
     private final HostList.Host defaultHost = new HostList.Host(1, "s-1");
 
     @AfterEach
@@ -41,38 +51,44 @@
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 
+    /** A pool of up to 100 connections. */
     private HostPool newPool(long keepAliveMicros) {
-        return new HostPool(group.next(), new Bootstrap().group(group), LONG_MICROS, keepAliveMicros, 100, new Figures());
+        return new HostPool(group.next(), new Bootstrap().group(group), LONG_MICROS, keepAliveMicros, 100,
+            new Figures());
     }
 
-
+    /** An attempt to deliver a message with this id, idempotency key and body length. */
     private HostPool.Attempt attempt(String id, String key, long timeoutMicros, int bytes) {
-        return new HostPool.Attempt(new Message(id, "bill", 0, null, key, 7, 0, new byte[bytes]), timeoutMicros,
-            replies::add);
+        return new HostPool.Attempt(new Message(id, "bill", 0, null, key, 7, 0, new byte[bytes]),
+            timeoutMicros, replies::add);
     }
 
+    /** Starts a call with these attempts to the default host, which listens at this port. */
     private void startCall(HostPool pool, int port, HostPool.Attempt... attempts) throws Exception {
         defaultHost.address = new InetSocketAddress(Platform.LOOPBACK, port);
         defaultHost.ready = true;
         group.next().submit(() -> pool.startCall(defaultHost, List.of(attempts))).get();
     }
 
-    private HostPool.Attempt startCall(HostPool pool, int port, long timeoutMicros, int bytes) throws Exception {
+    /** Starts a call with a single attempt to the default host, and returns the attempt. */
+    private HostPool.Attempt startCall(HostPool pool, int port, long timeoutMicros, int bytes)
+            throws Exception {
         HostPool.Attempt attempt = attempt("a", null, timeoutMicros, bytes);
         startCall(pool, port, attempt);
         return attempt;
     }
 
+    /** Waits for the next reply; null if none comes. */
     private HostPool.Reply awaitReply() throws InterruptedException {
         return replies.poll(Platform.PATIENCE_S, TimeUnit.SECONDS);
     }
 
     @ParameterizedTest
-    @CsvSource({"200, , OK, true, 0", "500, , ERROR, false, 0", "429, Retry-After: 0.283, FULL, false, 283000",
-        "429, , FULL, false, 0", "503, , FULL, false, 0", "503, X-No-Slot: 1, NOT_SENT, false, 0",
-        "504, , NOT_SENT, false, 0", "410, , NOT_SENT, true, 0", "418, , ERROR, false, 0"})
-    void statusAndHeadersDetermineTheReply(int status, String header, Outcome outcome, boolean messageOver, long retryAfterMicros)
-            throws Exception {
+    @CsvSource({"200, , OK, true, 0", "500, , ERROR, false, 0",
+        "429, Retry-After: 0.283, FULL, false, 283000", "429, , FULL, false, 0", "503, , FULL, false, 0",
+        "503, X-No-Slot: 1, NOT_SENT, false, 0", "504, , NOT_SENT, false, 0", "410, , NOT_SENT, true, 0", "418, , ERROR, false, 0"})
+    void statusAndHeadersDetermineTheReply(int status, String header, Outcome outcome,
+            boolean messageOver, long retryAfterMicros) throws Exception {
         try (Host host = new Host()) {
             startCall(newPool(KEEP_ALIVE_MICROS), host.port(), LONG_MICROS, 10);
             host.call().answer("HTTP/1.1 " + status + " x\r\nX-Server-Load: x0=0.4,x1=25\r\n"
@@ -87,19 +103,22 @@
     }
 
     /**
-     * Guards the descriptors: a connection that carries nothing gives way to one that is needed elsewhere.
+     * Guards the number of file descriptors: at the limit, an idle connection is closed before one to another
+     * host is opened.
      */
     @Test
     void idleConnectionIsClosedToStayWithinTheLimit() throws Exception {
         try (Host first = new Host(); Host second = new Host()) {
-            HostPool pool = new HostPool(group.next(), new Bootstrap().group(group), LONG_MICROS, KEEP_ALIVE_MICROS, 1, new Figures());
+            HostPool pool = new HostPool(group.next(), new Bootstrap().group(group), LONG_MICROS,
+                KEEP_ALIVE_MICROS, 1, new Figures());
             startCall(pool, first.port(), LONG_MICROS, 10);
             Host.Call idle = first.call();
             idle.answer(Host.OK);
             assertEquals(Outcome.OK, awaitReply().outcome());
             HostList.Host other = new HostList.Host(2, "s-2");
             other.address = new InetSocketAddress(Platform.LOOPBACK, second.port());
-            group.next().submit(() -> pool.startCall(other, List.of(attempt("b", null, LONG_MICROS, 10)))).get();
+            group.next().submit(
+                () -> pool.startCall(other, List.of(attempt("b", null, LONG_MICROS, 10)))).get();
             assertTrue(first.ended(idle));
             second.call().answer(Host.OK);
             assertEquals(Outcome.OK, awaitReply().outcome());
@@ -107,11 +126,13 @@
     }
 
     private HostPool newPoolWithLimit(int maxConnections) {
-        return new HostPool(group.next(), new Bootstrap().group(group), LONG_MICROS, KEEP_ALIVE_MICROS, maxConnections,
-            new Figures());
+        return new HostPool(group.next(), new Bootstrap().group(group), LONG_MICROS, KEEP_ALIVE_MICROS,
+            maxConnections, new Figures());
     }
 
-    private void startCallToOther(HostPool pool, int number, Host host, HostPool.Attempt attempt) throws Exception {
+    /** Starts a call to the host with this number, which {@code host} plays. */
+    private void startCallToOther(HostPool pool, int number, Host host, HostPool.Attempt attempt)
+            throws Exception {
         HostList.Host other = new HostList.Host(number, "s-" + number);
         other.address = new InetSocketAddress(Platform.LOOPBACK, host.port());
         other.ready = true;
@@ -123,7 +144,8 @@
     }
 
     /**
-     * Guards the descriptors: where each connection carries a call, one more call waits for one of them.
+     * Guards the number of file descriptors: if all connections that are allowed carry calls, a further call
+     * waits until one is free.
      */
     @Test
     void callOverTheLimitWaitsForAFreeConnection() throws Exception {
@@ -141,11 +163,14 @@
             next.answer(Host.OK);
             Host.Call last = third.call();
             assertEquals("d", last.header("X-Request-ID"));
-            assertSame(next.socket(), last.socket(), "the free connection leads where it wants to go");
+            assertSame(next.socket(), last.socket(), "the free connection to the same host is reused");
         }
     }
 
-    /** Guards the message: a call that waits for a connection has not begun, and ends once. */
+    /**
+     * While a call waits for a free connection, nothing of it has been sent, so its attempts may be reported
+     * as not executed. Each must get exactly one reply.
+     */
     @Test
     void callWaitingForAFreeConnectionCanExpireOrBeCancelled() throws Exception {
         try (Host first = new Host(); Host second = new Host()) {
@@ -168,7 +193,10 @@
         }
     }
 
-    /** Guards calls against answers that never end: once its call is over, such a connection gives way. */
+    /**
+     * A response that never ends must not keep calls to other hosts waiting: once its call has ended, the
+     * connection is closed for them.
+     */
     @Test
     void connectionWithAnIncompleteResponseIsClosedForAWaitingCall() throws Exception {
         try (Host first = new Host(); Host second = new Host()) {
@@ -184,19 +212,21 @@
         }
     }
 
-    /** A machine that vanished says nothing: the connection neither comes up nor fails. */
+    /** A connect to a machine that has vanished neither succeeds nor fails. */
     @Test
     void hangingConnectIsAbandonedWithTheLastAttempt() throws Exception {
-        HostPool pool = new HostPool(group.next(), new Bootstrap().group(group), () -> new NioSocketChannel() {
-            @Override
-            protected boolean doConnect(SocketAddress remote, SocketAddress local) {
-                return false;
-            }
-        }, LONG_MICROS, KEEP_ALIVE_MICROS, 100, new Figures());
-        HostPool.Attempt first = attempt("a", null, LONG_MICROS, 10), second = attempt("b", null, LONG_MICROS, 10);
+        HostPool pool = new HostPool(group.next(), new Bootstrap().group(group),
+            () -> new NioSocketChannel() {
+                @Override
+                protected boolean doConnect(SocketAddress remote, SocketAddress local) {
+                    return false;
+                }
+            }, LONG_MICROS, KEEP_ALIVE_MICROS, 100, new Figures());
+        HostPool.Attempt first = attempt("a", null, LONG_MICROS, 10);
+        HostPool.Attempt second = attempt("b", null, LONG_MICROS, 10);
         startCall(pool, 9, first, second);
         group.next().submit(first::expire).get();
-        assertEquals(1, connectionCount(pool), "the other still waits");
+        assertEquals(1, connectionCount(pool), "the other attempt still waits for the connection");
         group.next().submit(second::expire).get();
         assertEquals(Outcome.CONNECT_FAILED, awaitReply().outcome());
         assertEquals(Outcome.CONNECT_FAILED, awaitReply().outcome());
@@ -224,7 +254,8 @@
     }
 
     /**
-     * Guards against a call taken for one that may have run: its last byte was never handed to the socket.
+     * A request whose last byte was never handed to the socket can't have been executed, so it must not be
+     * reported as one that may have been.
      */
     @Test
     void connectionClosedBeforeTheLastByteIsReportedAsConnectFailed() throws Exception {
@@ -259,15 +290,15 @@
     }
 
     /**
-     * Guards the rules on drains and waits against calls that go out when a slow connection comes up at
-     * last.
+     * When a host starts to drain or asks not to be called, calls that still wait for their connect are
+     * cancelled; they must not be sent when the slow connect succeeds at last.
      */
     @Test
     void callWaitingForItsConnectCanBeCancelledUnsent() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 1, Platform.LOOPBACK)) {
             HostPool pool = newPool(KEEP_ALIVE_MICROS);
             List<Socket> fillers = new ArrayList<>();
-            // A full backlog leaves further connections hanging.
+            // While the backlog is full, further connects hang.
             for (int i = 0; i < 8; i++) {
                 Socket filler = new Socket();
                 fillers.add(filler);
@@ -286,7 +317,10 @@
         }
     }
 
-    /** Guards against a request that crosses the host's own close: an old connection is not used again. */
+    /**
+     * A connection that has been idle for long is not reused, as the host may close it while a request is
+     * sent.
+     */
     @Test
     void idleConnectionsAreClosedBeforeTheHostClosesThem() throws Exception {
         try (Host host = new Host()) {
@@ -304,8 +338,8 @@
     }
 
     /**
-     * Guards the descriptors: the call is over at the answer's head, and the connection must not be held
-     * for ever.
+     * A call with a single message ends with the head of the response. If the body never ends, the connection
+     * must be closed, or it would occupy a file descriptor for ever.
      */
     @Test
     void connectionWithAnEndlessResponseIsClosed() throws Exception {
@@ -332,12 +366,12 @@
     }
 
     /**
-     * Guards against a second run of what was delivered: the first line settles it, whatever becomes of the
-     * rest.
+     * Guards against a second execution of a message that was delivered: the status line 200 is sufficient,
+     * whatever comes after it.
      */
     @ParameterizedTest
-    @ValueSource(strings = {"", "Content-Length: 2\r\nno colon here \0\r\n\r\nok", "Content-Length: wobble\r\n\r\n",
-        "X-Server-Load: x0"})
+    @ValueSource(strings = {"", "Content-Length: 2\r\nno colon here \0\r\n\r\nok",
+        "Content-Length: wobble\r\n\r\n", "X-Server-Load: x0"})
     void statusLine200DeliversEvenIfTheRestIsMalformedOrMissing(String rest) throws Exception {
         try (Host host = new Host()) {
             startCall(newPool(KEEP_ALIVE_MICROS), host.port(), LONG_MICROS, 10);
@@ -359,11 +393,12 @@
         }
     }
 
-    /** What a bundle's messages came to stands in the body only. */
+    /** The outcomes of the messages of a batch are only in the body of the response. */
     @Test
     void statusLine200DeliversNothingOfABatch() throws Exception {
         try (Host host = new Host()) {
-            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), attempt("a", null, LONG_MICROS, 1), attempt("b", null, LONG_MICROS, 1));
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(),
+                attempt("a", null, LONG_MICROS, 1), attempt("b", null, LONG_MICROS, 1));
             Host.Call call = host.call();
             call.answer("HTTP/1.1 200 OK\r\n");
             call.socket().close();
@@ -373,8 +408,8 @@
     }
 
     /**
-     * Guards against a message that nobody delivers any more: an answer that cannot be read as the protocol
-     * requires has delivered none of a bundle's messages, even if its body can be made out.
+     * Guards against lost messages: a response whose head violates the protocol must not count as the
+     * delivery of any message of a batch, even if its body is readable.
      */
     @ParameterizedTest
     @ValueSource(strings = {
@@ -387,7 +422,8 @@
         "HTTP/1.1 +200 OK\r\nContent-Length: %d\r\n\r\n%s"})
     void malformedResponseHeadDeliversNothingOfABatch(String answer) throws Exception {
         try (Host host = new Host()) {
-            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), attempt("a", null, LONG_MICROS, 1), attempt("b", null, LONG_MICROS, 1));
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(),
+                attempt("a", null, LONG_MICROS, 1), attempt("b", null, LONG_MICROS, 1));
             Host.Call call = host.call();
             String states = "[{\"id\":\"a\",\"state\":\"accepted\"},{\"id\":\"b\",\"state\":\"accepted\"}]";
             call.answer(answer.formatted(states.length(), states));
@@ -397,7 +433,7 @@
         }
     }
 
-    /** Of a bundle's answer the whole body must be JSON, each name in it given once. */
+    /** The body of the response to a batch must be valid JSON to its end, without duplicate field names. */
     @ParameterizedTest
     @ValueSource(strings = {
         "[{\"id\":\"a\",\"state\":\"accepted\"},{\"id\":\"b\",\"state\":\"accepted\",\"note\":\"\u00ff\"}]",
@@ -405,7 +441,8 @@
         "[{\"id\":\"a\",\"state\":\"accepted\"},{\"id\":\"b\",\"state\":\"accepted\"}] x"})
     void malformedBodyDeliversNothingOfABatch(String states) throws Exception {
         try (Host host = new Host()) {
-            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), attempt("a", null, LONG_MICROS, 1), attempt("b", null, LONG_MICROS, 1));
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(),
+                attempt("a", null, LONG_MICROS, 1), attempt("b", null, LONG_MICROS, 1));
             host.call().answer("HTTP/1.1 200 OK\r\nContent-Length: " + states.length() + "\r\n\r\n" + states);
             assertEquals(Outcome.ERROR, awaitReply().outcome());
             assertEquals(Outcome.ERROR, awaitReply().outcome());
@@ -413,11 +450,12 @@
     }
 
     /**
-     * Guards the next call: what stands past an answer's end would be taken for the beginning of its own
-     * answer.
+     * Bytes after the end of a response would be taken for the beginning of the response to the next call on
+     * the connection.
      */
     @ParameterizedTest
-    @ValueSource(strings = {"surplus", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 200 OK\r\nContent"})
+    @ValueSource(strings = {"surplus", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nContent"})
     void connectionWithSurplusBytesIsNotReused(String surplus) throws Exception {
         try (Host host = new Host()) {
             HostPool pool = newPool(KEEP_ALIVE_MICROS);
@@ -433,11 +471,15 @@
         }
     }
 
+    /** A complete response. {@code header} is empty or a header line with its line end. */
     private static String response(String status, String header, String body) {
-        return "HTTP/1.1 " + status + "\r\n" + header + "Content-Length: " + body.length() + "\r\n\r\n" + body;
+        return "HTTP/1.1 " + status + "\r\n" + header + "Content-Length: " + body.length() + "\r\n\r\n"
+            + body;
     }
 
-    /** The bounds on an answer's bytes are those of one answer, not of its connection. */
+    /**
+     * The limits on the size of a response apply to each response, not to all responses on a connection.
+     */
     @Test
     void connectionIsReusedAfterManyLongResponses() throws Exception {
         try (Host host = new Host()) {
@@ -457,7 +499,7 @@
         }
     }
 
-    /** Guards the processor against answers that do not end, whatever they began with. */
+    /** A response without end must not use up the relay's CPU time, whatever its status. */
     @ParameterizedTest
     @CsvSource({"200, OK", "500, ERROR"})
     void connectionIsClosedIfTheResponseIsTooLong(int status, Outcome outcome) throws Exception {
@@ -471,13 +513,18 @@
         }
     }
 
-    /** A destination that counts calls takes several messages in one; each has a fate of its own. */
+    /**
+     * A destination whose limits count calls accepts several messages in one call; each has its own
+     * outcome.
+     */
     @Test
     void batchIsOneCallWithAnOutcomePerMessage() throws Exception {
         try (Host host = new Host()) {
             HostPool pool = newPool(KEEP_ALIVE_MICROS);
-            startCall(pool, host.port(), attempt("a", "k\"", LONG_MICROS, 2), attempt("b", null, LONG_MICROS, 3), attempt("c", null, LONG_MICROS, 0),
-                attempt("d", null, LONG_MICROS, 1), attempt("e", null, LONG_MICROS, 1), attempt("f", null, LONG_MICROS, 1));
+            startCall(pool, host.port(), attempt("a", "k\"", LONG_MICROS, 2),
+                attempt("b", null, LONG_MICROS, 3), attempt("c", null, LONG_MICROS, 0),
+                attempt("d", null, LONG_MICROS, 1), attempt("e", null, LONG_MICROS, 1),
+                attempt("f", null, LONG_MICROS, 1));
             Host.Call call = host.call();
             assertEquals("POST /v1/messages:batch HTTP/1.1", call.head().get(0));
             assertTrue(call.body().startsWith("[{\"id\":\"a\",\"key\":\"k\\\"\",\"body\":\"AAA=\"},"
@@ -499,12 +546,16 @@
         }
     }
 
-    /** Guards against a second run: of two states the one that says "never ran" must not be picked. */
+    /**
+     * Guards against a second execution: if the response gives two states for a message, the one that says
+     * that it was not executed must not be used.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"deferred", "expired", "no_more", "accepted"})
     void messageWithContradictoryStatesIsReportedAsError(String other) throws Exception {
         try (Host host = new Host()) {
-            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), attempt("a", null, LONG_MICROS, 2), attempt("b", null, LONG_MICROS, 2));
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(),
+                attempt("a", null, LONG_MICROS, 2), attempt("b", null, LONG_MICROS, 2));
             host.call().answer(response("200 OK", "", "[{\"id\":\"a\",\"state\":\"fault\"},"
                 + "{\"id\":\"b\",\"state\":\"accepted\"},{\"id\":\"a\",\"state\":\"" + other + "\"}]"));
             assertEquals(Outcome.ERROR, awaitReply().outcome());
@@ -513,16 +564,19 @@
     }
 
     /**
-     * Guards the slot: whatever has come of a bundle's answer, each message is given up in its time, once.
+     * Guards against slots that are never freed: even if a part of the response has come, each attempt of the
+     * batch times out, once.
      */
     @Test
     void batchWithAnEndlessResponseTimesOutAndClosesItsConnection() throws Exception {
         try (Host host = new Host()) {
             HostPool pool = newPool(KEEP_ALIVE_MICROS);
-            HostPool.Attempt first = attempt("a", null, LONG_MICROS, 2), second = attempt("b", null, LONG_MICROS, 2);
+            HostPool.Attempt first = attempt("a", null, LONG_MICROS, 2);
+            HostPool.Attempt second = attempt("b", null, LONG_MICROS, 2);
             startCall(pool, host.port(), first, second);
             Host.Call call = host.call();
-            call.answer("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n[{\"id\":\"a\",\"state\":\"accepted\"},");
+            call.answer("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n"
+                + "[{\"id\":\"a\",\"state\":\"accepted\"},");
             group.next().submit(first::expire).get();
             assertEquals(Outcome.TIMEOUT, awaitReply().outcome());
             group.next().submit(second::expire).get();
@@ -534,22 +588,28 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"429 Too Many Requests, '', FULL", "500 Internal Server Error, '', ERROR", "200 OK, nonsense, ERROR",
-        "200 OK, '{}', ERROR", "200 OK, '[{\"id\":\"a\"}]', ERROR"})
-    void failureOfABatchCallAppliesToAllItsMessages(String status, String body, Outcome outcome) throws Exception {
+    @CsvSource({"429 Too Many Requests, '', FULL", "500 Internal Server Error, '', ERROR",
+        "200 OK, nonsense, ERROR", "200 OK, '{}', ERROR", "200 OK, '[{\"id\":\"a\"}]', ERROR"})
+    void failureOfABatchCallAppliesToAllItsMessages(String status, String body, Outcome outcome)
+            throws Exception {
         try (Host host = new Host()) {
-            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), attempt("a", null, LONG_MICROS, 2), attempt("b", null, LONG_MICROS, 2));
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(),
+                attempt("a", null, LONG_MICROS, 2), attempt("b", null, LONG_MICROS, 2));
             host.call().answer(response(status, "", body));
             assertEquals(outcome, awaitReply().outcome());
             assertEquals(outcome, awaitReply().outcome());
         }
     }
 
-    /** Guards against a fate that was never told: the head alone says nothing of a bundle's messages. */
+    /**
+     * The head of the response says nothing of the single messages of a batch, so each may have been
+     * executed.
+     */
     @Test
     void batchWithATruncatedResponseIsReportedAsReset() throws Exception {
         try (Host host = new Host()) {
-            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), attempt("a", null, LONG_MICROS, 2), attempt("b", null, LONG_MICROS, 2));
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(),
+                attempt("a", null, LONG_MICROS, 2), attempt("b", null, LONG_MICROS, 2));
             Host.Call call = host.call();
             call.answer("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n[{\"id\":\"a\",");
             call.socket().close();
@@ -558,7 +618,9 @@
         }
     }
 
-    /** Guards against a message that goes out after it was given up, with what shared its connection. */
+    /**
+     * A cancelled attempt must not be sent with the other attempts of its call once the connection is up.
+     */
     @Test
     void attemptCancelledDuringTheConnectIsNotSent() throws Exception {
         try (Host host = new Host()) {
@@ -578,7 +640,7 @@
         }
     }
 
-    /** A listener whose connections take little unless they are read. */
+    /** A listener whose connections accept little data as long as nothing is read from them. */
     private static ServerSocket listenerWithSmallBuffer() throws IOException {
         ServerSocket listener = new ServerSocket();
         listener.setReceiveBufferSize(4_096);
@@ -587,29 +649,33 @@
     }
 
     /**
-     * Guards against a second run: while the others keep the call on its way, what was given up with its bytes
-     * half written goes out too.
+     * Guards against a second execution: as long as other attempts keep the call alive, the whole request is
+     * sent, also the message of an attempt that has expired while it was half written. That message may be
+     * executed, and its reply must say so.
      */
     @Test
     void attemptExpiredInAHalfWrittenBatchIsReportedAsTimeout() throws Exception {
         try (ServerSocket listener = listenerWithSmallBuffer()) {
             HostPool.Attempt first = attempt("given-up", null, LONG_MICROS, 16 << 20);
-            startCall(newPool(KEEP_ALIVE_MICROS), listener.getLocalPort(), first, attempt("goes-on", null, LONG_MICROS, 1));
+            startCall(newPool(KEEP_ALIVE_MICROS), listener.getLocalPort(),
+                first, attempt("goes-on", null, LONG_MICROS, 1));
             Socket socket = listener.accept();
-            assertTrue(socket.getInputStream().read() >= 0, "a byte of it is out");
+            assertTrue(socket.getInputStream().read() >= 0, "the first byte of the request has been sent");
             group.next().submit(first::expire).get();
             assertEquals(Outcome.TIMEOUT, awaitReply().outcome());
             String head = String.join("\n", Host.head(socket.getInputStream()));
             int length = Integer.parseInt(head.replaceAll("(?s).*content-length: (\\d+).*", "$1"));
             String body = new String(socket.getInputStream().readNBytes(length), StandardCharsets.ISO_8859_1);
-            assertTrue(body.contains("given-up") && body.endsWith("]"), "it reached the endpoint");
+            assertTrue(body.contains("given-up") && body.endsWith("]"),
+                "the expired message has reached the endpoint");
             socket.getOutputStream().write(Host.OK.getBytes(StandardCharsets.ISO_8859_1));
             assertEquals(Outcome.ERROR, awaitReply().outcome());
         }
     }
 
     /**
-     * Guards what "never ran" says: of a request that is half written, the last byte must not leave later.
+     * A half written request that is reported as not executed must never be completed: its last byte must not
+     * be sent later.
      */
     @Test
     void callExpiredWhileHalfWrittenIsNeverCompleted() throws Exception {
@@ -625,11 +691,15 @@
         }
     }
 
-    /** Guards the last part of a bundle: with it the call is closed, whoever was given up before. */
+    /**
+     * When the last attempt of a batch expires, its connection is closed, although others have expired
+     * before.
+     */
     @Test
     void lastAttemptToExpireClosesItsHalfWrittenBatch() throws Exception {
         try (ServerSocket listener = listenerWithSmallBuffer()) {
-            HostPool.Attempt first = attempt("a", null, LONG_MICROS, 16 << 20), last = attempt("b", null, LONG_MICROS, 1);
+            HostPool.Attempt first = attempt("a", null, LONG_MICROS, 16 << 20);
+            HostPool.Attempt last = attempt("b", null, LONG_MICROS, 1);
             startCall(newPool(KEEP_ALIVE_MICROS), listener.getLocalPort(), first, last);
             Socket socket = listener.accept();
             Host.head(socket.getInputStream());
@@ -641,17 +711,21 @@
         }
     }
 
-    /** Guards the relay's one thread, and the attempt: a process that has no descriptor left goes on. */
+    /**
+     * A process without a free file descriptor goes on: the attempt gets its reply, and on the event loop, as
+     * nothing but the event loop may run the code that handles it.
+     */
     @Test
     void callWithoutAFreeDescriptorEndsOnTheEventLoop() throws Exception {
         HostPool pool = new HostPool(group.next(), new Bootstrap().group(group), () -> {
             throw new ChannelException("too many open files");
         }, LONG_MICROS, KEEP_ALIVE_MICROS, 100, new Figures());
         BlockingQueue<Boolean> onEventLoop = new LinkedBlockingQueue<>();
-        HostPool.Attempt attempt = new HostPool.Attempt(attempt("a", null, LONG_MICROS, 1).message(), LONG_MICROS, reply -> {
-            replies.add(reply);
-            onEventLoop.add(group.next().inEventLoop());
-        });
+        HostPool.Attempt attempt = new HostPool.Attempt(attempt("a", null, LONG_MICROS, 1).message(),
+            LONG_MICROS, reply -> {
+                replies.add(reply);
+                onEventLoop.add(group.next().inEventLoop());
+            });
         startCall(pool, 9, attempt);
         assertEquals(Outcome.NO_SOCKET, awaitReply().outcome());
         assertTrue(onEventLoop.take());
@@ -663,29 +737,34 @@
         assertEquals(Outcome.NOT_SENT, awaitReply().outcome());
     }
 
-    /** Guards an endpoint that is well: it has not even been asked. */
+    /**
+     * A connect that fails on this machine says nothing about the endpoint, which has not been contacted.
+     */
     @ParameterizedTest
-    @ValueSource(strings = {"Cannot assign requested address", "Network is unreachable", "No buffer space available"})
+    @ValueSource(strings = {"Cannot assign requested address", "Network is unreachable",
+        "No buffer space available"})
     void localConnectFailureIsReportedAsNoSocket(String fault) throws Exception {
-        HostPool pool = new HostPool(group.next(), new Bootstrap().group(group), () -> new NioSocketChannel() {
-            @Override
-            protected boolean doConnect(SocketAddress remote, SocketAddress local) throws Exception {
-                doClose();
-                throw new SocketException(fault);
-            }
-        }, LONG_MICROS, KEEP_ALIVE_MICROS, 100, new Figures());
+        HostPool pool = new HostPool(group.next(), new Bootstrap().group(group),
+            () -> new NioSocketChannel() {
+                @Override
+                protected boolean doConnect(SocketAddress remote, SocketAddress local) throws Exception {
+                    doClose();
+                    throw new SocketException(fault);
+                }
+            }, LONG_MICROS, KEEP_ALIVE_MICROS, 100, new Figures());
         startCall(pool, 9, attempt("a", null, LONG_MICROS, 1));
         assertEquals(Outcome.NO_SOCKET, awaitReply().outcome());
         assertEquals(0, connectionCount(pool));
     }
 
-    /** Guards the connection against a fault in what hears of the end. */
+    /** An exception in the callback that receives the reply must not leave the connection open. */
     @Test
     void connectionIsClosedEvenIfTheReplyCallbackThrows() throws Exception {
         try (Host host = new Host()) {
-            HostPool.Attempt attempt = new HostPool.Attempt(attempt("a", null, LONG_MICROS, 1).message(), LONG_MICROS, reply -> {
-                throw new IllegalStateException("forced by the test");
-            });
+            HostPool.Attempt attempt = new HostPool.Attempt(attempt("a", null, LONG_MICROS, 1).message(),
+                LONG_MICROS, reply -> {
+                    throw new IllegalStateException("forced by the test");
+                });
             startCall(newPool(KEEP_ALIVE_MICROS), host.port(), attempt);
             Host.Call call = host.call();
             assertThrows(ExecutionException.class, () -> group.next().submit(attempt::expire).get());
@@ -693,12 +772,13 @@
         }
     }
 
-    /** Guards against an empty request, and against an end that is never told. */
+    /** Guards against a request without messages, and against an attempt that never gets its reply. */
     @Test
     void attemptCancelledBeforeItsCallStartsIsNotSent() throws Exception {
         try (Host host = new Host()) {
             HostPool pool = newPool(KEEP_ALIVE_MICROS);
-            HostPool.Attempt alone = attempt("alone", null, LONG_MICROS, 1), first = attempt("first", null, LONG_MICROS, 1);
+            HostPool.Attempt alone = attempt("alone", null, LONG_MICROS, 1);
+            HostPool.Attempt first = attempt("first", null, LONG_MICROS, 1);
             group.next().submit(alone::cancel).get();
             group.next().submit(first::cancel).get();
             assertEquals(Outcome.CANCELLED, awaitReply().outcome());
@@ -714,7 +794,7 @@
         }
     }
 
-    /** Guards the others in a bundle: giving up one message must not give up their call. */
+    /** Cancelling one message of a batch must not cancel the call of the others. */
     @Test
     void oneMessageOfABatchCanBeCancelledAlone() throws Exception {
         try (Host host = new Host()) {
