--- a/src/test/java/wrenkeel/net/HostListComparisonTest.java
+++ b/src/test/java/wrenkeel/net/HostListComparisonTest.java
@@ -38,6 +38,7 @@
         "s-" + "x".repeat(40));
     private static final int DESTINATIONS = 4;
 
+    /** What a step does to both lists. */
     enum Action {
         /** Loads a whole list. */
         WHOLE,
@@ -144,6 +145,7 @@
             }
         }
 
+        /** Activates a destination; it must be reported unless it is active already. */
         private void activate(long destination) {
             Relay.Listed event = list.activate(destination);
             assertEquals(activeDestinations.add(destination), event != null);
@@ -152,6 +154,7 @@
             }
         }
 
+        /** Loads the list of a step, or a part of it, and compares the reports of both lists. */
         private void loadList(Step step, long destination) throws IOException {
             boolean whole = step.action == Action.WHOLE
                 || step.action == Action.ACTIVATE_DURING_UPDATE && step.position % 2 == 0;
@@ -185,6 +188,7 @@
                 .forEach(host -> readyBefore.put(host, host.destination));
             HostList.Change change = update.commit();
             List<String> expected = expectedReport(reference.load(Wire.decode(text)));
+            // If a destination became active in between, only the state after the update is compared.
             if (step.action != Action.ACTIVATE_DURING_UPDATE) {
                 assertEquals(expected, describe(change.event(), id -> list.hostById(id).name));
             }
@@ -226,6 +230,7 @@
             String nameOf(long id);
         }
 
+        /** The endpoints of an event as text, with the names of their hosts. */
         private static List<String> describe(Relay.Listed event, NameLookup names) {
             return event.endpoints().stream().map(endpoint -> describe(names.nameOf(endpoint.id()), endpoint))
                 .toList();
--- a/src/test/java/wrenkeel/net/HostPoolTest.java
+++ b/src/test/java/wrenkeel/net/HostPoolTest.java
@@ -86,7 +86,8 @@
     @ParameterizedTest
     @CsvSource({"200, , OK, true, 0", "500, , ERROR, false, 0",
         "429, Retry-After: 0.283, FULL, false, 283000", "429, , FULL, false, 0", "503, , FULL, false, 0",
-        "503, X-No-Slot: 1, NOT_SENT, false, 0", "504, , NOT_SENT, false, 0", "410, , NOT_SENT, true, 0", "418, , ERROR, false, 0"})
+        "503, X-No-Slot: 1, NOT_SENT, false, 0", "504, , NOT_SENT, false, 0",
+        "410, , NOT_SENT, true, 0", "418, , ERROR, false, 0"})
     void statusAndHeadersDetermineTheReply(int status, String header, Outcome outcome,
             boolean messageOver, long retryAfterMicros) throws Exception {
         try (Host host = new Host()) {
@@ -420,13 +421,13 @@
         "HTTP/7.1 200 OK\r\nContent-Length: %d\r\n\r\n%s",
         "HTTP/1.1 0200 OK\r\nContent-Length: %d\r\n\r\n%s",
         "HTTP/1.1 +200 OK\r\nContent-Length: %d\r\n\r\n%s"})
-    void malformedResponseHeadDeliversNothingOfABatch(String answer) throws Exception {
+    void malformedResponseHeadDeliversNothingOfABatch(String responseFormat) throws Exception {
         try (Host host = new Host()) {
             startCall(newPool(KEEP_ALIVE_MICROS), host.port(),
                 attempt("a", null, LONG_MICROS, 1), attempt("b", null, LONG_MICROS, 1));
             Host.Call call = host.call();
             String states = "[{\"id\":\"a\",\"state\":\"accepted\"},{\"id\":\"b\",\"state\":\"accepted\"}]";
-            call.answer(answer.formatted(states.length(), states));
+            call.answer(responseFormat.formatted(states.length(), states));
             assertEquals(Outcome.RESET, awaitReply().outcome());
             assertEquals(Outcome.RESET, awaitReply().outcome());
             assertTrue(host.ended(call));
--- a/src/test/java/wrenkeel/net/ListTimingTest.java
+++ b/src/test/java/wrenkeel/net/ListTimingTest.java
@@ -42,7 +42,7 @@
 
     @Test
     void watchesAreLongEnoughAndGapsAreNotZero() {
-        assertTrue(ListTiming.WATCH_WAIT_MS >= 2_000, "watches of less than 2 s cost too many calls");
+        assertTrue(ListTiming.WATCH_WAIT_MS >= 2_000, "shorter watches would cost too many calls");
         assertTrue(ListTiming.RETRY_GAP_MS > 0 && ListTiming.FIRST_FAULT_GAP_MS > 0);
     }
 }
--- a/src/test/java/wrenkeel/net/NoticeSenderTest.java
+++ b/src/test/java/wrenkeel/net/NoticeSenderTest.java
@@ -15,9 +15,11 @@
 
 /** {@link NoticeSender} on a manual clock, over connections on which the test gives the responses. */
 class NoticeSenderTest {
-    /** HTTP statuses with which the agent responds to a post. */
+    /** HTTP status: the platform has accepted the notices. */
     private static final int ACKNOWLEDGED = 204;
+    /** HTTP status: the platform can't read the notices. */
     private static final int REJECTED = 400;
+    /** HTTP status: a failure of the platform, which doesn't depend on the notices. */
     private static final int UNAVAILABLE = 503;
     /** Time after its message's deadline at which a notice is due. */
     private static final long DUE_AFTER_DEADLINE_MS = 350;
@@ -164,7 +166,7 @@
         connectionsCarrying("a").get(2).respond(ACKNOWLEDGED);
         assertEquals(List.of("a"), acknowledged);
         assertFalse(sender.hasPending());
-        assertEquals(1, openCount, "connections without a response are closed");
+        assertEquals(1, openCount, "the two connections without a response are closed");
     }
 
     /** Guards against notices that wait for the response on a silent connection. */
--- a/src/test/java/wrenkeel/net/ResponseDecoderTest.java
+++ b/src/test/java/wrenkeel/net/ResponseDecoderTest.java
@@ -20,6 +20,7 @@
     /** Size of the pieces in which a long body is sent. */
     private static final int PIECE_BYTES = 1_024;
 
+    /** The statuses that the decoder has reported, including those of interim responses. */
     private final List<Integer> statuses = new ArrayList<>();
     private final ResponseDecoder decoder = new ResponseDecoder(statuses::add);
     private final EmbeddedChannel channel = new EmbeddedChannel(decoder);
