--- a/src/main/java/wrenkeel/net/AgentConnection.java
+++ b/src/main/java/wrenkeel/net/AgentConnection.java
@@ -36,17 +36,26 @@
 import org.slf4j.LoggerFactory;
 import wrenkeel.Wire;
 
-/** One kept connection to the agent, which carries one request at a time. */
+/**
+ * A persistent HTTP/1.1 connection to the local discovery agent, which carries one request at a time. It
+ * connects when a request needs it. Not thread-safe: all methods run on the event loop.
+ */
 final class AgentConnection {
     private static final Logger LOG = LoggerFactory.getLogger(AgentConnection.class);
-    /** Bytes a list may have; bytes for each of which an answer that comes in has another 1/1,000 ms. */
-    private static final long LIST_MOST = 256L << 20, BYTES_A_MS = 1_000;
+    /** Limit for the length of a response's body. */
+    private static final long MAX_LIST_BYTES = 256L << 20;
+    /** A request's timeout is extended by 1 ms for each time that so many bytes have been received. */
+    private static final long BYTES_PER_EXTRA_MS = 1_000;
 
-    /** What became of a request; {@code status} is 0 where no answer came in time. */
-    static final class Answer {
+    /** The result of a request. */
+    static final class Response {
+        /**
+         * The HTTP status; 0 if there was no response in time. An incomplete list has a {@link #fault} too.
+         */
         int status;
-        /** What the list asked for has changed, or why it could not be taken in; null where neither is so. */
-        HostList.Change list;
+        /** What the requested list has changed; null if none was requested or it was not applied. */
+        HostList.Change listChange;
+        /** Why the requested list was rejected; null if it was not. */
         String fault;
     }
 
@@ -54,50 +63,58 @@
     private final Bootstrap bootstrap;
     private InetSocketAddress agent;
     private Channel channel;
-    private Consumer<Answer> waiting;
-    private Future<?> timer;
-    /** The answer that is coming in, its bytes so far, and where a list in it goes; null for none. */
-    private Answer answer;
-    private long received;
-    private boolean keep;
-    private Supplier<HostList.Reading> lists;
-    private HostList.Reading reading;
-    private long askedAt, patience;
+    /** Receives the result of the request in progress; null if there is none. */
+    private Consumer<Response> onResponse;
+    private Future<?> timeout;
+    private Response response;
+    /** Bytes of the response's body received so far. */
+    private long receivedBytes;
+    /** Whether the connection can be used again after this response. */
+    private boolean keepAlive;
+    /** Creates the update that reads a list from the response; null if no list is requested. */
+    private Supplier<HostList.PendingUpdate> updates;
+    /** The update that reads the list which is being received; null if there is none. */
+    private HostList.PendingUpdate update;
+    private long sentNanos;
+    private long timeoutMs;
 
-    AgentConnection(EventLoop loop, Bootstrap bootstrap, InetSocketAddress agent, int connectTimeout) {
-        this(loop, bootstrap, NioSocketChannel::new, agent, connectTimeout);
+    AgentConnection(EventLoop loop, Bootstrap bootstrap, InetSocketAddress agent, int connectTimeoutMs) {
+        this(loop, bootstrap, NioSocketChannel::new, agent, connectTimeoutMs);
     }
 
-    /** {@code sockets}: makes the channels; it fails where the process has no descriptor left. */
-    AgentConnection(EventLoop loop, Bootstrap bootstrap, ChannelFactory<Channel> sockets,
-                    InetSocketAddress agent, int connectTimeout) {
+    /** {@code channelFactory} creates the channels; it throws if the process has no file descriptor left. */
+    AgentConnection(EventLoop loop, Bootstrap bootstrap, ChannelFactory<Channel> channelFactory,
+                    InetSocketAddress agent, int connectTimeoutMs) {
         this.loop = loop;
         this.agent = agent;
-        this.bootstrap = bootstrap.clone(loop).channelFactory(sockets)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeout)
+        this.bootstrap = bootstrap.clone(loop).channelFactory(channelFactory)
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs)
             .option(ChannelOption.TCP_NODELAY, true)
             .handler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel fresh) {
-                    fresh.pipeline().addLast(new HttpClientCodec(), new Reader());
+                    fresh.pipeline().addLast(new HttpClientCodec(), new ResponseHandler());
                 }
             });
     }
 
     /**
-     * Sends a request; what became of it comes exactly once. {@code list}: makes what takes the body of
-     * an answer with 200, as that begins; null where none is asked for. An answer that keeps coming in
-     * has longer than {@code patience} ms.
+     * Sends a request. There must be none in progress.
+     *
+     * @param timeoutMs time until the response must be complete; it is extended while a response is received
+     * @param updates creates the update that reads the body of a response with status 200, when its head has
+     *     arrived; null if no list is requested
+     * @param onResponse is called exactly once
      */
-    void ask(HttpMethod method, String uri, String body, long patience, Supplier<HostList.Reading> list,
-        Consumer<Answer> whenAnswered) {
-        waiting = whenAnswered;
-        answer = new Answer();
-        lists = list;
-        received = 0;
-        askedAt = System.nanoTime();
-        this.patience = patience;
-        timer = loop.schedule(this::late, patience, TimeUnit.MILLISECONDS);
+    void send(HttpMethod method, String uri, String body, long timeoutMs,
+              Supplier<HostList.PendingUpdate> updates, Consumer<Response> onResponse) {
+        this.onResponse = onResponse;
+        response = new Response();
+        this.updates = updates;
+        receivedBytes = 0;
+        sentNanos = System.nanoTime();
+        this.timeoutMs = timeoutMs;
+        timeout = loop.schedule(this::checkTimeout, timeoutMs, TimeUnit.MILLISECONDS);
         FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, uri,
             Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
         request.headers().set(HttpHeaderNames.HOST,
@@ -113,14 +130,14 @@
     private void connect(FullHttpRequest request) {
         ChannelFuture connect = bootstrap.connect(agent);
         if (!connect.channel().isRegistered()) {
-            // Without a descriptor there is no channel that could be closed, and the listeners of its
-            // future are called on another thread.
+            // No file descriptor was available. There is no channel to close, and the listeners of this
+            // future would be called on another thread.
             channel = null;
             request.release();
-            Consumer<Answer> asked = waiting;
+            Consumer<Response> callback = onResponse;
             loop.execute(() -> {
-                if (waiting == asked) {
-                    broken(null);
+                if (onResponse == callback) {
+                    fail(null);
                 }
             });
             return;
@@ -131,66 +148,70 @@
                 write(connect.channel(), request);
             } else {
                 request.release();
-                broken(connect.channel());
+                fail(connect.channel());
             }
         });
     }
 
-    /** Goes on at another address; a request under way ends without an answer. */
+    /** Changes the agent's address. A request in progress ends without a response. */
     void moveTo(InetSocketAddress next) {
         agent = next;
         close();
     }
 
-    /** Ends the connection; a request under way ends without an answer. The next one opens a new one. */
+    /** Closes the connection. A request in progress ends without a response; the next one connects again. */
     void close() {
-        drop();
-        if (waiting != null) {
-            ended(0, null);
+        closeChannel();
+        if (onResponse != null) {
+            complete(0, null);
         }
     }
 
-    /** Reads what has come of an answer, if a request is under way. */
-    void readNow() {
-        if (waiting != null && channel != null) {
+    /** Reads what the agent has already sent, if a request is in progress. */
+    void readAvailable() {
+        if (onResponse != null && channel != null) {
             UnreadBytes.read(channel);
         }
     }
 
-    /** True while a request is under way. */
+    /** True while a request is in progress. */
     boolean isBusy() {
-        return waiting != null;
+        return onResponse != null;
     }
 
     private void write(Channel to, FullHttpRequest request) {
         to.writeAndFlush(request).addListener(done -> {
             if (!done.isSuccess()) {
-                broken(to);
+                fail(to);
             }
         });
     }
 
-    /** A long list takes a while to come in and be read: no answer that goes on is given up for that. */
-    private void late() {
-        long due = patience + received / BYTES_A_MS;
-        long passed = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - askedAt);
-        if (passed < due) {
-            timer = loop.schedule(this::late, due - passed, TimeUnit.MILLISECONDS);
+    /** Fails the request unless its timeout has been extended: a long list takes a while to be received. */
+    private void checkTimeout() {
+        long dueMs = timeoutMs + receivedBytes / BYTES_PER_EXTRA_MS;
+        long elapsedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentNanos);
+        if (elapsedMs < dueMs) {
+            timeout = loop.schedule(this::checkTimeout, dueMs - elapsedMs, TimeUnit.MILLISECONDS);
         } else {
-            broken(channel);
+            fail(channel);
         }
     }
 
-    /** No answer will come, or no more of one that has begun. */
-    private void broken(Channel from) {
-        if (from == channel && waiting != null) {
-            drop();
-            boolean cut = reading != null;
-            ended(cut ? answer.status : 0, cut ? "cut after " + received + " bytes" : null);
+    /**
+     * Ends the request in progress on this channel: no response will come, or no more of one that has
+     * begun.
+     */
+    private void fail(Channel from) {
+        if (from == channel && onResponse != null) {
+            closeChannel();
+            boolean isCut = update != null;
+            complete(isCut ? response.status : 0,
+                isCut ? "response was cut off after " + receivedBytes + " bytes" : null);
         }
     }
 
-    private void drop() {
+    private void closeChannel() {
         Channel old = channel;
         channel = null;
         if (old != null) {
@@ -198,90 +219,92 @@
         }
     }
 
-    private void ended(int status, String fault) {
-        timer.cancel(false);
-        if (reading != null && answer.list == null) {
-            reading.abandon();
+    /** Reports the result of the request. */
+    private void complete(int status, String fault) {
+        timeout.cancel(false);
+        if (update != null && response.listChange == null) {
+            update.abandon();
         }
-        reading = null;
-        answer.status = status;
-        answer.fault = fault;
-        Consumer<Answer> told = waiting;
-        waiting = null;
-        told.accept(answer);
+        update = null;
+        response.status = status;
+        response.fault = fault;
+        Consumer<Response> callback = onResponse;
+        onResponse = null;
+        callback.accept(response);
     }
 
-    private final class Reader extends SimpleChannelInboundHandler<HttpObject> {
+    /** Handles the responses on a connection. */
+    private final class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-            if (context.channel() != channel || waiting == null) {
+            if (context.channel() != channel || onResponse == null) {
                 return;
             }
             if (part.decoderResult().isFailure()) {
-                broken(channel);
+                fail(channel);
                 return;
             }
             if (part instanceof HttpResponse head) {
-                answer.status = head.status().code();
-                keep = HttpUtil.isKeepAlive(head);
-                boolean list = lists != null && answer.status == HttpResponseStatus.OK.code();
-                reading = list ? lists.get() : null;
-                if (HttpUtil.getContentLength(head, 0L) > LIST_MOST) {
-                    refuse("it has more than " + LIST_MOST + " bytes");
+                response.status = head.status().code();
+                keepAlive = HttpUtil.isKeepAlive(head);
+                boolean isList = updates != null && response.status == HttpResponseStatus.OK.code();
+                update = isList ? updates.get() : null;
+                if (HttpUtil.getContentLength(head, 0L) > MAX_LIST_BYTES) {
+                    reject("the list has more than " + MAX_LIST_BYTES + " bytes");
                 }
             }
-            if (part instanceof HttpContent content && waiting != null) {
-                taken(content.content(), part instanceof LastHttpContent);
+            if (part instanceof HttpContent content && onResponse != null) {
+                handleContent(content.content(), part instanceof LastHttpContent);
             }
         }
 
-        private void taken(ByteBuf bytes, boolean last) {
-            received += bytes.readableBytes();
+        private void handleContent(ByteBuf bytes, boolean last) {
+            receivedBytes += bytes.readableBytes();
             try {
-                if (received > LIST_MOST) {
-                    throw new Wire.MalformedException("it has more than " + LIST_MOST + " bytes");
+                if (receivedBytes > MAX_LIST_BYTES) {
+                    throw new Wire.MalformedException("the list has more than " + MAX_LIST_BYTES + " bytes");
                 }
-                if (reading != null) {
+                if (update != null) {
                     feed(bytes);
-                    answer.list = last ? reading.end() : null;
+                    response.listChange = last ? update.commit() : null;
                 }
             } catch (Wire.MalformedException e) {
-                refuse(e.getMessage());
+                reject(e.getMessage());
                 return;
             }
             if (last) {
-                if (!keep) {
-                    drop();
+                if (!keepAlive) {
+                    closeChannel();
                 }
-                ended(answer.status, null);
+                complete(response.status, null);
             }
         }
 
         private void feed(ByteBuf bytes) throws Wire.MalformedException {
             if (bytes.hasArray()) {
-                reading.feed(bytes.array(), bytes.arrayOffset() + bytes.readerIndex(),
+                update.feed(bytes.array(), bytes.arrayOffset() + bytes.readerIndex(),
                     bytes.readableBytes());
             } else {
                 byte[] copy = ByteBufUtil.getBytes(bytes);
-                reading.feed(copy, 0, copy.length);
+                update.feed(copy, 0, copy.length);
             }
         }
 
-        /** The rest of the answer is not read: the connection ends. */
-        private void refuse(String fault) {
-            drop();
-            ended(answer.status, fault);
+        /** Ends the request and closes the connection, so that the rest of the response is not read. */
+        private void reject(String fault) {
+            closeChannel();
+            complete(response.status, fault);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            broken(context.channel());
+            fail(context.channel());
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (!(cause instanceof IOException)) {
-                LOG.error("connection to discovery closed", cause);
+                LOG.error("connection to discovery closed after an unexpected exception", cause);
             }
             context.close();
         }
--- a/src/main/java/wrenkeel/net/ControlDriver.java
+++ b/src/main/java/wrenkeel/net/ControlDriver.java
@@ -68,7 +68,7 @@
         final Message message;
         final Relay.MessageClass messageClass;
         /** By number of attempt; null for an attempt by an earlier process, or one that was not sent. */
-        final List<HostPool.Part> callParts = new ArrayList<>();
+        final List<HostPool.Attempt> callParts = new ArrayList<>();
         /** Null until the message is in the journal. */
         Journal.Entry journalEntry;
         /** The end is decided; attempts may still be in flight. */
@@ -109,7 +109,7 @@
     /** Clients whose messages the next turn answers, by message id. */
     private final Map<String, AcceptanceCallback> unansweredClients = new LinkedHashMap<>();
     /** Calls that the current turn is still filling, by host. */
-    private final Map<HostList.Host, Bundle> batches = new LinkedHashMap<>();
+    private final Map<HostList.Host, CallBatch> batches = new LinkedHashMap<>();
     private final RecoverySummary recoverySummary = new RecoverySummary();
     private final EventLoopLag eventLoopLag = new EventLoopLag(GAUGE_INTERVAL_MS, System::nanoTime);
     /** Zero of the module's clock, by {@link System#nanoTime}. */
@@ -170,7 +170,7 @@
         enqueue(new Relay.SettingsChanged(settings.withClasses(List.copyOf(knownClasses))));
         updateClassesInForce();
         discovery.moveTo(next.discoveryAddress());
-        pool.retune(settings.limits().connectTimeout(), settings.limits().keepAlive(),
+        pool.setLimits(settings.limits().connectTimeout(), settings.limits().keepAlive(),
             next.descriptorBudget().hostConnections());
     }
 
@@ -198,7 +198,7 @@
     void start(SavedHostList known) {
         if (!known.isEmpty()) {
             try (InputStream text = known.open()) {
-                hosts.take(text);
+                hosts.load(text);
             } catch (IOException e) {
                 LOG.warn("last known host list not loaded, starting without it: {}", e.getMessage());
             }
@@ -226,9 +226,9 @@
     private void updateGauges() {
         eventLoopLag.tick();
         try {
-            int unavailable = control.unavailableEndpoints() + hosts.draining();
-            metrics.updateGauges(journal.openCount(), hosts.listed(), unavailable, hosts.version(),
-                discovery.faults(), journalHealth.failures(), eventLoopLag.maxMillis());
+            int unavailable = control.unavailableEndpoints() + hosts.drainingCount();
+            metrics.updateGauges(journal.openCount(), hosts.listedCount(), unavailable, hosts.version(),
+                discovery.faultCount(), journalHealth.failures(), eventLoopLag.maxMillis());
         } catch (RuntimeException e) {
             // A periodic task that throws is never run again, and the lag would no longer be measured.
             LOG.error("metrics not updated", e);
@@ -243,7 +243,7 @@
 
     /** Gives the module the endpoints of a destination, as it needs before any other event about it. */
     private void introduce(long destination) {
-        Relay.ListUpdated listed = hosts.tell(destination);
+        Relay.ListUpdated listed = hosts.activate(destination);
         if (listed != null) {
             introducedDestinations++;
             enqueue(new Relay.DestinationIntroduced(listed.endpoints()));
@@ -255,11 +255,11 @@
      * neither the list nor the module has a host of this name.
      */
     private HostList.Host introducedHost(String name) {
-        Long destination = hosts.destination(name);
+        Long destination = hosts.destinationOf(name);
         if (destination != null) {
             introduce(destination);
         }
-        return hosts.named(name);
+        return hosts.hostByName(name);
     }
 
     /**
@@ -272,7 +272,7 @@
         journal.waits().forEach((host, until) -> {
             HostList.Host introduced = introducedHost(host);
             if (introduced != null) {
-                enqueue(Relay.EndpointSnapshot.ofWait(introduced.number, moduleTime(until)));
+                enqueue(Relay.EndpointSnapshot.ofWait(introduced.id, moduleTime(until)));
             }
         });
         journal.takeInheritedHealth().forEach(this::restoreHealth);
@@ -295,7 +295,7 @@
         if (host == null) {
             unlistedHealth.put(recorded.host(), recorded);
         } else {
-            enqueue(Relay.EndpointSnapshot.health(host.number, recorded.health(), moduleTime(recorded.sinceMillis()),
+            enqueue(Relay.EndpointSnapshot.health(host.id, recorded.health(), moduleTime(recorded.sinceMillis()),
                 recorded.callsPerSecond()));
         }
     }
@@ -305,7 +305,7 @@
      */
     private void resume(Journal.Entry entry) {
         if (entry.end != null) {
-            discovery.notice(entry);
+            discovery.postNotice(entry);
         } else if (entry.messageClass == null && !classesInForce.containsKey(entry.message.messageClass())) {
             LOG.warn("message {} failed: its class {} is no longer configured", entry.message.id(),
                 entry.message.messageClass());
@@ -375,7 +375,7 @@
 
     /** True if the message class is configured and some list has named the destination. */
     boolean isKnown(String messageClass, long destination) {
-        return classesInForce.containsKey(messageClass) && hosts.knows(destination);
+        return classesInForce.containsKey(messageClass) && hosts.isKnown(destination);
     }
 
     /** Returns the configured message class of this name; null if there is none. */
@@ -409,7 +409,7 @@
 
     /** True if every message has ended and the platform has acknowledged every notice. */
     boolean isIdle() {
-        return openMessages == 0 && !discovery.noticesLeft();
+        return openMessages == 0 && !discovery.hasPendingNotices();
     }
 
     // ---- Clients --------------------------------------------------------------------------------
@@ -584,15 +584,15 @@
     private void readInputBeforeSending(List<Relay.Action> actions) {
         Set<Long> destinations = new HashSet<>();
         for (Relay.Action action : actions) {
-            HostList.Host host = action instanceof Relay.Send send ? hosts.host(send.endpoint()) : null;
+            HostList.Host host = action instanceof Relay.Send send ? hosts.hostById(send.endpoint()) : null;
             if (host == null) {
                 continue;
             }
             if (destinations.isEmpty()) {
-                discovery.readNow();
+                discovery.readAvailable();
             }
             if (destinations.add(host.destination)) {
-                hosts.hostsOf(host.destination).forEach(pool::readAnswers);
+                hosts.hostsOf(host.destination).forEach(pool::readPendingResponses);
             }
         }
     }
@@ -620,17 +620,17 @@
             passToNextProcess(pass.id());
         } else if (action instanceof Relay.CancelAttempt cancel) {
             TrackedMessage tracked = messages.get(cancel.id());
-            HostPool.Part part = tracked == null ? null : tracked.callParts.get(cancel.attempt());
+            HostPool.Attempt part = tracked == null ? null : tracked.callParts.get(cancel.attempt());
             if (part != null) {
                 part.cancel();
             }
-        } else if (action instanceof Relay.CloseIdleConnections close && hosts.host(close.endpoint()) != null) {
-            pool.closeIdle(hosts.host(close.endpoint()));
+        } else if (action instanceof Relay.CloseIdleConnections close && hosts.hostById(close.endpoint()) != null) {
+            pool.closeIdle(hosts.hostById(close.endpoint()));
         } else if (action instanceof Relay.EndpointForgotten forgotten) {
-            hosts.forget(forgotten.endpoint());
+            hosts.releaseHost(forgotten.endpoint());
         } else if (action instanceof Relay.DestinationReleased released) {
             hosts.hostsOf(released.destination()).forEach(pool::closeIdle);
-            hosts.release(released.destination());
+            hosts.deactivate(released.destination());
             introducedDestinations--;
         } else if (action instanceof Relay.SetTimer wake) {
             eventLoop.schedule(() -> enqueue(new Relay.TimerDue()), wake.delay(), TimeUnit.MICROSECONDS);
@@ -644,7 +644,7 @@
      * on cold destinations binds a relay by the outages that any of its processes has seen.
      */
     private void healthChanged(Relay.HealthChanged change) {
-        HostList.Host host = hosts.host(change.endpoint());
+        HostList.Host host = hosts.hostById(change.endpoint());
         metrics.countHealthChange(change.reason());
         healthLog.logChange(change, host);
         if (host == null) {
@@ -665,7 +665,7 @@
      */
     private void send(Relay.Send send) {
         TrackedMessage tracked = messages.get(send.id());
-        HostList.Host listed = hosts.host(send.endpoint());
+        HostList.Host listed = hosts.hostById(send.endpoint());
         HostList.Host host = listed == null ? new HostList.Host(send.endpoint(), "unlisted") : listed;
         if (tracked == null) {
             return;
@@ -694,14 +694,14 @@
             return;
         }
         TRACE.debug("{} attempt {} to {}", send.id(), attempt, host.name);
-        HostPool.Part part = new HostPool.Part(tracked.message, send.timeout(),
+        HostPool.Attempt part = new HostPool.Attempt(tracked.message, send.timeout(),
             reply -> attemptEnded(tracked, attempt, host, reply));
         tracked.callParts.set(attempt, part);
-        if (!batches.computeIfAbsent(host, key -> new Bundle())
-                .takes(tracked.message, settings.kinds().get(host.kind).maxMessagesPerCall())) {
+        if (!batches.computeIfAbsent(host, key -> new CallBatch())
+                .hasRoomFor(tracked.message, settings.kinds().get(host.kind).maxMessagesPerCall())) {
             startCall(host);
         }
-        batches.computeIfAbsent(host, key -> new Bundle()).add(part);
+        batches.computeIfAbsent(host, key -> new CallBatch()).add(part);
     }
 
     /**
@@ -760,7 +760,7 @@
     }
 
     private void startCall(HostList.Host host) {
-        pool.call(host, batches.remove(host).parts());
+        pool.startCall(host, batches.remove(host).attempts());
     }
 
     /** Handles the outcome of an attempt: the message's end, a wait that the host asks for, the event. */
@@ -770,17 +770,17 @@
         }
         tracked.outstandingAttempts--;
         TRACE.debug("{} attempt {} to {} ended: {} after {} us", tracked.message.id(), attempt, host.name,
-            reply.outcome(), reply.latency());
-        if (reply.waitFor() > 0) {
-            persistWait(host, reply.waitFor());
-            sendGuard.recordWait(host, hasSeparateEndpoints(host), moduleNow(), reply.waitFor());
+            reply.outcome(), reply.latencyMicros());
+        if (reply.retryAfterMicros() > 0) {
+            persistWait(host, reply.retryAfterMicros());
+            sendGuard.recordWait(host, hasSeparateEndpoints(host), moduleNow(), reply.retryAfterMicros());
             // Calls that still wait for a connection to where the wait applies must not be sent.
             (hasSeparateEndpoints(host) ? List.of(host) : hosts.hostsOf(host.destination))
-                .forEach(pool::takeBack);
+                .forEach(pool::cancelUnsent);
         }
-        boolean ended = tracked.ended || reply.over();
+        boolean ended = tracked.ended || reply.messageOver();
         if (!tracked.ended) {
-            if (reply.over()) {
+            if (reply.messageOver()) {
                 markEnded(tracked);
                 closeEntry(tracked.journalEntry);
                 if (reply.outcome() == Relay.Outcome.OK) {
@@ -793,8 +793,8 @@
                 journalNotRun(tracked, attempt, reply.outcome() == Relay.Outcome.NO_SOCKET);
             }
         }
-        enqueue(new Relay.AttemptEnded(tracked.message.id(), attempt, host.number, reply.outcome(), ended,
-            reply.waitFor(), reply.latency(), reply.left(), reply.limit()));
+        enqueue(new Relay.AttemptEnded(tracked.message.id(), attempt, host.id, reply.outcome(), ended,
+            reply.retryAfterMicros(), reply.latencyMicros(), reply.remainingShare(), reply.rateLimitPerSecond()));
         removeWhenDone(tracked);
     }
 
@@ -869,7 +869,7 @@
             journalHealth.writeFailed("end of message " + entry.message.id() + " not recorded, notice sent anyway",
                 e);
         }
-        discovery.notice(entry);
+        discovery.postNotice(entry);
     }
 
     /** Marks a message as ended; it is forgotten once none of its attempts is outstanding. */
@@ -926,14 +926,14 @@
      * idle connections.
      */
     private void listUpdated(HostList.Change change) {
-        enqueue(change.listed());
+        enqueue(change.event());
         if (!unlistedHealth.isEmpty()) {
             List<Journal.EndpointHealth> again = List.copyOf(unlistedHealth.values());
             unlistedHealth.clear();
             again.forEach(this::restoreHealth);
         }
-        for (HostList.Host host : change.unready()) {
-            pool.takeBack(host);
+        for (HostList.Host host : change.unavailable()) {
+            pool.cancelUnsent(host);
             pool.closeIdle(host);
         }
     }
--- a/src/main/java/wrenkeel/net/HandoverSnapshot.java
+++ b/src/main/java/wrenkeel/net/HandoverSnapshot.java
@@ -36,7 +36,7 @@
             out.writeNumberField("seq", hosts.version());
             out.writeArrayFieldStart("known");
             for (Relay.EndpointSnapshot known : all) {
-                HostList.Host host = hosts.host(known.endpoint());
+                HostList.Host host = hosts.hostById(known.endpoint());
                 out.flush();
                 if (text.getBuffer().length() >= maxChars) {
                     break;
@@ -84,9 +84,9 @@
                     continue;
                 }
                 if (newer && host.ready && !f.booleanValue("ready")) {
-                    events.add(hosts.drain(host));
+                    events.add(hosts.markDraining(host));
                 }
-                events.add(new Relay.EndpointSnapshot(host.number, toModule.applyAsLong(f.longValue("wait")),
+                events.add(new Relay.EndpointSnapshot(host.id, toModule.applyAsLong(f.longValue("wait")),
                     toModule.applyAsLong(f.longValue("closed")), health(f), toModule.applyAsLong(since(f)),
                     f.doubleValue("carried", 0), f.doubleValue("pace"), f.doubleValue("window"),
                     f.doubleValue("latency")));
--- a/src/main/java/wrenkeel/net/HostList.java
+++ b/src/main/java/wrenkeel/net/HostList.java
@@ -20,196 +20,222 @@
 import wrenkeel.Wire;
 
 /**
- * The hosts that discovery's list names. All of them are rows of a table; those of the destinations that the
- * module has been told of are objects besides, and the module hears of these alone. A list is taken in whole
- * or not at all. One thread.
+ * The hosts of discovery's list. Every host is a row of a {@link HostTable}. A destination is active while
+ * the decision module works with it: only for active destinations are there {@link Host} objects, and only
+ * their hosts are reported to the module. A list, or a list of changes, is applied as a whole or not at all.
+ * Not thread-safe.
  */
 final class HostList {
-    /** Bytes of a row, with its name and its part of the indexes; part of the heap that rows may fill. */
-    private static final int ROW_BYTES = 64, HEAP_PART = 2;
-    private static final int KINDS_MOST = 255, PIECE = 8 * 1024;
-
-    /** A host of a destination that the module has been told of; {@code number} is what it knows it by. */
+    /** Size of a row, including its name and its part of the indexes. */
+    private static final int ROW_BYTES = 64;
+    /** Rows may fill the heap divided by this. */
+    private static final int HEAP_DIVISOR = 2;
+    /** A row stores its kind in one byte. */
+    private static final int MAX_KINDS = 255;
+    private static final int READ_BUFFER_BYTES = 8 * 1024;
+
+    /** A host of an active destination. The decision module knows it by its {@code id}. */
     static final class Host {
-        final long number;
+        final long id;
         final String name;
-        InetSocketAddress dial;
+        InetSocketAddress address;
         int zone;
         int kind;
         long destination;
         boolean ready;
-        /** Named by the list as it stands, ready or draining, and of this destination. */
+        /** True while the list names this host, ready or draining, as one of this destination. */
         boolean listed;
 
-        Host(long number, String name) {
-            this.number = number;
+        Host(long id, String name) {
+            this.id = id;
             this.name = name;
         }
 
-        private void leave() {
+        private void markGone() {
             ready = false;
             listed = false;
         }
     }
 
     /**
-     * What a list has changed. {@code listed}: what the module is to be told; {@code unready}: hosts to which
-     * no call may go out any more that waits: not ready, gone, or of another destination now.
+     * What an update of the list has changed.
+     *
+     * @param event the changes to hosts of active destinations, for the decision module
+     * @param unavailable hosts to which waiting calls must not be sent any more: they are draining or gone,
+     *     or they belong to another destination now
      */
-    record Change(Relay.ListUpdated listed, List<Host> unready) { }
+    record Change(Relay.ListUpdated event, List<Host> unavailable) { }
 
     private final List<String> zones;
     private final List<String> kinds;
     private final HostTable table;
-    /** By number; some are gone, and kept until the module holds nothing of them. */
-    private final Map<Long, Host> hosts = new HashMap<>();
-    /** The destinations that the module has been told of, with their hosts. */
-    private final Map<Long, Set<Host>> told = new HashMap<>();
-    private Reading reading;
+    /** The hosts of active destinations by id. Hosts that are gone stay until the module releases them. */
+    private final Map<Long, Host> hostsById = new HashMap<>();
+    /** The active destinations and their hosts. */
+    private final Map<Long, Set<Host>> activeDestinations = new HashMap<>();
+    /** The update that is being read; null for none. */
+    private PendingUpdate pendingUpdate;
     private long version = -1;
-    private int listed;
-    private int draining;
+    private int listedCount;
+    private int drainingCount;
 
+    /**
+     * Creates an empty list whose rows may fill half of the heap. {@code zones} and {@code kinds} are the
+     * names in the settings, in the order of their numbers.
+     */
     HostList(List<String> zones, List<String> kinds) {
         this(zones, kinds, (int) Math.min(Integer.MAX_VALUE,
-            Runtime.getRuntime().maxMemory() / HEAP_PART / ROW_BYTES));
+            Runtime.getRuntime().maxMemory() / HEAP_DIVISOR / ROW_BYTES));
     }
 
-    /** {@code most}: rows, for hosts held and for what a list that is being read changes. */
-    HostList(List<String> zones, List<String> kinds, int most) {
-        if (kinds.size() > KINDS_MOST) {
-            throw new IllegalArgumentException("more than " + KINDS_MOST + " kinds");
+    /** {@code maxRows} limits the rows for listed hosts and for the entries of an update together. */
+    HostList(List<String> zones, List<String> kinds, int maxRows) {
+        if (kinds.size() > MAX_KINDS) {
+            throw new IllegalArgumentException("more than " + MAX_KINDS + " kinds");
         }
         this.zones = zones;
         this.kinds = kinds;
-        this.table = new HostTable(most, number -> {
-            Host host = hosts.get(number);
+        this.table = new HostTable(maxRows, id -> {
+            Host host = hostsById.get(id);
             return host == null ? null : host.name;
         });
     }
 
-    /** The version of the list held; -1 before the first. */
+    /** The version of the current list; -1 before the first. */
     long version() {
         return version;
     }
 
-    /** How many hosts the list names now, ready or draining. */
-    int listed() {
-        return listed;
+    /** The number of hosts in the current list, ready or draining. */
+    int listedCount() {
+        return listedCount;
     }
 
-    /** How many of these are not ready. */
-    int draining() {
-        return draining;
+    /** The number of hosts in the current list that are draining. */
+    int drainingCount() {
+        return drainingCount;
     }
 
-    /** Rows in use: as many as are listed, unless a list is being read. */
-    int rows() {
-        return table.rows();
+    /** The number of rows in use: equal to {@link #listedCount} unless an update is being read. */
+    int rowCount() {
+        return table.rowCount();
     }
 
-    /** Rows that have ever been in use at one time. */
-    int room() {
+    /** The largest number of rows that have been in use at one time. */
+    int allocatedRowCount() {
         return table.end();
     }
 
-    /** True for a destination that a list has named; it stays one while all of its hosts are gone. */
-    boolean knows(long destination) {
-        return table.knows(destination);
+    /** True if a list has ever named this destination, even if all of its hosts are gone now. */
+    boolean isKnown(long destination) {
+        return table.isKnown(destination);
     }
 
-    /** The destination of a listed host; null if the list names none of this name. */
-    Long destination(String name) {
+    /** The destination of a listed host; null if the list names no host of this name. */
+    Long destinationOf(String name) {
         byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
-        int row = table.named(bytes, bytes.length);
+        int row = table.rowByName(bytes, bytes.length);
         return row == HostTable.NONE ? null : (Long) table.destination(row);
     }
 
-    // ---- What the module has been told of -----------------------------------------------------------
-    boolean told(long destination) {
-        return told.containsKey(destination);
+    // ---- Active destinations ------------------------------------------------------------------------
+    /** True if the decision module works with this destination. */
+    boolean isActive(long destination) {
+        return activeDestinations.containsKey(destination);
     }
 
-    /** The module is to know this destination from now on: its listed hosts; null if it does already. */
-    Relay.ListUpdated tell(long destination) {
-        if (told.containsKey(destination)) {
+    /**
+     * Makes a destination active: from now on, changes to its hosts are reported. Returns an event with its
+     * listed hosts; null if it is active already.
+     */
+    Relay.ListUpdated activate(long destination) {
+        if (activeDestinations.containsKey(destination)) {
             return null;
         }
-        told.put(destination, new LinkedHashSet<>());
-        if (reading != null) {
-            reading.toldSince.add(destination);
+        activeDestinations.put(destination, new LinkedHashSet<>());
+        if (pendingUpdate != null) {
+            pendingUpdate.activatedMeanwhile.add(destination);
         }
         List<Endpoint> endpoints = new ArrayList<>();
-        for (int row : rowsOf(destination)) {
-            show(row);
+        for (int row : listedRowsOf(destination)) {
+            syncHost(row);
             endpoints.add(endpoint(row));
         }
         return new Relay.ListUpdated(ListKind.CHANGES, endpoints);
     }
 
-    /** The module has forgotten the destination. */
-    void release(long destination) {
-        Set<Host> released = told.remove(destination);
+    /** Ends the active state of a destination, after the module has released it. */
+    void deactivate(long destination) {
+        Set<Host> released = activeDestinations.remove(destination);
         if (released != null) {
             for (Host host : released) {
-                hosts.remove(host.number);
-                table.letGo(host.number, host.name);
+                hostsById.remove(host.id);
+                table.releaseId(host.id, host.name);
             }
         }
     }
 
-    /** The module holds nothing of this host any more; it goes if the list does not name it. */
-    void forget(long number) {
-        Host host = hosts.get(number);
+    /**
+     * Called when the module keeps no state of a host any more: removes the host if the list doesn't name
+     * it.
+     */
+    void releaseHost(long id) {
+        Host host = hostsById.get(id);
         if (host != null && !host.listed) {
-            hosts.remove(number);
-            told.get(host.destination).remove(host);
-            table.letGo(number, host.name);
+            hostsById.remove(id);
+            activeDestinations.get(host.destination).remove(host);
+            table.releaseId(id, host.name);
         }
     }
 
-    /** The host of this number, perhaps gone; null if the module has not been told of it. */
-    Host host(long number) {
-        return hosts.get(number);
+    /** The host with this id, which may be gone; null if it is not a host of an active destination. */
+    Host hostById(long id) {
+        return hostsById.get(id);
     }
 
-    /** The host of this name, perhaps gone; null if the module has not been told of it. */
-    Host named(String name) {
+    /** The host with this name, which may be gone; null if it is not a host of an active destination. */
+    Host hostByName(String name) {
         byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
-        Host host = hosts.get(table.numberOf(bytes, bytes.length));
+        Host host = hostsById.get(table.idFor(bytes, bytes.length));
         return host != null && host.name.equals(name) ? host : null;
     }
 
-    /** A copy of a destination's hosts, gone ones included; none if the module has not been told of it. */
+    /**
+     * A copy of a destination's hosts, including those that are gone; empty if the destination is not
+     * active.
+     */
     Collection<Host> hostsOf(long destination) {
-        Set<Host> held = told.get(destination);
-        return held == null ? List.of() : List.copyOf(held);
+        Set<Host> found = activeDestinations.get(destination);
+        return found == null ? List.of() : List.copyOf(found);
     }
 
     /**
-     * A host that another process was told is draining or gone; this one's list is older. A list that is
-     * being read may be older too, for its text began before: the host drains until a later one names it.
+     * Marks a host as draining because another process has received a newer list, in which it is draining or
+     * gone. An update that is being read may also be older than that list, as its transfer has begun before;
+     * the host therefore stays draining until a later update names it as ready.
+     *
+     * @return the change, for the decision module
      */
-    Relay.ListUpdated drain(Host host) {
+    Relay.ListUpdated markDraining(Host host) {
         host.ready = false;
-        int row = table.numbered(host.number);
+        int row = table.rowById(host.id);
         if (row != HostTable.NONE && table.destination(row) == host.destination) {
-            stands(row, true, false);
-            if (reading != null) {
-                table.set(row, HostTable.DRAINED, true);
-                reading.drained.add(host.number);
+            setListed(row, true, false);
+            if (pendingUpdate != null) {
+                table.setFlag(row, HostTable.DRAINED_MEANWHILE, true);
+                pendingUpdate.drainedIds.add(host.id);
             }
         }
-        return new Relay.ListUpdated(ListKind.CHANGES, List.of(new Endpoint(host.number, host.zone, host.kind,
+        return new Relay.ListUpdated(ListKind.CHANGES, List.of(new Endpoint(host.id, host.zone, host.kind,
             host.destination, Listing.DRAINING, 0)));
     }
 
-    /** In the order in which they were first listed, for the most part. */
-    private int[] rowsOf(long destination) {
+    /** The listed rows of a destination in ascending order, which is mostly the order of first listing. */
+    private int[] listedRowsOf(long destination) {
         int[] rows = new int[4];
         int count = 0;
-        for (int row = table.firstOf(destination); row != HostTable.NONE; row = table.next(row)) {
-            if (table.has(row, HostTable.LISTED)) {
+        for (int row = table.firstRowOf(destination); row != HostTable.NONE; row = table.next(row)) {
+            if (table.hasFlag(row, HostTable.LISTED)) {
                 rows = count == rows.length ? Arrays.copyOf(rows, 2 * count) : rows;
                 rows[count++] = row;
             }
@@ -219,280 +245,309 @@
     }
 
     private Endpoint endpoint(int row) {
-        return new Endpoint(table.number(row), table.zone(row), table.kind(row), table.destination(row),
-            table.has(row, HostTable.READY) ? Listing.READY : Listing.DRAINING, table.share(row));
+        return new Endpoint(table.id(row), table.zone(row), table.kind(row), table.destination(row),
+            table.hasFlag(row, HostTable.READY) ? Listing.READY : Listing.DRAINING, table.share(row));
     }
 
-    /** Brings the object of a listed host of a told destination up to its row, and makes it if need be. */
-    private Host show(int row) {
+    /** Copies the row of a listed host of an active destination to its object, which is created if needed. */
+    private Host syncHost(int row) {
         long destination = table.destination(row);
-        Host host = hosts.get(table.number(row));
+        Host host = hostsById.get(table.id(row));
         if (host == null) {
-            host = new Host(table.number(row), table.name(row));
-            hosts.put(host.number, host);
+            host = new Host(table.id(row), table.name(row));
+            hostsById.put(host.id, host);
         } else if (host.destination != destination) {
-            told.get(host.destination).remove(host);
+            activeDestinations.get(host.destination).remove(host);
         }
-        told.get(destination).add(host);
+        activeDestinations.get(destination).add(host);
         host.destination = destination;
-        host.dial = table.dial(row);
+        host.address = table.address(row);
         host.zone = table.zone(row);
         host.kind = table.kind(row);
-        host.ready = table.has(row, HostTable.READY);
+        host.ready = table.hasFlag(row, HostTable.READY);
         host.listed = true;
         return host;
     }
 
-    private void stands(int row, boolean nowListed, boolean nowReady) {
-        boolean was = table.has(row, HostTable.LISTED);
-        listed += (nowListed ? 1 : 0) - (was ? 1 : 0);
-        draining += (nowListed && !nowReady ? 1 : 0) - (was && !table.has(row, HostTable.READY) ? 1 : 0);
-        table.set(row, HostTable.LISTED, nowListed);
-        table.set(row, HostTable.READY, nowReady);
+    /** Sets the flags of a row and updates the counters. */
+    private void setListed(int row, boolean nowListed, boolean nowReady) {
+        boolean wasListed = table.hasFlag(row, HostTable.LISTED);
+        listedCount += (nowListed ? 1 : 0) - (wasListed ? 1 : 0);
+        drainingCount += (nowListed && !nowReady ? 1 : 0)
+            - (wasListed && !table.hasFlag(row, HostTable.READY) ? 1 : 0);
+        table.setFlag(row, HostTable.LISTED, nowListed);
+        table.setFlag(row, HostTable.READY, nowReady);
     }
 
     // ---- Lists --------------------------------------------------------------------------------------
-    /** Takes in a list or its changes. */
-    Change take(InputStream text) throws IOException {
-        Reading whole = read();
+    /** Reads and applies a complete list or a list of changes. */
+    Change load(InputStream text) throws IOException {
+        PendingUpdate update = beginUpdate();
         try {
-            byte[] piece = new byte[PIECE];
-            for (int length = text.read(piece); length >= 0; length = text.read(piece)) {
-                whole.feed(piece, 0, length);
+            byte[] buffer = new byte[READ_BUFFER_BYTES];
+            for (int length = text.read(buffer); length >= 0; length = text.read(buffer)) {
+                update.feed(buffer, 0, length);
             }
-            return whole.end();
+            return update.commit();
         } finally {
-            whole.abandon();
+            update.abandon();
         }
     }
 
-    /** Begins to read a list or its changes; one that is still being read is abandoned. */
-    Reading read() {
-        if (reading != null) {
-            reading.abandon();
+    /** Begins to read a list or a list of changes. One that is still being read is abandoned. */
+    PendingUpdate beginUpdate() {
+        if (pendingUpdate != null) {
+            pendingUpdate.abandon();
         }
-        reading = new Reading();
-        return reading;
+        pendingUpdate = new PendingUpdate();
+        return pendingUpdate;
     }
 
-    /** One list that is being read. What it changes are rows that are not linked, until its end has come. */
-    final class Reading {
-        private final ListReader text = new ListReader(zones, kinds, this::read);
-        /** The entries that change something, or concern the module, in their order. */
-        private int first = HostTable.NONE;
-        private int last = HostTable.NONE;
-        /** Some rows are marked as seen. */
-        private boolean marked;
-        private final List<Long> drained = new ArrayList<>();
-        private final Set<Long> toldSince = new LinkedHashSet<>();
+    /**
+     * A list or a list of changes that is being read. Its entries are kept in unlinked rows, so that the
+     * current list stays unchanged until {@link #commit}.
+     */
+    final class PendingUpdate {
+        private final ListReader reader = new ListReader(zones, kinds, this::addEntry);
+        /**
+         * The first and the last row of a chain in the order of the text: the entries that change something
+         * or belong to an active destination.
+         */
+        private int firstEntry = HostTable.NONE;
+        private int lastEntry = HostTable.NONE;
+        /** Some rows have the flag {@link HostTable#SEEN_IN_UPDATE}. */
+        private boolean hasSeenMarks;
+        /** Hosts for which {@link #markDraining} has been called while this update was being read. */
+        private final List<Long> drainedIds = new ArrayList<>();
+        /** Destinations that became active while this update was being read. */
+        private final Set<Long> activatedMeanwhile = new LinkedHashSet<>();
+        /** The changes to report to the decision module. */
         private final List<Endpoint> endpoints = new ArrayList<>();
-        private final Set<Host> unready = new LinkedHashSet<>();
-        /** Rows that have left the list or their destination. */
-        private int[] left = new int[16];
-        private int leftCount;
+        private final Set<Host> unavailable = new LinkedHashSet<>();
+        /** Rows whose host has left the list or changed its destination. */
+        private int[] unlistedRows = new int[16];
+        private int unlistedCount;
 
-        private Reading() { }
+        private PendingUpdate() { }
 
-        /** Reads a piece of the text, cut anywhere. After a fault nothing of the list stays. */
+        /**
+         * Reads the next piece of the text, which may be cut anywhere. If it is malformed, abandons the
+         * update.
+         */
         void feed(byte[] bytes, int from, int length) throws Wire.MalformedException {
-            boolean good = false;
+            boolean succeeded = false;
             try {
-                underWay();
-                text.feed(bytes, from, length);
-                good = true;
+                requireUnderWay();
+                reader.feed(bytes, from, length);
+                succeeded = true;
             } finally {
-                if (!good) {
+                if (!succeeded) {
                     abandon();
                 }
             }
         }
 
-        /** The text is complete: from now on the list holds, or, after a fault, nothing of it. */
-        Change end() throws Wire.MalformedException {
+        /** Called at the end of the text: applies the update, or abandons it if it is malformed. */
+        Change commit() throws Wire.MalformedException {
             try {
-                underWay();
-                text.end();
+                requireUnderWay();
+                reader.end();
                 return apply();
             } finally {
                 abandon();
             }
         }
 
-        /** Nothing of the list stays. Does nothing once its end has come. */
+        /** Discards the update. Does nothing if it has been applied or abandoned already. */
         void abandon() {
-            if (reading != this) {
+            if (pendingUpdate != this) {
                 return;
             }
-            reading = null;
-            for (int entry = first; entry != HostTable.NONE;) {
+            pendingUpdate = null;
+            for (int entry = firstEntry; entry != HostTable.NONE;) {
                 int next = table.next(entry);
-                int row = table.host(entry);
+                int row = table.rowOfEntry(entry);
                 if (row != HostTable.NONE) {
-                    table.set(row, HostTable.CHANGED, false);
+                    table.setFlag(row, HostTable.HAS_ENTRY, false);
                 }
                 table.free(entry);
                 entry = next;
             }
-            for (int row = 0; marked && row < table.end(); row++) {
-                table.set(row, HostTable.SEEN, false);
+            for (int row = 0; hasSeenMarks && row < table.end(); row++) {
+                table.setFlag(row, HostTable.SEEN_IN_UPDATE, false);
             }
-            for (long number : drained) {
-                int row = table.numbered(number);
+            for (long id : drainedIds) {
+                int row = table.rowById(id);
                 if (row != HostTable.NONE) {
-                    table.set(row, HostTable.DRAINED, false);
+                    table.setFlag(row, HostTable.DRAINED_MEANWHILE, false);
                 }
             }
-            table.tidy();
-            text.close();
+            table.compactArena();
+            reader.close();
         }
 
-        private void underWay() throws Wire.MalformedException {
-            if (reading != this) {
-                throw new Wire.MalformedException("the list has been abandoned");
+        private void requireUnderWay() throws Wire.MalformedException {
+            if (pendingUpdate != this) {
+                throw new Wire.MalformedException("reading of the list was abandoned");
             }
         }
 
-        private void read(ListReader.Entry entry) throws Wire.MalformedException {
-            int row = table.named(entry.name, entry.nameLength);
+        /** Keeps an entry until the update is applied, unless it changes nothing. */
+        private void addEntry(ListReader.Entry entry) throws Wire.MalformedException {
+            int row = table.rowByName(entry.name, entry.nameLength);
             boolean known = row != HostTable.NONE;
-            if (known && text.mayBeWhole()) {
-                table.set(row, HostTable.SEEN, true);
-                marked = true;
+            if (known && reader.mayBeWhole()) {
+                table.setFlag(row, HostTable.SEEN_IN_UPDATE, true);
+                hasSeenMarks = true;
             }
-            // The module hears of what is named again too; and a later entry counts, not an earlier one.
-            if (known && table.same(row, entry) && !table.has(row, HostTable.CHANGED)
-                && !told.containsKey(entry.destination)) {
+            // Entries of active destinations are reported even if they change nothing. If an earlier entry
+            // of this update has changed the host, this one must override it.
+            if (known && table.matches(row, entry) && !table.hasFlag(row, HostTable.HAS_ENTRY)
+                && !activeDestinations.containsKey(entry.destination)) {
                 return;
             }
-            int added = table.add(entry, row);
+            int added = table.addEntry(entry, row);
             if (known) {
-                table.set(row, HostTable.CHANGED, true);
+                table.setFlag(row, HostTable.HAS_ENTRY, true);
             }
-            if (last == HostTable.NONE) {
-                first = added;
+            if (lastEntry == HostTable.NONE) {
+                firstEntry = added;
             } else {
-                table.next(last, added);
+                table.next(lastEntry, added);
             }
-            last = added;
+            lastEntry = added;
         }
 
+        /** Applies the entries and collects what to report. */
         private Change apply() {
-            while (first != HostTable.NONE) {
-                int entry = first;
-                first = table.next(entry);
+            while (firstEntry != HostTable.NONE) {
+                int entry = firstEntry;
+                firstEntry = table.next(entry);
                 apply(entry);
             }
-            if (text.whole()) {
-                dropUnseen();
-                toldSince.forEach(this::addMissing);
+            if (reader.isWhole()) {
+                removeUnseen();
+                activatedMeanwhile.forEach(this::addUnreported);
             } else {
-                for (int i = 0; i < leftCount; i++) {
-                    if (table.has(left[i], HostTable.LINKED) && !table.has(left[i], HostTable.LISTED)) {
-                        table.prune(table.destination(left[i]));
+                for (int i = 0; i < unlistedCount; i++) {
+                    if (table.hasFlag(unlistedRows[i], HostTable.LINKED)
+                        && !table.hasFlag(unlistedRows[i], HostTable.LISTED)) {
+                        table.freeUnlisted(table.destination(unlistedRows[i]));
                     }
                 }
             }
-            version = text.version();
-            return new Change(new Relay.ListUpdated(text.whole() ? ListKind.WHOLE : ListKind.CHANGES, endpoints),
-                List.copyOf(unready));
+            version = reader.version();
+            return new Change(
+                new Relay.ListUpdated(reader.isWhole() ? ListKind.WHOLE : ListKind.CHANGES, endpoints),
+                List.copyOf(unavailable));
         }
 
+        /** Applies one entry, whose row becomes the host's row or is freed. */
         private void apply(int entry) {
-            int row = table.host(entry);
+            int row = table.rowOfEntry(entry);
             boolean known = row != HostTable.NONE;
             if (known) {
-                table.set(row, HostTable.CHANGED, false);
+                table.setFlag(row, HostTable.HAS_ENTRY, false);
             }
-            if (table.has(entry, HostTable.GONE)) {
-                if (table.has(entry, HostTable.UNDIALABLE)) {
-                    table.know(table.destination(entry));
+            if (table.hasFlag(entry, HostTable.GONE)) {
+                if (table.hasFlag(entry, HostTable.UNUSABLE_ADDRESS)) {
+                    table.markKnown(table.destination(entry));
                 }
                 table.free(entry);
-                if (known && table.has(row, HostTable.LISTED)) {
-                    leave(row, true);
+                if (known && table.hasFlag(row, HostTable.LISTED)) {
+                    removeRow(row, true);
                 }
                 return;
             }
-            boolean ready = table.has(entry, HostTable.READY)
-                && !(known && table.has(row, HostTable.DRAINED));
+            boolean ready = table.hasFlag(entry, HostTable.READY)
+                && !(known && table.hasFlag(row, HostTable.DRAINED_MEANWHILE));
             if (!known) {
-                table.link(entry);
+                table.linkNewHost(entry);
                 row = entry;
             } else if (table.destination(row) == table.destination(entry)) {
                 table.update(row, entry);
             } else {
-                stands(row, false, false);
-                table.move(row, entry);
-                left(row);
+                setListed(row, false, false);
+                table.replaceMovedHost(row, entry);
+                addUnlistedRow(row);
                 row = entry;
             }
-            table.set(row, HostTable.SEEN, text.whole());
-            stands(row, true, ready);
-            listed(row);
+            table.setFlag(row, HostTable.SEEN_IN_UPDATE, reader.isWhole());
+            setListed(row, true, ready);
+            reportListed(row);
         }
 
-        /** Tells of a host that the list names. */
-        private void listed(int row) {
-            Host host = hosts.get(table.number(row));
+        /** Reports a host that the list names, if its destination is active. */
+        private void reportListed(int row) {
+            Host host = hostsById.get(table.id(row));
             boolean moved = host != null && host.listed && host.destination != table.destination(row);
-            if (told.containsKey(table.destination(row))) {
-                host = show(row);
+            if (activeDestinations.containsKey(table.destination(row))) {
+                host = syncHost(row);
                 endpoints.add(endpoint(row));
                 if (moved || !host.ready) {
-                    unready.add(host);
+                    unavailable.add(host);
                 }
             } else if (moved) {
-                gone(host, true);
+                reportGone(host, true);
             }
         }
 
-        private void leave(int row, boolean tell) {
-            stands(row, false, false);
-            left(row);
-            Host host = hosts.get(table.number(row));
+        /** Marks the host of a row as not listed any more. */
+        private void removeRow(int row, boolean report) {
+            setListed(row, false, false);
+            addUnlistedRow(row);
+            Host host = hostsById.get(table.id(row));
             if (host != null && host.listed) {
-                gone(host, tell);
+                reportGone(host, report);
             }
         }
 
-        private void gone(Host host, boolean tell) {
-            host.leave();
-            unready.add(host);
-            if (tell) {
-                endpoints.add(new Endpoint(host.number, host.zone, host.kind, host.destination,
+        /** Marks a host as gone. {@code report}: whether the change goes to the decision module. */
+        private void reportGone(Host host, boolean report) {
+            host.markGone();
+            unavailable.add(host);
+            if (report) {
+                endpoints.add(new Endpoint(host.id, host.zone, host.kind, host.destination,
                     Listing.GONE, 0));
             }
         }
 
-        private void left(int row) {
-            left = leftCount == left.length ? Arrays.copyOf(left, 2 * leftCount) : left;
-            left[leftCount++] = row;
+        private void addUnlistedRow(int row) {
+            unlistedRows = unlistedCount == unlistedRows.length
+                ? Arrays.copyOf(unlistedRows, 2 * unlistedCount) : unlistedRows;
+            unlistedRows[unlistedCount++] = row;
         }
 
-        /** A whole list leaves out what is gone; the module sees that by itself. */
-        private void dropUnseen() {
+        /**
+         * Removes the hosts that a whole list doesn't name. They aren't reported: the decision module drops
+         * the endpoints that a whole list leaves out.
+         */
+        private void removeUnseen() {
             for (int row = 0; row < table.end(); row++) {
-                if (table.has(row, HostTable.LISTED) && !table.has(row, HostTable.SEEN)) {
-                    leave(row, false);
+                if (table.hasFlag(row, HostTable.LISTED) && !table.hasFlag(row, HostTable.SEEN_IN_UPDATE)) {
+                    removeRow(row, false);
                 }
             }
             for (int row = 0; row < table.end(); row++) {
-                if (table.has(row, HostTable.LINKED)) {
-                    table.set(row, HostTable.SEEN, false);
-                    if (!table.has(row, HostTable.LISTED)) {
-                        table.prune(table.destination(row));
+                if (table.hasFlag(row, HostTable.LINKED)) {
+                    table.setFlag(row, HostTable.SEEN_IN_UPDATE, false);
+                    if (!table.hasFlag(row, HostTable.LISTED)) {
+                        table.freeUnlisted(table.destination(row));
                     }
                 }
             }
-            marked = false;
+            hasSeenMarks = false;
         }
 
-        /** Hosts whose entries came before the module was told of their destination, and said nothing new. */
-        private void addMissing(long destination) {
-            Set<Long> there = endpoints.stream().map(Endpoint::id).collect(Collectors.toSet());
-            if (told.containsKey(destination)) {
-                for (int row : rowsOf(destination)) {
-                    if (!there.contains(table.number(row))) {
+        /**
+         * Reports the hosts of a destination that became active while the update was being read, as far as
+         * they aren't reported yet: entries without changes that came before that were not kept.
+         */
+        private void addUnreported(long destination) {
+            Set<Long> reportedIds = endpoints.stream().map(Endpoint::id).collect(Collectors.toSet());
+            if (activeDestinations.containsKey(destination)) {
+                for (int row : listedRowsOf(destination)) {
+                    if (!reportedIds.contains(table.id(row))) {
                         endpoints.add(endpoint(row));
                     }
                 }
--- a/src/main/java/wrenkeel/net/HostPool.java
+++ b/src/main/java/wrenkeel/net/HostPool.java
@@ -41,457 +41,541 @@
 import org.slf4j.LoggerFactory;
 import wrenkeel.Relay.Outcome;
 
-/** Connections to hosts: carries out one call at a time on each, and tells what came back. One thread. */
+/**
+ * The pool of HTTP/1.1 connections to hosts. Each connection carries one call at a time; a call carries one
+ * or several attempts, and each attempt gets exactly one {@link Reply}. Not thread-safe: all methods run on
+ * the event loop that is passed to the constructor.
+ */
 final class HostPool {
     private static final Logger LOG = LoggerFactory.getLogger(HostPool.class);
-    /** ms; a connection is not used again, and is closed, so long before the host may close it. */
-    private static final long IDLE_MARGIN = 1_000, SWEEP = 250;
-    /** ns; an answer that has begun and is not at its end by then will not be waited for. */
-    private static final long ANSWER_MOST = TimeUnit.SECONDS.toNanos(2);
+    /** An idle connection is closed, and not used again, this long before the host may close it. */
+    private static final long IDLE_MARGIN_MS = 1_000;
+    /** Interval at which stale and stuck connections are closed. */
+    private static final long SWEEP_INTERVAL_MS = 250;
+    /** Time after its head within which a response must be complete; then the connection is closed. */
+    private static final long MAX_RESPONSE_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-    /** What came back; times in microseconds, {@code left} and {@code limit} -1 if untold. */
-    record Reply(Outcome outcome, boolean over, long waitFor, long latency, double left, double limit) { }
+    /**
+     * The result of an attempt.
+     *
+     * @param messageOver whether the message needs no further attempt: it was delivered or has expired
+     * @param retryAfterMicros how long the host asks not to be called; 0 if it doesn't ask
+     * @param latencyMicros time since the attempt was created
+     * @param remainingShare the share of its rate limit that the host reports as left; -1 if it reports none
+     * @param rateLimitPerSecond the rate limit that the host reports; -1 if it reports none
+     */
+    record Reply(Outcome outcome, boolean messageOver, long retryAfterMicros, long latencyMicros,
+                 double remainingShare, double rateLimitPerSecond) { }
 
-    /** One message's part in a call, from when it was asked for until its reply. */
-    static final class Part {
+    /** One attempt to deliver a message, from its creation until its reply. */
+    static final class Attempt {
         private final Message message;
-        private final long patience;
-        private final Consumer<Reply> whenEnded;
-        private final long began = System.nanoTime();
-        private Future<?> timer;
+        private final long timeoutMicros;
+        private final Consumer<Reply> onReply;
+        private final long startNanos = System.nanoTime();
+        private Future<?> timeout;
         private Call call;
         private boolean ended;
 
-        /** It ends within {@code patience} microseconds; its reply comes exactly once. */
-        Part(Message message, long patience, Consumer<Reply> whenEnded) {
+        /**
+         * {@code onReply} is called exactly once, at the latest {@code timeoutMicros} after the attempt has
+         * been passed to {@link #startCall}.
+         */
+        Attempt(Message message, long timeoutMicros, Consumer<Reply> onReply) {
             this.message = message;
-            this.patience = patience;
-            this.whenEnded = whenEnded;
+            this.timeoutMicros = timeoutMicros;
+            this.onReply = onReply;
         }
 
         Message message() {
             return message;
         }
 
-        /** Stops waiting. Closing the connection is how a host learns of it, once no other part waits. */
+        /**
+         * Ends the attempt as cancelled. If no other attempt of its call is still waiting, the connection is
+         * closed: this is how the host learns of it.
+         */
         void cancel() {
             abandon(Outcome.CANCELLED);
         }
 
-        /** Its time is up. */
-        void giveUp() {
+        /**
+         * Ends the attempt because its timeout has elapsed: as a timeout only if the endpoint may have run
+         * it.
+         */
+        void expire() {
             abandon(call.mayRunWithout(this) ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED);
         }
 
-        /** The connection closes before the reply is told, so that no byte can leave after it. */
+        /**
+         * Ends the attempt without waiting for the response. If it was the last one of its call, the
+         * connection is closed before the reply is reported, so that no byte can be sent after that.
+         */
         private void abandon(Outcome outcome) {
             if (!ended) {
-                settle();
-                if (call != null && call.over() && call.channel != null) {
+                markEnded();
+                if (call != null && call.hasEnded() && call.channel != null) {
                     call.channel.close();
                 }
-                whenEnded.accept(reply(outcome));
+                onReply.accept(replyFor(outcome));
             }
         }
 
         private void end(Outcome outcome) {
-            end(reply(outcome));
+            end(replyFor(outcome));
         }
 
         private void end(Reply reply) {
             if (!ended) {
-                settle();
-                whenEnded.accept(reply);
+                markEnded();
+                onReply.accept(reply);
             }
         }
 
-        private void settle() {
+        private void markEnded() {
             ended = true;
             if (call == null) {
-                // Called off in the turn that asked for it, before its call was made.
+                // Cancelled before its call was started.
                 return;
             }
-            timer.cancel(false);
-            if (call.over()) {
-                call.pool.connecting.remove(call);
+            timeout.cancel(false);
+            if (call.hasEnded()) {
+                call.connections.unsent.remove(call);
             }
         }
 
-        /** An answer whose first line said 200 has delivered, whatever became of the rest of it. */
-        private Reply reply(Outcome outcome) {
+        /**
+         * The reply for an attempt that ends without a complete response. Its message counts as delivered if
+         * the status line said 200.
+         */
+        private Reply replyFor(Outcome outcome) {
             boolean delivered = call != null && call.delivered;
-            return new Reply(delivered ? Outcome.OK : outcome, delivered, 0, latency(), -1, -1);
+            return new Reply(delivered ? Outcome.OK : outcome, delivered, 0, latencyMicros(), -1, -1);
         }
 
-        private long latency() {
-            return (System.nanoTime() - began) / 1_000;
+        private long latencyMicros() {
+            return (System.nanoTime() - startNanos) / 1_000;
         }
     }
 
-    /** What goes out as one request: a message, or a bundle of them that share its fate. */
+    /** One HTTP request to a host, which carries a single message or a batch of messages. */
     private static final class Call {
         final HostList.Host host;
-        final List<Part> parts;
-        final Pool pool;
+        final List<Attempt> attempts;
+        final HostConnections connections;
         Channel channel;
-        /** Bytes of it may have been handed to the socket; all of them, once it is written. */
-        boolean begun;
+        /** Some bytes of the request may have been handed to the socket. */
+        boolean writeBegun;
+        /** All bytes of the request have been handed to the socket. */
         boolean written;
-        /** The first line of its answer said 200, which settles a call with one message. */
+        /** The status line of the response said 200; set only for a call with a single message. */
         boolean delivered;
 
-        Call(HostList.Host host, List<Part> parts, Pool pool) {
+        Call(HostList.Host host, List<Attempt> attempts, HostConnections connections) {
             this.host = host;
-            this.parts = parts;
-            this.pool = pool;
-            parts.forEach(part -> part.call = this);
+            this.attempts = attempts;
+            this.connections = connections;
+            attempts.forEach(attempt -> attempt.call = this);
         }
 
-        boolean bundle() {
-            return parts.size() > 1;
+        /** True if the call carries more than one message. */
+        boolean isBatch() {
+            return attempts.size() > 1;
         }
 
-        boolean over() {
-            return parts.stream().allMatch(part -> part.ended);
+        /** True if all attempts of the call have ended. */
+        boolean hasEnded() {
+            return attempts.stream().allMatch(attempt -> attempt.ended);
         }
 
-        /** True if the endpoint may run a part that is given up now: others keep a call on its way. */
-        boolean mayRunWithout(Part part) {
-            return written || begun && parts.stream().anyMatch(other -> other != part && !other.ended);
+        /**
+         * True if the endpoint may still process the message of an attempt that is abandoned now: the request
+         * has been sent in full, or it will be, because other attempts keep the call alive.
+         */
+        boolean mayRunWithout(Attempt attempt) {
+            return written
+                || writeBegun && attempts.stream().anyMatch(other -> other != attempt && !other.ended);
         }
 
         void end(Outcome outcome) {
-            parts.forEach(part -> part.end(outcome));
+            attempts.forEach(attempt -> attempt.end(outcome));
         }
 
         FullHttpRequest request() {
-            return CallRequest.encode(host.dial, parts.stream().map(Part::message).toList(), left());
+            return CallRequest.encode(host.address, attempts.stream().map(Attempt::message).toList(),
+                remainingMillis());
         }
 
-        /** ms until the last of its parts stops waiting. */
-        private long left() {
-            long most = parts.stream().mapToLong(part -> part.patience - part.latency()).max().orElse(0);
-            return Math.max(1, most / 1_000);
+        /** Time until the last of its attempts times out; at least 1 ms. */
+        private long remainingMillis() {
+            long longest = attempts.stream()
+                .mapToLong(attempt -> attempt.timeoutMicros - attempt.latencyMicros()).max().orElse(0);
+            return Math.max(1, longest / 1_000);
         }
     }
 
-    private static final class Pool {
-        /** Idle connections, the latest used last. */
+    /** The connections to one host, and the calls that wait for one. */
+    private static final class HostConnections {
+        /** Idle connections, the most recently used last. */
         final ArrayDeque<Connection> idle = new ArrayDeque<>();
+        /** All established connections, idle or in use. */
         final Set<Connection> open = new HashSet<>();
-        /** Calls of which no byte has gone out. */
-        final Set<Call> connecting = new HashSet<>();
-        InetSocketAddress dial;
+        /** Calls of which no byte has been sent. */
+        final Set<Call> unsent = new HashSet<>();
+        InetSocketAddress address;
     }
 
     private final EventLoop loop;
     private final Bootstrap bootstrap;
-    private long idleLimit;
+    private long idleLimitNanos;
     private final Metrics figures;
-    /** Connections at once, those that are still to come up included; and how many there are. */
-    private int most;
-    private int held;
-    private final Map<Long, Pool> pools = new HashMap<>();
-    /** All idle connections, the one idle for the longest first. */
-    private final Set<Connection> resting = new LinkedHashSet<>();
-    /** Calls that wait until there may be one more connection, the longest first. */
-    private final ArrayDeque<Call> waiting = new ArrayDeque<>();
+    /** Limit of {@link #connectionCount}. */
+    private int maxConnections;
+    /** Connections to all hosts, including those that are being established. */
+    private int connectionCount;
+    private final Map<Long, HostConnections> connectionsByHost = new HashMap<>();
+    /** The idle connections to all hosts, the one that has been idle longest first. */
+    private final Set<Connection> idleOldestFirst = new LinkedHashSet<>();
+    /** Calls that wait because the connection limit is reached, oldest first. */
+    private final ArrayDeque<Call> waitingCalls = new ArrayDeque<>();
 
     /**
-     * {@code most}: connections at once. Beyond that, ones that carry no call are closed; where all carry
-     * one, further calls wait, each for its patience.
+     * Creates a pool with at most {@code maxConnections} connections. At that limit, idle connections are
+     * closed to make room for new ones; if none is idle, further calls wait until their timeout.
      */
-    HostPool(EventLoop loop, Bootstrap bootstrap, long connectTimeout, long keepAlive, int most,
-             Metrics figures) {
-        this(loop, bootstrap, NioSocketChannel::new, connectTimeout, keepAlive, most, figures);
+    HostPool(EventLoop loop, Bootstrap bootstrap, long connectTimeoutMicros, long keepAliveMicros,
+             int maxConnections, Metrics figures) {
+        this(loop, bootstrap, NioSocketChannel::new, connectTimeoutMicros, keepAliveMicros, maxConnections,
+            figures);
     }
 
-    /** {@code sockets}: makes the channels of connections; what it throws fails the call. */
-    HostPool(EventLoop loop, Bootstrap bootstrap, ChannelFactory<Channel> sockets, long connectTimeout,
-             long keepAlive, int most, Metrics figures) {
+    /**
+     * {@code channelFactory} creates the connections' channels; an exception that it throws fails the call.
+     */
+    HostPool(EventLoop loop, Bootstrap bootstrap, ChannelFactory<Channel> channelFactory,
+             long connectTimeoutMicros, long keepAliveMicros, int maxConnections, Metrics figures) {
         this.loop = loop;
         this.figures = figures;
-        this.bootstrap = bootstrap.clone(loop).channelFactory(sockets)
+        this.bootstrap = bootstrap.clone(loop).channelFactory(channelFactory)
             .option(ChannelOption.TCP_NODELAY, true)
             .handler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel channel) {
                     Connection connection = new Connection();
-                    channel.pipeline().addLast(new HttpRequestEncoder(), connection.answers, connection);
+                    channel.pipeline().addLast(new HttpRequestEncoder(), connection.decoder, connection);
                 }
             });
-        retune(connectTimeout, keepAlive, most);
-        loop.scheduleWithFixedDelay(this::sweepSafely, SWEEP, SWEEP, TimeUnit.MILLISECONDS);
+        setLimits(connectTimeoutMicros, keepAliveMicros, maxConnections);
+        loop.scheduleWithFixedDelay(this::sweepSafely, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS,
+            TimeUnit.MILLISECONDS);
     }
 
-    /** Other limits hold from the next connection on. */
-    void retune(long connectTimeout, long keepAlive, int connections) {
-        most = connections;
-        long millis = keepAlive / 1_000;
-        idleLimit = TimeUnit.MILLISECONDS.toNanos(Math.max(millis / 2, millis - IDLE_MARGIN));
-        bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeout / 1_000));
-        roomMayBeFree();
+    /**
+     * Changes the limits. The connect timeout and the connection limit apply from the next connection on.
+     *
+     * @param keepAliveMicros how long a host keeps an idle connection open
+     */
+    void setLimits(long connectTimeoutMicros, long keepAliveMicros, int maxConnections) {
+        this.maxConnections = maxConnections;
+        long keepAliveMillis = keepAliveMicros / 1_000;
+        idleLimitNanos = TimeUnit.MILLISECONDS.toNanos(
+            Math.max(keepAliveMillis / 2, keepAliveMillis - IDLE_MARGIN_MS));
+        bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS,
+            (int) Math.max(1, connectTimeoutMicros / 1_000));
+        scheduleDispatch();
     }
 
-    private Pool pool(HostList.Host host) {
-        return pools.computeIfAbsent(host.number, n -> new Pool());
+    private HostConnections connectionsTo(HostList.Host host) {
+        return connectionsByHost.computeIfAbsent(host.id, n -> new HostConnections());
     }
 
-    /** Begins one call that carries these parts, but for those that have been called off. */
-    void call(HostList.Host host, List<Part> parts) {
-        List<Part> wanted = new ArrayList<>(parts);
-        wanted.removeIf(part -> part.ended);
+    /** Starts one call that carries these attempts, except those that have been cancelled already. */
+    void startCall(HostList.Host host, List<Attempt> attempts) {
+        List<Attempt> wanted = new ArrayList<>(attempts);
+        wanted.removeIf(attempt -> attempt.ended);
         if (wanted.isEmpty()) {
             return;
         }
-        Pool pool = pool(host);
-        Call call = new Call(host, wanted, pool);
-        for (Part part : call.parts) {
-            part.timer = loop.schedule(part::giveUp, part.patience, TimeUnit.MICROSECONDS);
+        HostConnections connections = connectionsTo(host);
+        Call call = new Call(host, wanted, connections);
+        for (Attempt attempt : call.attempts) {
+            attempt.timeout = loop.schedule(attempt::expire, attempt.timeoutMicros, TimeUnit.MICROSECONDS);
         }
-        pool.connecting.add(call);
-        waiting.removeIf(Call::over);
-        if (!waiting.isEmpty() || !dispatch(call)) {
-            waiting.addLast(call);
+        connections.unsent.add(call);
+        waitingCalls.removeIf(Call::hasEnded);
+        if (!waitingCalls.isEmpty() || !tryDispatch(call)) {
+            waitingCalls.addLast(call);
         }
     }
 
-    /** Begins a call on an idle connection or a new one; false if there may be none now. */
-    private boolean dispatch(Call call) {
-        Connection idle = idleConnection(call);
+    /**
+     * Starts a call on an idle connection or a new one; false if the connection limit doesn't allow it now.
+     */
+    private boolean tryDispatch(Call call) {
+        Connection idle = takeIdleConnection(call);
         if (idle != null) {
-            idle.begin(call);
+            idle.start(call);
             return true;
         }
-        if (!makeRoom()) {
+        if (!ensureCapacity()) {
             return false;
         }
         connect(call);
         return true;
     }
 
-    /** The connection to the call's host that was used last; null if none can be used. */
-    private Connection idleConnection(Call call) {
-        for (Connection c = call.pool.idle.pollLast(); c != null; c = call.pool.idle.pollLast()) {
-            resting.remove(c);
-            if (c.usable(call.host)) {
-                return c;
+    /** Takes the most recently used idle connection to the call's host; null if none can be used. */
+    private Connection takeIdleConnection(Call call) {
+        for (Connection connection = call.connections.idle.pollLast(); connection != null;
+             connection = call.connections.idle.pollLast()) {
+            idleOldestFirst.remove(connection);
+            if (connection.isUsableFor(call.host)) {
+                return connection;
             }
-            c.channel.close();
+            connection.channel.close();
         }
         return null;
     }
 
     private void connect(Call call) {
-        ChannelFuture connect = bootstrap.connect(call.host.dial);
+        ChannelFuture connect = bootstrap.connect(call.host.address);
         if (!connect.channel().isRegistered()) {
-            // Without a descriptor there is no channel that could be closed, and the listeners of its
-            // future are called on another thread.
+            // No file descriptor was available. There is no channel to close, and the listeners of this
+            // future would be called on another thread.
             loop.execute(() -> call.end(Outcome.NO_SOCKET));
             return;
         }
-        held++;
+        connectionCount++;
         call.channel = connect.channel();
         call.channel.closeFuture().addListener(closed -> {
-            held--;
-            roomMayBeFree();
+            connectionCount--;
+            scheduleDispatch();
         });
         connect.addListener(done -> {
             if (!done.isSuccess()) {
-                call.end(isOfThisMachine(done.cause()) ? Outcome.NO_SOCKET : Outcome.CONNECT_FAILED);
-            } else if (call.over()) {
+                call.end(isLocalFailure(done.cause()) ? Outcome.NO_SOCKET : Outcome.CONNECT_FAILED);
+            } else if (call.hasEnded()) {
                 call.channel.close();
             } else {
-                Connection c = call.channel.pipeline().get(Connection.class);
-                c.pool = call.pool;
-                call.pool.open.add(c);
-                c.begin(call);
+                Connection connection = call.channel.pipeline().get(Connection.class);
+                connection.connections = call.connections;
+                call.connections.open.add(connection);
+                connection.start(call);
             }
         });
     }
 
-    /** True for a connect that this machine did not even try: no address, buffer or way out for a moment. */
-    private static boolean isOfThisMachine(Throwable cause) {
-        boolean ofTheEndpoint = cause instanceof ConnectException || cause instanceof NoRouteToHostException;
-        return cause instanceof SocketException && !ofTheEndpoint;
+    /**
+     * True if a connect failed on this machine before anything was sent, for example because it had no local
+     * address, buffer or route at that moment.
+     */
+    private static boolean isLocalFailure(Throwable cause) {
+        boolean remoteFailure = cause instanceof ConnectException || cause instanceof NoRouteToHostException;
+        return cause instanceof SocketException && !remoteFailure;
     }
 
-    /** Guards the descriptors: true if there may be one more connection, for which others may be closed. */
-    private boolean makeRoom() {
-        while (held >= most) {
-            Connection spare = spare();
-            if (spare == null) {
+    /**
+     * Makes room for one more connection, closing expendable ones if the limit is reached. Returns false if
+     * none is expendable. The limit keeps the process from running out of file descriptors.
+     */
+    private boolean ensureCapacity() {
+        while (connectionCount >= maxConnections) {
+            Connection expendable = findExpendable();
+            if (expendable == null) {
                 return false;
             }
-            resting.remove(spare);
-            spare.channel.close();
+            idleOldestFirst.remove(expendable);
+            expendable.channel.close();
         }
         return true;
     }
 
-    /** The connection idle for the longest, else one whose call is over and whose answer still comes in. */
-    private Connection spare() {
-        Stream<Connection> finishing = pools.values().stream().flatMap(pool -> pool.open.stream())
-            .filter(c -> c.call != null && c.call.over());
-        return Stream.concat(resting.stream(), finishing).filter(c -> c.channel.isActive()).findFirst()
-            .orElse(null);
+    /**
+     * The connection that has been idle longest, or else one whose call has ended while its response is still
+     * being received; null if there is neither.
+     */
+    private Connection findExpendable() {
+        Stream<Connection> finishing = connectionsByHost.values().stream()
+            .flatMap(connections -> connections.open.stream())
+            .filter(connection -> connection.call != null && connection.call.hasEnded());
+        return Stream.concat(idleOldestFirst.stream(), finishing)
+            .filter(connection -> connection.channel.isActive()).findFirst().orElse(null);
     }
 
-    /** A connection was closed, or carries no call any more. */
-    private void roomMayBeFree() {
-        if (!waiting.isEmpty()) {
+    /** Lets waiting calls try again, after a connection was closed or became free, or the limits changed. */
+    private void scheduleDispatch() {
+        if (!waitingCalls.isEmpty()) {
             loop.execute(this::dispatchWaiting);
         }
     }
 
     private void dispatchWaiting() {
-        waiting.removeIf(Call::over);
-        while (!waiting.isEmpty() && dispatch(waiting.peekFirst())) {
-            waiting.removeFirst();
+        waitingCalls.removeIf(Call::hasEnded);
+        while (!waitingCalls.isEmpty() && tryDispatch(waitingCalls.peekFirst())) {
+            waitingCalls.removeFirst();
         }
     }
 
-    /** How many connections there are, those that are still to come up included. */
-    int held() {
-        return held;
+    /** The number of connections to all hosts, including those that are being established. */
+    int connectionCount() {
+        return connectionCount;
     }
 
-    /** Reads what hosts have answered to calls that are out: it may tell to wait. */
-    void readAnswers(HostList.Host host) {
-        if (pools.containsKey(host.number)) {
-            for (Connection c : List.copyOf(pool(host).open)) {
-                if (c.call != null) {
-                    UnreadBytes.read(c.channel);
+    /**
+     * Reads what a host has already sent in response to calls in progress: it may contain a Retry-After that
+     * forbids further calls.
+     */
+    void readPendingResponses(HostList.Host host) {
+        if (connectionsByHost.containsKey(host.id)) {
+            for (Connection connection : List.copyOf(connectionsTo(host).open)) {
+                if (connection.call != null) {
+                    UnreadBytes.read(connection.channel);
                 }
             }
         }
     }
 
     /**
-     * Takes back the calls to a host that still wait for their connection. Guards the rules on drains and
-     * waits: such a call would go out as soon as the connection is up, long after the host asked for nothing
-     * more.
+     * Ends the calls to a host that still wait for a connection, as not sent. Otherwise such a call would be
+     * sent as soon as its connection is established, although the host is draining by then or has asked for
+     * a pause with Retry-After.
      */
-    void takeBack(HostList.Host host) {
-        if (pools.containsKey(host.number)) {
-            for (Call call : List.copyOf(pool(host).connecting)) {
-                call.parts.forEach(part -> part.abandon(Outcome.NOT_SENT));
+    void cancelUnsent(HostList.Host host) {
+        if (connectionsByHost.containsKey(host.id)) {
+            for (Call call : List.copyOf(connectionsTo(host).unsent)) {
+                call.attempts.forEach(attempt -> attempt.abandon(Outcome.NOT_SENT));
             }
         }
     }
 
     /**
-     * Closes the connections to a host that carry no call; one whose answer is still coming in, after that.
+     * Closes the idle connections to a host. Connections in use are closed when their response is complete.
      */
     void closeIdle(HostList.Host host) {
-        if (pools.containsKey(host.number)) {
-            closeIdle(pool(host));
+        if (connectionsByHost.containsKey(host.id)) {
+            closeIdle(connectionsTo(host));
         }
     }
 
-    private static void closeIdle(Pool pool) {
-        for (Connection c : List.copyOf(pool.open)) {
-            c.keep = false;
-            if (c.call == null) {
-                c.channel.close();
+    private static void closeIdle(HostConnections connections) {
+        for (Connection connection : List.copyOf(connections.open)) {
+            connection.reusable = false;
+            if (connection.call == null) {
+                connection.channel.close();
             }
         }
-        pool.idle.clear();
+        connections.idle.clear();
     }
 
-    /** Closes all connections that carry no call; the others, once they carry none. */
+    /**
+     * Closes the idle connections to all hosts. Connections in use are closed when their response is
+     * complete.
+     */
     void closeAllIdle() {
-        for (Pool pool : pools.values()) {
-            closeIdle(pool);
+        for (HostConnections connections : connectionsByHost.values()) {
+            closeIdle(connections);
         }
     }
 
-    /** How many idle connections to a host are held. */
-    int idle(HostList.Host host) {
-        return pools.containsKey(host.number) ? pool(host).idle.size() : 0;
+    /** The number of idle connections to a host. */
+    int idleCount(HostList.Host host) {
+        return connectionsByHost.containsKey(host.id) ? connectionsTo(host).idle.size() : 0;
     }
 
-    /** A periodic task that throws is never run again, and stale connections would be used for ever. */
+    /**
+     * Runs {@link #sweep} and catches what it throws: a periodic task that throws is not run again, and then
+     * stale connections would never be closed.
+     */
     private void sweepSafely() {
         try {
             sweep();
         } catch (RuntimeException e) {
-            LOG.error("connections not swept", e);
+            LOG.error("closing of stale connections to hosts failed", e);
         }
     }
 
+    /** Closes stale and stuck connections, and forgets hosts without connections and calls. */
     private void sweep() {
-        pools.values().removeIf(pool -> pool.open.isEmpty() && pool.connecting.isEmpty());
-        for (Pool pool : pools.values()) {
-            // Guards the descriptors against answers that never end: their calls are over already.
-            List.copyOf(pool.open).stream().filter(Connection::stuck).forEach(c -> c.channel.close());
-            while (!pool.idle.isEmpty() && pool.idle.peekFirst().stale()) {
-                pool.idle.pollFirst().channel.close();
+        connectionsByHost.values().removeIf(
+            connections -> connections.open.isEmpty() && connections.unsent.isEmpty());
+        for (HostConnections connections : connectionsByHost.values()) {
+            // A response that never ends would hold its file descriptor although its call has ended.
+            List.copyOf(connections.open).stream().filter(Connection::isStuck)
+                .forEach(connection -> connection.channel.close());
+            while (!connections.idle.isEmpty() && connections.idle.peekFirst().isStale()) {
+                connections.idle.pollFirst().channel.close();
             }
         }
     }
 
     /**
-     * One connection. A call is reported at the answer's head, but for a bundle, whose fates its body tells;
-     * the connection is free again at the answer's end.
+     * One connection. The result of a single message is reported when the head of the response has arrived;
+     * those of a batch when its body is complete, as the body names a state for each message. The connection
+     * becomes idle when the response is complete.
      */
     private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
-        private final AnswerDecoder answers = new AnswerDecoder(this::began);
+        private final ResponseDecoder decoder = new ResponseDecoder(this::onStatusLine);
         private Channel channel;
-        private Pool pool;
+        private HostConnections connections;
         private Call call;
-        private InetSocketAddress dial;
-        private boolean answered;
-        private boolean keep = true;
-        private long answeredAt;
-        private long idleSince;
-        /** The head of a bundle's answer, and what has come of its body; null when none is being read. */
-        private HttpResponse fates;
-        private ByteArrayOutputStream states;
+        private InetSocketAddress address;
+        private boolean headReceived;
+        private boolean reusable = true;
+        private long headReceivedNanos;
+        private long idleSinceNanos;
+        /** The head of the response to a batch. */
+        private HttpResponse batchHead;
+        /** The part of a batch response's body received so far; null while none is being read. */
+        private ByteArrayOutputStream batchBody;
 
         @Override
         public void handlerAdded(ChannelHandlerContext context) {
             channel = context.channel();
         }
 
-        private boolean stale() {
-            return System.nanoTime() - idleSince >= idleLimit;
+        /** True if the host may close this idle connection soon. */
+        private boolean isStale() {
+            return System.nanoTime() - idleSinceNanos >= idleLimitNanos;
         }
 
-        private boolean stuck() {
-            return call != null && answered && System.nanoTime() - answeredAt >= ANSWER_MOST;
+        /** True if the head of the response came long ago and the response is not complete. */
+        private boolean isStuck() {
+            return call != null && headReceived
+                && System.nanoTime() - headReceivedNanos >= MAX_RESPONSE_NANOS;
         }
 
-        private boolean usable(HostList.Host host) {
-            return channel.isActive() && !stale() && host.dial.equals(dial) && !answers.surplus();
+        private boolean isUsableFor(HostList.Host host) {
+            return channel.isActive() && !isStale() && host.address.equals(address)
+                && !decoder.hasSurplusBytes();
         }
 
-        /** The first line of an answer has been read. */
-        private void began(int status) {
-            if (call != null && !call.bundle() && status == 200) {
+        /** Called when the status line of a response has been read. */
+        private void onStatusLine(int status) {
+            if (call != null && !call.isBatch() && status == 200) {
                 call.delivered = true;
             }
         }
 
-        private void begin(Call next) {
+        private void start(Call next) {
             call = next;
-            dial = next.host.dial;
-            answered = false;
-            keep = true;
+            address = next.host.address;
+            headReceived = false;
+            reusable = true;
             next.channel = channel;
-            answers.expectAnswer();
-            // The module has been told that these never ran, while the connection was not yet up.
-            next.parts.removeIf(part -> part.ended);
-            next.begun = true;
-            states = null;
-            pool.connecting.remove(next);
+            decoder.expectResponse();
+            // These ended while the connection was being established; they were reported as never sent.
+            next.attempts.removeIf(attempt -> attempt.ended);
+            next.writeBegun = true;
+            batchBody = null;
+            connections.unsent.remove(next);
             if (!next.host.ready) {
                 figures.countViolation(Violation.SENT_WHILE_DRAINING);
-                LOG.error("{}: a call to {}", Violation.SENT_WHILE_DRAINING, next.host.name);
+                LOG.error("{}: call sent to host {}, which is draining or gone",
+                    Violation.SENT_WHILE_DRAINING, next.host.name);
             }
-            int messages = next.parts.size();
-            // The promise of a write is kept when its last byte has been handed to the socket: from then on
-            // the call may run, before that it cannot.
+            int messages = next.attempts.size();
+            // The write completes when its last byte has been handed to the socket. Only from then on can the
+            // host process the call.
             channel.writeAndFlush(next.request()).addListener(done -> {
                 next.written = done.isSuccess();
                 if (done.isSuccess()) {
@@ -510,54 +594,57 @@
             }
             if (part instanceof HttpResponse head
                 && head.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
-                answered = true;
-                answeredAt = System.nanoTime();
-                keep &= HttpUtil.isKeepAlive(head) && call.written;
-                headed(head);
+                headReceived = true;
+                headReceivedNanos = System.nanoTime();
+                reusable &= HttpUtil.isKeepAlive(head) && call.written;
+                handleHead(head);
             }
-            if (part instanceof HttpContent content && states != null) {
-                bodied(content);
+            if (part instanceof HttpContent content && batchBody != null) {
+                handleBatchBody(content);
             }
-            if (part instanceof LastHttpContent && answered && channel.isActive()) {
+            if (part instanceof LastHttpContent && headReceived && channel.isActive()) {
                 call = null;
-                idleSince = System.nanoTime();
-                if (keep && !answers.surplus()) {
-                    pool.idle.addLast(this);
-                    resting.add(this);
-                    roomMayBeFree();
+                idleSinceNanos = System.nanoTime();
+                if (reusable && !decoder.hasSurplusBytes()) {
+                    connections.idle.addLast(this);
+                    idleOldestFirst.add(this);
+                    scheduleDispatch();
                 } else {
                     channel.close();
                 }
             }
         }
 
-        private void headed(HttpResponse head) {
-            if (call.bundle() && head.status().code() == 200) {
-                fates = head;
-                states = new ByteArrayOutputStream();
+        /** Reports the results of a call, unless those are in the body of the response. */
+        private void handleHead(HttpResponse head) {
+            if (call.isBatch() && head.status().code() == 200) {
+                batchHead = head;
+                batchBody = new ByteArrayOutputStream();
             } else {
-                call.parts.forEach(part -> part.end(Answers.reply(head, part.latency())));
-                roomMayBeFree();
+                call.attempts.forEach(attempt ->
+                    attempt.end(ResponseOutcomes.reply(head, attempt.latencyMicros())));
+                scheduleDispatch();
             }
         }
 
-        private void bodied(HttpContent content) {
+        /** Collects the body of a batch response, and reports the results at its end. */
+        private void handleBatchBody(HttpContent content) {
             byte[] bytes = ByteBufUtil.getBytes(content.content());
-            states.write(bytes, 0, bytes.length);
+            batchBody.write(bytes, 0, bytes.length);
             if (content instanceof LastHttpContent) {
-                Map<String, String> told = Answers.states(states.toByteArray());
-                call.parts.forEach(part ->
-                    part.end(Answers.reply(fates, told.get(part.message.id()), part.latency())));
-                states = null;
+                Map<String, String> states = ResponseOutcomes.messageStates(batchBody.toByteArray());
+                call.attempts.forEach(attempt -> attempt.end(ResponseOutcomes.reply(batchHead,
+                    states.get(attempt.message.id()), attempt.latencyMicros())));
+                batchBody = null;
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            if (pool != null) {
-                pool.open.remove(this);
-                pool.idle.remove(this);
-                resting.remove(this);
+            if (connections != null) {
+                connections.open.remove(this);
+                connections.idle.remove(this);
+                idleOldestFirst.remove(this);
             }
             if (call != null) {
                 call.end(call.written ? Outcome.RESET : Outcome.CONNECT_FAILED);
@@ -568,7 +655,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (!(cause instanceof IOException)) {
-                LOG.error("connection to a host closed", cause);
+                LOG.error("connection to a host closed after an unexpected exception", cause);
             }
             context.close();
         }
--- a/src/main/java/wrenkeel/net/HostTable.java
+++ b/src/main/java/wrenkeel/net/HostTable.java
@@ -17,72 +17,100 @@
 import wrenkeel.Wire;
 
 /**
- * Rows of hosts in columns of primitives, about 60 bytes each. A row is free; or an entry of a list that is
- * being read; or linked: then its host is found by name and by number, and its destination leads to it. One
- * thread.
+ * A compact table of hosts: rows whose fields are stored in arrays of primitives, about 60 bytes for each
+ * host. A row is in one of three states. It is free; or it holds an entry of a list that is being read; or it
+ * is linked, which means that it is found by the host's name, by the host's id and through its destination.
+ * Not thread-safe.
  */
 final class HostTable {
-    /** No row, or no place. */
+    /** In place of a row number or a place in the arena: none. */
     static final int NONE = -1;
-    /** Flags of a row that is linked: named by the list as it stands; and, of these, ready. */
-    static final int LINKED = 1, LISTED = 2, READY = 4;
-    /** Flags of a linked row while a list is read: it has named the host; as changed; drained meanwhile. */
-    static final int SEEN = 8, CHANGED = 16, DRAINED = 32;
-    /** Flags of an entry: its host is gone; no address was to be read from it. */
-    static final int GONE = 64, UNDIALABLE = 128;
-    /** The address has 16 bytes, or the share needs a double's bits: that is in the arena. */
-    private static final int LONG_ADDRESS = 256, LONG_SHARE = 512;
-    private static final int PAGE_BITS = 10, PAGE = 1 << PAGE_BITS;
-    /** Bytes of a name, of a mean name and of an address of IP version 6. */
-    private static final int NAME_MEAN = 32, LONG_BYTES = 16;
-    /** Sites that can be told apart. */
-    private static final int SITES_MOST = Character.MAX_VALUE;
-    private static final int ARENA_LEAST = 1 << 20;
-
-    /**
-     * Columns of some rows; {@code site}: place of the zone; {@code share}: bits of a float, or place in the
-     * arena; {@code next}: row of the same destination, of the same list, or free. */
+    /** Flag of a linked row. */
+    static final int LINKED = 1;
+    /** Flag of a linked row: the current list names its host. */
+    static final int LISTED = 2;
+    /** Flag of a listed row or of an entry: its host is ready, not draining. */
+    static final int READY = 4;
+    /** Flag of a linked row: the list that is being read names its host. */
+    static final int SEEN_IN_UPDATE = 8;
+    /** Flag of a linked row: the list that is being read has an entry for its host that will be applied. */
+    static final int HAS_ENTRY = 16;
+    /** Flag of a linked row: its host was marked as draining while the list was being read. */
+    static final int DRAINED_MEANWHILE = 32;
+    /** Flag of an entry: its host is gone. */
+    static final int GONE = 64;
+    /** Flag of an entry: its address could not be parsed. */
+    static final int UNUSABLE_ADDRESS = 128;
+    /** Flag: the address has 16 bytes, which are in the arena. */
+    private static final int ADDRESS_IN_ARENA = 256;
+    /** Flag: the share needs the precision of a double, whose bytes are in the arena. */
+    private static final int SHARE_IN_ARENA = 512;
+    private static final int PAGE_BITS = 10;
+    private static final int PAGE_ROWS = 1 << PAGE_BITS;
+    /** Assumed mean length of host names, for the limit of the arena's size. */
+    private static final int MEAN_NAME_BYTES = 32;
+    private static final int IPV6_BYTES = 16;
+    /** Number of different zones that the table can hold: a row stores an index of 16 bits. */
+    private static final int MAX_ZONES = Character.MAX_VALUE;
+    /** The arena's size is limited in proportion to the rows, but not to less than this. */
+    private static final int MIN_ARENA_LIMIT_BYTES = 1 << 20;
+
+    /** The columns of {@link #PAGE_ROWS} rows. */
     private static final class Page {
-        final int[] number = new int[PAGE];
-        final char[] site = new char[PAGE];
-        final byte[] kind = new byte[PAGE];
-        final short[] flags = new short[PAGE];
-        final long[] destination = new long[PAGE];
-        final int[] share = new int[PAGE];
-        final int[] address = new int[PAGE];
-        final char[] port = new char[PAGE];
-        final int[] name = new int[PAGE];
-        final int[] next = new int[PAGE];
-    }
-
-    private final int most;
-    private final LongFunction<String> holders;
+        /** Id of the host as an unsigned number; of an entry for a new host, the CRC-32 of its name. */
+        final int[] id = new int[PAGE_ROWS];
+        /** Index in {@link HostTable#zones}. */
+        final char[] zoneIndex = new char[PAGE_ROWS];
+        final byte[] kind = new byte[PAGE_ROWS];
+        final short[] flags = new short[PAGE_ROWS];
+        final long[] destination = new long[PAGE_ROWS];
+        /** Bits of a float, or place in the arena. */
+        final int[] share = new int[PAGE_ROWS];
+        /** IPv4 address, or place in the arena. */
+        final int[] address = new int[PAGE_ROWS];
+        final char[] port = new char[PAGE_ROWS];
+        /** Place in the arena; {@link #NONE} while another row has the host's name. */
+        final int[] name = new int[PAGE_ROWS];
+        /** The next row of the same destination, of the same list that is being read, or of the free rows. */
+        final int[] next = new int[PAGE_ROWS];
+    }
+
+    private final int maxRows;
+    private final LongFunction<String> nameOfHeldId;
     private Page[] pages = new Page[4];
-    /** Rows that the pages hold or held; those before {@code end} have been used. */
+    /** All rows that have ever been used are below this one. */
     private int end;
-    private int rows;
-    private int free = NONE;
+    private int rowCount;
+    /** Head of the chain of free rows. */
+    private int firstFree = NONE;
+    /** Names, IPv6 addresses and shares that don't fit into a float. */
     private ByteArena arena = new ByteArena();
-    private final RowIndex byNumber = new RowIndex(row -> page(row).number[row & PAGE - 1]);
-    /** Leads to the first row of each destination. */
+    /** The linked rows by host id. */
+    private final RowIndex byId = new RowIndex(row -> page(row).id[row & PAGE_ROWS - 1]);
+    /** The first row of each destination; the others follow by {@link #next}. */
     private final RowIndex byDestination = new RowIndex(row -> Long.hashCode(destination(row)));
-    /** Destinations that a list has named and that have no row. */
-    private final Set<Long> bare = new HashSet<>();
-    /** By their CRC-32, the names whose number is another one, with that. */
-    private final IntObjectHashMap<Map<String, Integer>> hashedOn = new IntObjectHashMap<>();
-    /** The zones of all sites that were ever named, and the place of each. */
+    /** Destinations that a list has named and that have no row now. */
+    private final Set<Long> destinationsWithoutRows = new HashSet<>();
+    /** The ids of hosts whose name's CRC-32 was taken by another host: CRC-32 of the name, to name, to id. */
+    private final IntObjectHashMap<Map<String, Integer>> rehashedIds = new IntObjectHashMap<>();
+    /** All zones that have ever been named, by index. */
     private int[] zones = new int[8];
-    private final IntObjectHashMap<Character> sites = new IntObjectHashMap<>();
-    private final CRC32 crc = new CRC32();
-    private final byte[] scratch = new byte[ByteArena.LONGEST];
+    /** The index of each zone in {@link #zones}. */
+    private final IntObjectHashMap<Character> zoneIndexes = new IntObjectHashMap<>();
+    private final CRC32 crc32 = new CRC32();
+    /** Buffer for names and other byte strings of the arena. */
+    private final byte[] scratch = new byte[ByteArena.MAX_STRING_BYTES];
 
     /**
-     * {@code most}: rows at most; {@code holders}: names the host that keeps a number though it may have no
-     * row, or null.
+     * Creates an empty table.
+     *
+     * @param maxRows the limit of rows in use, linked rows and entries together
+     * @param nameOfHeldId returns the name of the host that holds an id, even without a row; null if no host
+     *     holds it
      */
-    HostTable(int most, LongFunction<String> holders) {
-        this.most = most;
-        this.holders = holders;
+    HostTable(int maxRows, LongFunction<String> nameOfHeldId) {
+        this.maxRows = maxRows;
+        this.nameOfHeldId = nameOfHeldId;
     }
 
     // ---- Columns --------------------------------------------------------------------------------
@@ -90,433 +118,456 @@
         return pages[row >> PAGE_BITS];
     }
 
-    /** Rows that are not free. */
-    int rows() {
-        return rows;
+    /** The number of rows that are not free. */
+    int rowCount() {
+        return rowCount;
     }
 
-    /** All rows are below this one. */
+    /** All rows that have ever been used are below this one. */
     int end() {
         return end;
     }
 
-    boolean has(int row, int flag) {
-        return (page(row).flags[row & PAGE - 1] & flag) != 0;
+    /** True if a row has at least one of these flags. */
+    boolean hasFlag(int row, int flag) {
+        return (page(row).flags[row & PAGE_ROWS - 1] & flag) != 0;
     }
 
-    void set(int row, int flag, boolean on) {
+    /** Sets or clears flags of a row. */
+    void setFlag(int row, int flag, boolean on) {
         short[] flags = page(row).flags;
-        flags[row & PAGE - 1] = (short) (on ? flags[row & PAGE - 1] | flag : flags[row & PAGE - 1] & ~flag);
+        flags[row & PAGE_ROWS - 1] =
+            (short) (on ? flags[row & PAGE_ROWS - 1] | flag : flags[row & PAGE_ROWS - 1] & ~flag);
     }
 
-    long number(int row) {
-        return page(row).number[row & PAGE - 1] & 0xffffffffL;
+    /** The id of a row's host, below 2^32. */
+    long id(int row) {
+        return page(row).id[row & PAGE_ROWS - 1] & 0xffffffffL;
     }
 
     int zone(int row) {
-        return zones[page(row).site[row & PAGE - 1]];
+        return zones[page(row).zoneIndex[row & PAGE_ROWS - 1]];
     }
 
     int kind(int row) {
-        return page(row).kind[row & PAGE - 1] & 0xff;
+        return page(row).kind[row & PAGE_ROWS - 1] & 0xff;
     }
 
     long destination(int row) {
-        return page(row).destination[row & PAGE - 1];
+        return page(row).destination[row & PAGE_ROWS - 1];
     }
 
     double share(int row) {
-        int held = page(row).share[row & PAGE - 1];
-        if (!has(row, LONG_SHARE)) {
-            return Float.intBitsToFloat(held);
+        int stored = page(row).share[row & PAGE_ROWS - 1];
+        if (!hasFlag(row, SHARE_IN_ARENA)) {
+            return Float.intBitsToFloat(stored);
         }
         byte[] bytes = new byte[Double.BYTES];
-        arena.read(held, bytes);
+        arena.read(stored, bytes);
         return ByteBuffer.wrap(bytes).getDouble();
     }
 
-    /** A float's bits where they say all, as for most shares; else a place in the arena. */
-    private int hold(double share, boolean isLong) {
-        return isLong ? arena.add(ByteBuffer.allocate(Double.BYTES).putDouble(share).array(), Double.BYTES)
+    /** The value of the column for a share: the bits of a float if it is exact, else a place in the arena. */
+    private int encodeShare(double share, boolean needsDouble) {
+        return needsDouble
+            ? arena.add(ByteBuffer.allocate(Double.BYTES).putDouble(share).array(), Double.BYTES)
             : Float.floatToIntBits((float) share);
     }
 
-    private char site(int zone) throws Wire.MalformedException {
-        Character held = sites.get(zone);
-        if (held == null) {
-            if (sites.size() == SITES_MOST) {
-                throw new Wire.MalformedException("more than " + SITES_MOST + " sites");
+    /** The index of a zone, which is added if it is new. */
+    private char zoneIndex(int zone) throws Wire.MalformedException {
+        Character index = zoneIndexes.get(zone);
+        if (index == null) {
+            if (zoneIndexes.size() == MAX_ZONES) {
+                throw new Wire.MalformedException("hosts are in more than " + MAX_ZONES + " sites");
             }
-            held = (char) sites.size();
-            zones = held == zones.length ? Arrays.copyOf(zones, 2 * held) : zones;
-            zones[held] = zone;
-            sites.put(zone, held);
+            index = (char) zoneIndexes.size();
+            zones = index == zones.length ? Arrays.copyOf(zones, 2 * index) : zones;
+            zones[index] = zone;
+            zoneIndexes.put(zone, index);
         }
-        return held;
+        return index;
     }
 
+    /** The next row of a chain; {@link #NONE} for the last. */
     int next(int row) {
-        return page(row).next[row & PAGE - 1];
+        return page(row).next[row & PAGE_ROWS - 1];
     }
 
+    /** Sets the next row of a chain. */
     void next(int row, int next) {
-        page(row).next[row & PAGE - 1] = next;
+        page(row).next[row & PAGE_ROWS - 1] = next;
     }
 
-    private int nameAt(int row) {
-        return page(row).name[row & PAGE - 1];
+    /** The place of a row's name in the arena; {@link #NONE} if it has none. */
+    private int namePlace(int row) {
+        return page(row).name[row & PAGE_ROWS - 1];
     }
 
     String name(int row) {
-        int length = arena.read(nameAt(row), scratch);
+        int length = arena.read(namePlace(row), scratch);
         return new String(scratch, 0, length, StandardCharsets.UTF_8);
     }
 
-    InetSocketAddress dial(int row) {
+    InetSocketAddress address(int row) {
         Page page = page(row);
-        int at = row & PAGE - 1;
+        int at = row & PAGE_ROWS - 1;
         byte[] bytes;
-        if (has(row, LONG_ADDRESS)) {
-            bytes = new byte[LONG_BYTES];
+        if (hasFlag(row, ADDRESS_IN_ARENA)) {
+            bytes = new byte[IPV6_BYTES];
             arena.read(page.address[at], bytes);
         } else {
-            int a = page.address[at];
-            bytes = new byte[] {(byte) (a >> 24), (byte) (a >> 16), (byte) (a >> 8), (byte) a};
+            int bits = page.address[at];
+            bytes = new byte[] {(byte) (bits >> 24), (byte) (bits >> 16), (byte) (bits >> 8), (byte) bits};
         }
         try {
             return new InetSocketAddress(InetAddress.getByAddress(bytes), page.port[at]);
         } catch (UnknownHostException e) {
-            throw new IllegalStateException("4 or 16 bytes are an address", e);
+            throw new IllegalStateException("an address of 4 or 16 bytes was not accepted", e);
         }
     }
 
     // ---- Entries of a list that is being read -----------------------------------------------------
     /**
-     * A row for an entry, not linked; {@code host}: the linked row of its host, whose number it then has
-     * instead of a name, or {@link #NONE}.
+     * Stores an entry in an unlinked row.
+     *
+     * @param hostRow the linked row of the entry's host, whose id the entry then has instead of a name;
+     *     {@link #NONE} if there is none
+     * @return the entry's row
+     * @throws Wire.MalformedException if the table is full
      */
-    int add(ListReader.Entry entry, int host) throws Wire.MalformedException {
-        if (rows >= most) {
-            throw new Wire.MalformedException("more than " + most + " hosts");
+    int addEntry(ListReader.Entry entry, int hostRow) throws Wire.MalformedException {
+        if (rowCount >= maxRows) {
+            throw new Wire.MalformedException("hosts and changes take more than " + maxRows + " rows");
         }
-        if (arena.size() > Math.max(ARENA_LEAST, (long) most * NAME_MEAN)) {
-            throw new Wire.MalformedException("names of more than " + arena.size() + " bytes in all");
+        if (arena.allocatedBytes() > Math.max(MIN_ARENA_LIMIT_BYTES, (long) maxRows * MEAN_NAME_BYTES)) {
+            throw new Wire.MalformedException("host names take more than " + arena.allocatedBytes() + " bytes in all");
         }
-        char site = site(entry.zone);
+        char zoneIndex = zoneIndex(entry.zone);
         int row = allocate();
         Page page = page(row);
-        int at = row & PAGE - 1;
-        boolean isLong = entry.longAddress != null;
-        boolean isLongShare = (float) entry.share != entry.share;
-        page.number[at] = host == NONE ? crc(entry.name, entry.nameLength) : (int) number(host);
-        page.name[at] = host == NONE ? arena.add(entry.name, entry.nameLength) : NONE;
-        page.site[at] = site;
+        int at = row & PAGE_ROWS - 1;
+        boolean isIpv6 = entry.ipv6Address != null;
+        boolean needsDouble = (float) entry.share != entry.share;
+        page.id[at] = hostRow == NONE ? crc(entry.name, entry.nameLength) : (int) id(hostRow);
+        page.name[at] = hostRow == NONE ? arena.add(entry.name, entry.nameLength) : NONE;
+        page.zoneIndex[at] = zoneIndex;
         page.kind[at] = (byte) entry.kind;
         page.destination[at] = entry.destination;
-        page.share[at] = hold(entry.share, isLongShare);
-        page.address[at] = isLong ? arena.add(entry.longAddress, LONG_BYTES) : entry.address;
+        page.share[at] = encodeShare(entry.share, needsDouble);
+        page.address[at] = isIpv6 ? arena.add(entry.ipv6Address, IPV6_BYTES) : entry.ipv4Address;
         page.port[at] = (char) entry.port;
         page.next[at] = NONE;
-        page.flags[at] = (short) ((isLong ? LONG_ADDRESS : 0) | (isLongShare ? LONG_SHARE : 0)
+        page.flags[at] = (short) ((isIpv6 ? ADDRESS_IN_ARENA : 0) | (needsDouble ? SHARE_IN_ARENA : 0)
             | (entry.listing == Relay.Listing.READY ? READY : 0)
-            | (entry.listing == Relay.Listing.GONE ? GONE : 0) | (entry.undialable ? UNDIALABLE : 0));
+            | (entry.listing == Relay.Listing.GONE ? GONE : 0)
+            | (entry.unusableAddress ? UNUSABLE_ADDRESS : 0));
         return row;
     }
 
     /** The linked row of an entry's host; {@link #NONE} if there is none. */
-    int host(int entry) {
-        int row = numbered((int) number(entry));
-        if (nameAt(entry) == NONE || row == NONE && !hashedOn.containsKey((int) number(entry))) {
+    int rowOfEntry(int entry) {
+        int row = rowById((int) id(entry));
+        if (namePlace(entry) == NONE || row == NONE && !rehashedIds.containsKey((int) id(entry))) {
             return row;
         }
-        int length = arena.read(nameAt(entry), scratch);
-        return named(scratch, length, (int) number(entry));
+        int length = arena.read(namePlace(entry), scratch);
+        return rowByName(scratch, length, (int) id(entry));
     }
 
-    /** True if a linked row holds just what the entry says. */
-    boolean same(int row, ListReader.Entry entry) {
+    /** True if an entry changes nothing of the linked row of its host. */
+    boolean matches(int row, ListReader.Entry entry) {
         Page page = page(row);
-        int at = row & PAGE - 1;
-        boolean address = has(row, LONG_ADDRESS)
-            ? entry.longAddress != null && arena.holds(page.address[at], entry.longAddress, LONG_BYTES)
-            : entry.longAddress == null && page.address[at] == entry.address;
-        return address && page.port[at] == entry.port && page.destination[at] == entry.destination
+        int at = row & PAGE_ROWS - 1;
+        boolean sameAddress = hasFlag(row, ADDRESS_IN_ARENA)
+            ? entry.ipv6Address != null && arena.contains(page.address[at], entry.ipv6Address, IPV6_BYTES)
+            : entry.ipv6Address == null && page.address[at] == entry.ipv4Address;
+        return sameAddress && page.port[at] == entry.port && page.destination[at] == entry.destination
             && zone(row) == entry.zone && kind(row) == entry.kind && share(row) == entry.share
-            && entry.listing == (has(row, READY) ? Relay.Listing.READY : Relay.Listing.DRAINING);
+            && entry.listing == (hasFlag(row, READY) ? Relay.Listing.READY : Relay.Listing.DRAINING);
     }
 
-    /** Gives a linked row the place, share and address of an entry of the same host; the entry goes. */
+    /**
+     * Copies zone, kind, share and address from an entry to the linked row of its host, and frees the
+     * entry.
+     */
     void update(int row, int entry) {
         Page to = page(row);
-        int at = row & PAGE - 1;
+        int at = row & PAGE_ROWS - 1;
         Page from = page(entry);
-        int source = entry & PAGE - 1;
-        if (has(row, LONG_ADDRESS)) {
+        int source = entry & PAGE_ROWS - 1;
+        if (hasFlag(row, ADDRESS_IN_ARENA)) {
             arena.free(to.address[at]);
         }
-        if (has(row, LONG_SHARE)) {
+        if (hasFlag(row, SHARE_IN_ARENA)) {
             arena.free(to.share[at]);
         }
-        to.site[at] = from.site[source];
+        to.zoneIndex[at] = from.zoneIndex[source];
         to.kind[at] = from.kind[source];
         to.share[at] = from.share[source];
         to.address[at] = from.address[source];
         to.port[at] = from.port[source];
-        set(row, LONG_ADDRESS, has(entry, LONG_ADDRESS));
-        set(row, LONG_SHARE, has(entry, LONG_SHARE));
-        set(entry, LONG_ADDRESS | LONG_SHARE, false);
+        setFlag(row, ADDRESS_IN_ARENA, hasFlag(entry, ADDRESS_IN_ARENA));
+        setFlag(row, SHARE_IN_ARENA, hasFlag(entry, SHARE_IN_ARENA));
+        setFlag(entry, ADDRESS_IN_ARENA | SHARE_IN_ARENA, false);
         free(entry);
     }
 
-    /** Makes an entry the row of a host that has none. */
-    void link(int entry) {
-        page(entry).number[entry & PAGE - 1] = assign(entry, (int) number(entry));
-        byNumber.add(entry);
-        join(entry);
+    /** Makes an entry the linked row of its host, which has none yet. */
+    void linkNewHost(int entry) {
+        page(entry).id[entry & PAGE_ROWS - 1] = assignId(entry, (int) id(entry));
+        byId.add(entry);
+        linkToDestination(entry);
     }
 
-    /** Makes an entry the row of a host in place of one of another destination, which waits to be pruned. */
-    void move(int row, int entry) {
-        if (nameAt(entry) != NONE) {
-            arena.free(nameAt(entry));
+    /**
+     * Makes an entry the linked row of its host, whose destination has changed. The old row stays linked to
+     * the old destination until {@link #freeUnlisted}.
+     */
+    void replaceMovedHost(int row, int entry) {
+        if (namePlace(entry) != NONE) {
+            arena.free(namePlace(entry));
         }
-        page(entry).number[entry & PAGE - 1] = (int) number(row);
-        page(entry).name[entry & PAGE - 1] = nameAt(row);
-        page(row).name[row & PAGE - 1] = NONE;
-        byNumber.replace(row, entry);
-        join(entry);
-        set(row, LISTED, false);
+        page(entry).id[entry & PAGE_ROWS - 1] = (int) id(row);
+        page(entry).name[entry & PAGE_ROWS - 1] = namePlace(row);
+        page(row).name[row & PAGE_ROWS - 1] = NONE;
+        byId.replace(row, entry);
+        linkToDestination(entry);
+        setFlag(row, LISTED, false);
     }
 
-    /** Frees an entry. */
+    /** Frees an entry, or a linked row that is not in the indexes any more. */
     void free(int row) {
-        if (nameAt(row) != NONE) {
-            arena.free(nameAt(row));
+        if (namePlace(row) != NONE) {
+            arena.free(namePlace(row));
         }
-        if (has(row, LONG_ADDRESS)) {
-            arena.free(page(row).address[row & PAGE - 1]);
+        if (hasFlag(row, ADDRESS_IN_ARENA)) {
+            arena.free(page(row).address[row & PAGE_ROWS - 1]);
         }
-        if (has(row, LONG_SHARE)) {
-            arena.free(page(row).share[row & PAGE - 1]);
+        if (hasFlag(row, SHARE_IN_ARENA)) {
+            arena.free(page(row).share[row & PAGE_ROWS - 1]);
         }
-        page(row).flags[row & PAGE - 1] = 0;
-        next(row, free);
-        free = row;
-        rows--;
+        page(row).flags[row & PAGE_ROWS - 1] = 0;
+        next(row, firstFree);
+        firstFree = row;
+        rowCount--;
     }
 
     private int allocate() {
-        int row = free;
+        int row = firstFree;
         if (row != NONE) {
-            free = next(row);
+            firstFree = next(row);
         } else {
             row = end++;
             if (row >> PAGE_BITS == pages.length) {
                 pages = Arrays.copyOf(pages, 2 * pages.length);
             }
-            if ((row & PAGE - 1) == 0) {
+            if ((row & PAGE_ROWS - 1) == 0) {
                 pages[row >> PAGE_BITS] = new Page();
             }
         }
-        rows++;
+        rowCount++;
         return row;
     }
 
     // ---- Linked rows ------------------------------------------------------------------------------
-    /** The linked row of a host's name; {@link #NONE} if there is none. */
-    int named(byte[] name, int length) {
-        return named(name, length, crc(name, length));
+    /** The linked row of the host with this name; {@link #NONE} if there is none. */
+    int rowByName(byte[] name, int length) {
+        return rowByName(name, length, crc(name, length));
     }
 
-    private int named(byte[] name, int length, int hash) {
-        int row = numbered(hash);
-        if (row != NONE && arena.holds(nameAt(row), name, length)) {
+    private int rowByName(byte[] name, int length, int hash) {
+        int row = rowById(hash);
+        if (row != NONE && arena.contains(namePlace(row), name, length)) {
             return row;
         }
-        Map<String, Integer> names = hashedOn.get(hash);
-        Integer number = names == null ? null
-            : names.get(new String(name, 0, length, StandardCharsets.UTF_8));
-        return number == null ? NONE : numbered(number);
+        Map<String, Integer> idsByName = rehashedIds.get(hash);
+        Integer id = idsByName == null ? null
+            : idsByName.get(new String(name, 0, length, StandardCharsets.UTF_8));
+        return id == null ? NONE : rowById(id);
     }
 
-    /** The linked row of a host's number; {@link #NONE} if there is none. */
-    int numbered(long number) {
-        return numbered((int) number);
+    /** The linked row of the host with this id; {@link #NONE} if there is none. */
+    int rowById(long id) {
+        return rowById((int) id);
     }
 
-    private int numbered(int number) {
-        int slot = byNumber.first(number);
-        int row = byNumber.row(slot);
-        while (row >= 0 && page(row).number[row & PAGE - 1] != number) {
-            slot = byNumber.next(slot);
-            row = byNumber.row(slot);
+    private int rowById(int id) {
+        int slot = byId.firstSlot(id);
+        int row = byId.rowAt(slot);
+        while (row >= 0 && page(row).id[row & PAGE_ROWS - 1] != id) {
+            slot = byId.nextSlot(slot);
+            row = byId.rowAt(slot);
         }
         return row;
     }
 
-    /** The number that a host of this name has, or would be given. */
-    long numberOf(byte[] name, int length) {
+    /** The id that a host of this name has, or would be assigned if its CRC-32 is free. */
+    long idFor(byte[] name, int length) {
         int hash = crc(name, length);
-        Map<String, Integer> names = hashedOn.get(hash);
-        Integer number = names == null ? null
-            : names.get(new String(name, 0, length, StandardCharsets.UTF_8));
-        return (number == null ? hash : number) & 0xffffffffL;
+        Map<String, Integer> idsByName = rehashedIds.get(hash);
+        Integer id = idsByName == null ? null
+            : idsByName.get(new String(name, 0, length, StandardCharsets.UTF_8));
+        return (id == null ? hash : id) & 0xffffffffL;
     }
 
-    /** The first linked row of a destination; {@link #next} leads on. {@link #NONE} if there is none. */
-    int firstOf(long destination) {
-        int slot = byDestination.first(Long.hashCode(destination));
-        int row = byDestination.row(slot);
+    /** The first linked row of a destination; the others follow by {@link #next}. {@link #NONE} for none. */
+    int firstRowOf(long destination) {
+        int slot = byDestination.firstSlot(Long.hashCode(destination));
+        int row = byDestination.rowAt(slot);
         while (row >= 0 && destination(row) != destination) {
-            slot = byDestination.next(slot);
-            row = byDestination.row(slot);
+            slot = byDestination.nextSlot(slot);
+            row = byDestination.rowAt(slot);
         }
         return row;
     }
 
-    /** True for a destination that a list has named. */
-    boolean knows(long destination) {
-        return firstOf(destination) != NONE || bare.contains(destination);
+    /** True if a list has ever named this destination. */
+    boolean isKnown(long destination) {
+        return firstRowOf(destination) != NONE || destinationsWithoutRows.contains(destination);
     }
 
-    /** A list has named this destination, though perhaps no host of it that can be used. */
-    void know(long destination) {
-        if (firstOf(destination) == NONE) {
-            bare.add(destination);
+    /** Records that a list has named this destination, even if none of its hosts can be used. */
+    void markKnown(long destination) {
+        if (firstRowOf(destination) == NONE) {
+            destinationsWithoutRows.add(destination);
         }
     }
 
-    private void join(int row) {
+    /** Adds a row to the chain of its destination, after the first one. */
+    private void linkToDestination(int row) {
         long destination = destination(row);
-        int first = firstOf(destination);
+        int first = firstRowOf(destination);
         if (first == NONE) {
             next(row, NONE);
             byDestination.add(row);
-            if (!bare.isEmpty()) {
-                bare.remove(destination);
+            if (!destinationsWithoutRows.isEmpty()) {
+                destinationsWithoutRows.remove(destination);
             }
         } else {
             next(row, next(first));
             next(first, row);
         }
-        set(row, LINKED, true);
+        setFlag(row, LINKED, true);
     }
 
-    /** Frees all linked rows of a destination that are not listed any more, in one walk over its rows. */
-    void prune(long destination) {
-        int first = firstOf(destination);
-        int kept = NONE;
-        int last = NONE;
-        int gone = NONE;
+    /** Frees all linked rows of a destination that are not listed any more, in one pass over its chain. */
+    void freeUnlisted(long destination) {
+        int first = firstRowOf(destination);
+        int firstKept = NONE;
+        int lastKept = NONE;
+        int firstRemoved = NONE;
         for (int row = first; row != NONE;) {
             int next = next(row);
-            if (!has(row, LISTED)) {
-                next(row, gone);
-                gone = row;
+            if (!hasFlag(row, LISTED)) {
+                next(row, firstRemoved);
+                firstRemoved = row;
             } else {
-                kept = kept == NONE ? row : kept;
-                if (last != NONE) {
-                    next(last, row);
+                firstKept = firstKept == NONE ? row : firstKept;
+                if (lastKept != NONE) {
+                    next(lastKept, row);
                 }
-                last = row;
+                lastKept = row;
             }
             row = next;
         }
-        if (last == NONE) {
+        if (lastKept == NONE) {
             if (first != NONE) {
                 byDestination.remove(first);
-                bare.add(destination);
+                destinationsWithoutRows.add(destination);
             }
         } else {
-            next(last, NONE);
-            if (kept != first) {
-                byDestination.replace(first, kept);
+            next(lastKept, NONE);
+            if (firstKept != first) {
+                byDestination.replace(first, firstKept);
             }
         }
-        while (gone != NONE) {
-            int row = gone;
-            gone = next(row);
-            // One whose host has moved has given its name and its number to another row.
-            if (nameAt(row) != NONE) {
-                long number = number(row);
-                String odd = hashedOn.isEmpty() ? null : name(row);
-                byNumber.remove(row);
-                if (odd != null) {
-                    letGo(number, odd);
+        while (firstRemoved != NONE) {
+            int row = firstRemoved;
+            firstRemoved = next(row);
+            // A row without a name has passed its name and its id on to another row: its host has moved.
+            if (namePlace(row) != NONE) {
+                long id = id(row);
+                String rehashedName = rehashedIds.isEmpty() ? null : name(row);
+                byId.remove(row);
+                if (rehashedName != null) {
+                    releaseId(id, rehashedName);
                 }
             }
             free(row);
         }
     }
 
-    /** Copies the names over once too much room is wasted. */
-    void tidy() {
-        if (arena.wasteful()) {
-            ByteArena old = arena;
+    /** Copies what is in use to a new arena once too much of the arena is unused. */
+    void compactArena() {
+        if (arena.isWasteful()) {
+            ByteArena oldArena = arena;
             arena = new ByteArena();
             for (int row = 0; row < end; row++) {
                 Page page = page(row);
-                int at = row & PAGE - 1;
+                int at = row & PAGE_ROWS - 1;
                 if (page.flags[at] != 0 && page.name[at] != NONE) {
-                    page.name[at] = arena.add(scratch, old.read(page.name[at], scratch));
+                    page.name[at] = arena.add(scratch, oldArena.read(page.name[at], scratch));
                 }
-                if (has(row, LONG_ADDRESS)) {
-                    page.address[at] = arena.add(scratch, old.read(page.address[at], scratch));
+                if (hasFlag(row, ADDRESS_IN_ARENA)) {
+                    page.address[at] = arena.add(scratch, oldArena.read(page.address[at], scratch));
                 }
-                if (has(row, LONG_SHARE)) {
-                    page.share[at] = arena.add(scratch, old.read(page.share[at], scratch));
+                if (hasFlag(row, SHARE_IN_ARENA)) {
+                    page.share[at] = arena.add(scratch, oldArena.read(page.share[at], scratch));
                 }
             }
         }
     }
 
-    // ---- Numbers ----------------------------------------------------------------------------------
+    // ---- Ids ----------------------------------------------------------------------------------
+    /** CRC-32 of a name; {@link #crc32} can be continued from there. */
     private int crc(byte[] name, int length) {
-        crc.reset();
-        crc.update(name, 0, length);
-        return (int) crc.getValue();
+        crc32.reset();
+        crc32.update(name, 0, length);
+        return (int) crc32.getValue();
     }
 
     /**
-     * A number below 2^32 that is the same at every relay; of two names that collide the later one is hashed
-     * on. A host that has gone and comes back has its number again for as long as it is held.
+     * Assigns the id of a new host: the CRC-32 of its name, which is the same at every relay. If another host
+     * has this id, the name is hashed repeatedly until a free id is found. A host that comes back after it
+     * has gone gets the same id again, as long as its old id is still held.
      */
-    private int assign(int entry, int hash) {
-        Map<String, Integer> names = hashedOn.get(hash);
-        if (names == null && numbered(hash) == NONE && holders.apply(hash & 0xffffffffL) == null) {
+    private int assignId(int entry, int hash) {
+        Map<String, Integer> idsByName = rehashedIds.get(hash);
+        if (idsByName == null && rowById(hash) == NONE && nameOfHeldId.apply(hash & 0xffffffffL) == null) {
             return hash;
         }
         String name = name(entry);
-        names = names == null ? new HashMap<>() : names;
-        if (names.containsKey(name)) {
-            return names.get(name);
+        idsByName = idsByName == null ? new HashMap<>() : idsByName;
+        if (idsByName.containsKey(name)) {
+            return idsByName.get(name);
         }
         byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
-        int number = crc(bytes, bytes.length);
-        while (!isFree(number, name)) {
-            crc.update(bytes, 0, bytes.length);
-            number = (int) crc.getValue();
+        int id = crc(bytes, bytes.length);
+        while (!isFree(id, name)) {
+            crc32.update(bytes, 0, bytes.length);
+            id = (int) crc32.getValue();
         }
-        if (number != hash) {
-            names.put(name, number);
-            hashedOn.put(hash, names);
+        if (id != hash) {
+            idsByName.put(name, id);
+            rehashedIds.put(hash, idsByName);
         }
-        return number;
+        return id;
     }
 
-    private boolean isFree(int number, String name) {
-        String holder = holders.apply(number & 0xffffffffL);
-        return numbered(number) == NONE && (holder == null || holder.equals(name));
+    private boolean isFree(int id, String name) {
+        String holder = nameOfHeldId.apply(id & 0xffffffffL);
+        return rowById(id) == NONE && (holder == null || holder.equals(name));
     }
 
-    /** Forgets that a name was hashed on, once neither a row nor a host has its number. */
-    void letGo(long number, String name) {
+    /** Forgets the id of a name that was hashed repeatedly, unless a row or a host still has it. */
+    void releaseId(long id, String name) {
         byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
         int hash = crc(bytes, bytes.length);
-        Map<String, Integer> names = hashedOn.get(hash);
-        if (names != null && numbered(number) == NONE && holders.apply(number) == null
-            && names.remove(name, (int) number) && names.isEmpty()) {
-            hashedOn.remove(hash);
+        Map<String, Integer> idsByName = rehashedIds.get(hash);
+        if (idsByName != null && rowById(id) == NONE && nameOfHeldId.apply(id) == null
+            && idsByName.remove(name, (int) id) && idsByName.isEmpty()) {
+            rehashedIds.remove(hash);
         }
     }
 }
--- a/src/main/java/wrenkeel/net/ListOnlyRelay.java
+++ b/src/main/java/wrenkeel/net/ListOnlyRelay.java
@@ -60,7 +60,7 @@
         driver = new ControlDriver(eventLoop, clock, config, hosts, pool, journal, metrics,
             (whenListed, whenNoticed) ->
                 new Discovery(eventLoop, calls, config.discoveryAddress(), hosts, change -> {
-                    whenListed.listed(change);
+                    whenListed.onListChanged(change);
                     // Runs after the module's turn, which is in the event loop's queue already.
                     eventLoop.execute(() -> versionApplied(hosts.version()));
                 }, whenNoticed));
--- a/src/main/java/wrenkeel/net/SendGuard.java
+++ b/src/main/java/wrenkeel/net/SendGuard.java
@@ -28,7 +28,7 @@
 
     /** Returns the scope of a wait that this host asks for. */
     private static WaitScope scopeOf(HostList.Host host, boolean separate) {
-        return new WaitScope(host.destination, separate ? host.number : -1);
+        return new WaitScope(host.destination, separate ? host.id : -1);
     }
 
     /**
--- a/src/test/java/wrenkeel/net/AgentConnectionTest.java
+++ b/src/test/java/wrenkeel/net/AgentConnectionTest.java
@@ -15,37 +15,40 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
+/** Calls to the discovery agent on a real event loop. */
 class AgentConnectionTest {
     private static final int CONNECT_TIMEOUT_MS = 1_000;
 
     private final MultiThreadIoEventLoopGroup group =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final EventLoop thread = group.next();
+    private final EventLoop loop = group.next();
 
     @AfterEach
-    void end() throws Exception {
+    void stopEventLoop() throws Exception {
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).sync();
     }
 
     /**
-     * Guards the watch and the notices while idle clients hold all descriptors: the request ends at once, on
-     * the relay's thread, so that it is repeated as soon as a descriptor is free.
+     * Clients may occupy all file descriptors with idle connections. A request to the agent must then fail at
+     * once, on the event loop, so that the watch and the notices are repeated as soon as a descriptor is
+     * free.
      */
     @Test
-    void aRequestForWhichThereIsNoDescriptorEndsAtOnceOnTheRelaysThread() throws Exception {
-        AgentConnection connection = new AgentConnection(thread, new Bootstrap().group(group), () -> {
+    void requestWithoutAFreeDescriptorEndsAtOnceOnTheEventLoop() throws Exception {
+        AgentConnection connection = new AgentConnection(loop, new Bootstrap().group(group), () -> {
             throw new ChannelException("too many open files");
         }, new InetSocketAddress(Platform.LOOPBACK, 9), CONNECT_TIMEOUT_MS);
         BlockingQueue<Integer> statuses = new LinkedBlockingQueue<>();
-        BlockingQueue<Boolean> onThread = new LinkedBlockingQueue<>();
-        long longTime = TimeUnit.HOURS.toMillis(1);
+        BlockingQueue<Boolean> onEventLoop = new LinkedBlockingQueue<>();
+        long longTimeoutMs = TimeUnit.HOURS.toMillis(1);
         for (int i = 0; i < 2; i++) {
-            thread.submit(() -> connection.ask(HttpMethod.GET, "/v1/servers", "", longTime, null, answer -> {
-                onThread.add(thread.inEventLoop());
-                statuses.add(answer.status);
-            })).get();
+            loop.submit(() -> connection.send(HttpMethod.GET, "/v1/servers", "", longTimeoutMs, null,
+                response -> {
+                    onEventLoop.add(loop.inEventLoop());
+                    statuses.add(response.status);
+                })).get();
             assertEquals(0, statuses.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS));
-            assertTrue(onThread.take());
+            assertTrue(onEventLoop.take());
         }
     }
 }
--- a/src/test/java/wrenkeel/net/FleetSizeTest.java
+++ b/src/test/java/wrenkeel/net/FleetSizeTest.java
@@ -17,42 +17,56 @@
 import org.junit.jupiter.api.io.TempDir;
 import wrenkeel.Relay.Outcome;
 
-/** A fleet of over a thousand relays and endpoints: nothing is sized for a few. */
+/** A fleet of more than a thousand relays and hosts: no limit is sized for small fleets only. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class FleetSizeTest {
-    private static final int MANY = 1_100, OF_ONE_DESTINATION = 600, LARGE = 7, SMALL = 8, SMALL_SIZE = 5;
-    private static final long LONG = 60_000_000;
+    /** Number of relays, and number of hosts. */
+    private static final int FLEET_SIZE = 1_100;
+    /** Number of hosts of the large destination. */
+    private static final int LARGE_DESTINATION_HOSTS = 600;
+    private static final int LARGE_DESTINATION = 7;
+    /** The other destinations have consecutive numbers from this one on. */
+    private static final int FIRST_SMALL_DESTINATION = 8;
+    /** Number of hosts of each other destination. */
+    private static final int SMALL_DESTINATION_HOSTS = 5;
+    /** A timeout that does not elapse during a test. */
+    private static final long LONG_TIMEOUT_MICROS = 60_000_000;
 
     @TempDir
     Path folder;
 
-    /** The first endpoints are all of one destination; behind them each destination has a few. */
-    private static String listed(int number, int port) {
-        int destination = number < OF_ONE_DESTINATION ? LARGE
-            : SMALL + (number - OF_ONE_DESTINATION) / SMALL_SIZE;
+    /**
+     * The list entry of a host. The first hosts belong to the large destination, the others to small ones.
+     */
+    private static String hostEntry(int number, int port) {
+        int destination = number < LARGE_DESTINATION_HOSTS ? LARGE_DESTINATION
+            : FIRST_SMALL_DESTINATION + (number - LARGE_DESTINATION_HOSTS) / SMALL_DESTINATION_HOSTS;
         return Platform.hostJson("s-" + number, port, destination, "ready").replace("\"share\":50",
             "\"share\":5000");
     }
 
+    /** A configuration with this many relays and hosts, and with few sockets. */
     private Config config(Platform platform, String[] hosts) throws Exception {
         platform.writeConfig(hosts);
         Path file = Path.of(platform.environment().get("EDGE_CONFIG"));
         String text = Files.readString(file);
         assertTrue(text.contains("\"balancers\":1,") && text.contains("\"sockets\":1024"));
-        Files.writeString(file, text.replace("\"balancers\":1,", "\"balancers\":" + MANY + ",")
+        Files.writeString(file, text.replace("\"balancers\":1,", "\"balancers\":" + FLEET_SIZE + ",")
             .replace("\"sockets\":1024", "\"sockets\":256"));
         return Config.read(platform.environment());
     }
 
     @Test
-    void aListOfManyEndpointsIsHeldAndEachDestinationServed() throws Exception {
+    void largeListIsHeldAndItsDestinationsAreServed() throws Exception {
         try (Platform platform = new Platform(folder); StubHost host = new StubHost()) {
-            String[] hosts = new String[MANY];
-            for (int i = 0; i < MANY; i++) {
-                hosts[i] = listed(i, host.port());
+            String[] hosts = new String[FLEET_SIZE];
+            for (int i = 0; i < FLEET_SIZE; i++) {
+                hosts[i] = hostEntry(i, host.port());
             }
             try (Node relay = new Node(config(platform, hosts)); var client = new Platform.Client(relay)) {
-                for (int destination : List.of(LARGE, SMALL, SMALL + (MANY - OF_ONE_DESTINATION) / SMALL_SIZE - 1)) {
+                for (int destination : List.of(LARGE_DESTINATION, FIRST_SMALL_DESTINATION,
+                        FIRST_SMALL_DESTINATION
+                            + (FLEET_SIZE - LARGE_DESTINATION_HOSTS) / SMALL_DESTINATION_HOSTS - 1)) {
                     String id = "to-" + destination;
                     assertEquals("HTTP/1.1 202 Accepted",
                         client.post(id, "bill", destination, 60_000).get(0));
@@ -61,34 +75,34 @@
                     assertEquals(id, call.header("X-Request-ID"));
                     call.respond(StubHost.OK);
                 }
-                while (!relay.isIdle() || ConsoleTest.metrics(relay).longValue("members") < MANY) {
+                while (!relay.isIdle() || ConsoleTest.metrics(relay).longValue("members") < FLEET_SIZE) {
                     Thread.sleep(5);
                 }
-                assertEquals(MANY, ConsoleTest.metrics(relay).longValue("members"));
+                assertEquals(FLEET_SIZE, ConsoleTest.metrics(relay).longValue("members"));
             }
-            assertTrue(platform.notices.isEmpty(), "all were delivered");
+            assertTrue(platform.notices.isEmpty(), "no message has failed");
         }
     }
 
-    /** Guards the descriptors: kept connections to many endpoints stay within the share. */
+    /** Idle connections to many hosts must not use up the file descriptors. */
     @Test
-    void connectionsToManyEndpointsStayWithinTheirShare() throws Exception {
-        int share = 20;
+    void connectionsToManyHostsStayWithinTheLimit() throws Exception {
+        int maxConnections = 20;
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         BlockingQueue<HostPool.Reply> replies = new LinkedBlockingQueue<>();
         try (StubHost endpoint = new StubHost()) {
-            HostPool pool = new HostPool(group.next(), new Bootstrap().group(group), LONG, LONG, share,
-                new Metrics());
-            Message message = new Message("a", "bill", 0, null, null, LARGE, 0, new byte[1]);
-            for (int i = 0; i < MANY; i++) {
+            HostPool pool = new HostPool(group.next(), new Bootstrap().group(group), LONG_TIMEOUT_MICROS,
+                LONG_TIMEOUT_MICROS, maxConnections, new Metrics());
+            Message message = new Message("a", "bill", 0, null, null, LARGE_DESTINATION, 0, new byte[1]);
+            for (int i = 0; i < FLEET_SIZE; i++) {
                 HostList.Host host = new HostList.Host(i, "s-" + i);
-                host.dial = new InetSocketAddress(Platform.LOOPBACK, endpoint.port());
-                group.next().submit(() -> pool.call(host,
-                    List.of(new HostPool.Part(message, LONG, replies::add)))).get();
+                host.address = new InetSocketAddress(Platform.LOOPBACK, endpoint.port());
+                group.next().submit(() -> pool.startCall(host,
+                    List.of(new HostPool.Attempt(message, LONG_TIMEOUT_MICROS, replies::add)))).get();
                 endpoint.nextCall().respond(StubHost.OK);
                 assertEquals(Outcome.OK, replies.take().outcome());
-                int held = group.next().submit(pool::held).get();
-                assertTrue(held <= share, held + " connections held");
+                int connectionCount = group.next().submit(pool::connectionCount).get();
+                assertTrue(connectionCount <= maxConnections, connectionCount + " connections");
             }
         } finally {
             group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
--- a/src/test/java/wrenkeel/net/HandoverSnapshotTest.java
+++ b/src/test/java/wrenkeel/net/HandoverSnapshotTest.java
@@ -27,20 +27,20 @@
         try (Platform platform = new Platform(folder)) {
             Config config = platform.writeConfig(names);
             HostList hosts = new HostList(config.zones(), config.kinds());
-            hosts.take(config.savedList().open());
+            hosts.load(config.savedList().open());
             Control control = new Control(1, config.settings());
             List<Relay.Event> events = new ArrayList<>();
             for (long destination = 0; destination < HOSTS; destination++) {
-                events.add(new Relay.DestinationIntroduced(hosts.tell(destination).endpoints()));
+                events.add(new Relay.DestinationIntroduced(hosts.activate(destination).endpoints()));
             }
-            long waiting = hosts.named("s-1999").number;
+            long waiting = hosts.hostByName("s-1999").id;
             events.add(Relay.EndpointSnapshot.ofWait(waiting, 90 * SECOND_MICROS));
             control.turn(SECOND_MICROS, events);
             List<Relay.EndpointSnapshot> all = control.endpointSnapshots();
             assertEquals(HOSTS, all.size());
             String text = HandoverSnapshot.write(all, hosts, time -> time, 20_000);
             assertTrue(text.length() >= 20_000 && text.length() < 20_500, "characters: " + text.length());
-            List<Relay.Event> read = HandoverSnapshot.read(text, hosts, hosts::named, time -> time);
+            List<Relay.Event> read = HandoverSnapshot.read(text, hosts, hosts::hostByName, time -> time);
             assertTrue(read.size() > 50 && read.size() < HOSTS / 10);
             assertEquals(waiting, ((Relay.EndpointSnapshot) read.get(0)).endpoint());
             assertEquals(90 * SECOND_MICROS, ((Relay.EndpointSnapshot) read.get(0)).waitUntil());
--- a/src/test/java/wrenkeel/net/HostListComparisonTest.java
+++ b/src/test/java/wrenkeel/net/HostListComparisonTest.java
@@ -21,218 +21,277 @@
 import wrenkeel.Relay.Listing;
 import wrenkeel.Wire;
 
-/** Random lists, cuts, drains, tells and releases: the table tells and holds what the plain list of before did. */
+/**
+ * Performs random sequences of actions on {@link HostList} and on the simple {@link ReferenceHostList}, and
+ * requires both to report the same events and to hold the same hosts.
+ */
 class HostListComparisonTest {
     static {
-        // What is left out on purpose would fill the log.
+        // The generated lists contain unusable entries, whose warnings would fill the log.
         System.setProperty("org.slf4j.simpleLogger.log.wrenkeel.net.ListReader", "off");
     }
 
-    private static final List<String> ZONES = List.of("a", "b"), KINDS = List.of("m1", "m2");
+    private static final List<String> ZONES = List.of("a", "b");
+    private static final List<String> KINDS = List.of("m1", "m2");
+    /** "plumless" and "buckeroo" have the same CRC-32, from which the ids of hosts are made. */
     private static final List<String> NAMES = List.of("plumless", "buckeroo", "s-1", "s-2", "s-\u00e4\u20ac",
         "s-" + "x".repeat(40));
     private static final int DESTINATIONS = 4;
 
-    enum What { WHOLE, CHANGES, CUT, TELL, TELL_MIDWAY, RELEASE, DRAIN, FORGET }
+    /** What a step does to both lists. */
+    enum Action {
+        /** Loads a whole list. */
+        WHOLE,
+        /** Loads a list of changes. */
+        CHANGES,
+        /** Reads the beginning of a list, then abandons the update or tries to commit it. */
+        TRUNCATED,
+        /** Activates a destination. */
+        ACTIVATE,
+        /** Activates a destination while a list is being read. */
+        ACTIVATE_DURING_UPDATE,
+        /** Deactivates a destination. */
+        DEACTIVATE,
+        /** Marks a host as draining, as when another process has received a newer list. */
+        MARK_DRAINING,
+        /** Releases a host that the decision module no longer needs. */
+        RELEASE_HOST
+    }
 
-    /** {@code at}: a destination, a host's place in NAMES, or where to cut. */
-    record Step(What what, List<String> entries, int at, int piece) { }
+    /**
+     * One action with its parameters.
+     *
+     * @param entries the entries of the list, as JSON
+     * @param position a number from 0 to 1000 that selects the destination, the host in {@code NAMES}, and
+     *     the point at which the reading of the list is interrupted
+     * @param pieceBytes size of the pieces in which the list is read; also selects variants of the action
+     */
+    record Step(Action action, List<String> entries, int position, int pieceBytes) { }
 
     @Provide
     Arbitrary<List<Step>> steps() {
         Arbitrary<String> health = Arbitraries.of("ready", "ready", "ready", "draining", "gone");
-        Arbitrary<String> dial = Arbitraries.of("127.0.0.1:80", "127.0.0.1:81", "10.1:80", "[::1]:80", "[::2]:80");
-        Arbitrary<String> rest = Arbitraries.of("", ",\"share\":2.5", ",\"share\":0.1", ",\"share\":7.3", ",\"site\":\"far\",\"new\":[{}]",
-            ",\"site\":null,\"share\":null");
-        Arbitrary<String> entry = Combinators.combine(Arbitraries.of(NAMES), health, dial, rest, rare("m2", "m9"),
-            Arbitraries.integers().between(0, DESTINATIONS - 1), rare("", "well"), rare("", "here:80")).as(
-            (name, health1, dial1, rest1, kind, block, badHealth, badDial) -> "{\"host\":\"" + name + "\",\"dial\":\""
-                + (badDial.isEmpty() ? dial1 : badDial) + "\",\"class\":\"" + kind + "\",\"block\":" + block
-                + ",\"health\":\"" + (badHealth.isEmpty() ? health1 : badHealth) + "\"" + rest1 + "}");
-        return Combinators.combine(Arbitraries.of(What.values()), entry.list().ofMaxSize(8),
+        Arbitrary<String> dial = Arbitraries.of("127.0.0.1:80", "127.0.0.1:81", "10.1:80", "[::1]:80",
+            "[::2]:80");
+        Arbitrary<String> rest = Arbitraries.of("", ",\"share\":2.5", ",\"share\":0.1", ",\"share\":7.3",
+            ",\"site\":\"far\",\"new\":[{}]", ",\"site\":null,\"share\":null");
+        Arbitrary<String> entry = Combinators.combine(Arbitraries.of(NAMES), health, dial, rest,
+            rare("m2", "m9"), Arbitraries.integers().between(0, DESTINATIONS - 1), rare("", "well"),
+            rare("", "here:80")).as(
+            (name, anyHealth, anyDial, anyRest, kind, block, badHealth, badDial) -> "{\"host\":\"" + name
+                + "\",\"dial\":\"" + (badDial.isEmpty() ? anyDial : badDial) + "\",\"class\":\"" + kind
+                + "\",\"block\":" + block
+                + ",\"health\":\"" + (badHealth.isEmpty() ? anyHealth : badHealth) + "\"" + anyRest + "}");
+        return Combinators.combine(Arbitraries.of(Action.values()), entry.list().ofMaxSize(8),
             Arbitraries.integers().between(0, 1_000), Arbitraries.integers().between(1, 300)).as(Step::new)
             .list().ofMaxSize(30);
     }
 
+    /** The usual value in 30 of 31 cases, otherwise the rare one. */
     private static Arbitrary<String> rare(String usual, String rare) {
         return Arbitraries.frequency(Tuple.of(30, usual), Tuple.of(1, rare));
     }
 
     @Property(tries = 2_000)
-    void tellsAndHoldsWhatThePlainListDid(@ForAll("steps") List<Step> steps) throws IOException {
+    void behavesLikeTheReferenceList(@ForAll("steps") List<Step> steps) throws IOException {
         Comparison comparison = new Comparison();
         for (Step step : steps) {
-            comparison.play(step);
-            comparison.check();
+            comparison.perform(step);
+            comparison.assertSameState();
         }
     }
 
-    /** Both lists, and a module that hears of the new one's. */
+    /** Both lists, and a model of the decision module that receives the events of {@link HostList}. */
     private static final class Comparison {
         private final ReferenceHostList reference = new ReferenceHostList(ZONES, KINDS);
         private final HostList list = new HostList(ZONES, KINDS, 1_000);
-        private final Set<Long> told = new HashSet<>();
-        /** Destinations of the listed hosts, by name, as the reference's events say. */
-        private Map<String, Long> listed = new HashMap<>();
-        /** What the module holds, by name. */
-        private final Map<String, String> module = new HashMap<>();
-
-        void play(Step step) throws IOException {
-            long destination = step.at % DESTINATIONS;
-            String name = NAMES.get(step.at % NAMES.size());
-            switch (step.what) {
-                case WHOLE, CHANGES, TELL_MIDWAY, CUT -> lists(step, destination);
-                case TELL -> tell(destination);
-                case RELEASE -> {
-                    list.release(destination);
-                    told.remove(destination);
-                    module.values().removeIf(state -> state.startsWith(destination + " "));
+        private final Set<Long> activeDestinations = new HashSet<>();
+        /** The destinations of the listed hosts, by host name, according to the reference's events. */
+        private Map<String, Long> listedDestinations = new HashMap<>();
+        /**
+         * What the decision module knows of each host, by host name: destination, listing, zone and kind.
+         */
+        private final Map<String, String> moduleState = new HashMap<>();
+
+        /** Performs one step on both lists; requires the same events. */
+        void perform(Step step) throws IOException {
+            long destination = step.position % DESTINATIONS;
+            String name = NAMES.get(step.position % NAMES.size());
+            switch (step.action) {
+                case WHOLE, CHANGES, ACTIVATE_DURING_UPDATE, TRUNCATED -> loadList(step, destination);
+                case ACTIVATE -> activate(destination);
+                case DEACTIVATE -> {
+                    list.deactivate(destination);
+                    activeDestinations.remove(destination);
+                    moduleState.values().removeIf(state -> state.startsWith(destination + " "));
                 }
-                case DRAIN -> {
-                    HostList.Host host = list.named(name);
+                case MARK_DRAINING -> {
+                    HostList.Host host = list.hostByName(name);
                     if (host != null && host.ready) {
-                        Relay.ListUpdated drained = list.drain(host);
-                        assertEquals(seen(reference.drain(reference.named(name)), id -> reference.host(id).name),
-                            seen(drained, id -> list.host(id).name));
-                        hear(drained);
+                        Relay.ListUpdated drained = list.markDraining(host);
+                        assertEquals(describe(reference.markDraining(reference.hostByName(name)),
+                                id -> reference.hostById(id).name),
+                            describe(drained, id -> list.hostById(id).name));
+                        applyToModule(drained);
                     }
                 }
                 default -> {
-                    HostList.Host host = list.named(name);
+                    HostList.Host host = list.hostByName(name);
                     if (host != null) {
-                        list.forget(host.number);
-                        assertEquals(host.listed, list.named(name) == host);
+                        list.releaseHost(host.id);
+                        assertEquals(host.listed, list.hostByName(name) == host);
                     }
                 }
             }
         }
 
-        private void tell(long destination) {
-            Relay.ListUpdated answer = list.tell(destination);
-            assertEquals(told.add(destination), answer != null);
-            if (answer != null) {
-                hear(answer);
+        /** Activates a destination; it must be reported unless it is active already. */
+        private void activate(long destination) {
+            Relay.ListUpdated event = list.activate(destination);
+            assertEquals(activeDestinations.add(destination), event != null);
+            if (event != null) {
+                applyToModule(event);
             }
         }
 
-        private void lists(Step step, long destination) throws IOException {
-            boolean whole = step.what == What.WHOLE || step.what == What.TELL_MIDWAY && step.at % 2 == 0;
-            long seq = list.version() + 2;
-            String text = step.piece % 2 == 0
-                ? Platform.listJson((int) seq, whole, step.entries.toArray(String[]::new))
+        /** Loads the list of a step, or a part of it, and compares the reports of both lists. */
+        private void loadList(Step step, long destination) throws IOException {
+            boolean whole = step.action == Action.WHOLE
+                || step.action == Action.ACTIVATE_DURING_UPDATE && step.position % 2 == 0;
+            long version = list.version() + 2;
+            String text = step.pieceBytes % 2 == 0
+                ? Platform.listJson((int) version, whole, step.entries.toArray(String[]::new))
                 : "{\n \"hosts\": [\n  " + String.join(",\n  ", step.entries) + "\n ],\n \"whole\": " + whole
-                    + ", \"seq\": " + seq + "}";
+                    + ", \"seq\": " + version + "}";
             byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-            boolean midway = step.what == What.CUT || step.what == What.TELL_MIDWAY;
-            int cut = midway ? step.at * bytes.length / 1_001 : bytes.length;
-            HostList.Reading reading = list.read();
-            for (int from = 0; from < cut; from += step.piece) {
-                reading.feed(bytes, from, Math.min(step.piece, cut - from));
+            boolean stopsMidway = step.action == Action.TRUNCATED
+                || step.action == Action.ACTIVATE_DURING_UPDATE;
+            int cut = stopsMidway ? step.position * bytes.length / 1_001 : bytes.length;
+            HostList.PendingUpdate update = list.beginUpdate();
+            for (int from = 0; from < cut; from += step.pieceBytes) {
+                update.feed(bytes, from, Math.min(step.pieceBytes, cut - from));
             }
-            if (step.what == What.CUT) {
-                if (step.piece % 3 == 0) {
-                    reading.abandon();
+            if (step.action == Action.TRUNCATED) {
+                if (step.pieceBytes % 3 == 0) {
+                    update.abandon();
                 } else {
-                    assertThrows(Wire.MalformedException.class, reading::end);
+                    assertThrows(Wire.MalformedException.class, update::commit);
                 }
                 return;
             }
-            if (step.what == What.TELL_MIDWAY) {
-                tell(destination);
-                reading.feed(bytes, cut, bytes.length - cut);
+            if (step.action == Action.ACTIVATE_DURING_UPDATE) {
+                activate(destination);
+                update.feed(bytes, cut, bytes.length - cut);
             }
-            Map<HostList.Host, Long> ready = new HashMap<>();
-            NAMES.stream().map(list::named).filter(host -> host != null && host.ready)
-                .forEach(host -> ready.put(host, host.destination));
-            HostList.Change change = reading.end();
-            List<String> due = due(reference.update(Wire.decode(text)));
-            if (step.what != What.TELL_MIDWAY) {
-                assertEquals(due, seen(change.listed(), id -> list.host(id).name));
+            Map<HostList.Host, Long> readyBefore = new HashMap<>();
+            NAMES.stream().map(list::hostByName).filter(host -> host != null && host.ready)
+                .forEach(host -> readyBefore.put(host, host.destination));
+            HostList.Change change = update.commit();
+            List<String> expected = expectedReport(reference.load(Wire.decode(text)));
+            // If a destination became active in between, only the state after the update is compared.
+            if (step.action != Action.ACTIVATE_DURING_UPDATE) {
+                assertEquals(expected, describe(change.event(), id -> list.hostById(id).name));
             }
-            ready.forEach((host, before) -> assertTrue(host.ready && host.destination == before
-                || change.unready().contains(host)));
-            assertEquals(whole ? Relay.ListKind.WHOLE : Relay.ListKind.CHANGES, change.listed().kind());
-            hear(change.listed());
+            // A host that can no longer be called for its destination must be reported as unavailable.
+            readyBefore.forEach((host, oldDestination) -> assertTrue(
+                host.ready && host.destination == oldDestination || change.unavailable().contains(host)));
+            assertEquals(whole ? Relay.ListKind.WHOLE : Relay.ListKind.CHANGES, change.event().kind());
+            applyToModule(change.event());
         }
 
-        /** Of the reference's events, those of destinations told of; a host that leaves these goes. */
-        private List<String> due(Relay.ListUpdated all) {
-            List<String> due = new ArrayList<>();
+        /**
+         * The part of the reference's report that concerns active destinations. A host that moves from one of
+         * these to an inactive destination is expected to be reported as gone.
+         */
+        private List<String> expectedReport(Relay.ListUpdated fullReport) {
+            List<String> expected = new ArrayList<>();
             Map<String, Long> named = new HashMap<>();
-            for (Relay.Endpoint e : all.endpoints()) {
-                String name = reference.host(e.id()).name;
-                Long before = listed.remove(name);
+            for (Relay.Endpoint endpoint : fullReport.endpoints()) {
+                String name = reference.hostById(endpoint.id()).name;
+                Long oldDestination = listedDestinations.remove(name);
                 named.remove(name);
-                if (e.listing() != Listing.GONE) {
-                    listed.put(name, e.destination());
-                    named.put(name, e.destination());
+                if (endpoint.listing() != Listing.GONE) {
+                    listedDestinations.put(name, endpoint.destination());
+                    named.put(name, endpoint.destination());
                 }
-                if (e.listing() != Listing.GONE && told.contains(e.destination())) {
-                    due.add(seen(name, e));
-                } else if (before != null && told.contains(before)) {
-                    due.add(name + " " + before + " GONE");
+                if (endpoint.listing() != Listing.GONE
+                        && activeDestinations.contains(endpoint.destination())) {
+                    expected.add(describe(name, endpoint));
+                } else if (oldDestination != null && activeDestinations.contains(oldDestination)) {
+                    expected.add(name + " " + oldDestination + " GONE");
                 }
             }
-            listed = all.kind() == Relay.ListKind.WHOLE ? named : listed;
-            return due;
+            listedDestinations = fullReport.kind() == Relay.ListKind.WHOLE ? named : listedDestinations;
+            return expected;
         }
 
-        private interface Names {
-            String of(long id);
+        /** Returns the name of the host with an id. */
+        private interface NameLookup {
+            String nameOf(long id);
         }
 
-        private static List<String> seen(Relay.ListUpdated listed, Names names) {
-            return listed.endpoints().stream().map(e -> seen(names.of(e.id()), e)).toList();
+        /** The endpoints of an event as text, with the names of their hosts. */
+        private static List<String> describe(Relay.ListUpdated event, NameLookup names) {
+            return event.endpoints().stream().map(endpoint -> describe(names.nameOf(endpoint.id()), endpoint))
+                .toList();
         }
 
-        private static String seen(String name, Relay.Endpoint e) {
-            return name + " " + e.destination() + " " + e.listing()
-                + (e.listing() == Listing.GONE ? "" : " " + e.zone() + " " + e.kind() + " " + e.weight());
+        private static String describe(String name, Relay.Endpoint endpoint) {
+            return name + " " + endpoint.destination() + " " + endpoint.listing()
+                + (endpoint.listing() == Listing.GONE ? ""
+                    : " " + endpoint.zone() + " " + endpoint.kind() + " " + endpoint.weight());
         }
 
-        private void hear(Relay.ListUpdated event) {
+        /** Updates the model of the decision module by an event. */
+        private void applyToModule(Relay.ListUpdated event) {
             Set<String> named = new HashSet<>();
-            for (Relay.Endpoint e : event.endpoints()) {
-                String name = list.host(e.id()).name;
+            for (Relay.Endpoint endpoint : event.endpoints()) {
+                String name = list.hostById(endpoint.id()).name;
                 named.add(name);
-                if (e.listing() == Listing.GONE) {
-                    module.remove(name);
+                if (endpoint.listing() == Listing.GONE) {
+                    moduleState.remove(name);
                 } else {
-                    module.put(name, e.destination() + " " + e.listing() + " " + e.zone() + " " + e.kind());
+                    moduleState.put(name, endpoint.destination() + " " + endpoint.listing()
+                        + " " + endpoint.zone() + " " + endpoint.kind());
                 }
             }
             if (event.kind() == Relay.ListKind.WHOLE) {
-                module.keySet().retainAll(named);
+                moduleState.keySet().retainAll(named);
             }
         }
 
-        private void check() {
-            Map<String, String> due = new HashMap<>();
-            Set<Long> numbers = new HashSet<>();
+        /** Requires both lists, and the model of the decision module, to hold the same hosts. */
+        private void assertSameState() {
+            Map<String, String> expectedModuleState = new HashMap<>();
+            Set<Long> ids = new HashSet<>();
             int draining = 0;
             for (String name : NAMES) {
-                ReferenceHostList.Host host = reference.named(name);
-                boolean there = host != null && host.listed;
-                HostList.Host mine = list.named(name);
-                assertTrue(mine == null || numbers.add(mine.number) && list.host(mine.number) == mine);
-                assertEquals(there ? host.destination : null, list.destination(name));
-                assertTrue(mine == null || list.hostsOf(mine.destination).contains(mine));
-                if (there && told.contains(host.destination)) {
-                    due.put(name, host.destination + " " + (host.ready ? Listing.READY : Listing.DRAINING) + " "
-                        + host.zone + " " + host.kind);
-                    assertEquals(List.of(host.dial, host.zone, host.kind, host.destination, host.ready, true),
-                        List.of(mine.dial, mine.zone, mine.kind, mine.destination, mine.ready, mine.listed));
+                ReferenceHostList.Host expected = reference.hostByName(name);
+                boolean isListed = expected != null && expected.listed;
+                HostList.Host actual = list.hostByName(name);
+                assertTrue(actual == null || ids.add(actual.id) && list.hostById(actual.id) == actual);
+                assertEquals(isListed ? expected.destination : null, list.destinationOf(name));
+                assertTrue(actual == null || list.hostsOf(actual.destination).contains(actual));
+                if (isListed && activeDestinations.contains(expected.destination)) {
+                    expectedModuleState.put(name, expected.destination + " "
+                        + (expected.ready ? Listing.READY : Listing.DRAINING)
+                        + " " + expected.zone + " " + expected.kind);
+                    assertEquals(List.of(expected.address, expected.zone, expected.kind, expected.destination,
+                            expected.ready, true),
+                        List.of(actual.address, actual.zone, actual.kind, actual.destination,
+                            actual.ready, actual.listed));
                 } else {
-                    assertTrue(mine == null || !mine.ready && !mine.listed);
+                    assertTrue(actual == null || !actual.ready && !actual.listed);
                 }
-                draining += there && !host.ready ? 1 : 0;
+                draining += isListed && !expected.ready ? 1 : 0;
             }
-            assertEquals(due, module);
-            assertEquals(List.of(reference.version(), reference.listed(), draining, reference.listed()),
-                List.of(list.version(), list.listed(), list.draining(), list.rows()));
+            assertEquals(expectedModuleState, moduleState);
+            assertEquals(
+                List.of(reference.version(), reference.listedCount(), draining, reference.listedCount()),
+                List.of(list.version(), list.listedCount(), list.drainingCount(), list.rowCount()));
             for (long destination = 0; destination < DESTINATIONS; destination++) {
-                assertEquals(reference.knows(destination), list.knows(destination));
-                assertEquals(told.contains(destination), list.told(destination));
+                assertEquals(reference.isKnown(destination), list.isKnown(destination));
+                assertEquals(activeDestinations.contains(destination), list.isActive(destination));
             }
         }
     }
