--- a/src/test/java/wrenkeel/net/HostPoolTest.java
+++ b/src/test/java/wrenkeel/net/HostPoolTest.java
@@ -28,237 +28,278 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import wrenkeel.Relay.Outcome;
 
-/** Each way in which a call can end, by the protocol's table. */
+/**
+ * The calls of {@link HostPool} to hosts that the test plays: how each call can end, which reply each attempt
+ * gets, and when connections are reused, closed or waited for.
+ */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class HostPoolTest {
-    private static final long LONG = 60_000_000, KEEP_ALIVE = 15_000_000;
-    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    /** A timeout that does not elapse during a test. */
+    private static final long LONG_MICROS = 60_000_000;
+    /** How long hosts keep idle connections open. */
+    private static final long KEEP_ALIVE_MICROS = 15_000_000;
+
+    private final MultiThreadIoEventLoopGroup group =
+        new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    /** The replies to attempts, in order. */
     private final BlockingQueue<HostPool.Reply> replies = new LinkedBlockingQueue<>();
-    private final HostList.Host listed = new HostList.Host(1, "s-1");
+    /** The host that is called unless a test names another. */
+    private final HostList.Host defaultHost = new HostList.Host(1, "s-1");
 
     @AfterEach
-    void end() {
+    void stopEventLoop() {
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 
-    private HostPool pool(long keepAlive) {
-        return new HostPool(group.next(), new Bootstrap().group(group), LONG, keepAlive, 100, new Metrics());
+    /** A pool of up to 100 connections. */
+    private HostPool newPool(long keepAliveMicros) {
+        return new HostPool(group.next(), new Bootstrap().group(group), LONG_MICROS, keepAliveMicros, 100,
+            new Metrics());
     }
 
-
-    private HostPool.Part part(String id, String key, long patience, int bytes) {
-        return new HostPool.Part(new Message(id, "bill", 0, null, key, 7, 0, new byte[bytes]), patience,
-            replies::add);
+    /** An attempt to deliver a message with this id, idempotency key and body length. */
+    private HostPool.Attempt attempt(String id, String key, long timeoutMicros, int bytes) {
+        return new HostPool.Attempt(new Message(id, "bill", 0, null, key, 7, 0, new byte[bytes]),
+            timeoutMicros, replies::add);
     }
 
-    private void call(HostPool pool, int port, HostPool.Part... parts) throws Exception {
-        listed.dial = new InetSocketAddress(Platform.LOOPBACK, port);
-        listed.ready = true;
-        group.next().submit(() -> pool.call(listed, List.of(parts))).get();
+    /** Starts a call with these attempts to the default host, which listens at this port. */
+    private void startCall(HostPool pool, int port, HostPool.Attempt... attempts) throws Exception {
+        defaultHost.address = new InetSocketAddress(Platform.LOOPBACK, port);
+        defaultHost.ready = true;
+        group.next().submit(() -> pool.startCall(defaultHost, List.of(attempts))).get();
     }
 
-    private HostPool.Part call(HostPool pool, int port, long patience, int bytes) throws Exception {
-        HostPool.Part part = part("a", null, patience, bytes);
-        call(pool, port, part);
-        return part;
+    /** Starts a call with a single attempt to the default host, and returns the attempt. */
+    private HostPool.Attempt startCall(HostPool pool, int port, long timeoutMicros, int bytes)
+            throws Exception {
+        HostPool.Attempt attempt = attempt("a", null, timeoutMicros, bytes);
+        startCall(pool, port, attempt);
+        return attempt;
     }
 
-    private HostPool.Reply reply() throws InterruptedException {
+    /** Waits for the next reply; null if none comes. */
+    private HostPool.Reply awaitReply() throws InterruptedException {
         return replies.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     @ParameterizedTest
-    @CsvSource({"200, , OK, true, 0", "500, , ERROR, false, 0", "429, Retry-After: 0.283, FULL, false, 283000",
-        "429, , FULL, false, 0", "503, , FULL, false, 0", "503, X-No-Slot: 1, NOT_SENT, false, 0",
-        "504, , NOT_SENT, false, 0", "410, , NOT_SENT, true, 0", "418, , ERROR, false, 0"})
-    void anAnswerMeansWhatTheTableSays(int status, String header, Outcome outcome, boolean over, long wait)
-            throws Exception {
+    @CsvSource({"200, , OK, true, 0", "500, , ERROR, false, 0",
+        "429, Retry-After: 0.283, FULL, false, 283000", "429, , FULL, false, 0", "503, , FULL, false, 0",
+        "503, X-No-Slot: 1, NOT_SENT, false, 0", "504, , NOT_SENT, false, 0",
+        "410, , NOT_SENT, true, 0", "418, , ERROR, false, 0"})
+    void statusAndHeadersDetermineTheReply(int status, String header, Outcome outcome,
+            boolean messageOver, long retryAfterMicros) throws Exception {
         try (StubHost host = new StubHost()) {
-            call(pool(KEEP_ALIVE), host.port(), LONG, 10);
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), LONG_MICROS, 10);
             host.nextCall().respond("HTTP/1.1 " + status + " x\r\nX-Server-Load: x0=0.4,x1=25\r\n"
                 + (header == null ? "" : header + "\r\n") + "Content-Length: 0\r\n\r\n");
-            HostPool.Reply reply = reply();
+            HostPool.Reply reply = awaitReply();
             assertEquals(outcome, reply.outcome());
-            assertEquals(over, reply.over());
-            assertEquals(wait, reply.waitFor());
-            assertEquals(0.4, reply.left());
-            assertEquals(25, reply.limit());
+            assertEquals(messageOver, reply.messageOver());
+            assertEquals(retryAfterMicros, reply.retryAfterMicros());
+            assertEquals(0.4, reply.remainingShare());
+            assertEquals(25, reply.rateLimitPerSecond());
         }
     }
 
-    /** Guards the descriptors: a connection that carries nothing gives way to one that is needed elsewhere. */
+    /**
+     * Guards the number of file descriptors: at the limit, an idle connection is closed before one to another
+     * host is opened.
+     */
     @Test
-    void anIdleConnectionIsClosedForOneMoreThanAllowed() throws Exception {
+    void idleConnectionIsClosedToStayWithinTheLimit() throws Exception {
         try (StubHost first = new StubHost(); StubHost second = new StubHost()) {
-            HostPool pool = new HostPool(group.next(), new Bootstrap().group(group), LONG, KEEP_ALIVE, 1, new Metrics());
-            call(pool, first.port(), LONG, 10);
+            HostPool pool = new HostPool(group.next(), new Bootstrap().group(group), LONG_MICROS,
+                KEEP_ALIVE_MICROS, 1, new Metrics());
+            startCall(pool, first.port(), LONG_MICROS, 10);
             StubHost.Call idle = first.nextCall();
             idle.respond(StubHost.OK);
-            assertEquals(Outcome.OK, reply().outcome());
+            assertEquals(Outcome.OK, awaitReply().outcome());
             HostList.Host other = new HostList.Host(2, "s-2");
-            other.dial = new InetSocketAddress(Platform.LOOPBACK, second.port());
-            group.next().submit(() -> pool.call(other, List.of(part("b", null, LONG, 10)))).get();
+            other.address = new InetSocketAddress(Platform.LOOPBACK, second.port());
+            group.next().submit(
+                () -> pool.startCall(other, List.of(attempt("b", null, LONG_MICROS, 10)))).get();
             assertTrue(first.awaitClosed(idle));
             second.nextCall().respond(StubHost.OK);
-            assertEquals(Outcome.OK, reply().outcome());
+            assertEquals(Outcome.OK, awaitReply().outcome());
         }
     }
 
-    private HostPool narrow(int connections) {
-        return new HostPool(group.next(), new Bootstrap().group(group), LONG, KEEP_ALIVE, connections,
-            new Metrics());
+    private HostPool newPoolWithLimit(int maxConnections) {
+        return new HostPool(group.next(), new Bootstrap().group(group), LONG_MICROS, KEEP_ALIVE_MICROS,
+            maxConnections, new Metrics());
     }
 
-    private void callOther(HostPool pool, int number, StubHost host, HostPool.Part part) throws Exception {
+    /** Starts a call to the host with this number, which {@code host} plays. */
+    private void startCallToOther(HostPool pool, int number, StubHost host, HostPool.Attempt attempt)
+            throws Exception {
         HostList.Host other = new HostList.Host(number, "s-" + number);
-        other.dial = new InetSocketAddress(Platform.LOOPBACK, host.port());
+        other.address = new InetSocketAddress(Platform.LOOPBACK, host.port());
         other.ready = true;
-        group.next().submit(() -> pool.call(other, List.of(part))).get();
+        group.next().submit(() -> pool.startCall(other, List.of(attempt))).get();
     }
 
-    private int held(HostPool pool) throws Exception {
-        return group.next().submit(pool::held).get();
+    private int connectionCount(HostPool pool) throws Exception {
+        return group.next().submit(pool::connectionCount).get();
     }
 
-    /** Guards the descriptors: where each connection carries a call, one more call waits for one of them. */
+    /**
+     * Guards the number of file descriptors: if all connections that are allowed carry calls, a further call
+     * waits until one is free.
+     */
     @Test
-    void aCallOverTheShareWaitsUntilAConnectionIsFree() throws Exception {
+    void callOverTheLimitWaitsForAFreeConnection() throws Exception {
         try (StubHost first = new StubHost(); StubHost second = new StubHost(); StubHost third = new StubHost()) {
-            HostPool pool = narrow(2);
-            callOther(pool, 1, first, part("a", null, LONG, 10));
-            callOther(pool, 2, second, part("b", null, LONG, 10));
-            callOther(pool, 3, third, part("c", null, LONG, 10));
-            callOther(pool, 3, third, part("d", null, LONG, 10));
-            assertEquals(2, held(pool));
+            HostPool pool = newPoolWithLimit(2);
+            startCallToOther(pool, 1, first, attempt("a", null, LONG_MICROS, 10));
+            startCallToOther(pool, 2, second, attempt("b", null, LONG_MICROS, 10));
+            startCallToOther(pool, 3, third, attempt("c", null, LONG_MICROS, 10));
+            startCallToOther(pool, 3, third, attempt("d", null, LONG_MICROS, 10));
+            assertEquals(2, connectionCount(pool));
             first.nextCall().respond(StubHost.OK);
             StubHost.Call next = third.nextCall();
             assertEquals("c", next.header("X-Request-ID"));
-            assertEquals(2, held(pool));
+            assertEquals(2, connectionCount(pool));
             next.respond(StubHost.OK);
             StubHost.Call last = third.nextCall();
             assertEquals("d", last.header("X-Request-ID"));
-            assertSame(next.socket(), last.socket(), "the free connection leads where it wants to go");
+            assertSame(next.socket(), last.socket(), "the free connection to the same host is reused");
         }
     }
 
-    /** Guards the message: a call that waits for a connection has not begun, and ends once. */
+    /**
+     * While a call waits for a free connection, nothing of it has been sent, so its attempts may be reported
+     * as not executed. Each must get exactly one reply.
+     */
     @Test
-    void aCallThatWaitsForAFreeConnectionIsGivenUpOrTakenBackUnsent() throws Exception {
+    void callWaitingForAFreeConnectionCanExpireOrBeCancelled() throws Exception {
         try (StubHost first = new StubHost(); StubHost second = new StubHost()) {
-            HostPool pool = narrow(1);
-            callOther(pool, 1, first, part("a", null, LONG, 10));
-            StubHost.Call out = first.nextCall();
-            HostPool.Part late = part("late", null, LONG, 10);
-            callOther(pool, 2, second, late);
-            group.next().submit(late::giveUp).get();
-            assertEquals(Outcome.CONNECT_FAILED, reply().outcome());
-            call(pool, second.port(), part("back", null, LONG, 10));
-            group.next().submit(() -> pool.takeBack(listed)).get();
-            assertEquals(Outcome.NOT_SENT, reply().outcome());
-            callOther(pool, 2, second, part("goes", null, LONG, 10));
-            out.respond(StubHost.OK);
-            assertEquals(Outcome.OK, reply().outcome());
+            HostPool pool = newPoolWithLimit(1);
+            startCallToOther(pool, 1, first, attempt("a", null, LONG_MICROS, 10));
+            StubHost.Call running = first.nextCall();
+            HostPool.Attempt late = attempt("late", null, LONG_MICROS, 10);
+            startCallToOther(pool, 2, second, late);
+            group.next().submit(late::expire).get();
+            assertEquals(Outcome.CONNECT_FAILED, awaitReply().outcome());
+            startCall(pool, second.port(), attempt("back", null, LONG_MICROS, 10));
+            group.next().submit(() -> pool.cancelUnsent(defaultHost)).get();
+            assertEquals(Outcome.NOT_SENT, awaitReply().outcome());
+            startCallToOther(pool, 2, second, attempt("goes", null, LONG_MICROS, 10));
+            running.respond(StubHost.OK);
+            assertEquals(Outcome.OK, awaitReply().outcome());
             assertEquals("goes", second.nextCall().header("X-Request-ID"));
-            assertEquals(1, held(pool));
+            assertEquals(1, connectionCount(pool));
             assertTrue(replies.isEmpty());
         }
     }
 
-    /** Guards calls against answers that never end: once its call is over, such a connection gives way. */
+    /**
+     * A response that never ends must not keep calls to other hosts waiting: once its call has ended, the
+     * connection is closed for them.
+     */
     @Test
-    void aConnectionWhoseCallIsOverGivesWayThoughItsAnswerIsNotAtItsEnd() throws Exception {
+    void connectionWithAnIncompleteResponseIsClosedForAWaitingCall() throws Exception {
         try (StubHost first = new StubHost(); StubHost second = new StubHost()) {
-            HostPool pool = narrow(1);
-            callOther(pool, 1, first, part("a", null, LONG, 10));
+            HostPool pool = newPoolWithLimit(1);
+            startCallToOther(pool, 1, first, attempt("a", null, LONG_MICROS, 10));
             StubHost.Call slow = first.nextCall();
-            callOther(pool, 2, second, part("b", null, LONG, 10));
+            startCallToOther(pool, 2, second, attempt("b", null, LONG_MICROS, 10));
             slow.respond("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhi");
-            assertEquals(Outcome.OK, reply().outcome());
+            assertEquals(Outcome.OK, awaitReply().outcome());
             assertEquals("b", second.nextCall().header("X-Request-ID"));
-            assertEquals(1, held(pool));
+            assertEquals(1, connectionCount(pool));
             assertTrue(first.awaitClosed(slow));
         }
     }
 
-    /** A machine that vanished says nothing: the connection neither comes up nor fails. */
+    /** A connect to a machine that has vanished neither succeeds nor fails. */
     @Test
-    void aConnectionThatNeverComesUpIsLetGoWithItsCall() throws Exception {
-        HostPool pool = new HostPool(group.next(), new Bootstrap().group(group), () -> new NioSocketChannel() {
-            @Override
-            protected boolean doConnect(SocketAddress remote, SocketAddress local) {
-                return false;
-            }
-        }, LONG, KEEP_ALIVE, 100, new Metrics());
-        HostPool.Part first = part("a", null, LONG, 10), second = part("b", null, LONG, 10);
-        call(pool, 9, first, second);
-        group.next().submit(first::giveUp).get();
-        assertEquals(1, held(pool), "the other still waits");
-        group.next().submit(second::giveUp).get();
-        assertEquals(Outcome.CONNECT_FAILED, reply().outcome());
-        assertEquals(Outcome.CONNECT_FAILED, reply().outcome());
-        assertEquals(0, held(pool));
+    void hangingConnectIsAbandonedWithTheLastAttempt() throws Exception {
+        HostPool pool = new HostPool(group.next(), new Bootstrap().group(group),
+            () -> new NioSocketChannel() {
+                @Override
+                protected boolean doConnect(SocketAddress remote, SocketAddress local) {
+                    return false;
+                }
+            }, LONG_MICROS, KEEP_ALIVE_MICROS, 100, new Metrics());
+        HostPool.Attempt first = attempt("a", null, LONG_MICROS, 10);
+        HostPool.Attempt second = attempt("b", null, LONG_MICROS, 10);
+        startCall(pool, 9, first, second);
+        group.next().submit(first::expire).get();
+        assertEquals(1, connectionCount(pool), "the other attempt still waits for the connection");
+        group.next().submit(second::expire).get();
+        assertEquals(Outcome.CONNECT_FAILED, awaitReply().outcome());
+        assertEquals(Outcome.CONNECT_FAILED, awaitReply().outcome());
+        assertEquals(0, connectionCount(pool));
         assertTrue(replies.isEmpty());
     }
 
     @Test
-    void aRefusedConnectionNeverRan() throws Exception {
+    void refusedConnectIsReportedAsConnectFailed() throws Exception {
         int port;
         try (StubHost host = new StubHost()) {
             port = host.port();
         }
-        call(pool(KEEP_ALIVE), port, LONG, 10);
-        assertEquals(Outcome.CONNECT_FAILED, reply().outcome());
+        startCall(newPool(KEEP_ALIVE_MICROS), port, LONG_MICROS, 10);
+        assertEquals(Outcome.CONNECT_FAILED, awaitReply().outcome());
     }
 
     @Test
-    void aConnectionThatBreaksAfterTheLastByteMayHaveRun() throws Exception {
+    void connectionClosedAfterTheLastByteIsReportedAsReset() throws Exception {
         try (StubHost host = new StubHost()) {
-            call(pool(KEEP_ALIVE), host.port(), LONG, 10);
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), LONG_MICROS, 10);
             host.nextCall().socket().close();
-            assertEquals(Outcome.RESET, reply().outcome());
+            assertEquals(Outcome.RESET, awaitReply().outcome());
         }
     }
 
-    /** Guards against a call taken for one that may have run: its last byte was never handed to the socket. */
+    /**
+     * A request whose last byte was never handed to the socket can't have been executed, so it must not be
+     * reported as one that may have been.
+     */
     @Test
-    void aConnectionThatBreaksBeforeTheLastByteNeverRan() throws Exception {
+    void connectionClosedBeforeTheLastByteIsReportedAsConnectFailed() throws Exception {
         try (ServerSocket listener = new ServerSocket()) {
             listener.setReceiveBufferSize(4_096);
             listener.bind(new InetSocketAddress(Platform.LOOPBACK, 0));
-            call(pool(KEEP_ALIVE), listener.getLocalPort(), LONG, 64 << 20);
+            startCall(newPool(KEEP_ALIVE_MICROS), listener.getLocalPort(), LONG_MICROS, 64 << 20);
             Socket socket = listener.accept();
             assertTrue(socket.getInputStream().read() >= 0);
             socket.setSoLinger(true, 0);
             socket.close();
-            assertEquals(Outcome.CONNECT_FAILED, reply().outcome());
+            assertEquals(Outcome.CONNECT_FAILED, awaitReply().outcome());
         }
     }
 
     @Test
-    void timeOutAndCancelCloseTheConnection() throws Exception {
+    void timeoutAndCancelCloseTheConnection() throws Exception {
         try (StubHost host = new StubHost()) {
-            HostPool pool = pool(KEEP_ALIVE);
-            call(pool, host.port(), 200_000, 10);
+            HostPool pool = newPool(KEEP_ALIVE_MICROS);
+            startCall(pool, host.port(), 200_000, 10);
             StubHost.Call late = host.nextCall();
-            assertEquals(Outcome.TIMEOUT, reply().outcome());
-            HostPool.Part call = call(pool, host.port(), LONG, 10);
+            assertEquals(Outcome.TIMEOUT, awaitReply().outcome());
+            HostPool.Attempt call = startCall(pool, host.port(), LONG_MICROS, 10);
             StubHost.Call second = host.nextCall();
             assertNotSame(late.socket(), second.socket());
             group.next().submit(call::cancel).get();
-            assertEquals(Outcome.CANCELLED, reply().outcome());
-            call(pool, host.port(), LONG, 10);
+            assertEquals(Outcome.CANCELLED, awaitReply().outcome());
+            startCall(pool, host.port(), LONG_MICROS, 10);
             StubHost.Call third = host.nextCall();
             assertNotSame(second.socket(), third.socket());
         }
     }
 
-    /** Guards the rules on drains and waits against calls that go out when a slow connection comes up at last. */
+    /**
+     * When a host starts to drain or asks not to be called, calls that still wait for their connect are
+     * cancelled; they must not be sent when the slow connect succeeds at last.
+     */
     @Test
-    void aCallThatWaitsForItsConnectionCanBeTakenBack() throws Exception {
+    void callWaitingForItsConnectCanBeCancelledUnsent() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 1, Platform.LOOPBACK)) {
-            HostPool pool = pool(KEEP_ALIVE);
+            HostPool pool = newPool(KEEP_ALIVE_MICROS);
             List<Socket> fillers = new ArrayList<>();
-            // A full backlog leaves further connections hanging.
+            // While the backlog is full, further connects hang.
             for (int i = 0; i < 8; i++) {
                 Socket filler = new Socket();
                 fillers.add(filler);
@@ -268,98 +309,108 @@
                     break;
                 }
             }
-            call(pool, listener.getLocalPort(), LONG, 10);
-            group.next().submit(() -> pool.takeBack(listed)).get();
-            assertEquals(Outcome.NOT_SENT, reply().outcome());
+            startCall(pool, listener.getLocalPort(), LONG_MICROS, 10);
+            group.next().submit(() -> pool.cancelUnsent(defaultHost)).get();
+            assertEquals(Outcome.NOT_SENT, awaitReply().outcome());
             for (Socket filler : fillers) {
                 filler.close();
             }
         }
     }
 
-    /** Guards against a request that crosses the host's own close: an old connection is not used again. */
+    /**
+     * A connection that has been idle for long is not reused, as the host may close it while a request is
+     * sent.
+     */
     @Test
-    void idleConnectionsAreClosedBeforeTheHostMay() throws Exception {
+    void idleConnectionsAreClosedBeforeTheHostClosesThem() throws Exception {
         try (StubHost host = new StubHost()) {
-            HostPool pool = pool(1_000_000);
-            call(pool, host.port(), LONG, 10);
+            HostPool pool = newPool(1_000_000);
+            startCall(pool, host.port(), LONG_MICROS, 10);
             StubHost.Call first = host.nextCall();
             first.respond(StubHost.OK);
-            reply();
-            while (group.next().submit(() -> pool.idle(listed)).get() > 0) {
+            awaitReply();
+            while (group.next().submit(() -> pool.idleCount(defaultHost)).get() > 0) {
                 Thread.sleep(20);
             }
-            call(pool, host.port(), LONG, 10);
+            startCall(pool, host.port(), LONG_MICROS, 10);
             assertNotSame(first.socket(), host.nextCall().socket());
         }
     }
 
-    /** Guards the descriptors: the call is over at the answer's head, and the connection must not be held for ever. */
+    /**
+     * A call with a single message ends with the head of the response. If the body never ends, the connection
+     * must be closed, or it would occupy a file descriptor for ever.
+     */
     @Test
-    void anAnswerThatNeverEndsIsNotWaitedFor() throws Exception {
+    void connectionWithAnEndlessResponseIsClosed() throws Exception {
         try (StubHost host = new StubHost()) {
-            call(pool(KEEP_ALIVE), host.port(), LONG, 10);
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), LONG_MICROS, 10);
             StubHost.Call call = host.nextCall();
             call.respond("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhi");
-            assertEquals(Outcome.OK, reply().outcome());
+            assertEquals(Outcome.OK, awaitReply().outcome());
             assertTrue(host.awaitClosed(call));
         }
     }
 
     @Test
-    void aHostThatEndsTheConnectionWithItsAnswerIsNotAskedOnItAgain() throws Exception {
+    void connectionIsNotReusedAfterAConnectionCloseHeader() throws Exception {
         try (StubHost host = new StubHost()) {
-            HostPool pool = pool(KEEP_ALIVE);
-            call(pool, host.port(), LONG, 10);
+            HostPool pool = newPool(KEEP_ALIVE_MICROS);
+            startCall(pool, host.port(), LONG_MICROS, 10);
             StubHost.Call first = host.nextCall();
             first.respond("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-            assertEquals(Outcome.OK, reply().outcome());
-            call(pool, host.port(), LONG, 10);
+            assertEquals(Outcome.OK, awaitReply().outcome());
+            startCall(pool, host.port(), LONG_MICROS, 10);
             assertNotSame(first.socket(), host.nextCall().socket());
         }
     }
 
-    /** Guards against a second run of what was delivered: the first line settles it, whatever becomes of the rest. */
+    /**
+     * Guards against a second execution of a message that was delivered: the status line 200 is sufficient,
+     * whatever comes after it.
+     */
     @ParameterizedTest
-    @ValueSource(strings = {"", "Content-Length: 2\r\nno colon here \0\r\n\r\nok", "Content-Length: wobble\r\n\r\n",
-        "X-Server-Load: x0"})
-    void aFirstLineWith200DeliversThoughTheRestIsSpoiltOrBreaksOff(String rest) throws Exception {
+    @ValueSource(strings = {"", "Content-Length: 2\r\nno colon here \0\r\n\r\nok",
+        "Content-Length: wobble\r\n\r\n", "X-Server-Load: x0"})
+    void statusLine200DeliversEvenIfTheRestIsMalformedOrMissing(String rest) throws Exception {
         try (StubHost host = new StubHost()) {
-            call(pool(KEEP_ALIVE), host.port(), LONG, 10);
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), LONG_MICROS, 10);
             StubHost.Call call = host.nextCall();
             call.respond("HTTP/1.1 200 OK\r\n" + rest);
             call.socket().close();
-            HostPool.Reply reply = reply();
+            HostPool.Reply reply = awaitReply();
             assertEquals(Outcome.OK, reply.outcome());
-            assertTrue(reply.over());
+            assertTrue(reply.messageOver());
         }
     }
 
     @Test
-    void aFirstLineWith200DeliversThoughItsHeadersNeverEnd() throws Exception {
+    void statusLine200DeliversEvenIfTheHeadersNeverEnd() throws Exception {
         try (StubHost host = new StubHost()) {
-            call(pool(KEEP_ALIVE), host.port(), 2_000_000, 10);
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), 2_000_000, 10);
             host.nextCall().respond("HTTP/1.1 200 OK\r\nX-Server-Load: x0=0.4\r\n");
-            assertEquals(Outcome.OK, reply().outcome());
+            assertEquals(Outcome.OK, awaitReply().outcome());
         }
     }
 
-    /** What a bundle's messages came to stands in the body only. */
+    /** The outcomes of the messages of a batch are only in the body of the response. */
     @Test
-    void aFirstLineWith200SettlesNothingForABundle() throws Exception {
+    void statusLine200DeliversNothingOfABatch() throws Exception {
         try (StubHost host = new StubHost()) {
-            call(pool(KEEP_ALIVE), host.port(), part("a", null, LONG, 1), part("b", null, LONG, 1));
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(),
+                attempt("a", null, LONG_MICROS, 1), attempt("b", null, LONG_MICROS, 1));
             StubHost.Call call = host.nextCall();
             call.respond("HTTP/1.1 200 OK\r\n");
             call.socket().close();
-            assertEquals(Outcome.RESET, reply().outcome());
-            assertEquals(Outcome.RESET, reply().outcome());
+            assertEquals(Outcome.RESET, awaitReply().outcome());
+            assertEquals(Outcome.RESET, awaitReply().outcome());
         }
     }
 
     /**
-     * Guards against a message that nobody delivers any more: an answer that cannot be read as the protocol
-     * requires has delivered none of a bundle's messages, even if its body can be made out.
+     * Guards against lost messages: a response whose head violates the protocol must not count as the
+     * delivery of any message of a batch, even if its body is readable.
      */
     @ParameterizedTest
     @ValueSource(strings = {
@@ -370,196 +421,228 @@
         "HTTP/7.1 200 OK\r\nContent-Length: %d\r\n\r\n%s",
         "HTTP/1.1 0200 OK\r\nContent-Length: %d\r\n\r\n%s",
         "HTTP/1.1 +200 OK\r\nContent-Length: %d\r\n\r\n%s"})
-    void anUnreadableAnswerDeliversNothingOfABundle(String answer) throws Exception {
+    void malformedResponseHeadDeliversNothingOfABatch(String responseFormat) throws Exception {
         try (StubHost host = new StubHost()) {
-            call(pool(KEEP_ALIVE), host.port(), part("a", null, LONG, 1), part("b", null, LONG, 1));
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(),
+                attempt("a", null, LONG_MICROS, 1), attempt("b", null, LONG_MICROS, 1));
             StubHost.Call call = host.nextCall();
             String states = "[{\"id\":\"a\",\"state\":\"accepted\"},{\"id\":\"b\",\"state\":\"accepted\"}]";
-            call.respond(answer.formatted(states.length(), states));
-            assertEquals(Outcome.RESET, reply().outcome());
-            assertEquals(Outcome.RESET, reply().outcome());
+            call.respond(responseFormat.formatted(states.length(), states));
+            assertEquals(Outcome.RESET, awaitReply().outcome());
+            assertEquals(Outcome.RESET, awaitReply().outcome());
             assertTrue(host.awaitClosed(call));
         }
     }
 
-    /** Of a bundle's answer the whole body must be JSON, each name in it given once. */
+    /** The body of the response to a batch must be valid JSON to its end, without duplicate field names. */
     @ParameterizedTest
     @ValueSource(strings = {
         "[{\"id\":\"a\",\"state\":\"accepted\"},{\"id\":\"b\",\"state\":\"accepted\",\"note\":\"\u00ff\"}]",
         "[{\"id\":\"a\",\"state\":\"fault\",\"state\":\"accepted\"},{\"id\":\"b\",\"state\":\"accepted\"}]",
         "[{\"id\":\"a\",\"state\":\"accepted\"},{\"id\":\"b\",\"state\":\"accepted\"}] x"})
-    void aBodyThatIsNotWhollyReadableDeliversNothingOfABundle(String states) throws Exception {
+    void malformedBodyDeliversNothingOfABatch(String states) throws Exception {
         try (StubHost host = new StubHost()) {
-            call(pool(KEEP_ALIVE), host.port(), part("a", null, LONG, 1), part("b", null, LONG, 1));
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(),
+                attempt("a", null, LONG_MICROS, 1), attempt("b", null, LONG_MICROS, 1));
             host.nextCall().respond("HTTP/1.1 200 OK\r\nContent-Length: " + states.length() + "\r\n\r\n" + states);
-            assertEquals(Outcome.ERROR, reply().outcome());
-            assertEquals(Outcome.ERROR, reply().outcome());
+            assertEquals(Outcome.ERROR, awaitReply().outcome());
+            assertEquals(Outcome.ERROR, awaitReply().outcome());
         }
     }
 
-    /** Guards the next call: what stands past an answer's end would be taken for the beginning of its own answer. */
+    /**
+     * Bytes after the end of a response would be taken for the beginning of the response to the next call on
+     * the connection.
+     */
     @ParameterizedTest
-    @ValueSource(strings = {"surplus", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 200 OK\r\nContent"})
-    void aConnectionWithMoreThanItsAnswerIsNotUsedAgain(String surplus) throws Exception {
+    @ValueSource(strings = {"surplus", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nContent"})
+    void connectionWithSurplusBytesIsNotReused(String surplus) throws Exception {
         try (StubHost host = new StubHost()) {
-            HostPool pool = pool(KEEP_ALIVE);
-            call(pool, host.port(), LONG, 10);
+            HostPool pool = newPool(KEEP_ALIVE_MICROS);
+            startCall(pool, host.port(), LONG_MICROS, 10);
             StubHost.Call first = host.nextCall();
             first.respond(StubHost.OK + surplus);
-            assertEquals(Outcome.OK, reply().outcome());
-            call(pool, host.port(), LONG, 10);
+            assertEquals(Outcome.OK, awaitReply().outcome());
+            startCall(pool, host.port(), LONG_MICROS, 10);
             StubHost.Call second = host.nextCall();
             assertNotSame(first.socket(), second.socket());
             second.respond("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
-            assertEquals(Outcome.ERROR, reply().outcome());
+            assertEquals(Outcome.ERROR, awaitReply().outcome());
         }
     }
 
-    private static String answer(String status, String header, String body) {
-        return "HTTP/1.1 " + status + "\r\n" + header + "Content-Length: " + body.length() + "\r\n\r\n" + body;
+    /** A complete response. {@code header} is empty or a header line with its line end. */
+    private static String response(String status, String header, String body) {
+        return "HTTP/1.1 " + status + "\r\n" + header + "Content-Length: " + body.length() + "\r\n\r\n"
+            + body;
     }
 
-    /** The bounds on an answer's bytes are those of one answer, not of its connection. */
+    /**
+     * The limits on the size of a response apply to each response, not to all responses on a connection.
+     */
     @Test
-    void aConnectionWithManyLongAnswersIsUsedOn() throws Exception {
+    void connectionIsReusedAfterManyLongResponses() throws Exception {
         try (StubHost host = new StubHost()) {
-            HostPool pool = pool(KEEP_ALIVE);
+            HostPool pool = newPool(KEEP_ALIVE_MICROS);
             Socket first = null;
             for (int i = 0; i < 6; i++) {
-                call(pool, host.port(), LONG, 10);
+                startCall(pool, host.port(), LONG_MICROS, 10);
                 StubHost.Call call = host.nextCall();
                 first = first == null ? call.socket() : first;
                 assertSame(first, call.socket());
-                call.respond(answer("200 OK", "", "x".repeat(AnswerDecoder.BODY_BYTES_MAX)));
-                assertEquals(Outcome.OK, reply().outcome());
-                while (group.next().submit(() -> pool.idle(listed)).get() == 0) {
+                call.respond(response("200 OK", "", "x".repeat(ResponseDecoder.MAX_BODY_BYTES)));
+                assertEquals(Outcome.OK, awaitReply().outcome());
+                while (group.next().submit(() -> pool.idleCount(defaultHost)).get() == 0) {
                     Thread.onSpinWait();
                 }
             }
         }
     }
 
-    /** Guards the processor against answers that do not end, whatever they began with. */
+    /** A response without end must not use up the relay's CPU time, whatever its status. */
     @ParameterizedTest
     @CsvSource({"200, OK", "500, ERROR"})
-    void aConnectionWhoseAnswerIsTooLongIsClosed(int status, Outcome outcome) throws Exception {
+    void connectionIsClosedIfTheResponseIsTooLong(int status, Outcome outcome) throws Exception {
         try (StubHost host = new StubHost()) {
-            call(pool(KEEP_ALIVE), host.port(), LONG, 10);
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), LONG_MICROS, 10);
             StubHost.Call call = host.nextCall();
             call.respond("HTTP/1.1 " + status + " x\r\nContent-Length: 100000\r\n\r\n"
-                + "x".repeat(AnswerDecoder.BODY_BYTES_MAX + 1));
-            assertEquals(outcome, reply().outcome());
+                + "x".repeat(ResponseDecoder.MAX_BODY_BYTES + 1));
+            assertEquals(outcome, awaitReply().outcome());
             assertTrue(host.awaitClosed(call));
         }
     }
 
-    /** A destination that counts calls takes several messages in one; each has a fate of its own. */
+    /**
+     * A destination whose limits count calls accepts several messages in one call; each has its own
+     * outcome.
+     */
     @Test
-    void aBundleIsOneCallWhoseAnswerTellsEachFate() throws Exception {
+    void batchIsOneCallWithAnOutcomePerMessage() throws Exception {
         try (StubHost host = new StubHost()) {
-            HostPool pool = pool(KEEP_ALIVE);
-            call(pool, host.port(), part("a", "k\"", LONG, 2), part("b", null, LONG, 3), part("c", null, LONG, 0),
-                part("d", null, LONG, 1), part("e", null, LONG, 1), part("f", null, LONG, 1));
+            HostPool pool = newPool(KEEP_ALIVE_MICROS);
+            startCall(pool, host.port(), attempt("a", "k\"", LONG_MICROS, 2),
+                attempt("b", null, LONG_MICROS, 3), attempt("c", null, LONG_MICROS, 0),
+                attempt("d", null, LONG_MICROS, 1), attempt("e", null, LONG_MICROS, 1),
+                attempt("f", null, LONG_MICROS, 1));
             StubHost.Call call = host.nextCall();
             assertEquals("POST /v1/messages:batch HTTP/1.1", call.head().get(0));
             assertTrue(call.body().startsWith("[{\"id\":\"a\",\"key\":\"k\\\"\",\"body\":\"AAA=\"},"
                 + "{\"id\":\"b\",\"body\":\"AAAA\"},{\"id\":\"c\",\"body\":\"\"},"), call.body());
-            call.respond(answer("200 OK", "Retry-After: 0.5\r\n", "[{\"id\":\"b\",\"state\":\"fault\"},"
+            call.respond(response("200 OK", "Retry-After: 0.5\r\n", "[{\"id\":\"b\",\"state\":\"fault\"},"
                 + "{\"id\":\"a\",\"state\":\"accepted\"},{\"id\":\"c\",\"state\":\"deferred\"},"
                 + "{\"id\":\"d\",\"state\":\"expired\"},{\"id\":\"e\",\"state\":\"no_more\"}]"));
             List<Outcome> outcomes = List.of(Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.NOT_SENT,
                 Outcome.NOT_SENT, Outcome.ERROR);
-            List<Boolean> over = List.of(true, false, false, true, false, false);
+            List<Boolean> messageOver = List.of(true, false, false, true, false, false);
             for (int i = 0; i < outcomes.size(); i++) {
-                HostPool.Reply reply = reply();
+                HostPool.Reply reply = awaitReply();
                 assertEquals(outcomes.get(i), reply.outcome());
-                assertEquals(over.get(i), reply.over());
-                assertEquals(500_000, reply.waitFor());
+                assertEquals(messageOver.get(i), reply.messageOver());
+                assertEquals(500_000, reply.retryAfterMicros());
             }
-            call(pool, host.port(), LONG, 10);
+            startCall(pool, host.port(), LONG_MICROS, 10);
             assertSame(call.socket(), host.nextCall().socket());
         }
     }
 
-    /** Guards against a second run: of two states the one that says "never ran" must not be picked. */
+    /**
+     * Guards against a second execution: if the response gives two states for a message, the one that says
+     * that it was not executed must not be used.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"deferred", "expired", "no_more", "accepted"})
-    void aMessageThatABundlesAnswerNamesTwiceDifferentlyMayHaveRun(String other) throws Exception {
+    void messageWithContradictoryStatesIsReportedAsError(String other) throws Exception {
         try (StubHost host = new StubHost()) {
-            call(pool(KEEP_ALIVE), host.port(), part("a", null, LONG, 2), part("b", null, LONG, 2));
-            host.nextCall().respond(answer("200 OK", "", "[{\"id\":\"a\",\"state\":\"fault\"},"
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(),
+                attempt("a", null, LONG_MICROS, 2), attempt("b", null, LONG_MICROS, 2));
+            host.nextCall().respond(response("200 OK", "", "[{\"id\":\"a\",\"state\":\"fault\"},"
                 + "{\"id\":\"b\",\"state\":\"accepted\"},{\"id\":\"a\",\"state\":\"" + other + "\"}]"));
-            assertEquals(Outcome.ERROR, reply().outcome());
-            assertEquals(Outcome.OK, reply().outcome());
+            assertEquals(Outcome.ERROR, awaitReply().outcome());
+            assertEquals(Outcome.OK, awaitReply().outcome());
         }
     }
 
-    /** Guards the slot: whatever has come of a bundle's answer, each message is given up in its time, once. */
+    /**
+     * Guards against slots that are never freed: even if a part of the response has come, each attempt of the
+     * batch times out, once.
+     */
     @Test
-    void aBundleWhoseAnswerNeverEndsIsGivenUpAndItsConnectionClosed() throws Exception {
+    void batchWithAnEndlessResponseTimesOutAndClosesItsConnection() throws Exception {
         try (StubHost host = new StubHost()) {
-            HostPool pool = pool(KEEP_ALIVE);
-            HostPool.Part first = part("a", null, LONG, 2), second = part("b", null, LONG, 2);
-            call(pool, host.port(), first, second);
+            HostPool pool = newPool(KEEP_ALIVE_MICROS);
+            HostPool.Attempt first = attempt("a", null, LONG_MICROS, 2);
+            HostPool.Attempt second = attempt("b", null, LONG_MICROS, 2);
+            startCall(pool, host.port(), first, second);
             StubHost.Call call = host.nextCall();
-            call.respond("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n[{\"id\":\"a\",\"state\":\"accepted\"},");
-            group.next().submit(first::giveUp).get();
-            assertEquals(Outcome.TIMEOUT, reply().outcome());
-            group.next().submit(second::giveUp).get();
-            assertEquals(Outcome.TIMEOUT, reply().outcome());
-            assertEquals(0, held(pool));
+            call.respond("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n"
+                + "[{\"id\":\"a\",\"state\":\"accepted\"},");
+            group.next().submit(first::expire).get();
+            assertEquals(Outcome.TIMEOUT, awaitReply().outcome());
+            group.next().submit(second::expire).get();
+            assertEquals(Outcome.TIMEOUT, awaitReply().outcome());
+            assertEquals(0, connectionCount(pool));
             assertTrue(host.awaitClosed(call));
             assertTrue(replies.isEmpty());
         }
     }
 
     @ParameterizedTest
-    @CsvSource({"429 Too Many Requests, '', FULL", "500 Internal Server Error, '', ERROR", "200 OK, nonsense, ERROR",
-        "200 OK, '{}', ERROR", "200 OK, '[{\"id\":\"a\"}]', ERROR"})
-    void aBundleSharesTheFateOfItsCall(String status, String body, Outcome outcome) throws Exception {
+    @CsvSource({"429 Too Many Requests, '', FULL", "500 Internal Server Error, '', ERROR",
+        "200 OK, nonsense, ERROR", "200 OK, '{}', ERROR", "200 OK, '[{\"id\":\"a\"}]', ERROR"})
+    void failureOfABatchCallAppliesToAllItsMessages(String status, String body, Outcome outcome)
+            throws Exception {
         try (StubHost host = new StubHost()) {
-            call(pool(KEEP_ALIVE), host.port(), part("a", null, LONG, 2), part("b", null, LONG, 2));
-            host.nextCall().respond(answer(status, "", body));
-            assertEquals(outcome, reply().outcome());
-            assertEquals(outcome, reply().outcome());
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(),
+                attempt("a", null, LONG_MICROS, 2), attempt("b", null, LONG_MICROS, 2));
+            host.nextCall().respond(response(status, "", body));
+            assertEquals(outcome, awaitReply().outcome());
+            assertEquals(outcome, awaitReply().outcome());
         }
     }
 
-    /** Guards against a fate that was never told: the head alone says nothing of a bundle's messages. */
+    /**
+     * The head of the response says nothing of the single messages of a batch, so each may have been
+     * executed.
+     */
     @Test
-    void aBundleWhoseAnswerBreaksOffMayHaveRun() throws Exception {
+    void batchWithATruncatedResponseIsReportedAsReset() throws Exception {
         try (StubHost host = new StubHost()) {
-            call(pool(KEEP_ALIVE), host.port(), part("a", null, LONG, 2), part("b", null, LONG, 2));
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(),
+                attempt("a", null, LONG_MICROS, 2), attempt("b", null, LONG_MICROS, 2));
             StubHost.Call call = host.nextCall();
             call.respond("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n[{\"id\":\"a\",");
             call.socket().close();
-            assertEquals(Outcome.RESET, reply().outcome());
-            assertEquals(Outcome.RESET, reply().outcome());
+            assertEquals(Outcome.RESET, awaitReply().outcome());
+            assertEquals(Outcome.RESET, awaitReply().outcome());
         }
     }
 
-    /** Guards against a message that goes out after it was given up, with what shared its connection. */
+    /**
+     * A cancelled attempt must not be sent with the other attempts of its call once the connection is up.
+     */
     @Test
-    void aMessageGivenUpBeforeItsConnectionIsUpDoesNotGoOut() throws Exception {
+    void attemptCancelledDuringTheConnectIsNotSent() throws Exception {
         try (StubHost host = new StubHost()) {
-            HostPool pool = pool(KEEP_ALIVE);
-            HostPool.Part first = part("a", null, LONG, 2);
-            listed.dial = new InetSocketAddress(Platform.LOOPBACK, host.port());
+            HostPool pool = newPool(KEEP_ALIVE_MICROS);
+            HostPool.Attempt first = attempt("a", null, LONG_MICROS, 2);
+            defaultHost.address = new InetSocketAddress(Platform.LOOPBACK, host.port());
             group.next().submit(() -> {
-                pool.call(listed, List.of(first, part("b", null, LONG, 2)));
+                pool.startCall(defaultHost, List.of(first, attempt("b", null, LONG_MICROS, 2)));
                 first.cancel();
             }).get();
             StubHost.Call call = host.nextCall();
             assertEquals("POST /v1/messages HTTP/1.1", call.head().get(0));
             assertEquals("b", call.header("X-Request-ID"));
-            assertEquals(Outcome.CANCELLED, reply().outcome());
+            assertEquals(Outcome.CANCELLED, awaitReply().outcome());
             call.respond(StubHost.OK);
-            assertEquals(Outcome.OK, reply().outcome());
+            assertEquals(Outcome.OK, awaitReply().outcome());
         }
     }
 
-    /** A listener whose connections take little unless they are read. */
-    private static ServerSocket slowReader() throws IOException {
+    /** A listener whose connections accept little data as long as nothing is read from them. */
+    private static ServerSocket listenerWithSmallBuffer() throws IOException {
         ServerSocket listener = new ServerSocket();
         listener.setReceiveBufferSize(4_096);
         listener.bind(new InetSocketAddress(Platform.LOOPBACK, 0));
@@ -567,143 +650,163 @@
     }
 
     /**
-     * Guards against a second run: while the others keep the call on its way, what was given up with its bytes
-     * half written goes out too.
+     * Guards against a second execution: as long as other attempts keep the call alive, the whole request is
+     * sent, also the message of an attempt that has expired while it was half written. That message may be
+     * executed, and its reply must say so.
      */
     @Test
-    void aMessageGivenUpWhileItsBundleIsHalfWrittenMayRun() throws Exception {
-        try (ServerSocket listener = slowReader()) {
-            HostPool.Part first = part("given-up", null, LONG, 16 << 20);
-            call(pool(KEEP_ALIVE), listener.getLocalPort(), first, part("goes-on", null, LONG, 1));
+    void attemptExpiredInAHalfWrittenBatchIsReportedAsTimeout() throws Exception {
+        try (ServerSocket listener = listenerWithSmallBuffer()) {
+            HostPool.Attempt first = attempt("given-up", null, LONG_MICROS, 16 << 20);
+            startCall(newPool(KEEP_ALIVE_MICROS), listener.getLocalPort(),
+                first, attempt("goes-on", null, LONG_MICROS, 1));
             Socket socket = listener.accept();
-            assertTrue(socket.getInputStream().read() >= 0, "a byte of it is out");
-            group.next().submit(first::giveUp).get();
-            assertEquals(Outcome.TIMEOUT, reply().outcome());
+            assertTrue(socket.getInputStream().read() >= 0, "the first byte of the request has been sent");
+            group.next().submit(first::expire).get();
+            assertEquals(Outcome.TIMEOUT, awaitReply().outcome());
             String head = String.join("\n", StubHost.readHead(socket.getInputStream()));
             int length = Integer.parseInt(head.replaceAll("(?s).*content-length: (\\d+).*", "$1"));
             String body = new String(socket.getInputStream().readNBytes(length), StandardCharsets.ISO_8859_1);
-            assertTrue(body.contains("given-up") && body.endsWith("]"), "it reached the endpoint");
+            assertTrue(body.contains("given-up") && body.endsWith("]"),
+                "the expired message has reached the endpoint");
             socket.getOutputStream().write(StubHost.OK.getBytes(StandardCharsets.ISO_8859_1));
-            assertEquals(Outcome.ERROR, reply().outcome());
+            assertEquals(Outcome.ERROR, awaitReply().outcome());
         }
     }
 
-    /** Guards what "never ran" says: of a request that is half written, the last byte must not leave later. */
+    /**
+     * A half written request that is reported as not executed must never be completed: its last byte must not
+     * be sent later.
+     */
     @Test
-    void aCallGivenUpWhileItIsHalfWrittenNeverReachesItsEnd() throws Exception {
-        try (ServerSocket listener = slowReader()) {
+    void callExpiredWhileHalfWrittenIsNeverCompleted() throws Exception {
+        try (ServerSocket listener = listenerWithSmallBuffer()) {
             int bytes = 16 << 20;
-            HostPool.Part only = part("a", null, LONG, bytes);
-            call(pool(KEEP_ALIVE), listener.getLocalPort(), only);
+            HostPool.Attempt only = attempt("a", null, LONG_MICROS, bytes);
+            startCall(newPool(KEEP_ALIVE_MICROS), listener.getLocalPort(), only);
             Socket socket = listener.accept();
             StubHost.readHead(socket.getInputStream());
-            group.next().submit(only::giveUp).get();
-            assertEquals(Outcome.CONNECT_FAILED, reply().outcome());
+            group.next().submit(only::expire).get();
+            assertEquals(Outcome.CONNECT_FAILED, awaitReply().outcome());
             assertTrue(socket.getInputStream().readAllBytes().length < bytes);
         }
     }
 
-    /** Guards the last part of a bundle: with it the call is closed, whoever was given up before. */
+    /**
+     * When the last attempt of a batch expires, its connection is closed, although others have expired
+     * before.
+     */
     @Test
-    void theLastMessageGivenUpClosesItsHalfWrittenBundle() throws Exception {
-        try (ServerSocket listener = slowReader()) {
-            HostPool.Part first = part("a", null, LONG, 16 << 20), last = part("b", null, LONG, 1);
-            call(pool(KEEP_ALIVE), listener.getLocalPort(), first, last);
+    void lastAttemptToExpireClosesItsHalfWrittenBatch() throws Exception {
+        try (ServerSocket listener = listenerWithSmallBuffer()) {
+            HostPool.Attempt first = attempt("a", null, LONG_MICROS, 16 << 20);
+            HostPool.Attempt last = attempt("b", null, LONG_MICROS, 1);
+            startCall(newPool(KEEP_ALIVE_MICROS), listener.getLocalPort(), first, last);
             Socket socket = listener.accept();
             StubHost.readHead(socket.getInputStream());
-            group.next().submit(first::giveUp).get();
-            group.next().submit(last::giveUp).get();
-            assertEquals(Outcome.TIMEOUT, reply().outcome());
-            assertEquals(Outcome.CONNECT_FAILED, reply().outcome());
+            group.next().submit(first::expire).get();
+            group.next().submit(last::expire).get();
+            assertEquals(Outcome.TIMEOUT, awaitReply().outcome());
+            assertEquals(Outcome.CONNECT_FAILED, awaitReply().outcome());
             assertTrue(socket.getInputStream().readAllBytes().length < 16 << 20);
         }
     }
 
-    /** Guards the relay's one thread, and the attempt: a process that has no descriptor left goes on. */
+    /**
+     * A process without a free file descriptor goes on: the attempt gets its reply, and on the event loop, as
+     * nothing but the event loop may run the code that handles it.
+     */
     @Test
-    void aCallForWhichThereIsNoDescriptorEndsOnTheRelaysThread() throws Exception {
+    void callWithoutAFreeDescriptorEndsOnTheEventLoop() throws Exception {
         HostPool pool = new HostPool(group.next(), new Bootstrap().group(group), () -> {
             throw new ChannelException("too many open files");
-        }, LONG, KEEP_ALIVE, 100, new Metrics());
-        BlockingQueue<Boolean> onThread = new LinkedBlockingQueue<>();
-        HostPool.Part part = new HostPool.Part(part("a", null, LONG, 1).message(), LONG, reply -> {
-            replies.add(reply);
-            onThread.add(group.next().inEventLoop());
-        });
-        call(pool, 9, part);
-        assertEquals(Outcome.NO_SOCKET, reply().outcome());
-        assertTrue(onThread.take());
-        HostPool.Part takenBack = part("b", null, LONG, 1);
+        }, LONG_MICROS, KEEP_ALIVE_MICROS, 100, new Metrics());
+        BlockingQueue<Boolean> onEventLoop = new LinkedBlockingQueue<>();
+        HostPool.Attempt attempt = new HostPool.Attempt(attempt("a", null, LONG_MICROS, 1).message(),
+            LONG_MICROS, reply -> {
+                replies.add(reply);
+                onEventLoop.add(group.next().inEventLoop());
+            });
+        startCall(pool, 9, attempt);
+        assertEquals(Outcome.NO_SOCKET, awaitReply().outcome());
+        assertTrue(onEventLoop.take());
+        HostPool.Attempt cancelled = attempt("b", null, LONG_MICROS, 1);
         group.next().submit(() -> {
-            pool.call(listed, List.of(takenBack));
-            pool.takeBack(listed);
+            pool.startCall(defaultHost, List.of(cancelled));
+            pool.cancelUnsent(defaultHost);
         }).get();
-        assertEquals(Outcome.NOT_SENT, reply().outcome());
+        assertEquals(Outcome.NOT_SENT, awaitReply().outcome());
     }
 
-    /** Guards an endpoint that is well: it has not even been asked. */
+    /**
+     * A connect that fails on this machine says nothing about the endpoint, which has not been contacted.
+     */
     @ParameterizedTest
-    @ValueSource(strings = {"Cannot assign requested address", "Network is unreachable", "No buffer space available"})
-    void aConnectThatThisMachineCannotMakeIsNotTheEndpointsFailure(String fault) throws Exception {
-        HostPool pool = new HostPool(group.next(), new Bootstrap().group(group), () -> new NioSocketChannel() {
-            @Override
-            protected boolean doConnect(SocketAddress remote, SocketAddress local) throws Exception {
-                doClose();
-                throw new SocketException(fault);
-            }
-        }, LONG, KEEP_ALIVE, 100, new Metrics());
-        call(pool, 9, part("a", null, LONG, 1));
-        assertEquals(Outcome.NO_SOCKET, reply().outcome());
-        assertEquals(0, held(pool));
+    @ValueSource(strings = {"Cannot assign requested address", "Network is unreachable",
+        "No buffer space available"})
+    void localConnectFailureIsReportedAsNoSocket(String fault) throws Exception {
+        HostPool pool = new HostPool(group.next(), new Bootstrap().group(group),
+            () -> new NioSocketChannel() {
+                @Override
+                protected boolean doConnect(SocketAddress remote, SocketAddress local) throws Exception {
+                    doClose();
+                    throw new SocketException(fault);
+                }
+            }, LONG_MICROS, KEEP_ALIVE_MICROS, 100, new Metrics());
+        startCall(pool, 9, attempt("a", null, LONG_MICROS, 1));
+        assertEquals(Outcome.NO_SOCKET, awaitReply().outcome());
+        assertEquals(0, connectionCount(pool));
     }
 
-    /** Guards the connection against a fault in what hears of the end. */
+    /** An exception in the callback that receives the reply must not leave the connection open. */
     @Test
-    void aConnectionIsClosedThoughTheReplyCannotBeTold() throws Exception {
+    void connectionIsClosedEvenIfTheReplyCallbackThrows() throws Exception {
         try (StubHost host = new StubHost()) {
-            HostPool.Part part = new HostPool.Part(part("a", null, LONG, 1).message(), LONG, reply -> {
-                throw new IllegalStateException("forced by the test");
-            });
-            call(pool(KEEP_ALIVE), host.port(), part);
+            HostPool.Attempt attempt = new HostPool.Attempt(attempt("a", null, LONG_MICROS, 1).message(),
+                LONG_MICROS, reply -> {
+                    throw new IllegalStateException("forced by the test");
+                });
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), attempt);
             StubHost.Call call = host.nextCall();
-            assertThrows(ExecutionException.class, () -> group.next().submit(part::giveUp).get());
+            assertThrows(ExecutionException.class, () -> group.next().submit(attempt::expire).get());
             assertTrue(host.awaitClosed(call));
         }
     }
 
-    /** Guards against an empty request, and against an end that is never told. */
+    /** Guards against a request without messages, and against an attempt that never gets its reply. */
     @Test
-    void aMessageCalledOffBeforeItsCallIsMadeDoesNotGoOut() throws Exception {
+    void attemptCancelledBeforeItsCallStartsIsNotSent() throws Exception {
         try (StubHost host = new StubHost()) {
-            HostPool pool = pool(KEEP_ALIVE);
-            HostPool.Part alone = part("alone", null, LONG, 1), first = part("first", null, LONG, 1);
+            HostPool pool = newPool(KEEP_ALIVE_MICROS);
+            HostPool.Attempt alone = attempt("alone", null, LONG_MICROS, 1);
+            HostPool.Attempt first = attempt("first", null, LONG_MICROS, 1);
             group.next().submit(alone::cancel).get();
             group.next().submit(first::cancel).get();
-            assertEquals(Outcome.CANCELLED, reply().outcome());
-            assertEquals(Outcome.CANCELLED, reply().outcome());
-            call(pool, host.port(), alone);
-            assertEquals(0, held(pool));
-            call(pool, host.port(), first, part("second", null, LONG, 1));
+            assertEquals(Outcome.CANCELLED, awaitReply().outcome());
+            assertEquals(Outcome.CANCELLED, awaitReply().outcome());
+            startCall(pool, host.port(), alone);
+            assertEquals(0, connectionCount(pool));
+            startCall(pool, host.port(), first, attempt("second", null, LONG_MICROS, 1));
             StubHost.Call call = host.nextCall();
             assertEquals("second", call.header("X-Request-ID"));
             call.respond(StubHost.OK);
-            assertEquals(Outcome.OK, reply().outcome());
+            assertEquals(Outcome.OK, awaitReply().outcome());
             assertTrue(replies.isEmpty());
         }
     }
 
-    /** Guards the others in a bundle: giving up one message must not give up their call. */
+    /** Cancelling one message of a batch must not cancel the call of the others. */
     @Test
-    void oneMessageOfABundleIsCalledOffAlone() throws Exception {
+    void oneMessageOfABatchCanBeCancelledAlone() throws Exception {
         try (StubHost host = new StubHost()) {
-            HostPool.Part first = part("a", null, LONG, 2);
-            call(pool(KEEP_ALIVE), host.port(), first, part("b", null, LONG, 2));
+            HostPool.Attempt first = attempt("a", null, LONG_MICROS, 2);
+            startCall(newPool(KEEP_ALIVE_MICROS), host.port(), first, attempt("b", null, LONG_MICROS, 2));
             StubHost.Call call = host.nextCall();
             group.next().submit(first::cancel).get();
-            assertEquals(Outcome.CANCELLED, reply().outcome());
-            call.respond(answer("200 OK", "", "[{\"id\":\"a\",\"state\":\"accepted\"},"
+            assertEquals(Outcome.CANCELLED, awaitReply().outcome());
+            call.respond(response("200 OK", "", "[{\"id\":\"a\",\"state\":\"accepted\"},"
                 + "{\"id\":\"b\",\"state\":\"accepted\"}]"));
-            assertEquals(Outcome.OK, reply().outcome());
+            assertEquals(Outcome.OK, awaitReply().outcome());
             assertTrue(replies.isEmpty());
         }
     }
--- a/src/test/java/wrenkeel/net/NodeTest.java
+++ b/src/test/java/wrenkeel/net/NodeTest.java
@@ -349,11 +349,11 @@
     @Test
     void afterAnUnansweredWatchTheListIsRequestedWithoutAWait() throws Exception {
         long assumedKnownMs = 6_000, requestAndStopMs = 1_000;
-        assertTrue(Discovery.WAIT + Discovery.WAIT_SLACK + requestAndStopMs <= assumedKnownMs);
+        assertTrue(Discovery.WATCH_WAIT_MS + Discovery.WATCH_SLACK_MS + requestAndStopMs <= assumedKnownMs);
         try (Node relay = startRelay()) {
             assertNotNull(relay.address());
             assertEquals("after=1&wait_ms=1", platform.listQueries.take());
-            assertEquals("after=1&wait_ms=" + Discovery.WAIT, platform.listQueries.take());
+            assertEquals("after=1&wait_ms=" + Discovery.WATCH_WAIT_MS, platform.listQueries.take());
             assertEquals("after=1&wait_ms=1",
                 platform.listQueries.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
