--- a/src/main/java/wrenkeel/soak/TroubleKind.java
+++ b/src/main/java/wrenkeel/soak/FaultKind.java
@@ -1,7 +1,7 @@
 package wrenkeel.soak;
 
 /** What can go wrong during a run; each has a length and is aimed at one relay or one endpoint. */
-enum TroubleKind {
+enum FaultKind {
     /** SIGKILL; started again 0.6 s later. */
     KILL(Target.RELAY, 0, 0),
     /** SIGTERM, SIGKILL 3.7 s later if it still runs; started again 0.6 s after that. */
@@ -65,25 +65,25 @@
     enum Target { RELAY, ENDPOINT }
 
     private final Target target;
-    private final int shortestMillis;
-    private final int longestMillis;
+    private final int minDurationMillis;
+    private final int maxDurationMillis;
 
-    TroubleKind(Target target, int shortestMillis, int longestMillis) {
+    FaultKind(Target target, int minDurationMillis, int maxDurationMillis) {
         this.target = target;
-        this.shortestMillis = shortestMillis;
-        this.longestMillis = longestMillis;
+        this.minDurationMillis = minDurationMillis;
+        this.maxDurationMillis = maxDurationMillis;
     }
 
     Target target() {
         return target;
     }
 
-    int shortestMillis() {
-        return shortestMillis;
+    int minDurationMillis() {
+        return minDurationMillis;
     }
 
-    int longestMillis() {
-        return longestMillis;
+    int maxDurationMillis() {
+        return maxDurationMillis;
     }
 
     /** True where the relay's process ends and begins anew. */
--- a/src/main/java/wrenkeel/soak/RelayHandle.java
+++ b/src/main/java/wrenkeel/soak/RelayHandle.java
@@ -96,7 +96,7 @@
     }
 
     /** Ends the process in one of the ways and starts it again; does nothing while that is under way. */
-    void replace(TroubleKind how) throws IOException, InterruptedException {
+    void replace(FaultKind how) throws IOException, InterruptedException {
         if (!changing.compareAndSet(false, true)) {
             return;
         }
@@ -120,7 +120,7 @@
             default -> { }
         }
         boolean serves = killAndStart(from);
-        if (serves && how == TroubleKind.SIGNAL_SERIES) {
+        if (serves && how == FaultKind.SIGNAL_SERIES) {
             TimeUnit.MILLISECONDS.sleep(START_AFTER_END);
             serves = killAndStart(clock.getAsLong());
         }
--- a/src/main/java/wrenkeel/soak/Schedule.java
+++ b/src/main/java/wrenkeel/soak/Schedule.java
@@ -8,55 +8,55 @@
 /** What goes wrong in one run, and when. The same seed and sizes give the same schedule. */
 final class Schedule {
     /** Troubles that begin together, some hundred ms apart, on one relay or on what it needs. */
-    private static final int CLUSTER_LEAST = 2, CLUSTER_MOST = 3;
-    private static final int SPREAD_MILLIS = 900;
+    private static final int MIN_CLUSTER_SIZE = 2, MAX_CLUSTER_SIZE = 3;
+    private static final int CLUSTER_SPREAD_MS = 900;
     /** ms; the first trouble comes after this much plain traffic. */
-    private static final int QUIET_MILLIS = 1_500;
+    private static final int FAULT_FREE_MS = 1_500;
 
-    private final List<Trouble> troubles;
+    private final List<Fault> faults;
 
-    private Schedule(List<Trouble> troubles) {
-        this.troubles = troubles;
+    private Schedule(List<Fault> faults) {
+        this.faults = faults;
     }
 
     /**
      * @param clusters how many groups of troubles that overlap
      * @param spanMillis within which they begin
      */
-    static Schedule of(long seed, int relays, int endpoints, int clusters, int spanMillis) {
+    static Schedule generate(long seed, int relays, int endpoints, int clusters, int spanMillis) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<Trouble> all = new ArrayList<>();
+        List<Fault> faults = new ArrayList<>();
         for (int i = 0; i < clusters; i++) {
-            cluster(random, relays, endpoints, spanMillis, all);
+            addCluster(random, relays, endpoints, spanMillis, faults);
         }
-        all.sort(Comparator.comparingInt(Trouble::startMillis));
-        return new Schedule(List.copyOf(all));
+        faults.sort(Comparator.comparingInt(Fault::startMillis));
+        return new Schedule(List.copyOf(faults));
     }
 
-    private static void cluster(SplittableRandom random, int relays, int endpoints, int spanMillis,
-                                List<Trouble> into) {
-        int at = QUIET_MILLIS + random.nextInt(Math.max(1, spanMillis - QUIET_MILLIS));
+    private static void addCluster(SplittableRandom random, int relays, int endpoints, int spanMillis,
+                                List<Fault> into) {
+        int clusterStart = FAULT_FREE_MS + random.nextInt(Math.max(1, spanMillis - FAULT_FREE_MS));
         int relay = random.nextInt(relays);
-        int size = CLUSTER_LEAST + random.nextInt(CLUSTER_MOST - CLUSTER_LEAST + 1);
-        List<TroubleKind> kinds = new ArrayList<>();
+        int size = MIN_CLUSTER_SIZE + random.nextInt(MAX_CLUSTER_SIZE - MIN_CLUSTER_SIZE + 1);
+        List<FaultKind> kinds = new ArrayList<>();
         while (kinds.size() < size) {
-            TroubleKind kind = TroubleKind.values()[random.nextInt(TroubleKind.values().length)];
-            boolean endsTwice = kind.endsProcess() && kinds.stream().anyMatch(TroubleKind::endsProcess);
-            if (!kinds.contains(kind) && !endsTwice) {
+            FaultKind kind = FaultKind.values()[random.nextInt(FaultKind.values().length)];
+            boolean endsProcessTwice = kind.endsProcess() && kinds.stream().anyMatch(FaultKind::endsProcess);
+            if (!kinds.contains(kind) && !endsProcessTwice) {
                 kinds.add(kind);
             }
         }
-        for (TroubleKind kind : kinds) {
-            int range = kind.longestMillis() - kind.shortestMillis();
-            int length = kind.shortestMillis() + (range == 0 ? 0 : random.nextInt(range));
-            int subject = kind.target() == TroubleKind.Target.RELAY ? relay : random.nextInt(endpoints);
-            into.add(new Trouble(kind, at + random.nextInt(SPREAD_MILLIS), length, subject,
+        for (FaultKind kind : kinds) {
+            int range = kind.maxDurationMillis() - kind.minDurationMillis();
+            int duration = kind.minDurationMillis() + (range == 0 ? 0 : random.nextInt(range));
+            int targetNumber = kind.target() == FaultKind.Target.RELAY ? relay : random.nextInt(endpoints);
+            into.add(new Fault(kind, clusterStart + random.nextInt(CLUSTER_SPREAD_MS), duration, targetNumber,
                 random.nextInt(1 << 16)));
         }
     }
 
     /** In the order of their starts. */
-    List<Trouble> troubles() {
-        return troubles;
+    List<Fault> faults() {
+        return faults;
     }
 }
--- a/src/main/java/wrenkeel/soak/SoakCommand.java
+++ b/src/main/java/wrenkeel/soak/SoakCommand.java
@@ -78,7 +78,7 @@
         int count = relayCount(next);
         try (SoakRun run = new SoakRun(root.toAbsolutePath().normalize(), next, count, clusters, trace)) {
             System.out.println("seed " + next + ", " + count + " relays");
-            run.schedule().troubles().forEach(trouble -> System.out.println("  " + trouble));
+            run.schedule().faults().forEach(trouble -> System.out.println("  " + trouble));
             List<Finding> findings = run.play();
             System.out.println("  " + run.summary());
             findings.forEach(finding -> System.out.println("  BROKEN " + finding));
--- a/src/main/java/wrenkeel/soak/SoakRun.java
+++ b/src/main/java/wrenkeel/soak/SoakRun.java
@@ -81,7 +81,7 @@
     SoakRun(Path root, long seed, int relayCount, int clusters, boolean trace)
         throws IOException, InterruptedException {
         this.seed = seed;
-        schedule = Schedule.of(seed, relayCount, ENDPOINTS, clusters, TROUBLE_MILLIS);
+        schedule = Schedule.generate(seed, relayCount, ENDPOINTS, clusters, TROUBLE_MILLIS);
         folder = Files.createTempDirectory("soak");
         Path library = Shim.compile(root, folder);
         destinations = new StandInDestinations(ENDPOINTS, 
@@ -143,7 +143,7 @@
         }
         Future<?> looking = tasks.submit(this::look);
         List<Future<?>> troubles = new ArrayList<>();
-        for (Trouble trouble : schedule.troubles()) {
+        for (Fault trouble : schedule.faults()) {
             troubles.add(tasks.submit(() -> {
                 TimeUnit.MILLISECONDS.sleep(Math.max(0, trouble.startMillis() - now()));
                 make(trouble);
@@ -201,7 +201,7 @@
         for (RelayHandle relay : relays) {
             Files.writeString(into.resolve("relay-" + relay.number + ".log"), relay.logs());
         }
-        List<String> lines = schedule.troubles().stream().map(Trouble::toString).toList();
+        List<String> lines = schedule.faults().stream().map(Fault::toString).toList();
         Files.write(into.resolve("schedule.txt"), lines);
     }
 
@@ -219,20 +219,20 @@
         void run() throws IOException, InterruptedException;
     }
 
-    private void make(Trouble t) throws IOException, InterruptedException {
-        if (t.kind().target() == TroubleKind.Target.RELAY) {
+    private void make(Fault t) throws IOException, InterruptedException {
+        if (t.kind().target() == FaultKind.Target.RELAY) {
             long from = now();
-            RelayHandle relay = relays.get(t.subject());
+            RelayHandle relay = relays.get(t.targetNumber());
             trouble(relay, t);
             if (!t.kind().endsProcess()) {
                 record(relay.number, t.kind(), new History.Span(from, now()));
             }
         } else {
-            trouble(t.subject(), t);
+            trouble(t.targetNumber(), t);
         }
     }
 
-    private void record(int relay, TroubleKind kind, History.Span span) {
+    private void record(int relay, FaultKind kind, History.Span span) {
         switch (kind) {
             case READ_FAILS -> {
                 history.cut(relay, span);
@@ -250,26 +250,26 @@
         }
     }
 
-    private void repeat(Trouble t, long gapMillis, Step step) throws IOException, InterruptedException {
-        for (long end = now() + t.lengthMillis(); now() < end;) {
+    private void repeat(Fault t, long gapMillis, Step step) throws IOException, InterruptedException {
+        for (long end = now() + t.durationMillis(); now() < end;) {
             step.run();
             TimeUnit.MILLISECONDS.sleep(gapMillis);
         }
     }
 
-    private static int either(Trouble t, int one, int other) {
-        return t.choice() % 2 == 0 ? one : other;
+    private static int either(Fault t, int one, int other) {
+        return t.variant() % 2 == 0 ? one : other;
     }
 
     /** Lets some calls fail, a few at a time. */
-    private void failSome(RelayHandle relay, Trouble t, Shim.Word errno, int value, Shim.Word count)
+    private void failSome(RelayHandle relay, Fault t, Shim.Word errno, int value, Shim.Word count)
         throws IOException, InterruptedException {
         relay.shim.set(errno, value);
-        repeat(t, STEP_MILLIS, () -> relay.shim.set(count, 1 + t.choice() % 3));
+        repeat(t, STEP_MILLIS, () -> relay.shim.set(count, 1 + t.variant() % 3));
         relay.shim.set(count, 0);
     }
 
-    private void trouble(RelayHandle relay, Trouble t) throws IOException, InterruptedException {
+    private void trouble(RelayHandle relay, Fault t) throws IOException, InterruptedException {
         Shim shim = relay.shim;
         switch (t.kind()) {
             case KILL, TERMINATE, TERMINATE_TWICE, KILL_WHILE_LEAVING, SIGNAL_SERIES ->
@@ -277,9 +277,9 @@
             case RELOAD -> relay.reload();
             case PAUSES -> repeat(t, 2 * PAUSE_MILLIS, () -> relay.pause(PAUSE_MILLIS));
             case CLOCK_FORWARD, CLOCK_BACK -> {
-                int step = t.kind() == TroubleKind.CLOCK_FORWARD ? HOUR_SECONDS : -HOUR_SECONDS;
+                int step = t.kind() == FaultKind.CLOCK_FORWARD ? HOUR_SECONDS : -HOUR_SECONDS;
                 shim.set(Shim.Word.WALL_STEP_S, step);
-                TimeUnit.MILLISECONDS.sleep(t.lengthMillis());
+                TimeUnit.MILLISECONDS.sleep(t.durationMillis());
                 shim.set(Shim.Word.WALL_STEP_S, 0);
             }
             case ACCEPT_FAILS -> failSome(relay, t, Shim.Word.ACCEPT_ERRNO,
@@ -304,12 +304,12 @@
             case AGENT_RESETS -> {
                 FaultProxy link = relay.agentLink();
                 link.set(FaultProxy.Mode.RESET);
-                TimeUnit.MILLISECONDS.sleep(t.lengthMillis());
+                TimeUnit.MILLISECONDS.sleep(t.durationMillis());
                 link.set(FaultProxy.Mode.PASS);
             }
             case CROWD -> {
                 try (Crowd crowd = new Crowd(relay.address)) {
-                    TimeUnit.MILLISECONDS.sleep(t.lengthMillis());
+                    TimeUnit.MILLISECONDS.sleep(t.durationMillis());
                 }
             }
             case BAD_CLIENTS -> repeat(t, STEP_MILLIS, () -> badClient(relay));
@@ -323,17 +323,17 @@
         tasks.submit(new BadClient(relay.number, relay.address, sort, this::now, history));
     }
 
-    private void failFolder(RelayHandle relay, Trouble t) throws InterruptedException {
-        boolean full = t.kind() == TroubleKind.FOLDER_FULL;
-        relay.folderFailsUntil(now() + t.lengthMillis());
+    private void failFolder(RelayHandle relay, Fault t) throws InterruptedException {
+        boolean full = t.kind() == FaultKind.FOLDER_FULL;
+        relay.folderFailsUntil(now() + t.durationMillis());
         relay.shim.set(Shim.Word.FILE_HALF, full ? 0 : 1);
         relay.shim.set(Shim.Word.FILE_ERRNO, full ? Shim.ENOSPC : Shim.EIO);
-        TimeUnit.MILLISECONDS.sleep(t.lengthMillis());
+        TimeUnit.MILLISECONDS.sleep(t.durationMillis());
         relay.shim.set(Shim.Word.FILE_ERRNO, 0);
         relay.folderFailsUntil(now());
     }
 
-    private void trouble(int endpoint, Trouble t) throws InterruptedException {
+    private void trouble(int endpoint, Fault t) throws InterruptedException {
         FaultProxy link = links.get(endpoint);
         long from = now();
         switch (t.kind()) {
@@ -341,7 +341,7 @@
             case ENDPOINT_DOWN -> standFor(endpoint, EndpointModel.Standing.REFUSING, t);
             case ENDPOINT_FAILS -> standFor(endpoint, EndpointModel.Standing.FAILING, t);
             case ENDPOINT_SHUT -> {
-                destinations.shut(endpoint, t.lengthMillis());
+                destinations.shut(endpoint, t.durationMillis());
                 return;
             }
             case ENDPOINT_DRAINS -> {
@@ -349,7 +349,7 @@
                     return;
                 }
                 agent.change(endpoint, HostCatalog.Health.DRAINING);
-                TimeUnit.MILLISECONDS.sleep(t.lengthMillis());
+                TimeUnit.MILLISECONDS.sleep(t.durationMillis());
                 history.draining(endpoint, new History.Span(from, now()));
                 agent.change(endpoint, HostCatalog.Health.READY);
                 draining.remove(endpoint);
@@ -363,22 +363,22 @@
         history.link(endpoint, new History.Span(from, now() + 1_000));
     }
 
-    private void standFor(int endpoint, EndpointModel.Standing standing, Trouble t)
+    private void standFor(int endpoint, EndpointModel.Standing standing, Fault t)
         throws InterruptedException {
         if (!out.add(endpoint)) {
             return;
         }
         long from = now();
         destinations.stand(endpoint, standing);
-        TimeUnit.MILLISECONDS.sleep(t.lengthMillis());
+        TimeUnit.MILLISECONDS.sleep(t.durationMillis());
         destinations.stand(endpoint, EndpointModel.Standing.SERVING);
         history.outage(endpoint, new History.Span(from, now()));
         out.remove(endpoint);
     }
 
-    private static void setFor(FaultProxy link, FaultProxy.Mode mode, Trouble t) throws InterruptedException {
+    private static void setFor(FaultProxy link, FaultProxy.Mode mode, Fault t) throws InterruptedException {
         link.set(mode);
-        TimeUnit.MILLISECONDS.sleep(t.lengthMillis());
+        TimeUnit.MILLISECONDS.sleep(t.durationMillis());
         link.set(FaultProxy.Mode.PASS);
     }
 
--- a/src/test/java/wrenkeel/soak/ScheduleTest.java
+++ b/src/test/java/wrenkeel/soak/ScheduleTest.java
@@ -7,39 +7,39 @@
 
 /** A schedule is replayable, and its troubles overlap. */
 class ScheduleTest {
-    private static List<Trouble> troubles(long seed) {
-        return Schedule.of(seed, 10, 24, 8, 12_000).troubles();
+    private static List<Fault> faults(long seed) {
+        return Schedule.generate(seed, 10, 24, 8, 12_000).faults();
     }
 
     @Test
-    void theSameSeedGivesTheSameSchedule() {
-        assertEquals(troubles(7), troubles(7));
-        assertNotEquals(troubles(7), troubles(8));
+    void sameSeedGivesSameSchedule() {
+        assertEquals(faults(7), faults(7));
+        assertNotEquals(faults(7), faults(8));
     }
 
     @Test
-    void everyTroubleHasASubjectThatExistsAndALengthOfItsKind() {
+    void everyFaultHasAnExistingTargetAndADurationWithinItsKindsRange() {
         for (long seed = 0; seed < 200; seed++) {
-            for (Trouble trouble : troubles(seed)) {
-                int most = trouble.kind().target() == TroubleKind.Target.RELAY ? 10 : 24;
-                assertTrue(trouble.subject() >= 0 && trouble.subject() < most, trouble.toString());
-                assertTrue(trouble.lengthMillis() >= trouble.kind().shortestMillis()
-                    && trouble.lengthMillis() <= trouble.kind().longestMillis(), trouble.toString());
-                assertTrue(trouble.startMillis() > 0 && trouble.startMillis() < 13_000, trouble.toString());
+            for (Fault fault : faults(seed)) {
+                int targetCount = fault.kind().target() == FaultKind.Target.RELAY ? 10 : 24;
+                assertTrue(fault.targetNumber() >= 0 && fault.targetNumber() < targetCount, fault.toString());
+                assertTrue(fault.durationMillis() >= fault.kind().minDurationMillis()
+                    && fault.durationMillis() <= fault.kind().maxDurationMillis(), fault.toString());
+                assertTrue(fault.startMillis() > 0 && fault.startMillis() < 13_000, fault.toString());
             }
         }
     }
 
     @Test
-    void eachKindComesUpAndTroublesBeginTogether() {
-        for (TroubleKind kind : TroubleKind.values()) {
+    void everyKindOccursAndEachClusterHasAtLeastTwoFaults() {
+        for (FaultKind kind : FaultKind.values()) {
             boolean seen = false;
             for (long seed = 0; seed < 200 && !seen; seed++) {
-                seen = troubles(seed).stream().anyMatch(trouble -> trouble.kind() == kind);
+                seen = faults(seed).stream().anyMatch(fault -> fault.kind() == kind);
             }
             assertTrue(seen, kind.toString());
         }
-        List<Trouble> all = troubles(3);
-        assertTrue(all.size() >= 16, "two at least in each of eight groups");
+        List<Fault> faults = faults(3);
+        assertTrue(faults.size() >= 16, "two at least in each of eight groups");
     }
 }
