--- a/src/main/java/wrenkeel/soak/BadClient.java
+++ b/src/main/java/wrenkeel/soak/BadClient.java
@@ -9,7 +9,7 @@
 /** A peer of a relay that sends something else than a proper request, and stays. */
 final class BadClient implements Runnable {
     /** What it sends. */
-    enum Sort {
+    enum Payload {
         /** Nothing. */ SILENT(""),
         /** Part of a head. */ HALF_HEAD("POST /order HTTP/1.1\r\nHost: api.internal\r\nX-Requ"),
         /** A head and part of its body. */ HALF_BODY("POST /order HTTP/1.1\r\nHost: api.internal\r\n"
@@ -23,23 +23,23 @@
 
         private final String text;
 
-        Sort(String text) {
+        Payload(String text) {
             this.text = text;
         }
     }
 
-    private static final int PATIENCE_MILLIS = 8_000;
+    private static final int READ_TIMEOUT_MS = 8_000;
 
     private final int relay;
     private final InetSocketAddress address;
-    private final Sort sort;
+    private final Payload payload;
     private final LongSupplier clock;
     private final History history;
 
-    BadClient(int relay, InetSocketAddress address, Sort sort, LongSupplier clock, History history) {
+    BadClient(int relay, InetSocketAddress address, Payload payload, LongSupplier clock, History history) {
         this.relay = relay;
         this.address = address;
-        this.sort = sort;
+        this.payload = payload;
         this.clock = clock;
         this.history = history;
     }
@@ -49,8 +49,8 @@
         long connected = clock.getAsLong();
         long ended = -1;
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
-            socket.setSoTimeout(PATIENCE_MILLIS);
-            socket.getOutputStream().write(sort.text.getBytes(StandardCharsets.ISO_8859_1));
+            socket.setSoTimeout(READ_TIMEOUT_MS);
+            socket.getOutputStream().write(payload.text.getBytes(StandardCharsets.ISO_8859_1));
             // An error's first byte, or the end, is what it is owed.
             socket.getInputStream().read();
             ended = clock.getAsLong();
@@ -59,6 +59,6 @@
         } catch (IOException e) {
             ended = clock.getAsLong();
         }
-        history.badPeer(new History.BadPeer(relay, sort.name(), connected, ended));
+        history.badPeer(new History.BadPeer(relay, payload.name(), connected, ended));
     }
 }
--- a/src/main/java/wrenkeel/soak/Crowd.java
+++ b/src/main/java/wrenkeel/soak/ConnectionFlood.java
@@ -7,17 +7,17 @@
 import java.util.List;
 
 /** Clients of one relay that connect, say nothing and stay; more of them than the relay lets in. */
-final class Crowd implements AutoCloseable {
+final class ConnectionFlood implements AutoCloseable {
     /** A third of the descriptors that a relay of the soak has, and some more. */
-    static final int SIZE = 400;
+    static final int CONNECTIONS = 400;
 
-    private final List<SocketChannel> members = new ArrayList<>();
+    private final List<SocketChannel> connections = new ArrayList<>();
 
     /** Opens all connections; who is turned away at once is left out. */
-    Crowd(InetSocketAddress relay) {
-        for (int i = 0; i < SIZE; i++) {
+    ConnectionFlood(InetSocketAddress relay) {
+        for (int i = 0; i < CONNECTIONS; i++) {
             try {
-                members.add(SocketChannel.open(relay));
+                connections.add(SocketChannel.open(relay));
             } catch (IOException e) {
                 // A relay that ends, or has no place left.
             }
@@ -26,9 +26,9 @@
 
     @Override
     public void close() {
-        for (SocketChannel member : members) {
+        for (SocketChannel connection : connections) {
             try {
-                member.close();
+                connection.close();
             } catch (IOException e) {
                 // The relay has reset it.
             }
--- a/src/main/java/wrenkeel/soak/FaultProxy.java
+++ b/src/main/java/wrenkeel/soak/FaultProxy.java
@@ -27,22 +27,22 @@
 final class FaultProxy implements AutoCloseable {
     /** How the link behaves. */
     enum Mode {
-        /** Passes all on. */ PASS,
-        /** Passes nothing on; connections that were open meanwhile are reset once it is over. */ SILENT,
+        /** Passes all on. */ FORWARD,
+        /** Passes nothing on; connections that were open meanwhile are reset once it is over. */ STALL,
         /** Resets open connections and new ones. */ RESET,
-        /** Resets a connection once it has passed on a few bytes of an answer. */ CUT,
-        /** A new connection passes nothing on for a while. */ LATE
+        /** Resets a connection once it has passed on a few bytes of an answer. */ TRUNCATE,
+        /** A new connection passes nothing on for a while. */ DELAY
     }
 
     /** Bytes of an answer that pass before the reset: within its first line. */
-    private static final int CUT_AFTER = 7;
-    private static final long LATE_MILLIS = 700;
+    private static final int TRUNCATE_AFTER_BYTES = 7;
+    private static final long DELAY_MS = 700;
 
     private final EventLoopGroup group;
-    private final Set<Pair> pairs = ConcurrentHashMap.newKeySet();
+    private final Set<ProxiedConnection> connections = ConcurrentHashMap.newKeySet();
     private final Channel listener;
     private final InetSocketAddress target;
-    private volatile Mode mode = Mode.PASS;
+    private volatile Mode mode = Mode.FORWARD;
 
     FaultProxy(EventLoopGroup group, InetSocketAddress target) throws InterruptedException {
         this.group = group;
@@ -53,7 +53,7 @@
             .childHandler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel channel) {
-                    new Pair(channel).begin();
+                    new ProxiedConnection(channel).open();
                 }
             }).bind(InetAddress.getLoopbackAddress(), 0).sync().channel();
     }
@@ -62,19 +62,19 @@
         return (InetSocketAddress) listener.localAddress();
     }
 
-    void set(Mode next) {
+    void setMode(Mode next) {
         mode = next;
-        for (Pair pair : pairs) {
-            pair.front.eventLoop().execute(() -> pair.changed(next));
+        for (ProxiedConnection connection : connections) {
+            connection.clientSide.eventLoop().execute(() -> connection.modeChanged(next));
         }
     }
 
     /** Those that are open now pass nothing on any more, for ever; new ones are as before. */
-    void freezeOpen() {
-        for (Pair pair : pairs) {
-            pair.front.eventLoop().execute(() -> {
-                pair.frozen = true;
-                pair.readOn();
+    void freezeOpenConnections() {
+        for (ProxiedConnection connection : connections) {
+            connection.clientSide.eventLoop().execute(() -> {
+                connection.frozen = true;
+                connection.updateReading();
             });
         }
     }
@@ -83,72 +83,72 @@
     @Override
     public void close() {
         listener.close();
-        pairs.forEach(pair -> pair.front.eventLoop().execute(pair::reset));
+        connections.forEach(connection -> connection.clientSide.eventLoop().execute(connection::reset));
     }
 
     /** One connection and its counterpart at the target; both on one event loop. */
-    private final class Pair {
-        private final Channel front;
-        private Channel back;
-        private boolean late;
+    private final class ProxiedConnection {
+        private final Channel clientSide;
+        private Channel targetSide;
+        private boolean delayed;
         private boolean frozen;
-        private boolean silent;
-        private int answered;
+        private boolean stalled;
+        private int answeredBytes;
 
-        Pair(Channel front) {
-            this.front = front;
+        ProxiedConnection(Channel clientSide) {
+            this.clientSide = clientSide;
         }
 
-        void begin() {
-            pairs.add(this);
-            front.closeFuture().addListener(closed -> pairs.remove(this));
-            front.pipeline().addLast(new Passing(true));
+        void open() {
+            connections.add(this);
+            clientSide.closeFuture().addListener(closed -> connections.remove(this));
+            clientSide.pipeline().addLast(new Forwarder(true));
             if (mode == Mode.RESET) {
                 reset();
                 return;
             }
-            late = mode == Mode.LATE;
-            if (late) {
-                front.eventLoop().schedule(() -> {
-                    late = false;
-                    readOn();
-                }, LATE_MILLIS, TimeUnit.MILLISECONDS);
+            delayed = mode == Mode.DELAY;
+            if (delayed) {
+                clientSide.eventLoop().schedule(() -> {
+                    delayed = false;
+                    updateReading();
+                }, DELAY_MS, TimeUnit.MILLISECONDS);
             }
-            ChannelFuture connect = new Bootstrap().group(front.eventLoop()).channel(NioSocketChannel.class)
+            ChannelFuture connect = new Bootstrap().group(clientSide.eventLoop()).channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.AUTO_READ, false)
-                .handler(new Passing(false)).connect(target);
-            back = connect.channel();
+                .handler(new Forwarder(false)).connect(target);
+            targetSide = connect.channel();
             connect.addListener(done -> {
                 if (done.isSuccess()) {
-                    readOn();
+                    updateReading();
                 } else {
                     reset();
                 }
             });
         }
 
-        private void changed(Mode next) {
+        private void modeChanged(Mode next) {
             // What was sent into a silence must not arrive long after its sender has given it up.
-            if (next == Mode.RESET || silent && next != Mode.SILENT) {
+            if (next == Mode.RESET || stalled && next != Mode.STALL) {
                 reset();
             } else {
-                readOn();
+                updateReading();
             }
         }
 
-        private void readOn() {
-            silent |= mode == Mode.SILENT;
-            boolean reads = !late && !frozen && mode != Mode.SILENT;
-            front.config().setAutoRead(reads && back != null && back.isActive());
-            if (back != null) {
-                back.config().setAutoRead(reads);
+        private void updateReading() {
+            stalled |= mode == Mode.STALL;
+            boolean reads = !delayed && !frozen && mode != Mode.STALL;
+            clientSide.config().setAutoRead(reads && targetSide != null && targetSide.isActive());
+            if (targetSide != null) {
+                targetSide.config().setAutoRead(reads);
             }
         }
 
         private void reset() {
-            reset(front);
-            if (back != null) {
-                reset(back);
+            reset(clientSide);
+            if (targetSide != null) {
+                reset(targetSide);
             }
         }
 
@@ -160,33 +160,33 @@
         }
 
         /** Passes on what one side sends, and its end. */
-        private final class Passing extends ChannelInboundHandlerAdapter {
-            private final boolean ofFront;
+        private final class Forwarder extends ChannelInboundHandlerAdapter {
+            private final boolean fromClient;
 
-            Passing(boolean ofFront) {
-                this.ofFront = ofFront;
+            Forwarder(boolean fromClient) {
+                this.fromClient = fromClient;
             }
 
-            private Channel other() {
-                return ofFront ? back : front;
+            private Channel otherSide() {
+                return fromClient ? targetSide : clientSide;
             }
 
             @Override
             public void channelRead(ChannelHandlerContext context, Object message) {
                 ByteBuf bytes = (ByteBuf) message;
-                if (!ofFront && mode == Mode.CUT) {
-                    answered += bytes.readableBytes();
-                    ByteBuf part = bytes.readRetainedSlice(Math.min(CUT_AFTER, bytes.readableBytes()));
+                if (!fromClient && mode == Mode.TRUNCATE) {
+                    answeredBytes += bytes.readableBytes();
+                    ByteBuf part = bytes.readRetainedSlice(Math.min(TRUNCATE_AFTER_BYTES, bytes.readableBytes()));
                     ReferenceCountUtil.release(bytes);
-                    front.writeAndFlush(part).addListener(done -> reset());
+                    clientSide.writeAndFlush(part).addListener(done -> reset());
                     return;
                 }
-                other().writeAndFlush(bytes);
+                otherSide().writeAndFlush(bytes);
             }
 
             @Override
             public void channelInactive(ChannelHandlerContext context) {
-                Channel other = other();
+                Channel other = otherSide();
                 if (other != null && other.isActive()) {
                     other.writeAndFlush(other.alloc().buffer(0)).addListener(ChannelFutureListener.CLOSE);
                 } else if (other != null) {
--- a/src/main/java/wrenkeel/soak/Oracle.java
+++ b/src/main/java/wrenkeel/soak/Oracle.java
@@ -176,15 +176,15 @@
     private void judgeColdBudgets() {
         history.outages().forEach((endpoint, outages) -> {
             double capacity = history.capacities().get(endpoint);
-            ColdBudget budget = new ColdBudget(capacity, COLD_FROM, COLD_MILLIS, FALL_MULTIPLE, TIP_MILLIS);
+            ColdStartBudget budget = new ColdStartBudget(capacity, COLD_FROM, COLD_MILLIS, FALL_MULTIPLE, TIP_MILLIS);
             for (History.Span outage : outages) {
                 long next = outages.stream().mapToLong(History.Span::from).filter(from -> from > outage.to())
                     .min().orElse(Long.MAX_VALUE);
                 List<Long> calls = history.calls().stream().filter(call -> call.endpoint() == endpoint)
                     .map(History.Call::at).filter(at -> at < next).sorted().toList();
-                ColdBudget.Worst worst = budget.worst(outage.to(), calls);
+                ColdStartBudget.WorstWindow worst = budget.worstWindow(outage.to(), calls);
                 if (worst.ratio() > 1) {
-                    found("cold endpoint overrun", worst.atMillis(), "endpoint " + endpoint + ", out until "
+                    found("cold endpoint overrun", worst.endMillis(), "endpoint " + endpoint + ", out until "
                         + outage.to() + ": " + worst.calls() + " calls in " + TIP_MILLIS + " ms, it bears "
                         + Math.round(worst.bound()));
                 }
--- a/src/main/java/wrenkeel/soak/OutageRun.java
+++ b/src/main/java/wrenkeel/soak/OutageRun.java
@@ -58,7 +58,7 @@
      * @param delivered messages, of so many handed in
      * @param inOutage calls that met the outage
      */
-    record Result(ColdBudget.Worst worst, int handedIn, int delivered, int inOutage) { }
+    record Result(ColdStartBudget.WorstWindow worst, int handedIn, int delivered, int inOutage) { }
 
     private static final long WARM_UP_MILLIS = 15_000, DOWN_MILLIS = 600;
     private static final long COLD_MILLIS = 10_000, TIP_MILLIS = 2_000;
@@ -109,7 +109,7 @@
         Traffic traffic = new Traffic(1, 0, BODY_BYTES,
             List.of(new Traffic.ClassShare(CLASS, 1, LIFE_MILLIS, false)), List.of(), CONNECTIONS_MOST);
         for (int i = 0; i < plan.relays; i++) {
-            InetSocketAddress address = Ports.free();
+            InetSocketAddress address = PortAllocator.allocate();
             RelayProcess process = new RelayProcess(root, settings.named("n" + i), agent.address(), null,
                 Map.of("EDGE_LISTEN", address.getAddress().getHostAddress() + ":" + address.getPort()));
             members.add(new Member(process, new StandInClients(address, traffic, plan.seed + i,
@@ -143,8 +143,8 @@
         long returned = millis();
         sleepUntil(returned + COLD_MILLIS);
         kill.get();
-        ColdBudget budget = new ColdBudget(plan.capacity, COLD_FROM, COLD_MILLIS, FALL_MULTIPLE, TIP_MILLIS);
-        return new Result(budget.worst(returned, List.copyOf(calls)), handedIn.get(), delivered.size(),
+        ColdStartBudget budget = new ColdStartBudget(plan.capacity, COLD_FROM, COLD_MILLIS, FALL_MULTIPLE, TIP_MILLIS);
+        return new Result(budget.worstWindow(returned, List.copyOf(calls)), handedIn.get(), delivered.size(),
             inOutage);
     }
 
--- a/src/main/java/wrenkeel/soak/Ports.java
+++ b/src/main/java/wrenkeel/soak/PortAllocator.java
@@ -10,26 +10,26 @@
  * share it unseen: each soak has a loopback address of its own, made from its process number, and its ports
  * are none that the system gives to connections.
  */
-final class Ports {
-    private static final int FIRST = 12_000, LAST = 30_000;
+final class PortAllocator {
+    private static final int FIRST_PORT = 12_000, LAST_PORT = 30_000;
     /** First part of the address that is made, and the bits of the process number in the others. */
-    private static final int NETWORK = 127, REGION = 64, PART_BITS = 8, PART = 0xff, REGIONS = 0x3f;
+    private static final int FIRST_OCTET = 127, SECOND_OCTET_BASE = 64, OCTET_BITS = 8, OCTET_MASK = 0xff, SECOND_OCTET_PID_MASK = 0x3f;
 
-    private static int next = FIRST;
+    private static int nextPort = FIRST_PORT;
 
-    private Ports() { }
+    private PortAllocator() { }
 
-    private static InetAddress host() throws IOException {
+    private static InetAddress loopbackAddress() throws IOException {
         long pid = ProcessHandle.current().pid();
-        return InetAddress.getByAddress(new byte[] {NETWORK,
-            (byte) (REGION + (pid >> 2 * PART_BITS & REGIONS)), (byte) (pid >> PART_BITS & PART),
-            (byte) (pid & PART)});
+        return InetAddress.getByAddress(new byte[] {FIRST_OCTET,
+            (byte) (SECOND_OCTET_BASE + (pid >> 2 * OCTET_BITS & SECOND_OCTET_PID_MASK)), (byte) (pid >> OCTET_BITS & OCTET_MASK),
+            (byte) (pid & OCTET_MASK)});
     }
 
     /** An address at which nobody listens now, and that no other soak gives out. */
-    static synchronized InetSocketAddress free() throws IOException {
-        while (next < LAST) {
-            try (ServerSocket socket = new ServerSocket(next++, 1, host())) {
+    static synchronized InetSocketAddress allocate() throws IOException {
+        while (nextPort < LAST_PORT) {
+            try (ServerSocket socket = new ServerSocket(nextPort++, 1, loopbackAddress())) {
                 return new InetSocketAddress(socket.getInetAddress(), socket.getLocalPort());
             } catch (java.net.BindException e) {
                 // Taken; the next may be free.
--- a/src/main/java/wrenkeel/soak/RelayHandle.java
+++ b/src/main/java/wrenkeel/soak/RelayHandle.java
@@ -15,13 +15,13 @@
 
 /** One relay of a run: its process, its shim, and its links to the agent. */
 final class RelayHandle implements AutoCloseable {
-    private static final Duration START_MOST = Duration.ofSeconds(30);
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(30);
     /** ms from a start, or from when the folder could be written again, in which a relay must be ready. */
-    private static final long READY_WITHIN = 10_000;
-    private static final long KILL_AFTER_TERM = 3_700, START_AFTER_END = 600;
+    private static final long READY_WITHIN_MS = 10_000;
+    private static final long KILL_AFTER_TERM_MS = 3_700, RESTART_DELAY_MS = 600;
     /** ms after a reload for which the old address still serves its open connections. */
-    private static final long OLD_AGENT_SERVES = 1_500;
-    private static final String TRACE = "-Dorg.slf4j.simpleLogger.log.wrenkeel.trace=debug";
+    private static final long OLD_AGENT_SERVES_MS = 1_500;
+    private static final String TRACE_OPTION = "-Dorg.slf4j.simpleLogger.log.wrenkeel.trace=debug";
 
     final int number;
     final Shim shim;
@@ -32,31 +32,31 @@
     private final LongSupplier clock;
     private final History history;
     /** Its process ends or starts just now. */
-    private final AtomicBoolean changing = new AtomicBoolean();
-    private volatile int agentLink;
+    private final AtomicBoolean inTransition = new AtomicBoolean();
+    private volatile int currentAgentLink;
     private volatile long readyAt;
     /** Until when the folder cannot be written. */
     private volatile long folderFailsUntil;
 
     RelayHandle(int number, Path root, Path folder, Path library, RelaySettings settings, boolean trace,
-                InetSocketAddress agent, EventLoopGroup loops, LongSupplier clock, History history)
+                InetSocketAddress agent, EventLoopGroup eventLoops, LongSupplier clock, History history)
         throws IOException, InterruptedException {
         this.number = number;
         this.clock = clock;
         this.history = history;
         shim = new Shim(folder.resolve("shim." + number));
-        address = Ports.free();
-        agentLinks = new FaultProxy[] {new FaultProxy(loops, agent), new FaultProxy(loops, agent)};
+        address = PortAllocator.allocate();
+        agentLinks = new FaultProxy[] {new FaultProxy(eventLoops, agent), new FaultProxy(eventLoops, agent)};
         Map<String, String> environment = new HashMap<>(shim.environment(library));
         environment.put("EDGE_LISTEN", address.getAddress().getHostAddress() + ":" + address.getPort());
         if (trace) {
-            environment.put("JAVA_TOOL_OPTIONS", TRACE);
+            environment.put("JAVA_TOOL_OPTIONS", TRACE_OPTION);
         }
         process = new RelayProcess(root, settings, agentLinks[0].address(), null, environment);
     }
 
     FaultProxy agentLink() {
-        return agentLinks[agentLink];
+        return agentLinks[currentAgentLink];
     }
 
     String logs() throws IOException {
@@ -65,96 +65,96 @@
 
     /** Starts the process and waits until it serves; false, and told, where it does not. */
     boolean start() throws InterruptedException {
-        long begun = clock.getAsLong();
+        long startedAt = clock.getAsLong();
         try {
             process.start();
-            if (!process.awaitServing(START_MOST)) {
-                found("never ready", "within " + START_MOST.toSeconds() + " s");
+            if (!process.awaitServing(START_TIMEOUT)) {
+                addFinding("never ready", "within " + START_TIMEOUT.toSeconds() + " s");
                 return false;
             }
         } catch (IOException e) {
-            found("refused start", e.getMessage());
+            addFinding("refused start", e.getMessage());
             return false;
         }
         readyAt = clock.getAsLong();
-        long took = readyAt - Math.max(begun, folderFailsUntil);
-        if (took > READY_WITHIN) {
-            found("late ready", took + " ms");
+        long took = readyAt - Math.max(startedAt, folderFailsUntil);
+        if (took > READY_WITHIN_MS) {
+            addFinding("late ready", took + " ms");
         }
         return true;
     }
 
-    private void found(String rule, String detail) {
+    private void addFinding(String rule, String detail) {
         history.found(new Finding(rule, clock.getAsLong(), "relay " + number + ": " + detail));
     }
 
     /** Tells of a process that has ended though nobody told it to. */
-    void look() {
-        if (!changing.get() && readyAt > 0 && !process.alive() && changing.compareAndSet(false, true)) {
-            found("crashed", "the process is gone");
+    void checkAlive() {
+        if (!inTransition.get() && readyAt > 0 && !process.alive() && inTransition.compareAndSet(false, true)) {
+            addFinding("crashed", "the process is gone");
         }
     }
 
     /** Ends the process in one of the ways and starts it again; does nothing while that is under way. */
-    void replace(FaultKind how) throws IOException, InterruptedException {
-        if (!changing.compareAndSet(false, true)) {
+    void restart(FaultKind kind) throws IOException, InterruptedException {
+        if (!inTransition.compareAndSet(false, true)) {
             return;
         }
-        long from = clock.getAsLong();
-        switch (how) {
+        long signalledAt = clock.getAsLong();
+        switch (kind) {
             case TERMINATE -> {
                 process.beginEnd();
-                process.awaitEnd(Duration.ofMillis(KILL_AFTER_TERM));
+                process.awaitEnd(Duration.ofMillis(KILL_AFTER_TERM_MS));
             }
             case TERMINATE_TWICE, SIGNAL_SERIES -> {
                 process.beginEnd();
-                TimeUnit.MILLISECONDS.sleep(START_AFTER_END / 2);
+                TimeUnit.MILLISECONDS.sleep(RESTART_DELAY_MS / 2);
                 process.signal("HUP");
                 process.beginEnd();
-                process.awaitEnd(Duration.ofMillis(KILL_AFTER_TERM - START_AFTER_END / 2));
+                process.awaitEnd(Duration.ofMillis(KILL_AFTER_TERM_MS - RESTART_DELAY_MS / 2));
             }
             case KILL_WHILE_LEAVING -> {
                 process.beginEnd();
-                TimeUnit.MILLISECONDS.sleep(START_AFTER_END);
+                TimeUnit.MILLISECONDS.sleep(RESTART_DELAY_MS);
             }
             default -> { }
         }
-        boolean serves = killAndStart(from);
-        if (serves && how == FaultKind.SIGNAL_SERIES) {
-            TimeUnit.MILLISECONDS.sleep(START_AFTER_END);
+        boolean serves = killAndStart(signalledAt);
+        if (serves && kind == FaultKind.SIGNAL_SERIES) {
+            TimeUnit.MILLISECONDS.sleep(RESTART_DELAY_MS);
             serves = killAndStart(clock.getAsLong());
         }
         if (serves) {
-            changing.set(false);
+            inTransition.set(false);
         }
     }
 
     /** SIGKILL, and the next start; {@code from}: when the first signal came. False if it does not serve. */
-    private boolean killAndStart(long from) throws InterruptedException {
-        long gone = clock.getAsLong();
+    private boolean killAndStart(long signalledAt) throws InterruptedException {
+        long killedAt = clock.getAsLong();
         process.kill();
-        TimeUnit.MILLISECONDS.sleep(START_AFTER_END);
+        TimeUnit.MILLISECONDS.sleep(RESTART_DELAY_MS);
         boolean serves = start();
-        history.down(number, new History.Span(from, serves ? readyAt : Long.MAX_VALUE));
-        history.dead(number, new History.Span(gone, serves ? readyAt : Long.MAX_VALUE));
+        history.down(number, new History.Span(signalledAt, serves ? readyAt : Long.MAX_VALUE));
+        history.dead(number, new History.Span(killedAt, serves ? readyAt : Long.MAX_VALUE));
         return serves;
     }
 
     /** A new configuration that names another address of discovery; not in a process's first second. */
     void reload() throws IOException, InterruptedException {
-        if (clock.getAsLong() - readyAt < 1_000 || !changing.compareAndSet(false, true)) {
+        if (clock.getAsLong() - readyAt < 1_000 || !inTransition.compareAndSet(false, true)) {
             return;
         }
-        FaultProxy old = agentLinks[agentLink];
-        agentLink = 1 - agentLink;
-        agentLinks[agentLink].set(FaultProxy.Mode.PASS);
-        process.reload(agentLinks[agentLink].address());
-        changing.set(false);
-        TimeUnit.MILLISECONDS.sleep(OLD_AGENT_SERVES);
-        old.set(FaultProxy.Mode.RESET);
+        FaultProxy old = agentLinks[currentAgentLink];
+        currentAgentLink = 1 - currentAgentLink;
+        agentLinks[currentAgentLink].setMode(FaultProxy.Mode.FORWARD);
+        process.reload(agentLinks[currentAgentLink].address());
+        inTransition.set(false);
+        TimeUnit.MILLISECONDS.sleep(OLD_AGENT_SERVES_MS);
+        old.setMode(FaultProxy.Mode.RESET);
     }
 
-    void folderFailsUntil(long millis) {
+    void setFolderFailsUntil(long millis) {
         folderFailsUntil = Math.max(folderFailsUntil, millis);
     }
 
@@ -169,7 +169,7 @@
 
     @Override
     public void close() {
-        changing.set(true);
+        inTransition.set(true);
         process.close();
         for (FaultProxy link : agentLinks) {
             link.close();
--- a/src/main/java/wrenkeel/soak/SoakRun.java
+++ b/src/main/java/wrenkeel/soak/SoakRun.java
@@ -169,7 +169,7 @@
 
     private void look() {
         while (!Thread.currentThread().isInterrupted()) {
-            relays.forEach(RelayHandle::look);
+            relays.forEach(RelayHandle::checkAlive);
             try {
                 TimeUnit.MILLISECONDS.sleep(STEP_MILLIS);
             } catch (InterruptedException e) {
@@ -273,7 +273,7 @@
         Shim shim = relay.shim;
         switch (t.kind()) {
             case KILL, TERMINATE, TERMINATE_TWICE, KILL_WHILE_LEAVING, SIGNAL_SERIES ->
-                relay.replace(t.kind());
+                relay.restart(t.kind());
             case RELOAD -> relay.reload();
             case PAUSES -> repeat(t, 2 * PAUSE_MILLIS, () -> relay.pause(PAUSE_MILLIS));
             case CLOCK_FORWARD, CLOCK_BACK -> {
@@ -300,15 +300,15 @@
                 shim.set(Shim.Word.PAUSE_MS, (int) PAUSE_MILLIS);
                 repeat(t, 2 * PAUSE_MILLIS, () -> shim.set(Shim.Word.PAUSE_COUNT, 1));
             }
-            case AGENT_SILENT -> repeat(t, 15 * STEP_MILLIS, () -> relay.agentLink().freezeOpen());
+            case AGENT_SILENT -> repeat(t, 15 * STEP_MILLIS, () -> relay.agentLink().freezeOpenConnections());
             case AGENT_RESETS -> {
                 FaultProxy link = relay.agentLink();
-                link.set(FaultProxy.Mode.RESET);
+                link.setMode(FaultProxy.Mode.RESET);
                 TimeUnit.MILLISECONDS.sleep(t.durationMillis());
-                link.set(FaultProxy.Mode.PASS);
+                link.setMode(FaultProxy.Mode.FORWARD);
             }
             case CROWD -> {
-                try (Crowd crowd = new Crowd(relay.address)) {
+                try (ConnectionFlood crowd = new ConnectionFlood(relay.address)) {
                     TimeUnit.MILLISECONDS.sleep(t.durationMillis());
                 }
             }
@@ -318,19 +318,19 @@
     }
 
     private void badClient(RelayHandle relay) {
-        BadClient.Sort[] sorts = BadClient.Sort.values();
-        BadClient.Sort sort = sorts[(int) (now() / STEP_MILLIS % sorts.length)];
+        BadClient.Payload[] sorts = BadClient.Payload.values();
+        BadClient.Payload sort = sorts[(int) (now() / STEP_MILLIS % sorts.length)];
         tasks.submit(new BadClient(relay.number, relay.address, sort, this::now, history));
     }
 
     private void failFolder(RelayHandle relay, Fault t) throws InterruptedException {
         boolean full = t.kind() == FaultKind.FOLDER_FULL;
-        relay.folderFailsUntil(now() + t.durationMillis());
+        relay.setFolderFailsUntil(now() + t.durationMillis());
         relay.shim.set(Shim.Word.FILE_HALF, full ? 0 : 1);
         relay.shim.set(Shim.Word.FILE_ERRNO, full ? Shim.ENOSPC : Shim.EIO);
         TimeUnit.MILLISECONDS.sleep(t.durationMillis());
         relay.shim.set(Shim.Word.FILE_ERRNO, 0);
-        relay.folderFailsUntil(now());
+        relay.setFolderFailsUntil(now());
     }
 
     private void trouble(int endpoint, Fault t) throws InterruptedException {
@@ -355,9 +355,9 @@
                 draining.remove(endpoint);
                 return;
             }
-            case LINK_SILENT -> setFor(link, FaultProxy.Mode.SILENT, t);
-            case LINK_CUTS -> setFor(link, FaultProxy.Mode.CUT, t);
-            case LINK_LATE -> setFor(link, FaultProxy.Mode.LATE, t);
+            case LINK_SILENT -> setFor(link, FaultProxy.Mode.STALL, t);
+            case LINK_CUTS -> setFor(link, FaultProxy.Mode.TRUNCATE, t);
+            case LINK_LATE -> setFor(link, FaultProxy.Mode.DELAY, t);
             default -> throw new IllegalArgumentException(t.toString());
         }
         history.link(endpoint, new History.Span(from, now() + 1_000));
@@ -377,9 +377,9 @@
     }
 
     private static void setFor(FaultProxy link, FaultProxy.Mode mode, Fault t) throws InterruptedException {
-        link.set(mode);
+        link.setMode(mode);
         TimeUnit.MILLISECONDS.sleep(t.durationMillis());
-        link.set(FaultProxy.Mode.PASS);
+        link.setMode(FaultProxy.Mode.FORWARD);
     }
 
     // ---- What the stand-ins see -----------------------------------------------------------------
