--- a/src/main/java/wrenkeel/soak/BadClient.java
+++ b/src/main/java/wrenkeel/soak/BadClient.java
@@ -59,6 +59,6 @@
         } catch (IOException e) {
             ended = clock.getAsLong();
         }
-        history.badPeer(new History.BadPeer(relay, payload.name(), connected, ended));
+        history.recordBadClient(new History.BadClientResult(relay, payload.name(), connected, ended));
     }
 }
--- a/src/main/java/wrenkeel/soak/History.java
+++ b/src/main/java/wrenkeel/soak/History.java
@@ -23,76 +23,76 @@
         final int relay;
         final int destination;
         final Effect effect;
-        final long windowMillis;
-        final long handedInAt;
-        final long lifeMillis;
+        final long dedupWindowMillis;
+        final long submittedAt;
+        final long lifetimeMillis;
         /** Status of the answer; 0 for none. */
         int status;
         /** When the handing in ended; -1 while it has not. */
-        long endedAt = -1;
+        long requestEndedAt = -1;
         /** The connection ended on the request after its last byte was written. */
-        boolean cutOff;
+        boolean connectionLost;
         /** When calls with it began to run, or may have. */
-        final List<Long> runs = new ArrayList<>();
-        final List<Long> delivered = new ArrayList<>();
+        final List<Long> executions = new ArrayList<>();
+        final List<Long> deliveries = new ArrayList<>();
         final List<Long> notices = new ArrayList<>();
-        boolean handedBack;
+        boolean returned;
 
-        Message(String id, int relay, int destination, Effect effect, long windowMillis, long handedInAt,
-                long lifeMillis) {
+        Message(String id, int relay, int destination, Effect effect, long dedupWindowMillis, long submittedAt,
+                long lifetimeMillis) {
             this.id = id;
             this.relay = relay;
             this.destination = destination;
             this.effect = effect;
-            this.windowMillis = windowMillis;
-            this.handedInAt = handedInAt;
-            this.lifeMillis = lifeMillis;
+            this.dedupWindowMillis = dedupWindowMillis;
+            this.submittedAt = submittedAt;
+            this.lifetimeMillis = lifetimeMillis;
         }
 
-        boolean takenOn() {
+        boolean isAccepted() {
             return status == 200 || status == 202;
         }
     }
 
-    /** A call that an endpoint got. {@code waitMillis}: what its answer told to wait; 0 for nothing. */
-    record Call(int relay, int endpoint, int destination, String id, long at, long waitMillis) { }
+    /** A call that an endpoint got. {@code retryAfterMillis}: what its answer told to wait; 0 for nothing. */
+    record Call(int relay, int endpoint, int destination, String messageId, long atMillis, long retryAfterMillis) { }
 
     /** A span in which something was so; {@code to} is {@link Long#MAX_VALUE} while it lasts. */
-    record Span(long from, long to) {
+    record Interval(long from, long to) {
         boolean overlaps(long begin, long end) {
             return from <= end && to >= begin;
         }
     }
 
     /** A peer that sent no proper request, and when it had an error or a close; -1 for never. */
-    record BadPeer(int relay, String sort, long connectedAt, long endedAt) { }
+    record BadClientResult(int relay, String payload, long connectedAt, long endedAt) { }
 
     private final Map<String, Message> messages = new HashMap<>();
     private final List<Call> calls = new ArrayList<>();
-    private final List<BadPeer> badPeers = new ArrayList<>();
-    private final List<Finding> seen = new ArrayList<>();
+    private final List<BadClientResult> badClients = new ArrayList<>();
+    private final List<Finding> findings = new ArrayList<>();
     /** By relay: from a signal that ends the process until the next one serves. */
-    private final Map<Integer, List<Span>> down = new HashMap<>();
+    private final Map<Integer, List<Interval>> downtimes = new HashMap<>();
     /** By relay: from SIGKILL, or the process's own end, until the next one serves. */
-    private final Map<Integer, List<Span>> dead = new HashMap<>();
+    private final Map<Integer, List<Interval>> processAbsences = new HashMap<>();
     /** By relay: its process, machine or agent was in trouble. */
-    private final Map<Integer, List<Span>> troubled = new HashMap<>();
+    private final Map<Integer, List<Interval>> relayFaults = new HashMap<>();
     /** By relay: reads of its sockets failed, which ends connections of clients. */
-    private final Map<Integer, List<Span>> cut = new HashMap<>();
+    private final Map<Integer, List<Interval>> readFailures = new HashMap<>();
     /** By relay: idle clients took all places, new connections may be shut unread. */
-    private final Map<Integer, List<Span>> crowded = new HashMap<>();
+    private final Map<Integer, List<Interval>> floods = new HashMap<>();
     /** By endpoint: its outages, after each of which it is cold. */
-    private final Map<Integer, List<Span>> outages = new HashMap<>();
+    private final Map<Integer, List<Interval>> outages = new HashMap<>();
     /** By endpoint: calls a second that it takes when warm. */
     private final Map<Integer, Double> capacities = new HashMap<>();
     /** By relay: nothing could be told to its agent. */
-    private final Map<Integer, List<Span>> untold = new HashMap<>();
+    private final Map<Integer, List<Interval>> agentOutages = new HashMap<>();
     /** By endpoint: its link or itself was in trouble. */
-    private final Map<Integer, List<Span>> links = new HashMap<>();
+    private final Map<Integer, List<Interval>> linkFaults = new HashMap<>();
     /** By endpoint: draining by the list. */
-    private final Map<Integer, List<Span>> draining = new HashMap<>();
+    private final Map<Integer, List<Interval>> drains = new HashMap<>();
 
-    synchronized void handedIn(Message message) {
+    synchronized void recordSubmission(Message message) {
         messages.put(message.id, message);
     }
 
@@ -100,83 +100,83 @@
         return messages.get(id);
     }
 
-    synchronized void ended(String id, int status, boolean cutOff, long at) {
+    synchronized void recordRequestEnd(String id, int status, boolean connectionLost, long atMillis) {
         Message message = messages.get(id);
         message.status = status;
-        message.cutOff = cutOff;
-        message.endedAt = at;
+        message.connectionLost = connectionLost;
+        message.requestEndedAt = atMillis;
     }
 
-    synchronized void called(Call call, boolean runs) {
+    synchronized void recordCall(Call call, boolean mayExecute) {
         calls.add(call);
-        Message message = messages.get(call.id);
-        if (message != null && runs) {
-            message.runs.add(call.at);
+        Message message = messages.get(call.messageId);
+        if (message != null && mayExecute) {
+            message.executions.add(call.atMillis);
         }
     }
 
-    synchronized void delivered(String id, long at) {
+    synchronized void recordDelivery(String id, long atMillis) {
         Message message = messages.get(id);
         if (message != null) {
-            message.delivered.add(at);
+            message.deliveries.add(atMillis);
         }
     }
 
-    synchronized void noticed(String id, boolean handedBack, long at) {
+    synchronized void recordNotice(String id, boolean returned, long atMillis) {
         Message message = messages.get(id);
         if (message != null) {
-            message.notices.add(at);
-            message.handedBack |= handedBack;
+            message.notices.add(atMillis);
+            message.returned |= returned;
         }
     }
 
-    synchronized void badPeer(BadPeer peer) {
-        badPeers.add(peer);
+    synchronized void recordBadClient(BadClientResult client) {
+        badClients.add(client);
     }
 
     /** Something that the run itself has seen to break a rule. */
-    synchronized void found(Finding finding) {
-        seen.add(finding);
+    synchronized void addFinding(Finding finding) {
+        findings.add(finding);
     }
 
-    synchronized void down(int relay, Span span) {
-        down.computeIfAbsent(relay, r -> new ArrayList<>()).add(span);
+    synchronized void downtimes(int relay, Interval interval) {
+        downtimes.computeIfAbsent(relay, r -> new ArrayList<>()).add(interval);
     }
 
-    synchronized void dead(int relay, Span span) {
-        dead.computeIfAbsent(relay, r -> new ArrayList<>()).add(span);
+    synchronized void processAbsences(int relay, Interval interval) {
+        processAbsences.computeIfAbsent(relay, r -> new ArrayList<>()).add(interval);
     }
 
-    synchronized void troubled(int relay, Span span) {
-        troubled.computeIfAbsent(relay, r -> new ArrayList<>()).add(span);
+    synchronized void relayFaults(int relay, Interval interval) {
+        relayFaults.computeIfAbsent(relay, r -> new ArrayList<>()).add(interval);
     }
 
-    synchronized void cut(int relay, Span span) {
-        cut.computeIfAbsent(relay, r -> new ArrayList<>()).add(span);
+    synchronized void readFailures(int relay, Interval interval) {
+        readFailures.computeIfAbsent(relay, r -> new ArrayList<>()).add(interval);
     }
 
-    synchronized void crowded(int relay, Span span) {
-        crowded.computeIfAbsent(relay, r -> new ArrayList<>()).add(span);
+    synchronized void floods(int relay, Interval interval) {
+        floods.computeIfAbsent(relay, r -> new ArrayList<>()).add(interval);
     }
 
-    synchronized void outage(int endpoint, Span span) {
-        outages.computeIfAbsent(endpoint, e -> new ArrayList<>()).add(span);
+    synchronized void recordOutage(int endpoint, Interval interval) {
+        outages.computeIfAbsent(endpoint, e -> new ArrayList<>()).add(interval);
     }
 
-    synchronized void capacity(int endpoint, double callsPerSecond) {
+    synchronized void recordCapacity(int endpoint, double callsPerSecond) {
         capacities.put(endpoint, callsPerSecond);
     }
 
-    synchronized void untold(int relay, Span span) {
-        untold.computeIfAbsent(relay, r -> new ArrayList<>()).add(span);
+    synchronized void agentOutages(int relay, Interval interval) {
+        agentOutages.computeIfAbsent(relay, r -> new ArrayList<>()).add(interval);
     }
 
-    synchronized void link(int endpoint, Span span) {
-        links.computeIfAbsent(endpoint, e -> new ArrayList<>()).add(span);
+    synchronized void recordLinkFault(int endpoint, Interval interval) {
+        linkFaults.computeIfAbsent(endpoint, e -> new ArrayList<>()).add(interval);
     }
 
-    synchronized void draining(int endpoint, Span span) {
-        draining.computeIfAbsent(endpoint, e -> new ArrayList<>()).add(span);
+    synchronized void drains(int endpoint, Interval interval) {
+        drains.computeIfAbsent(endpoint, e -> new ArrayList<>()).add(interval);
     }
 
     synchronized List<Message> messages() {
@@ -187,35 +187,35 @@
         return List.copyOf(calls);
     }
 
-    synchronized List<BadPeer> badPeers() {
-        return List.copyOf(badPeers);
+    synchronized List<BadClientResult> badClients() {
+        return List.copyOf(badClients);
     }
 
-    synchronized List<Finding> seen() {
-        return List.copyOf(seen);
+    synchronized List<Finding> findings() {
+        return List.copyOf(findings);
     }
 
-    synchronized List<Span> down(int relay) {
-        return List.copyOf(down.getOrDefault(relay, List.of()));
+    synchronized List<Interval> downtimes(int relay) {
+        return List.copyOf(downtimes.getOrDefault(relay, List.of()));
     }
 
-    synchronized List<Span> dead(int relay) {
-        return List.copyOf(dead.getOrDefault(relay, List.of()));
+    synchronized List<Interval> processAbsences(int relay) {
+        return List.copyOf(processAbsences.getOrDefault(relay, List.of()));
     }
 
-    synchronized List<Span> troubled(int relay) {
-        return List.copyOf(troubled.getOrDefault(relay, List.of()));
+    synchronized List<Interval> relayFaults(int relay) {
+        return List.copyOf(relayFaults.getOrDefault(relay, List.of()));
     }
 
-    synchronized List<Span> cut(int relay) {
-        return List.copyOf(cut.getOrDefault(relay, List.of()));
+    synchronized List<Interval> readFailures(int relay) {
+        return List.copyOf(readFailures.getOrDefault(relay, List.of()));
     }
 
-    synchronized List<Span> crowded(int relay) {
-        return List.copyOf(crowded.getOrDefault(relay, List.of()));
+    synchronized List<Interval> floods(int relay) {
+        return List.copyOf(floods.getOrDefault(relay, List.of()));
     }
 
-    synchronized Map<Integer, List<Span>> outages() {
+    synchronized Map<Integer, List<Interval>> outages() {
         return Map.copyOf(outages);
     }
 
@@ -223,15 +223,15 @@
         return Map.copyOf(capacities);
     }
 
-    synchronized List<Span> untold(int relay) {
-        return List.copyOf(untold.getOrDefault(relay, List.of()));
+    synchronized List<Interval> agentOutages(int relay) {
+        return List.copyOf(agentOutages.getOrDefault(relay, List.of()));
     }
 
-    synchronized List<Span> links(int endpoint) {
-        return List.copyOf(links.getOrDefault(endpoint, List.of()));
+    synchronized List<Interval> linkFaults(int endpoint) {
+        return List.copyOf(linkFaults.getOrDefault(endpoint, List.of()));
     }
 
-    synchronized Map<Integer, List<Span>> draining() {
-        return Map.copyOf(draining);
+    synchronized Map<Integer, List<Interval>> drains() {
+        return Map.copyOf(drains);
     }
 }
--- a/src/main/java/wrenkeel/soak/RelayHandle.java
+++ b/src/main/java/wrenkeel/soak/RelayHandle.java
@@ -85,7 +85,7 @@
     }
 
     private void addFinding(String rule, String detail) {
-        history.found(new Finding(rule, clock.getAsLong(), "relay " + number + ": " + detail));
+        history.addFinding(new Finding(rule, clock.getAsLong(), "relay " + number + ": " + detail));
     }
 
     /** Tells of a process that has ended though nobody told it to. */
@@ -135,8 +135,8 @@
         process.kill();
         TimeUnit.MILLISECONDS.sleep(RESTART_DELAY_MS);
         boolean serves = start();
-        history.down(number, new History.Span(signalledAt, serves ? readyAt : Long.MAX_VALUE));
-        history.dead(number, new History.Span(killedAt, serves ? readyAt : Long.MAX_VALUE));
+        history.downtimes(number, new History.Interval(signalledAt, serves ? readyAt : Long.MAX_VALUE));
+        history.processAbsences(number, new History.Interval(killedAt, serves ? readyAt : Long.MAX_VALUE));
         return serves;
     }
 
--- a/src/main/java/wrenkeel/soak/SoakRun.java
+++ b/src/main/java/wrenkeel/soak/SoakRun.java
@@ -112,10 +112,10 @@
             .filter(other -> HostCatalog.destination(other) == destination).count();
         double mean = traffic.share(destination) * EVENTS_PER_SECOND * relayCount / siblings;
         double capacity = CAPACITY_OVER_TRAFFIC * mean;
-        history.capacity(endpoint, capacity);
+        history.recordCapacity(endpoint, capacity);
         destinations.behave(endpoint, EndpointModel.Behaviour.unlimited(ANSWER_MICROS, ANSWER_SIGMA)
             .with(new EndpointModel.Limit(capacity, 1_000, false, false))
-            .with(new EndpointModel.Cold(Oracle.COLD_FROM, Oracle.COLD_MILLIS, 0, Oracle.TIP_MILLIS, 0)));
+            .with(new EndpointModel.Cold(Oracle.COLD_CAPACITY_SHARE, Oracle.COLD_MS, 0, Oracle.OVERLOAD_WINDOW_MS, 0)));
     }
 
     Schedule schedule() {
@@ -158,7 +158,7 @@
         TimeUnit.MILLISECONDS.sleep(TAIL_MILLIS);
         looking.cancel(true);
         readCounters();
-        return Oracle.judge(history);
+        return Oracle.check(history);
     }
 
     private static void await(List<? extends Future<?>> all) throws InterruptedException, ExecutionException {
@@ -186,11 +186,11 @@
                     + "(SENT_|REPEATED_|ENDED_|CLOSED_).*") || line.contains("could not carry out")
                     || line.contains("turn failed"))
                     // Not where the links kept an end from the agent: the oracle judges those.
-                    .filter(line -> !line.contains("ENDED_LATE") || history.untold(relay.number).isEmpty())
-                    .forEach(line -> history.found(new Finding("relay's own counter", now(),
+                    .filter(line -> !line.contains("ENDED_LATE") || history.agentOutages(relay.number).isEmpty())
+                    .forEach(line -> history.addFinding(new Finding("relay's own counter", now(),
                         "relay " + relay.number + ": " + line)));
             } catch (IOException e) {
-                history.found(new Finding("no log", now(), "relay " + relay.number + ": " + e));
+                history.addFinding(new Finding("no log", now(), "relay " + relay.number + ": " + e));
             }
         }
     }
@@ -207,11 +207,11 @@
 
     String summary() {
         List<History.Message> all = history.messages();
-        long taken = all.stream().filter(History.Message::takenOn).count();
-        long delivered = all.stream().filter(m -> !m.delivered.isEmpty()).count();
+        long taken = all.stream().filter(History.Message::isAccepted).count();
+        long delivered = all.stream().filter(m -> !m.deliveries.isEmpty()).count();
         long refused = all.stream().filter(m -> m.status == 429 || m.status == 503).count();
         return all.size() + " messages, " + taken + " taken on, " + delivered + " delivered, " + refused
-            + " refused, " + history.calls().size() + " calls, " + history.badPeers().size() + " bad peers";
+            + " refused, " + history.calls().size() + " calls, " + history.badClients().size() + " bad peers";
     }
 
     // ---- Troubles -------------------------------------------------------------------------------
@@ -225,27 +225,27 @@
             RelayHandle relay = relays.get(t.targetNumber());
             trouble(relay, t);
             if (!t.kind().endsProcess()) {
-                record(relay.number, t.kind(), new History.Span(from, now()));
+                record(relay.number, t.kind(), new History.Interval(from, now()));
             }
         } else {
             trouble(t.targetNumber(), t);
         }
     }
 
-    private void record(int relay, FaultKind kind, History.Span span) {
+    private void record(int relay, FaultKind kind, History.Interval span) {
         switch (kind) {
             case READ_FAILS -> {
-                history.cut(relay, span);
-                history.troubled(relay, span);
-                history.untold(relay, span);
+                history.readFailures(relay, span);
+                history.relayFaults(relay, span);
+                history.agentOutages(relay, span);
             }
             case AGENT_RESETS -> {
-                history.troubled(relay, span);
-                history.untold(relay, span);
+                history.relayFaults(relay, span);
+                history.agentOutages(relay, span);
             }
-            case CROWD -> history.crowded(relay, span);
+            case CROWD -> history.floods(relay, span);
             case RELOAD, AGENT_SILENT, CONNECT_FAILS, SOCKET_FAILS, LATE_WRITES, PAUSES, SHORT_CALLS ->
-                history.troubled(relay, span);
+                history.relayFaults(relay, span);
             default -> { }
         }
     }
@@ -350,7 +350,7 @@
                 }
                 agent.change(endpoint, HostCatalog.Health.DRAINING);
                 TimeUnit.MILLISECONDS.sleep(t.durationMillis());
-                history.draining(endpoint, new History.Span(from, now()));
+                history.drains(endpoint, new History.Interval(from, now()));
                 agent.change(endpoint, HostCatalog.Health.READY);
                 draining.remove(endpoint);
                 return;
@@ -360,7 +360,7 @@
             case LINK_LATE -> setFor(link, FaultProxy.Mode.DELAY, t);
             default -> throw new IllegalArgumentException(t.toString());
         }
-        history.link(endpoint, new History.Span(from, now() + 1_000));
+        history.recordLinkFault(endpoint, new History.Interval(from, now() + 1_000));
     }
 
     private void standFor(int endpoint, EndpointModel.Standing standing, Fault t)
@@ -372,7 +372,7 @@
         destinations.stand(endpoint, standing);
         TimeUnit.MILLISECONDS.sleep(t.durationMillis());
         destinations.stand(endpoint, EndpointModel.Standing.SERVING);
-        history.outage(endpoint, new History.Span(from, now()));
+        history.recordOutage(endpoint, new History.Interval(from, now()));
         out.remove(endpoint);
     }
 
@@ -396,13 +396,13 @@
                 default -> History.Effect.UNSAFE;
             };
             long window = PROFILES.get(0).window();
-            history.handedIn(new History.Message(id.text(), relay(id), destination, effect, window,
+            history.recordSubmission(new History.Message(id.text(), relay(id), destination, effect, window,
                 at(id.dueNanos()), kind.lifeMillis()));
         }
 
         @Override
         public void ended(MessageId id, Ending ending, int status, boolean written) {
-            history.ended(id.text(), status, ending == Ending.BROKEN_OFF && written, now());
+            history.recordRequestEnd(id.text(), status, ending == Ending.BROKEN_OFF && written, now());
         }
     }
 
@@ -410,31 +410,31 @@
         @Override
         public void called(int endpoint, MessageId id, EndpointModel.Verdict verdict, long nowNanos) {
             if (id == null) {
-                history.found(new Finding("made up", at(nowNanos), "a call with an id that no client wrote"));
+                history.addFinding(new Finding("made up", at(nowNanos), "a call with an id that no client wrote"));
                 return;
             }
             boolean runs = verdict.status() == 200 || verdict.status() == 0;
-            history.called(new History.Call(relay(id), endpoint, HostCatalog.destination(endpoint), id.text(),
+            history.recordCall(new History.Call(relay(id), endpoint, HostCatalog.destination(endpoint), id.text(),
                 at(nowNanos), verdict.waitMillis()), runs);
             History.Message message = history.message(id.text());
             if (message == null || message.destination != HostCatalog.destination(endpoint)) {
-                history.found(new Finding("made up", at(nowNanos), "message " + id.text() + " at endpoint "
+                history.addFinding(new Finding("made up", at(nowNanos), "message " + id.text() + " at endpoint "
                     + endpoint));
             }
         }
 
         @Override
         public void delivered(int endpoint, MessageId id, long nowNanos) {
-            history.delivered(id.text(), at(nowNanos));
+            history.recordDelivery(id.text(), at(nowNanos));
         }
     }
 
     private void noticed(String line) {
         try {
             Wire.Fields notice = Wire.decode(line);
-            history.noticed(notice.text("message"), notice.text("outcome").equals("handed_back"), now());
+            history.recordNotice(notice.text("message"), notice.text("outcome").equals("handed_back"), now());
         } catch (Wire.Malformed e) {
-            history.found(new Finding("unreadable notice", now(), line));
+            history.addFinding(new Finding("unreadable notice", now(), line));
         }
     }
 
--- a/src/test/java/wrenkeel/soak/OracleTest.java
+++ b/src/test/java/wrenkeel/soak/OracleTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import wrenkeel.soak.History.Effect;
-import wrenkeel.soak.History.Span;
+import wrenkeel.soak.History.Interval;
 
 /** The oracle on made records: each rule is found broken, and what the tool itself caused is not. */
 class OracleTest {
@@ -13,156 +13,156 @@
 
     private final History history = new History();
 
-    private History.Message takenOn(String id, Effect effect, long at, long life) {
-        History.Message message = new History.Message(id, RELAY, DESTINATION, effect, 3_000, at, life);
-        history.handedIn(message);
-        history.ended(id, 202, false, at + 1);
+    private History.Message accept(String id, Effect effect, long atMillis, long lifetimeMillis) {
+        History.Message message = new History.Message(id, RELAY, DESTINATION, effect, 3_000, atMillis, lifetimeMillis);
+        history.recordSubmission(message);
+        history.recordRequestEnd(id, 202, false, atMillis + 1);
         return message;
     }
 
-    private void call(String id, long at, long waitMillis, boolean runs) {
-        history.called(new History.Call(RELAY, ENDPOINT, DESTINATION, id, at, waitMillis), runs);
+    private void recordCall(String id, long atMillis, long retryAfterMillis, boolean mayExecute) {
+        history.recordCall(new History.Call(RELAY, ENDPOINT, DESTINATION, id, atMillis, retryAfterMillis), mayExecute);
     }
 
-    private List<String> broken() {
-        return Oracle.judge(history).stream().map(Finding::rule).toList();
+    private List<String> brokenRules() {
+        return Oracle.check(history).stream().map(Finding::rule).toList();
     }
 
     @Test
-    void aDeliveredMessageAndOneGivenUpInTimeAreWell() {
-        takenOn("a", Effect.UNSAFE, 100, 2_000);
-        call("a", 150, 0, true);
-        history.delivered("a", 200);
-        takenOn("b", Effect.KEYED, 100, 2_000);
-        history.noticed("b", false, 2_300);
-        assertEquals(List.of(), broken());
+    void deliveryOrTimelyFailureNoticeBreaksNoRule() {
+        accept("a", Effect.UNSAFE, 100, 2_000);
+        recordCall("a", 150, 0, true);
+        history.recordDelivery("a", 200);
+        accept("b", Effect.KEYED, 100, 2_000);
+        history.recordNotice("b", false, 2_300);
+        assertEquals(List.of(), brokenRules());
     }
 
     @Test
-    void aMessageWithoutAnEndIsLostAndALateEndIsLate() {
-        takenOn("a", Effect.SAFE, 100, 2_000);
-        assertEquals(List.of("lost"), broken());
-        history.noticed("a", false, 3_500);
-        assertEquals(List.of("end too late"), broken());
+    void reportsMissingEndAsLostAndOverdueEndAsTooLate() {
+        accept("a", Effect.SAFE, 100, 2_000);
+        assertEquals(List.of("lost"), brokenRules());
+        history.recordNotice("a", false, 3_500);
+        assertEquals(List.of("end too late"), brokenRules());
     }
 
     @Test
-    void aRestartPutsOffTheEndUntilAMomentAfterItIsReady() {
-        takenOn("a", Effect.SAFE, 100, 2_000);
-        history.noticed("a", false, 4_400);
-        history.down(RELAY, new Span(1_000, 3_000));
-        assertEquals(List.of(), broken());
+    void restartExtendsTheDueTimeOfAnEnd() {
+        accept("a", Effect.SAFE, 100, 2_000);
+        history.recordNotice("a", false, 4_400);
+        history.downtimes(RELAY, new Interval(1_000, 3_000));
+        assertEquals(List.of(), brokenRules());
     }
 
     @Test
-    void anUnsafeMessageMayRunOnce() {
-        takenOn("a", Effect.UNSAFE, 100, 2_000);
-        call("a", 150, 0, true);
-        call("a", 900, 0, true);
-        history.delivered("a", 950);
-        assertEquals(List.of("run again"), broken());
+    void reportsSecondExecutionOfUnsafeMessage() {
+        accept("a", Effect.UNSAFE, 100, 2_000);
+        recordCall("a", 150, 0, true);
+        recordCall("a", 900, 0, true);
+        history.recordDelivery("a", 950);
+        assertEquals(List.of("run again"), brokenRules());
     }
 
     @Test
-    void aKeyedMessageMayRunAgainWithinItsWindow() {
-        takenOn("a", Effect.KEYED, 100, 6_000);
-        call("a", 150, 0, true);
-        call("a", 3_100, 0, true);
-        history.delivered("a", 3_150);
-        assertEquals(List.of(), broken());
-        call("a", 3_300, 0, true);
-        assertEquals(List.of("run again"), broken());
+    void reportsRepeatOfKeyedMessageOnlyOutsideItsDedupWindow() {
+        accept("a", Effect.KEYED, 100, 6_000);
+        recordCall("a", 150, 0, true);
+        recordCall("a", 3_100, 0, true);
+        history.recordDelivery("a", 3_150);
+        assertEquals(List.of(), brokenRules());
+        recordCall("a", 3_300, 0, true);
+        assertEquals(List.of("run again"), brokenRules());
     }
 
     @Test
-    void whatMayHaveRunIsNotHandedBackIfItIsUnsafe() {
-        takenOn("a", Effect.UNSAFE, 100, 2_000);
-        call("a", 150, 0, true);
-        history.noticed("a", true, 1_000);
-        assertEquals(List.of("handed back although it may have run"), broken());
+    void reportsReturnOfUnsafeMessageThatMayHaveRun() {
+        accept("a", Effect.UNSAFE, 100, 2_000);
+        recordCall("a", 150, 0, true);
+        history.recordNotice("a", true, 1_000);
+        assertEquals(List.of("handed back although it may have run"), brokenRules());
     }
 
     @Test
-    void aWaitBindsTheDestinationButNotAcrossARestart() {
-        takenOn("a", Effect.SAFE, 100, 5_000);
-        call("a", 150, 2_000, false);
-        call("a", 1_000, 0, true);
-        history.delivered("a", 1_050);
-        assertEquals(List.of("sent within a wait"), broken());
-        history.down(RELAY, new Span(300, 900));
-        assertEquals(List.of(), broken());
+    void reportsCallBeforeRetryAfterUnlessTheRelayRestarted() {
+        accept("a", Effect.SAFE, 100, 5_000);
+        recordCall("a", 150, 2_000, false);
+        recordCall("a", 1_000, 0, true);
+        history.recordDelivery("a", 1_050);
+        assertEquals(List.of("sent within a wait"), brokenRules());
+        history.downtimes(RELAY, new Interval(300, 900));
+        assertEquals(List.of(), brokenRules());
     }
 
     @Test
-    void aDrainBindsAfterItIsToldAndLaterWhereTheRelayWasInTrouble() {
-        history.draining(ENDPOINT, new Span(1_000, 12_000));
-        takenOn("a", Effect.SAFE, 100, 9_000);
-        call("a", 4_000, 0, true);
-        history.delivered("a", 4_050);
-        assertEquals(List.of("sent while draining"), broken());
-        history.troubled(RELAY, new Span(900, 2_000));
-        assertEquals(List.of(), broken());
-        call("a", 8_800, 0, true);
-        assertEquals(List.of("sent while draining"), broken());
+    void reportsCallToDrainingEndpointLaterIfTheRelayHadAFault() {
+        history.drains(ENDPOINT, new Interval(1_000, 12_000));
+        accept("a", Effect.SAFE, 100, 9_000);
+        recordCall("a", 4_000, 0, true);
+        history.recordDelivery("a", 4_050);
+        assertEquals(List.of("sent while draining"), brokenRules());
+        history.relayFaults(RELAY, new Interval(900, 2_000));
+        assertEquals(List.of(), brokenRules());
+        recordCall("a", 8_800, 0, true);
+        assertEquals(List.of("sent while draining"), brokenRules());
     }
 
     @Test
-    void aConnectionCutOffByALivingRelayIsFound() {
-        history.handedIn(new History.Message("a", RELAY, DESTINATION, Effect.SAFE, 0, 100, 2_000));
-        history.ended("a", 0, true, 150);
-        assertEquals(List.of("closed unanswered"), broken());
-        history.dead(RELAY, new Span(140, 900));
-        assertEquals(List.of(), broken());
+    void reportsConnectionClosedUnansweredUnlessTheRelayWasKilled() {
+        history.recordSubmission(new History.Message("a", RELAY, DESTINATION, Effect.SAFE, 0, 100, 2_000));
+        history.recordRequestEnd("a", 0, true, 150);
+        assertEquals(List.of("closed unanswered"), brokenRules());
+        history.processAbsences(RELAY, new Interval(140, 900));
+        assertEquals(List.of(), brokenRules());
     }
 
     @Test
-    void aColdEndpointBearsOnlySoManyCallsOfAllRelaysTogether() {
-        history.capacity(ENDPOINT, 20);
-        history.outage(ENDPOINT, new Span(4_000, 10_000));
+    void reportsColdEndpointOverrunByAllRelaysTogether() {
+        history.recordCapacity(ENDPOINT, 20);
+        history.recordOutage(ENDPOINT, new Interval(4_000, 10_000));
         for (int i = 0; i < 31; i++) {
-            history.called(new History.Call(i, ENDPOINT, DESTINATION, "m" + i, 10_000 + i * 60, 0), false);
+            history.recordCall(new History.Call(i, ENDPOINT, DESTINATION, "m" + i, 10_000 + i * 60, 0), false);
         }
-        assertEquals(List.of(), broken(), "16 calls, 3 roots of that and 3 more");
-        history.called(new History.Call(31, ENDPOINT, DESTINATION, "m31", 11_900, 0), false);
-        assertEquals(List.of("cold endpoint overrun"), broken());
+        assertEquals(List.of(), brokenRules(), "16 calls, 3 roots of that and 3 more");
+        history.recordCall(new History.Call(31, ENDPOINT, DESTINATION, "m31", 11_900, 0), false);
+        assertEquals(List.of("cold endpoint overrun"), brokenRules());
     }
 
     @Test
-    void anEndpointThatIsWarmOrOutAgainIsNotJudged() {
-        history.capacity(ENDPOINT, 20);
-        history.outage(ENDPOINT, new Span(4_000, 10_000));
-        history.outage(ENDPOINT, new Span(10_500, 60_000));
+    void ignoresCallsToWarmEndpointAndDuringNextOutage() {
+        history.recordCapacity(ENDPOINT, 20);
+        history.recordOutage(ENDPOINT, new Interval(4_000, 10_000));
+        history.recordOutage(ENDPOINT, new Interval(10_500, 60_000));
         for (int i = 0; i < 200; i++) {
-            history.called(new History.Call(i, ENDPOINT, DESTINATION, "m" + i, 10_500 + i, 0), false);
-            history.called(new History.Call(i, ENDPOINT, DESTINATION, "n" + i, 70_000 + i, 0), false);
+            history.recordCall(new History.Call(i, ENDPOINT, DESTINATION, "m" + i, 10_500 + i, 0), false);
+            history.recordCall(new History.Call(i, ENDPOINT, DESTINATION, "n" + i, 70_000 + i, 0), false);
         }
-        assertEquals(List.of(), broken());
+        assertEquals(List.of(), brokenRules());
     }
 
     @Test
-    void aNewcomerOfACrowdedRelayMayBeShutUnread() {
-        history.handedIn(new History.Message("a", RELAY, DESTINATION, Effect.SAFE, 0, 100, 2_000));
-        history.ended("a", 0, true, 150);
-        history.crowded(RELAY, new Span(50, 900));
-        assertEquals(List.of(), broken());
+    void floodedRelayMayCloseNewConnectionUnanswered() {
+        history.recordSubmission(new History.Message("a", RELAY, DESTINATION, Effect.SAFE, 0, 100, 2_000));
+        history.recordRequestEnd("a", 0, true, 150);
+        history.floods(RELAY, new Interval(50, 900));
+        assertEquals(List.of(), brokenRules());
     }
 
     @Test
-    void aBadPeerMustBeAnsweredOrClosedInTime() {
-        history.badPeer(new History.BadPeer(RELAY, "SILENT", 100, 3_000));
-        assertEquals(List.of(), broken());
-        history.badPeer(new History.BadPeer(RELAY, "SILENT", 100, 3_600));
-        history.badPeer(new History.BadPeer(RELAY, "HALF_HEAD", 100, -1));
-        assertEquals(List.of("bad peer held", "bad peer held"), broken());
+    void reportsBadClientNeitherAnsweredNorClosedInTime() {
+        history.recordBadClient(new History.BadClientResult(RELAY, "SILENT", 100, 3_000));
+        assertEquals(List.of(), brokenRules());
+        history.recordBadClient(new History.BadClientResult(RELAY, "SILENT", 100, 3_600));
+        history.recordBadClient(new History.BadClientResult(RELAY, "HALF_HEAD", 100, -1));
+        assertEquals(List.of("bad peer held", "bad peer held"), brokenRules());
     }
 
     @Test
-    void aRelayThatLivesAndAnswersNobodyIsFound() {
+    void reportsRunningRelayThatAnswersNobody() {
         for (int i = 0; i < 20; i++) {
             String id = "m" + i;
-            history.handedIn(new History.Message(id, RELAY, DESTINATION, Effect.SAFE, 0, i * 300L, 2_000));
-            history.ended(id, 0, false, i * 300L + 400);
+            history.recordSubmission(new History.Message(id, RELAY, DESTINATION, Effect.SAFE, 0, i * 300L, 2_000));
+            history.recordRequestEnd(id, 0, false, i * 300L + 400);
         }
-        assertEquals(List.of("nobody served"), broken());
+        assertEquals(List.of("nobody served"), brokenRules());
     }
 }
