--- a/src/main/java/wrenkeel/soak/SoakCommand.java
+++ b/src/main/java/wrenkeel/soak/SoakCommand.java
@@ -79,11 +79,11 @@
         try (SoakRun run = new SoakRun(root.toAbsolutePath().normalize(), seed, count, clusters, trace)) {
             System.out.println("seed " + seed + ", " + count + " relays");
             run.schedule().faults().forEach(trouble -> System.out.println("  " + trouble));
-            List<Finding> findings = run.play();
+            List<Finding> findings = run.run();
             System.out.println("  " + run.summary());
             findings.forEach(finding -> System.out.println("  BROKEN " + finding));
             if (!findings.isEmpty() && logFolder != null) {
-                run.keepLogs(logFolder.resolve("seed-" + seed));
+                run.saveLogs(logFolder.resolve("seed-" + seed));
             }
             return findings;
         }
--- a/src/main/java/wrenkeel/soak/SoakRun.java
+++ b/src/main/java/wrenkeel/soak/SoakRun.java
@@ -34,33 +34,33 @@
 /** One run: relays, stand-ins and links for one seed, with the schedule's troubles. */
 final class SoakRun implements AutoCloseable {
     /** Endpoints, 1.7 a destination; ms in which troubles begin, and of traffic. */
-    static final int ENDPOINTS = 24, TROUBLE_MILLIS = 12_000, TRAFFIC_MILLIS = 16_000;
+    static final int ENDPOINTS = 24, FAULT_PERIOD_MS = 12_000, TRAFFIC_MS = 16_000;
     /** ms after the traffic in which all that was taken on has ended. */
-    private static final int TAIL_MILLIS = 6_500;
-    private static final double EVENTS_PER_SECOND = 12;
-    private static final int THREADS = 3, CONNECTIONS_MOST = 100, BODY_BYTES = 200;
-    private static final long CLIENT_PATIENCE = 400, ANSWER_MICROS = 25_000;
+    private static final int TAIL_MS = 6_500;
+    private static final double MESSAGES_PER_SECOND_PER_RELAY = 12;
+    private static final int THREADS = 3, MAX_CONNECTIONS = 100, BODY_BYTES = 200;
+    private static final long CLIENT_TIMEOUT_MS = 400, MEDIAN_ANSWER_MICROS = 25_000;
     private static final double ANSWER_SIGMA = 0.6;
     /** Bits of a message's sequence number below that of its relay. */
-    private static final int RELAY_SHIFT = 32;
-    private static final long PAUSE_MILLIS = 150, STEP_MILLIS = 100;
+    private static final int SEQUENCE_BITS = 32;
+    private static final long STALL_MS = 150, STEP_MS = 100;
     /** What an endpoint takes, of what goes to it in the mean. */
-    private static final double CAPACITY_OVER_TRAFFIC = 1.5;
+    private static final double CAPACITY_TO_TRAFFIC_RATIO = 1.5;
     private static final int HOUR_SECONDS = 3_600;
     private static final List<RelaySettings.Profile> PROFILES = List.of(
         new RelaySettings.Profile("notice", 1_000, 4_000, "dedup", 3_000),
         new RelaySettings.Profile("query", 800, 2_000, "retryable", 0),
         new RelaySettings.Profile("order", 1_000, 4_000, "fragile", 0));
-    private static final List<Traffic.ClassShare> CLASSES = List.of(
+    private static final List<Traffic.ClassShare> CLASS_SHARES = List.of(
         new Traffic.ClassShare("notice", 0.3, 4_000, true),
         new Traffic.ClassShare("query", 0.3, 2_000, false),
         new Traffic.ClassShare("order", 0.4, 4_000, false));
 
     private final long seed;
     private final Schedule schedule;
-    private final Path folder;
+    private final Path tempFolder;
     private final History history = new History();
-    private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(THREADS, NioIoHandler.newFactory());
+    private final EventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(THREADS, NioIoHandler.newFactory());
     private final ExecutorService tasks = Executors.newCachedThreadPool(task -> {
         Thread thread = new Thread(task, "soak");
         thread.setDaemon(true);
@@ -69,51 +69,51 @@
     private final StandInDestinations destinations;
     private final StandInAgent agent;
     private final Traffic traffic;
-    private final List<FaultProxy> links = new ArrayList<>();
+    private final List<FaultProxy> endpointLinks = new ArrayList<>();
     private final List<RelayHandle> relays = new ArrayList<>();
     private final List<StandInClients> clients = new ArrayList<>();
     /** Endpoints that are out just now: one outage at a time. */
-    private final Set<Integer> out = ConcurrentHashMap.newKeySet();
+    private final Set<Integer> endpointsInOutage = ConcurrentHashMap.newKeySet();
     /** The same for drains. */
-    private final Set<Integer> draining = ConcurrentHashMap.newKeySet();
-    private volatile long beganNanos = System.nanoTime();
+    private final Set<Integer> endpointsDraining = ConcurrentHashMap.newKeySet();
+    private volatile long trafficStartNanos = System.nanoTime();
 
     SoakRun(Path root, long seed, int relayCount, int clusters, boolean trace)
         throws IOException, InterruptedException {
         this.seed = seed;
-        schedule = Schedule.generate(seed, relayCount, ENDPOINTS, clusters, TROUBLE_MILLIS);
-        folder = Files.createTempDirectory("soak");
-        Path library = Shim.compile(root, folder);
+        schedule = Schedule.generate(seed, relayCount, ENDPOINTS, clusters, FAULT_PERIOD_MS);
+        tempFolder = Files.createTempDirectory("soak");
+        Path library = Shim.compile(root, tempFolder);
         destinations = new StandInDestinations(ENDPOINTS, 
-            EndpointModel.Behaviour.unlimited(ANSWER_MICROS, ANSWER_SIGMA), 1,
+            EndpointModel.Behaviour.unlimited(MEDIAN_ANSWER_MICROS, ANSWER_SIGMA), 1,
             THREADS, seed, System::nanoTime);
         for (int port : destinations.ports()) {
-            links.add(new FaultProxy(loops, new java.net.InetSocketAddress("127.0.0.1", port)));
+            endpointLinks.add(new FaultProxy(eventLoops, new java.net.InetSocketAddress("127.0.0.1", port)));
         }
-        destinations.report(new Calls());
+        destinations.report(new CallRecorder());
         HostCatalog catalog = new HostCatalog(ENDPOINTS, seed,
-            host -> "127.0.0.1:" + links.get(host).address().getPort());
-        agent = new StandInAgent(catalog, this::noticed);
-        traffic = new Traffic(catalog.destinations(), 0.5, BODY_BYTES, CLASSES, List.of(), CONNECTIONS_MOST);
+            host -> "127.0.0.1:" + endpointLinks.get(host).address().getPort());
+        agent = new StandInAgent(catalog, this::recordNotice);
+        traffic = new Traffic(catalog.destinations(), 0.5, BODY_BYTES, CLASS_SHARES, List.of(), MAX_CONNECTIONS);
         for (int endpoint = 0; endpoint < ENDPOINTS; endpoint++) {
-            limit(endpoint, relayCount);
+            limitCapacity(endpoint, relayCount);
         }
         RelaySettings settings = RelaySettings.typical("n").withRelays(relayCount).withProfiles(PROFILES);
         for (int i = 0; i < relayCount; i++) {
-            relays.add(new RelayHandle(i, root, folder, library, settings.named("n" + i), trace,
-                agent.address(), loops, this::now, history));
+            relays.add(new RelayHandle(i, root, tempFolder, library, settings.named("n" + i), trace,
+                agent.address(), eventLoops, this::nowMillis, history));
         }
     }
 
     /** Gives an endpoint its limit, from which it falls in an outage and comes back to in its cold time. */
-    private void limit(int endpoint, int relayCount) {
+    private void limitCapacity(int endpoint, int relayCount) {
         int destination = HostCatalog.destination(endpoint);
         long siblings = IntStream.range(0, ENDPOINTS)
-            .filter(other -> HostCatalog.destination(other) == destination).count();
-        double mean = traffic.share(destination) * EVENTS_PER_SECOND * relayCount / siblings;
-        double capacity = CAPACITY_OVER_TRAFFIC * mean;
+            .filter(alternative -> HostCatalog.destination(alternative) == destination).count();
+        double meanCallsPerSecond = traffic.share(destination) * MESSAGES_PER_SECOND_PER_RELAY * relayCount / siblings;
+        double capacity = CAPACITY_TO_TRAFFIC_RATIO * meanCallsPerSecond;
         history.recordCapacity(endpoint, capacity);
-        destinations.behave(endpoint, EndpointModel.Behaviour.unlimited(ANSWER_MICROS, ANSWER_SIGMA)
+        destinations.behave(endpoint, EndpointModel.Behaviour.unlimited(MEDIAN_ANSWER_MICROS, ANSWER_SIGMA)
             .with(new EndpointModel.Limit(capacity, 1_000, false, false))
             .with(new EndpointModel.Cold(Oracle.COLD_CAPACITY_SHARE, Oracle.COLD_MS, 0, Oracle.OVERLOAD_WINDOW_MS, 0)));
     }
@@ -123,55 +123,55 @@
     }
 
     /** ms since the traffic began. */
-    private long now() {
-        return (System.nanoTime() - beganNanos) / 1_000_000;
+    private long nowMillis() {
+        return (System.nanoTime() - trafficStartNanos) / 1_000_000;
     }
 
-    private long at(long nanos) {
-        return (nanos - beganNanos) / 1_000_000;
+    private long toMillis(long nanos) {
+        return (nanos - trafficStartNanos) / 1_000_000;
     }
 
     /** Plays the schedule; what broke a rule. */
-    List<Finding> play() throws InterruptedException, ExecutionException {
-        await(relays.stream().map(relay -> tasks.submit(relay::start)).toList());
-        beganNanos = System.nanoTime();
+    List<Finding> run() throws InterruptedException, ExecutionException {
+        awaitAll(relays.stream().map(relay -> tasks.submit(relay::start)).toList());
+        trafficStartNanos = System.nanoTime();
         for (RelayHandle relay : relays) {
-            StandInClients own = new StandInClients(relay.address, traffic, seed + relay.number,
-                CLIENT_PATIENCE, (long) relay.number << RELAY_SHIFT, new Clients());
-            clients.add(own);
-            own.rate(EVENTS_PER_SECOND);
+            StandInClients relayClients = new StandInClients(relay.address, traffic, seed + relay.number,
+                CLIENT_TIMEOUT_MS, (long) relay.number << SEQUENCE_BITS, new ClientRecorder());
+            clients.add(relayClients);
+            relayClients.rate(MESSAGES_PER_SECOND_PER_RELAY);
         }
-        Future<?> looking = tasks.submit(this::look);
-        List<Future<?>> troubles = new ArrayList<>();
-        for (Fault trouble : schedule.faults()) {
-            troubles.add(tasks.submit(() -> {
-                TimeUnit.MILLISECONDS.sleep(Math.max(0, trouble.startMillis() - now()));
-                make(trouble);
+        Future<?> watcher = tasks.submit(this::watchRelays);
+        List<Future<?>> injections = new ArrayList<>();
+        for (Fault fault : schedule.faults()) {
+            injections.add(tasks.submit(() -> {
+                TimeUnit.MILLISECONDS.sleep(Math.max(0, fault.startMillis() - nowMillis()));
+                inject(fault);
                 return null;
             }));
         }
-        TimeUnit.MILLISECONDS.sleep(Math.max(0, TRAFFIC_MILLIS - now()));
-        for (StandInClients own : clients) {
-            own.rate(0);
+        TimeUnit.MILLISECONDS.sleep(Math.max(0, TRAFFIC_MS - nowMillis()));
+        for (StandInClients relayClients : clients) {
+            relayClients.rate(0);
         }
-        await(troubles);
-        TimeUnit.MILLISECONDS.sleep(TAIL_MILLIS);
-        looking.cancel(true);
-        readCounters();
+        awaitAll(injections);
+        TimeUnit.MILLISECONDS.sleep(TAIL_MS);
+        watcher.cancel(true);
+        collectLoggedErrors();
         return Oracle.check(history);
     }
 
-    private static void await(List<? extends Future<?>> all) throws InterruptedException, ExecutionException {
-        for (Future<?> one : all) {
-            one.get();
+    private static void awaitAll(List<? extends Future<?>> all) throws InterruptedException, ExecutionException {
+        for (Future<?> task : all) {
+            task.get();
         }
     }
 
-    private void look() {
+    private void watchRelays() {
         while (!Thread.currentThread().isInterrupted()) {
             relays.forEach(RelayHandle::checkAlive);
             try {
-                TimeUnit.MILLISECONDS.sleep(STEP_MILLIS);
+                TimeUnit.MILLISECONDS.sleep(STEP_MS);
             } catch (InterruptedException e) {
                 return;
             }
@@ -179,7 +179,7 @@
     }
 
     /** The relays' own word: what their counters of broken rules have logged. */
-    private void readCounters() {
+    private void collectLoggedErrors() {
         for (RelayHandle relay : relays) {
             try {
                 relay.logs().lines().filter(line -> line.matches(".* ERROR wrenkeel\\.net\\.\\w+ - "
@@ -187,207 +187,207 @@
                     || line.contains("turn failed"))
                     // Not where the links kept an end from the agent: the oracle judges those.
                     .filter(line -> !line.contains("ENDED_LATE") || history.agentOutages(relay.number).isEmpty())
-                    .forEach(line -> history.addFinding(new Finding("relay's own counter", now(),
+                    .forEach(line -> history.addFinding(new Finding("relay's own counter", nowMillis(),
                         "relay " + relay.number + ": " + line)));
             } catch (IOException e) {
-                history.addFinding(new Finding("no log", now(), "relay " + relay.number + ": " + e));
+                history.addFinding(new Finding("no log", nowMillis(), "relay " + relay.number + ": " + e));
             }
         }
     }
 
     /** Writes the logs of all relays into a folder. */
-    void keepLogs(Path into) throws IOException {
-        Files.createDirectories(into);
+    void saveLogs(Path target) throws IOException {
+        Files.createDirectories(target);
         for (RelayHandle relay : relays) {
-            Files.writeString(into.resolve("relay-" + relay.number + ".log"), relay.logs());
+            Files.writeString(target.resolve("relay-" + relay.number + ".log"), relay.logs());
         }
         List<String> lines = schedule.faults().stream().map(Fault::toString).toList();
-        Files.write(into.resolve("schedule.txt"), lines);
+        Files.write(target.resolve("schedule.txt"), lines);
     }
 
     String summary() {
         List<History.Message> all = history.messages();
-        long taken = all.stream().filter(History.Message::isAccepted).count();
-        long delivered = all.stream().filter(m -> !m.deliveries.isEmpty()).count();
-        long refused = all.stream().filter(m -> m.status == 429 || m.status == 503).count();
-        return all.size() + " messages, " + taken + " taken on, " + delivered + " delivered, " + refused
+        long accepted = all.stream().filter(History.Message::isAccepted).count();
+        long delivered = all.stream().filter(message -> !message.deliveries.isEmpty()).count();
+        long refused = all.stream().filter(message -> message.status == 429 || message.status == 503).count();
+        return all.size() + " messages, " + accepted + " taken on, " + delivered + " delivered, " + refused
             + " refused, " + history.calls().size() + " calls, " + history.badClients().size() + " bad peers";
     }
 
     // ---- Troubles -------------------------------------------------------------------------------
-    private interface Step {
+    private interface FaultStep {
         void run() throws IOException, InterruptedException;
     }
 
-    private void make(Fault t) throws IOException, InterruptedException {
-        if (t.kind().target() == FaultKind.Target.RELAY) {
-            long from = now();
-            RelayHandle relay = relays.get(t.targetNumber());
-            trouble(relay, t);
-            if (!t.kind().endsProcess()) {
-                record(relay.number, t.kind(), new History.Interval(from, now()));
+    private void inject(Fault fault) throws IOException, InterruptedException {
+        if (fault.kind().target() == FaultKind.Target.RELAY) {
+            long start = nowMillis();
+            RelayHandle relay = relays.get(fault.targetNumber());
+            applyFault(relay, fault);
+            if (!fault.kind().endsProcess()) {
+                recordFault(relay.number, fault.kind(), new History.Interval(start, nowMillis()));
             }
         } else {
-            trouble(t.targetNumber(), t);
+            applyFault(fault.targetNumber(), fault);
         }
     }
 
-    private void record(int relay, FaultKind kind, History.Interval span) {
+    private void recordFault(int relay, FaultKind kind, History.Interval interval) {
         switch (kind) {
             case READ_FAILS -> {
-                history.readFailures(relay, span);
-                history.relayFaults(relay, span);
-                history.agentOutages(relay, span);
+                history.readFailures(relay, interval);
+                history.relayFaults(relay, interval);
+                history.agentOutages(relay, interval);
             }
             case AGENT_RESETS -> {
-                history.relayFaults(relay, span);
-                history.agentOutages(relay, span);
+                history.relayFaults(relay, interval);
+                history.agentOutages(relay, interval);
             }
-            case CROWD -> history.floods(relay, span);
+            case CROWD -> history.floods(relay, interval);
             case RELOAD, AGENT_SILENT, CONNECT_FAILS, SOCKET_FAILS, LATE_WRITES, PAUSES, SHORT_CALLS ->
-                history.relayFaults(relay, span);
+                history.relayFaults(relay, interval);
             default -> { }
         }
     }
 
-    private void repeat(Fault t, long gapMillis, Step step) throws IOException, InterruptedException {
-        for (long end = now() + t.durationMillis(); now() < end;) {
+    private void repeat(Fault fault, long gapMillis, FaultStep step) throws IOException, InterruptedException {
+        for (long end = nowMillis() + fault.durationMillis(); nowMillis() < end;) {
             step.run();
             TimeUnit.MILLISECONDS.sleep(gapMillis);
         }
     }
 
-    private static int either(Fault t, int one, int other) {
-        return t.variant() % 2 == 0 ? one : other;
+    private static int select(Fault fault, int task, int alternative) {
+        return fault.variant() % 2 == 0 ? task : alternative;
     }
 
     /** Lets some calls fail, a few at a time. */
-    private void failSome(RelayHandle relay, Fault t, Shim.Word errno, int value, Shim.Word count)
+    private void failCalls(RelayHandle relay, Fault fault, Shim.Word errno, int value, Shim.Word count)
         throws IOException, InterruptedException {
         relay.shim.set(errno, value);
-        repeat(t, STEP_MILLIS, () -> relay.shim.set(count, 1 + t.variant() % 3));
+        repeat(fault, STEP_MS, () -> relay.shim.set(count, 1 + fault.variant() % 3));
         relay.shim.set(count, 0);
     }
 
-    private void trouble(RelayHandle relay, Fault t) throws IOException, InterruptedException {
+    private void applyFault(RelayHandle relay, Fault fault) throws IOException, InterruptedException {
         Shim shim = relay.shim;
-        switch (t.kind()) {
+        switch (fault.kind()) {
             case KILL, TERMINATE, TERMINATE_TWICE, KILL_WHILE_LEAVING, SIGNAL_SERIES ->
-                relay.restart(t.kind());
+                relay.restart(fault.kind());
             case RELOAD -> relay.reload();
-            case PAUSES -> repeat(t, 2 * PAUSE_MILLIS, () -> relay.pause(PAUSE_MILLIS));
+            case PAUSES -> repeat(fault, 2 * STALL_MS, () -> relay.pause(STALL_MS));
             case CLOCK_FORWARD, CLOCK_BACK -> {
-                int step = t.kind() == FaultKind.CLOCK_FORWARD ? HOUR_SECONDS : -HOUR_SECONDS;
+                int step = fault.kind() == FaultKind.CLOCK_FORWARD ? HOUR_SECONDS : -HOUR_SECONDS;
                 shim.set(Shim.Word.WALL_STEP_S, step);
-                TimeUnit.MILLISECONDS.sleep(t.durationMillis());
+                TimeUnit.MILLISECONDS.sleep(fault.durationMillis());
                 shim.set(Shim.Word.WALL_STEP_S, 0);
             }
-            case ACCEPT_FAILS -> failSome(relay, t, Shim.Word.ACCEPT_ERRNO,
-                either(t, Shim.ENOBUFS, Shim.ENFILE), Shim.Word.ACCEPT_COUNT);
-            case CONNECT_FAILS -> failSome(relay, t, Shim.Word.CONNECT_ERRNO,
-                either(t, Shim.EADDRNOTAVAIL, Shim.ENETUNREACH), Shim.Word.CONNECT_COUNT);
-            case SOCKET_FAILS -> failSome(relay, t, Shim.Word.SOCKET_ERRNO,
-                either(t, Shim.ENFILE, Shim.ENOBUFS), Shim.Word.SOCKET_COUNT);
-            case READ_FAILS -> failSome(relay, t, Shim.Word.READ_ERRNO,
-                either(t, Shim.ETIMEDOUT, Shim.EHOSTUNREACH), Shim.Word.READ_COUNT);
-            case FOLDER_FULL, FOLDER_BREAKS -> failFolder(relay, t);
+            case ACCEPT_FAILS -> failCalls(relay, fault, Shim.Word.ACCEPT_ERRNO,
+                select(fault, Shim.ENOBUFS, Shim.ENFILE), Shim.Word.ACCEPT_COUNT);
+            case CONNECT_FAILS -> failCalls(relay, fault, Shim.Word.CONNECT_ERRNO,
+                select(fault, Shim.EADDRNOTAVAIL, Shim.ENETUNREACH), Shim.Word.CONNECT_COUNT);
+            case SOCKET_FAILS -> failCalls(relay, fault, Shim.Word.SOCKET_ERRNO,
+                select(fault, Shim.ENFILE, Shim.ENOBUFS), Shim.Word.SOCKET_COUNT);
+            case READ_FAILS -> failCalls(relay, fault, Shim.Word.READ_ERRNO,
+                select(fault, Shim.ETIMEDOUT, Shim.EHOSTUNREACH), Shim.Word.READ_COUNT);
+            case FOLDER_FULL, FOLDER_BREAKS -> failStateFolder(relay, fault);
             case SHORT_CALLS -> {
                 shim.set(Shim.Word.SHORT_IO, 1);
-                repeat(t, STEP_MILLIS, () -> shim.set(Shim.Word.EINTR_COUNT, 1));
+                repeat(fault, STEP_MS, () -> shim.set(Shim.Word.EINTR_COUNT, 1));
                 shim.set(Shim.Word.SHORT_IO, 0);
             }
             case LATE_WRITES -> {
-                shim.set(Shim.Word.PAUSE_MS, (int) PAUSE_MILLIS);
-                repeat(t, 2 * PAUSE_MILLIS, () -> shim.set(Shim.Word.PAUSE_COUNT, 1));
+                shim.set(Shim.Word.PAUSE_MS, (int) STALL_MS);
+                repeat(fault, 2 * STALL_MS, () -> shim.set(Shim.Word.PAUSE_COUNT, 1));
             }
-            case AGENT_SILENT -> repeat(t, 15 * STEP_MILLIS, () -> relay.agentLink().freezeOpenConnections());
+            case AGENT_SILENT -> repeat(fault, 15 * STEP_MS, () -> relay.agentLink().freezeOpenConnections());
             case AGENT_RESETS -> {
                 FaultProxy link = relay.agentLink();
                 link.setMode(FaultProxy.Mode.RESET);
-                TimeUnit.MILLISECONDS.sleep(t.durationMillis());
+                TimeUnit.MILLISECONDS.sleep(fault.durationMillis());
                 link.setMode(FaultProxy.Mode.FORWARD);
             }
             case CROWD -> {
                 try (ConnectionFlood crowd = new ConnectionFlood(relay.address)) {
-                    TimeUnit.MILLISECONDS.sleep(t.durationMillis());
+                    TimeUnit.MILLISECONDS.sleep(fault.durationMillis());
                 }
             }
-            case BAD_CLIENTS -> repeat(t, STEP_MILLIS, () -> badClient(relay));
-            default -> throw new IllegalArgumentException(t.toString());
+            case BAD_CLIENTS -> repeat(fault, STEP_MS, () -> startBadClient(relay));
+            default -> throw new IllegalArgumentException(fault.toString());
         }
     }
 
-    private void badClient(RelayHandle relay) {
-        BadClient.Payload[] sorts = BadClient.Payload.values();
-        BadClient.Payload sort = sorts[(int) (now() / STEP_MILLIS % sorts.length)];
-        tasks.submit(new BadClient(relay.number, relay.address, sort, this::now, history));
+    private void startBadClient(RelayHandle relay) {
+        BadClient.Payload[] payloads = BadClient.Payload.values();
+        BadClient.Payload payload = payloads[(int) (nowMillis() / STEP_MS % payloads.length)];
+        tasks.submit(new BadClient(relay.number, relay.address, payload, this::nowMillis, history));
     }
 
-    private void failFolder(RelayHandle relay, Fault t) throws InterruptedException {
-        boolean full = t.kind() == FaultKind.FOLDER_FULL;
-        relay.setFolderFailsUntil(now() + t.durationMillis());
+    private void failStateFolder(RelayHandle relay, Fault fault) throws InterruptedException {
+        boolean full = fault.kind() == FaultKind.FOLDER_FULL;
+        relay.setFolderFailsUntil(nowMillis() + fault.durationMillis());
         relay.shim.set(Shim.Word.FILE_HALF, full ? 0 : 1);
         relay.shim.set(Shim.Word.FILE_ERRNO, full ? Shim.ENOSPC : Shim.EIO);
-        TimeUnit.MILLISECONDS.sleep(t.durationMillis());
+        TimeUnit.MILLISECONDS.sleep(fault.durationMillis());
         relay.shim.set(Shim.Word.FILE_ERRNO, 0);
-        relay.setFolderFailsUntil(now());
+        relay.setFolderFailsUntil(nowMillis());
     }
 
-    private void trouble(int endpoint, Fault t) throws InterruptedException {
-        FaultProxy link = links.get(endpoint);
-        long from = now();
-        switch (t.kind()) {
-            case ENDPOINT_SILENT -> standFor(endpoint, EndpointModel.Standing.SILENT, t);
-            case ENDPOINT_DOWN -> standFor(endpoint, EndpointModel.Standing.REFUSING, t);
-            case ENDPOINT_FAILS -> standFor(endpoint, EndpointModel.Standing.FAILING, t);
+    private void applyFault(int endpoint, Fault fault) throws InterruptedException {
+        FaultProxy link = endpointLinks.get(endpoint);
+        long start = nowMillis();
+        switch (fault.kind()) {
+            case ENDPOINT_SILENT -> holdStanding(endpoint, EndpointModel.Standing.SILENT, fault);
+            case ENDPOINT_DOWN -> holdStanding(endpoint, EndpointModel.Standing.REFUSING, fault);
+            case ENDPOINT_FAILS -> holdStanding(endpoint, EndpointModel.Standing.FAILING, fault);
             case ENDPOINT_SHUT -> {
-                destinations.shut(endpoint, t.durationMillis());
+                destinations.shut(endpoint, fault.durationMillis());
                 return;
             }
             case ENDPOINT_DRAINS -> {
-                if (!draining.add(endpoint)) {
+                if (!endpointsDraining.add(endpoint)) {
                     return;
                 }
                 agent.change(endpoint, HostCatalog.Health.DRAINING);
-                TimeUnit.MILLISECONDS.sleep(t.durationMillis());
-                history.drains(endpoint, new History.Interval(from, now()));
+                TimeUnit.MILLISECONDS.sleep(fault.durationMillis());
+                history.drains(endpoint, new History.Interval(start, nowMillis()));
                 agent.change(endpoint, HostCatalog.Health.READY);
-                draining.remove(endpoint);
+                endpointsDraining.remove(endpoint);
                 return;
             }
-            case LINK_SILENT -> setFor(link, FaultProxy.Mode.STALL, t);
-            case LINK_CUTS -> setFor(link, FaultProxy.Mode.TRUNCATE, t);
-            case LINK_LATE -> setFor(link, FaultProxy.Mode.DELAY, t);
-            default -> throw new IllegalArgumentException(t.toString());
+            case LINK_SILENT -> holdMode(link, FaultProxy.Mode.STALL, fault);
+            case LINK_CUTS -> holdMode(link, FaultProxy.Mode.TRUNCATE, fault);
+            case LINK_LATE -> holdMode(link, FaultProxy.Mode.DELAY, fault);
+            default -> throw new IllegalArgumentException(fault.toString());
         }
-        history.recordLinkFault(endpoint, new History.Interval(from, now() + 1_000));
+        history.recordLinkFault(endpoint, new History.Interval(start, nowMillis() + 1_000));
     }
 
-    private void standFor(int endpoint, EndpointModel.Standing standing, Fault t)
+    private void holdStanding(int endpoint, EndpointModel.Standing standing, Fault fault)
         throws InterruptedException {
-        if (!out.add(endpoint)) {
+        if (!endpointsInOutage.add(endpoint)) {
             return;
         }
-        long from = now();
+        long start = nowMillis();
         destinations.stand(endpoint, standing);
-        TimeUnit.MILLISECONDS.sleep(t.durationMillis());
+        TimeUnit.MILLISECONDS.sleep(fault.durationMillis());
         destinations.stand(endpoint, EndpointModel.Standing.SERVING);
-        history.recordOutage(endpoint, new History.Interval(from, now()));
-        out.remove(endpoint);
+        history.recordOutage(endpoint, new History.Interval(start, nowMillis()));
+        endpointsInOutage.remove(endpoint);
     }
 
-    private static void setFor(FaultProxy link, FaultProxy.Mode mode, Fault t) throws InterruptedException {
+    private static void holdMode(FaultProxy link, FaultProxy.Mode mode, Fault fault) throws InterruptedException {
         link.setMode(mode);
-        TimeUnit.MILLISECONDS.sleep(t.durationMillis());
+        TimeUnit.MILLISECONDS.sleep(fault.durationMillis());
         link.setMode(FaultProxy.Mode.FORWARD);
     }
 
     // ---- What the stand-ins see -----------------------------------------------------------------
-    private static int relay(MessageId id) {
-        return (int) (id.sequence() >> RELAY_SHIFT);
+    private static int relayOf(MessageId id) {
+        return (int) (id.sequence() >> SEQUENCE_BITS);
     }
 
-    private final class Clients implements ClientObserver {
+    private final class ClientRecorder implements ClientObserver {
         @Override
         public void handedIn(MessageId id, Traffic.ClassShare kind, int destination) {
             History.Effect effect = switch (kind.name()) {
@@ -395,46 +395,46 @@
                 case "query" -> History.Effect.SAFE;
                 default -> History.Effect.UNSAFE;
             };
-            long window = PROFILES.get(0).window();
-            history.recordSubmission(new History.Message(id.text(), relay(id), destination, effect, window,
-                at(id.dueNanos()), kind.lifeMillis()));
+            long dedupWindowMillis = PROFILES.get(0).window();
+            history.recordSubmission(new History.Message(id.text(), relayOf(id), destination, effect, dedupWindowMillis,
+                toMillis(id.dueNanos()), kind.lifeMillis()));
         }
 
         @Override
         public void ended(MessageId id, Ending ending, int status, boolean written) {
-            history.recordRequestEnd(id.text(), status, ending == Ending.BROKEN_OFF && written, now());
+            history.recordRequestEnd(id.text(), status, ending == Ending.BROKEN_OFF && written, nowMillis());
         }
     }
 
-    private final class Calls implements CallObserver {
+    private final class CallRecorder implements CallObserver {
         @Override
         public void called(int endpoint, MessageId id, EndpointModel.Verdict verdict, long nowNanos) {
             if (id == null) {
-                history.addFinding(new Finding("made up", at(nowNanos), "a call with an id that no client wrote"));
+                history.addFinding(new Finding("made up", toMillis(nowNanos), "a call with an id that no client wrote"));
                 return;
             }
-            boolean runs = verdict.status() == 200 || verdict.status() == 0;
-            history.recordCall(new History.Call(relay(id), endpoint, HostCatalog.destination(endpoint), id.text(),
-                at(nowNanos), verdict.waitMillis()), runs);
+            boolean mayExecute = verdict.status() == 200 || verdict.status() == 0;
+            history.recordCall(new History.Call(relayOf(id), endpoint, HostCatalog.destination(endpoint), id.text(),
+                toMillis(nowNanos), verdict.waitMillis()), mayExecute);
             History.Message message = history.message(id.text());
             if (message == null || message.destination != HostCatalog.destination(endpoint)) {
-                history.addFinding(new Finding("made up", at(nowNanos), "message " + id.text() + " at endpoint "
+                history.addFinding(new Finding("made up", toMillis(nowNanos), "message " + id.text() + " at endpoint "
                     + endpoint));
             }
         }
 
         @Override
         public void delivered(int endpoint, MessageId id, long nowNanos) {
-            history.recordDelivery(id.text(), at(nowNanos));
+            history.recordDelivery(id.text(), toMillis(nowNanos));
         }
     }
 
-    private void noticed(String line) {
+    private void recordNotice(String line) {
         try {
             Wire.Fields notice = Wire.decode(line);
-            history.recordNotice(notice.text("message"), notice.text("outcome").equals("handed_back"), now());
+            history.recordNotice(notice.text("message"), notice.text("outcome").equals("handed_back"), nowMillis());
         } catch (Wire.Malformed e) {
-            history.addFinding(new Finding("unreadable notice", now(), line));
+            history.addFinding(new Finding("unreadable notice", nowMillis(), line));
         }
     }
 
@@ -442,17 +442,17 @@
     public void close() {
         clients.forEach(StandInClients::close);
         relays.forEach(RelayHandle::close);
-        links.forEach(FaultProxy::close);
+        endpointLinks.forEach(FaultProxy::close);
         agent.close();
         destinations.close();
         tasks.shutdownNow();
-        Shutdown.now(loops);
-        try (Stream<Path> all = Files.walk(folder)) {
+        Shutdown.now(eventLoops);
+        try (Stream<Path> all = Files.walk(tempFolder)) {
             for (Path path : all.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(path);
             }
         } catch (IOException e) {
-            System.err.println("left behind: " + folder + ": " + e);
+            System.err.println("left behind: " + tempFolder + ": " + e);
         }
     }
 }
