--- a/src/main/java/wrenkeel/soak/RelayHandle.java
+++ b/src/main/java/wrenkeel/soak/RelayHandle.java
@@ -154,7 +154,7 @@
         old.setMode(FaultProxy.Mode.RESET);
     }
 
-    void setFolderFailsUntil(long millis) {
+    void extendFolderFailure(long millis) {
         folderFailsUntil = Math.max(folderFailsUntil, millis);
     }
 
--- a/src/main/java/wrenkeel/soak/Schedule.java
+++ b/src/main/java/wrenkeel/soak/Schedule.java
@@ -34,7 +34,7 @@
     }
 
     private static void addCluster(SplittableRandom random, int relays, int endpoints, int spanMillis,
-                                List<Fault> into) {
+                                List<Fault> target) {
         int clusterStart = FAULT_FREE_MS + random.nextInt(Math.max(1, spanMillis - FAULT_FREE_MS));
         int relay = random.nextInt(relays);
         int size = MIN_CLUSTER_SIZE + random.nextInt(MAX_CLUSTER_SIZE - MIN_CLUSTER_SIZE + 1);
@@ -50,7 +50,7 @@
             int range = kind.maxDurationMillis() - kind.minDurationMillis();
             int duration = kind.minDurationMillis() + (range == 0 ? 0 : random.nextInt(range));
             int targetNumber = kind.target() == FaultKind.Target.RELAY ? relay : random.nextInt(endpoints);
-            into.add(new Fault(kind, clusterStart + random.nextInt(CLUSTER_SPREAD_MS), duration, targetNumber,
+            target.add(new Fault(kind, clusterStart + random.nextInt(CLUSTER_SPREAD_MS), duration, targetNumber,
                 random.nextInt(1 << 16)));
         }
     }
--- a/src/main/java/wrenkeel/soak/SoakRun.java
+++ b/src/main/java/wrenkeel/soak/SoakRun.java
@@ -325,12 +325,12 @@
 
     private void failStateFolder(RelayHandle relay, Fault fault) throws InterruptedException {
         boolean full = fault.kind() == FaultKind.FOLDER_FULL;
-        relay.setFolderFailsUntil(nowMillis() + fault.durationMillis());
+        relay.extendFolderFailure(nowMillis() + fault.durationMillis());
         relay.shim.set(Shim.Word.FILE_HALF, full ? 0 : 1);
         relay.shim.set(Shim.Word.FILE_ERRNO, full ? Shim.ENOSPC : Shim.EIO);
         TimeUnit.MILLISECONDS.sleep(fault.durationMillis());
         relay.shim.set(Shim.Word.FILE_ERRNO, 0);
-        relay.setFolderFailsUntil(nowMillis());
+        relay.extendFolderFailure(nowMillis());
     }
 
     private void applyFault(int endpoint, Fault fault) throws InterruptedException {
