--- a/src/main/java/wrenkeel/soak/ConnectionFlood.java
+++ b/src/main/java/wrenkeel/soak/ConnectionFlood.java
@@ -6,20 +6,20 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Clients of one relay that connect, say nothing and stay; more of them than the relay lets in. */
+/** Idle client connections to one relay, more than the relay accepts. They stay open until {@link #close}. */
 final class ConnectionFlood implements AutoCloseable {
-    /** A third of the descriptors that a relay of the soak has, and some more. */
+    /** A little more than a third of the file descriptors that a relay of the soak may open. */
     static final int CONNECTIONS = 400;
 
     private final List<SocketChannel> connections = new ArrayList<>();
 
-    /** Opens all connections; who is turned away at once is left out. */
+    /** Opens all connections, one after the other, and ignores those that the relay refuses at once. */
     ConnectionFlood(InetSocketAddress relay) {
         for (int i = 0; i < CONNECTIONS; i++) {
             try {
                 connections.add(SocketChannel.open(relay));
             } catch (IOException e) {
-                // A relay that ends, or has no place left.
+                // The relay is shutting down or accepts no more connections.
             }
         }
     }
@@ -30,7 +30,7 @@
             try {
                 connection.close();
             } catch (IOException e) {
-                // The relay has reset it.
+                // The relay has reset the connection.
             }
         }
     }
--- a/src/main/java/wrenkeel/soak/Fault.java
+++ b/src/main/java/wrenkeel/soak/Fault.java
@@ -1,12 +1,12 @@
 package wrenkeel.soak;
 
 /**
- * One trouble of a schedule.
+ * One fault of a schedule.
  *
- * @param startMillis after the traffic's start
- * @param durationMillis how long it lasts; 0 for those that are over by themselves
- * @param targetNumber number of the relay or the endpoint
- * @param variant for what the kind leaves open, such as which error
+ * @param startMillis time at which it begins, ms since the start of the traffic
+ * @param durationMillis how long it lasts; 0 for kinds without a duration, which end by themselves
+ * @param targetNumber number of the relay or endpoint that it is aimed at
+ * @param variant random number from 0 to 65,535 that selects what the kind leaves open, such as the error
  */
 record Fault(FaultKind kind, int startMillis, int durationMillis, int targetNumber, int variant) {
     @Override
--- a/src/main/java/wrenkeel/soak/FaultKind.java
+++ b/src/main/java/wrenkeel/soak/FaultKind.java
@@ -1,67 +1,70 @@
 package wrenkeel.soak;
 
-/** What can go wrong during a run; each has a length and is aimed at one relay or one endpoint. */
+/**
+ * The kinds of faults that a run injects. Each is aimed at one relay or one endpoint and has a range of
+ * durations. Schedules draw kinds by their number and print their names, so order and names are fixed.
+ */
 enum FaultKind {
-    /** SIGKILL; started again 0.6 s later. */
+    /** SIGKILL to the relay, which is restarted 0.6 s later. */
     KILL(Target.RELAY, 0, 0),
-    /** SIGTERM, SIGKILL 3.7 s later if it still runs; started again 0.6 s after that. */
+    /** SIGTERM, and SIGKILL 3.7 s later if the process still runs; restarted 0.6 s after that. */
     TERMINATE(Target.RELAY, 0, 0),
-    /** The same, with a second SIGTERM and a SIGHUP in between. */
+    /** Like {@link #TERMINATE}, with a SIGHUP and a second SIGTERM 0.3 s after the first. */
     TERMINATE_TWICE(Target.RELAY, 0, 0),
-    /** SIGKILL in the middle of the orderly end. */
+    /** SIGTERM, and SIGKILL 0.6 s later, during the orderly shutdown; restarted 0.6 s after that. */
     KILL_WHILE_LEAVING(Target.RELAY, 0, 0),
-    /** SIGTERM twice, SIGHUP, SIGKILL; started again, and SIGKILL once more soon after that. */
+    /** Like {@link #TERMINATE_TWICE}, with another SIGKILL and restart 0.6 s after the relay serves. */
     SIGNAL_SERIES(Target.RELAY, 0, 0),
-    /** SIGHUP with another address of discovery; the old one closes 1.5 s later. */
+    /** SIGHUP with a new address of the discovery agent; the old address fails 1.5 s later. */
     RELOAD(Target.RELAY, 0, 0),
-    /** Held up for 0.15 s, again and again. */
+    /** The process is stopped for 0.15 s, again and again. */
     PAUSES(Target.RELAY, 500, 3_000),
-    /** The wall clock an hour ahead. */
+    /** The relay's wall clock is an hour fast. */
     CLOCK_FORWARD(Target.RELAY, 1_000, 9_000),
-    /** The wall clock an hour behind. */
+    /** The relay's wall clock is an hour slow. */
     CLOCK_BACK(Target.RELAY, 1_000, 9_000),
-    /** accept fails some times by ENOBUFS or ENFILE. */
+    /** Some calls of accept fail with ENOBUFS or ENFILE. */
     ACCEPT_FAILS(Target.RELAY, 200, 2_000),
-    /** connect fails some times by EADDRNOTAVAIL or ENETUNREACH. */
+    /** Some calls of connect fail with EADDRNOTAVAIL or ENETUNREACH. */
     CONNECT_FAILS(Target.RELAY, 200, 2_000),
-    /** socket fails some times by ENFILE or ENOBUFS. */
+    /** Some calls of socket fail with ENFILE or ENOBUFS. */
     SOCKET_FAILS(Target.RELAY, 200, 2_000),
-    /** Reads of sockets fail some times by ETIMEDOUT or EHOSTUNREACH. */
+    /** Some reads of sockets fail with ETIMEDOUT or EHOSTUNREACH. */
     READ_FAILS(Target.RELAY, 200, 2_000),
-    /** Writes to the lasting folder fail by ENOSPC. */
+    /** Writes to the state folder fail with ENOSPC. */
     FOLDER_FULL(Target.RELAY, 500, 4_000),
-    /** Writes to the lasting folder fail by EIO, each half done. */
+    /** Writes to the state folder fail with EIO after half of the bytes are written. */
     FOLDER_BREAKS(Target.RELAY, 500, 4_000),
-    /** Reads and writes of sockets are short, waits return EINTR. */
+    /** Socket reads and writes transfer only part of the bytes, and some epoll_wait calls fail with EINTR. */
     SHORT_CALLS(Target.RELAY, 1_000, 6_000),
-    /** Writes to sockets come 0.15 s late, some times. */
+    /** Some writes to sockets are delayed by 0.15 s. */
     LATE_WRITES(Target.RELAY, 500, 3_000),
-    /** The relay's agent falls silent on open connections and new ones. */
+    /** The link to the relay's discovery agent stops forwarding on all open connections, anew every 1.5 s. */
     AGENT_SILENT(Target.RELAY, 1_000, 7_000),
-    /** The relay's agent resets connections. */
+    /** The link to the relay's discovery agent resets open and new connections. */
     AGENT_RESETS(Target.RELAY, 300, 3_000),
-    /** Clients that connect, say nothing and stay, more than the relay has descriptors for. */
+    /** Idle client connections that stay open, more than the relay accepts. */
     CROWD(Target.RELAY, 1_000, 4_000),
-    /** Clients that send half a request, nothing, or garbage. */
+    /** Clients that send nothing, half a request or invalid bytes; see {@link BadClient}. */
     BAD_CLIENTS(Target.RELAY, 500, 4_000),
-    /** The endpoint takes calls and does not answer. */
+    /** The endpoint accepts calls and does not answer. */
     ENDPOINT_SILENT(Target.ENDPOINT, 1_000, 6_000),
-    /** The endpoint has no listener. */
+    /** The endpoint has no listener and so refuses connections. */
     ENDPOINT_DOWN(Target.ENDPOINT, 1_000, 6_000),
-    /** The endpoint answers 500 at once. */
+    /** The endpoint answers 500 without delay. */
     ENDPOINT_FAILS(Target.ENDPOINT, 1_000, 6_000),
-    /** The endpoint turns all calls away and tells to wait. */
+    /** The endpoint answers all calls with 429 and Retry-After. */
     ENDPOINT_SHUT(Target.ENDPOINT, 500, 3_000),
-    /** The endpoint drains by the list, and is ready again after that. */
+    /** The list shows the endpoint as draining, and as ready after that. */
     ENDPOINT_DRAINS(Target.ENDPOINT, 7_000, 10_000),
-    /** The link to the endpoint falls silent both ways. */
+    /** The link to the endpoint forwards nothing in either direction. */
     LINK_SILENT(Target.ENDPOINT, 500, 5_000),
-    /** The link to the endpoint resets connections in the middle of an answer. */
+    /** The link to the endpoint resets connections in the middle of a response. */
     LINK_CUTS(Target.ENDPOINT, 500, 5_000),
-    /** Connections over the link come up late. */
+    /** The link to the endpoint delays the first bytes of each new connection. */
     LINK_LATE(Target.ENDPOINT, 500, 5_000);
 
-    /** What a trouble is aimed at. */
+    /** What a fault is aimed at. */
     enum Target { RELAY, ENDPOINT }
 
     private final Target target;
@@ -86,7 +89,7 @@
         return maxDurationMillis;
     }
 
-    /** True where the relay's process ends and begins anew. */
+    /** True for kinds that end the relay's process and start it again. */
     boolean endsProcess() {
         return switch (this) {
             case KILL, TERMINATE, TERMINATE_TWICE, KILL_WHILE_LEAVING, SIGNAL_SERIES -> true;
--- a/src/main/java/wrenkeel/soak/FaultProxy.java
+++ b/src/main/java/wrenkeel/soak/FaultProxy.java
@@ -21,20 +21,21 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A link that can be made to fail: passes bytes on between whoever connects to its port and a target. A reset
- * of one side becomes a reset of the other. Any thread may change it.
+ * A TCP proxy with injected faults: listens on a loopback port and forwards each connection to a target
+ * address. A reset on one side resets the other side. Any thread may call its methods; each connection is
+ * handled on one event loop.
  */
 final class FaultProxy implements AutoCloseable {
-    /** How the link behaves. */
+    /** What the proxy does with connections and their bytes. */
     enum Mode {
-        /** Passes all on. */ FORWARD,
-        /** Passes nothing on; connections that were open meanwhile are reset once it is over. */ STALL,
-        /** Resets open connections and new ones. */ RESET,
-        /** Resets a connection once it has passed on a few bytes of an answer. */ TRUNCATE,
-        /** A new connection passes nothing on for a while. */ DELAY
+        /** Forwards all bytes. */ FORWARD,
+        /** Forwards nothing; connections that were open in this mode are reset when it ends. */ STALL,
+        /** Resets open and new connections. */ RESET,
+        /** Resets a connection after the first bytes of a response. */ TRUNCATE,
+        /** Forwards nothing on a new connection until {@link FaultProxy#DELAY_MS} have passed. */ DELAY
     }
 
-    /** Bytes of an answer that pass before the reset: within its first line. */
+    /** Bytes of a response that are forwarded before the reset; the cut is within the status line. */
     private static final int TRUNCATE_AFTER_BYTES = 7;
     private static final long DELAY_MS = 700;
 
@@ -44,6 +45,7 @@
     private final InetSocketAddress target;
     private volatile Mode mode = Mode.FORWARD;
 
+    /** Starts listening on a free port; the event loops must outlive the proxy. */
     FaultProxy(EventLoopGroup group, InetSocketAddress target) throws InterruptedException {
         this.group = group;
         this.target = target;
@@ -58,10 +60,12 @@
             }).bind(InetAddress.getLoopbackAddress(), 0).sync().channel();
     }
 
+    /** The address on which the proxy listens. */
     InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
 
+    /** Changes the mode; open connections follow shortly after, each on its event loop. */
     void setMode(Mode next) {
         mode = next;
         for (ProxiedConnection connection : connections) {
@@ -69,7 +73,7 @@
         }
     }
 
-    /** Those that are open now pass nothing on any more, for ever; new ones are as before. */
+    /** Stops forwarding on the connections that are open now, for good; new connections are not affected. */
     void freezeOpenConnections() {
         for (ProxiedConnection connection : connections) {
             connection.clientSide.eventLoop().execute(() -> {
@@ -79,20 +83,24 @@
         }
     }
 
-    /** Takes no new connections, and resets the open ones. */
+    /** Stops listening and resets the open connections. */
     @Override
     public void close() {
         listener.close();
         connections.forEach(connection -> connection.clientSide.eventLoop().execute(connection::reset));
     }
 
-    /** One connection and its counterpart at the target; both on one event loop. */
+    /** A connection from a client and its counterpart to the target, both on one event loop. */
     private final class ProxiedConnection {
         private final Channel clientSide;
         private Channel targetSide;
+        /** Opened in mode DELAY, and the delay has not passed yet. */
         private boolean delayed;
+        /** Forwards nothing for the rest of its life. */
         private boolean frozen;
+        /** Was open at some time in mode STALL. */
         private boolean stalled;
+        /** Bytes of responses that came in mode TRUNCATE. */
         private int answeredBytes;
 
         ProxiedConnection(Channel clientSide) {
@@ -114,7 +122,8 @@
                     updateReading();
                 }, DELAY_MS, TimeUnit.MILLISECONDS);
             }
-            ChannelFuture connect = new Bootstrap().group(clientSide.eventLoop()).channel(NioSocketChannel.class)
+            ChannelFuture connect = new Bootstrap().group(clientSide.eventLoop())
+                .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.AUTO_READ, false)
                 .handler(new Forwarder(false)).connect(target);
             targetSide = connect.channel();
@@ -128,7 +137,7 @@
         }
 
         private void modeChanged(Mode next) {
-            // What was sent into a silence must not arrive long after its sender has given it up.
+            // Bytes that were held back in mode STALL must not arrive long after their sender has timed out.
             if (next == Mode.RESET || stalled && next != Mode.STALL) {
                 reset();
             } else {
@@ -136,6 +145,7 @@
             }
         }
 
+        /** Applies the mode: bytes that are not read are not forwarded. */
         private void updateReading() {
             stalled |= mode == Mode.STALL;
             boolean reads = !delayed && !frozen && mode != Mode.STALL;
@@ -159,7 +169,7 @@
             }
         }
 
-        /** Passes on what one side sends, and its end. */
+        /** Forwards to the other side what one side sends, and its close. */
         private final class Forwarder extends ChannelInboundHandlerAdapter {
             private final boolean fromClient;
 
@@ -176,7 +186,8 @@
                 ByteBuf bytes = (ByteBuf) message;
                 if (!fromClient && mode == Mode.TRUNCATE) {
                     answeredBytes += bytes.readableBytes();
-                    ByteBuf part = bytes.readRetainedSlice(Math.min(TRUNCATE_AFTER_BYTES, bytes.readableBytes()));
+                    ByteBuf part = bytes.readRetainedSlice(
+                        Math.min(TRUNCATE_AFTER_BYTES, bytes.readableBytes()));
                     ReferenceCountUtil.release(bytes);
                     clientSide.writeAndFlush(part).addListener(done -> reset());
                     return;
@@ -196,7 +207,7 @@
 
             @Override
             public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-                // A reset of one side; the other side gets one too.
+                // One side has reset its connection.
                 reset();
             }
         }
--- a/src/main/java/wrenkeel/soak/History.java
+++ b/src/main/java/wrenkeel/soak/History.java
@@ -6,40 +6,49 @@
 import java.util.Map;
 
 /**
- * What the stand-ins saw and the run did, by one monotonic clock in milliseconds after the traffic's start.
- * Any thread may write; it is read once the run is over.
+ * Records of one run: what the stand-ins observed and which faults were injected. All times are milliseconds
+ * since the start of the traffic on one monotonic clock. Any thread may add records; the oracle reads them
+ * after the run.
  */
 final class History {
-    /** What a repeat of a message does. */
+    /** What happens if a message is executed more than once. Findings print the names. */
     enum Effect {
-        /** May be repeated at will. */ SAFE,
-        /** A repeat is dropped within a window. */ KEYED,
-        /** A second run would take effect twice. */ UNSAFE
+        /** Nothing: it may be repeated at any time. */ SAFE,
+        /** The destination drops a repeat with the same idempotency key within the dedup window. */ KEYED,
+        /** It takes effect twice, so it must not be repeated. */ UNSAFE
     }
 
-    /** One message, and all that was seen of it. */
+    /** One message and all that was observed of it. */
     static final class Message {
+        /** The value of X-Request-ID. */
         final String id;
+        /** Number of the relay to which the client sends it. */
         final int relay;
         final int destination;
         final Effect effect;
+        /** Time in which a repeat is dropped; only for {@link Effect#KEYED}. */
         final long dedupWindowMillis;
+        /** When the client was due to send it. */
         final long submittedAt;
+        /** Time from submission to its deadline. */
         final long lifetimeMillis;
-        /** Status of the answer; 0 for none. */
+        /** HTTP status of the relay's response to the client; 0 for none. */
         int status;
-        /** When the handing in ended; -1 while it has not. */
+        /** When the client's request ended; -1 before. */
         long requestEndedAt = -1;
-        /** The connection ended on the request after its last byte was written. */
+        /** The connection ended without a response after the last byte of the request was written. */
         boolean connectionLost;
-        /** When calls with it began to run, or may have. */
+        /** When an endpoint received it in a call that it executed or may have executed. */
         final List<Long> executions = new ArrayList<>();
+        /** When an endpoint answered it with 200. */
         final List<Long> deliveries = new ArrayList<>();
+        /** When the agent received a notice about its end. */
         final List<Long> notices = new ArrayList<>();
+        /** Whether a notice has the outcome handed_back, that is, says that it was not executed. */
         boolean returned;
 
-        Message(String id, int relay, int destination, Effect effect, long dedupWindowMillis, long submittedAt,
-                long lifetimeMillis) {
+        Message(String id, int relay, int destination, Effect effect, long dedupWindowMillis,
+                long submittedAt, long lifetimeMillis) {
             this.id = id;
             this.relay = relay;
             this.destination = destination;
@@ -49,53 +58,66 @@
             this.lifetimeMillis = lifetimeMillis;
         }
 
+        /** Whether the relay has taken responsibility for it: its response was 200 or 202. */
         boolean isAccepted() {
             return status == 200 || status == 202;
         }
     }
 
-    /** A call that an endpoint got. {@code retryAfterMillis}: what its answer told to wait; 0 for nothing. */
-    record Call(int relay, int endpoint, int destination, String messageId, long atMillis, long retryAfterMillis) { }
+    /**
+     * A call that an endpoint received.
+     *
+     * @param atMillis when its last byte was received
+     * @param retryAfterMillis Retry-After of the response; 0 for none
+     */
+    record Call(int relay, int endpoint, int destination, String messageId, long atMillis,
+                long retryAfterMillis) { }
 
-    /** A span in which something was so; {@code to} is {@link Long#MAX_VALUE} while it lasts. */
+    /** A closed time interval; {@code to} is {@link Long#MAX_VALUE} if the condition did not end. */
     record Interval(long from, long to) {
         boolean overlaps(long begin, long end) {
             return from <= end && to >= begin;
         }
     }
 
-    /** A peer that sent no proper request, and when it had an error or a close; -1 for never. */
+    /**
+     * How a relay treated a {@link BadClient}.
+     *
+     * @param payload name of what the client sent
+     * @param endedAt when the client received an error or a close; -1 for never
+     */
     record BadClientResult(int relay, String payload, long connectedAt, long endedAt) { }
 
     private final Map<String, Message> messages = new HashMap<>();
     private final List<Call> calls = new ArrayList<>();
     private final List<BadClientResult> badClients = new ArrayList<>();
     private final List<Finding> findings = new ArrayList<>();
-    /** By relay: from a signal that ends the process until the next one serves. */
+    /** By relay: from the first signal that ends the process until its successor serves. */
     private final Map<Integer, List<Interval>> downtimes = new HashMap<>();
-    /** By relay: from SIGKILL, or the process's own end, until the next one serves. */
+    /** By relay: from SIGKILL, sent even if the process has ended before, until its successor serves. */
     private final Map<Integer, List<Interval>> processAbsences = new HashMap<>();
-    /** By relay: its process, machine or agent was in trouble. */
+    /** By relay: a fault delayed its process, its system calls or its exchange with the agent. */
     private final Map<Integer, List<Interval>> relayFaults = new HashMap<>();
-    /** By relay: reads of its sockets failed, which ends connections of clients. */
+    /** By relay: reads of its sockets failed, which closes connections of clients. */
     private final Map<Integer, List<Interval>> readFailures = new HashMap<>();
-    /** By relay: idle clients took all places, new connections may be shut unread. */
+    /** By relay: idle clients used up its connections, so it may close new ones without reading. */
     private final Map<Integer, List<Interval>> floods = new HashMap<>();
-    /** By endpoint: its outages, after each of which it is cold. */
+    /** By endpoint: its outages, after each of which it is cold and takes fewer calls. */
     private final Map<Integer, List<Interval>> outages = new HashMap<>();
-    /** By endpoint: calls a second that it takes when warm. */
+    /** By endpoint: calls a second that it takes when it is warm. */
     private final Map<Integer, Double> capacities = new HashMap<>();
-    /** By relay: nothing could be told to its agent. */
+    /** By relay: it could not send anything to its agent. */
     private final Map<Integer, List<Interval>> agentOutages = new HashMap<>();
-    /** By endpoint: its link or itself was in trouble. */
+    /** By endpoint: it or its link had a fault. */
     private final Map<Integer, List<Interval>> linkFaults = new HashMap<>();
-    /** By endpoint: draining by the list. */
+    /** By endpoint: the list showed it as draining. */
     private final Map<Integer, List<Interval>> drains = new HashMap<>();
 
     synchronized void recordSubmission(Message message) {
         messages.put(message.id, message);
     }
 
+    /** Returns null for an id that no client has sent. */
     synchronized Message message(String id) {
         return messages.get(id);
     }
@@ -107,6 +129,7 @@
         message.requestEndedAt = atMillis;
     }
 
+    /** {@code mayExecute}: whether the endpoint executed the message or may have done so. */
     synchronized void recordCall(Call call, boolean mayExecute) {
         calls.add(call);
         Message message = messages.get(call.messageId);
@@ -134,11 +157,13 @@
         badClients.add(client);
     }
 
-    /** Something that the run itself has seen to break a rule. */
+    /** Adds a violation that the run itself has detected. */
     synchronized void addFinding(Finding finding) {
         findings.add(finding);
     }
 
+    // Each of the following methods adds one record to the field that is named like it or like its subject.
+
     synchronized void downtimes(int relay, Interval interval) {
         downtimes.computeIfAbsent(relay, r -> new ArrayList<>()).add(interval);
     }
@@ -179,6 +204,8 @@
         drains.computeIfAbsent(endpoint, e -> new ArrayList<>()).add(interval);
     }
 
+    // All of the following methods return unmodifiable copies; the order of messages is arbitrary.
+
     synchronized List<Message> messages() {
         return List.copyOf(messages.values());
     }
--- a/src/main/java/wrenkeel/soak/Oracle.java
+++ b/src/main/java/wrenkeel/soak/Oracle.java
@@ -7,30 +7,36 @@
 import java.util.Map;
 
 /**
- * Judges a run by the stand-ins' records alone. Bounds are those of the protocol's page, with some slack for
- * the tool's own threads. Where the tool itself may have caused what it sees (a link that it cut, a process
- * that it killed), it says nothing.
+ * Checks the history of a run against the rules of the protocol, using only what the stand-ins recorded and
+ * which faults were injected. The bounds are those of the protocol plus some slack for scheduling delays of
+ * the soak's own threads. What an injected fault may have caused, such as a connection that is lost with a
+ * killed process, is not reported.
  */
 final class Oracle {
-    /** ms past a message's time by which it has its end: 300, and 50 on sockets. */
+    /**
+     * Time after a message's deadline within which it must be delivered or its notice must reach the
+     * platform: 300 ms for the relay, and 50 ms for the sockets.
+     */
     private static final long END_DUE_MS = 350;
-    /** ms after a restarted relay is ready in which no end is overdue. */
+    /** Time after a restarted relay is ready before which no message's end is overdue. */
     private static final long RESTART_GRACE_MS = 1_500;
-    /** ms after the agent can be told again in which an end reaches it. */
+    /** Time after the agent is reachable again within which a notice must reach it. */
     private static final long AGENT_GRACE_MS = 1_000;
-    /** ms that the tool may be late itself. */
+    /** Delays of the soak's own threads that no rule counts. */
     private static final long TOOL_SLACK_MS = 300;
-    /** ms; calls that come so soon after the word to wait are let through. */
+    /** Time after a response with Retry-After in which calls that were already on their way may arrive. */
     private static final long RETRY_AFTER_SLACK_MS = 100;
-    /** ms after which a change of the list counts as told, and in which a relay must have stopped sending. */
-    private static final long LIST_PROPAGATION_MS = 6_000, QUIET_LIST_PROPAGATION_MS = 1_000, STOP_SENDING_MS = 300;
-    /** ms from connecting in which a bad peer must have an error or a close. */
+    /** Time after which a relay counts as notified of a list change: if the relay had a fault, and if not. */
+    private static final long LIST_PROPAGATION_MS = 6_000, QUIET_LIST_PROPAGATION_MS = 1_000;
+    /** Time from the notification within which the relay must stop sending to a draining endpoint. */
+    private static final long STOP_SENDING_MS = 300;
+    /** Time from connecting within which a bad client must receive an error or a close. */
     private static final long BAD_CLIENT_TIMEOUT_MS = 3_000;
-    /** Messages handed in in a row without an answer, over so many ms, that mean nobody is served. */
+    /** So many unanswered messages in a row, submitted over this time or longer, mean that nobody is served. */
     private static final int UNSERVED_MESSAGES = 15;
     private static final long UNSERVED_MS = 4_000;
 
-    /** How endpoints of the soak come back from an outage, as the relays' settings tell it. */
+    /** How the endpoints' capacity grows back after an outage, as in the relays' settings. */
     static final double COLD_CAPACITY_SHARE = 0.2, OVERLOAD_MULTIPLE = 2;
     static final long COLD_MS = 10_000, OVERLOAD_WINDOW_MS = 2_000;
 
@@ -42,7 +48,7 @@
         this.findings = new ArrayList<>(history.findings());
     }
 
-    /** What broke a rule, in the order of time. */
+    /** Returns all violations of the run, including those in the history, in ascending order of time. */
     static List<Finding> check(History history) {
         Oracle oracle = new Oracle(history);
         for (History.Message message : history.messages()) {
@@ -67,9 +73,13 @@
             checkEnd(message, description);
         }
         checkExecutions(message, description);
-        if (message.connectionLost && firstOverlap(history.processAbsences(message.relay), message.submittedAt, message.requestEndedAt + TOOL_SLACK_MS) == null
-            && firstOverlap(history.readFailures(message.relay), message.submittedAt - TOOL_SLACK_MS, message.requestEndedAt + TOOL_SLACK_MS) == null
-            && firstOverlap(history.floods(message.relay), message.submittedAt - TOOL_SLACK_MS, message.requestEndedAt + TOOL_SLACK_MS) == null) {
+        if (message.connectionLost
+            && firstOverlap(history.processAbsences(message.relay), message.submittedAt,
+                message.requestEndedAt + TOOL_SLACK_MS) == null
+            && firstOverlap(history.readFailures(message.relay), message.submittedAt - TOOL_SLACK_MS,
+                message.requestEndedAt + TOOL_SLACK_MS) == null
+            && firstOverlap(history.floods(message.relay), message.submittedAt - TOOL_SLACK_MS,
+                message.requestEndedAt + TOOL_SLACK_MS) == null) {
             addFinding("closed unanswered", message.requestEndedAt, description);
         }
         if (message.effect == History.Effect.UNSAFE && message.returned && !message.executions.isEmpty()) {
@@ -77,18 +87,21 @@
         }
     }
 
+    /** Checks that an accepted message is delivered, or that the platform is notified of its end, in time. */
     private void checkEnd(History.Message message, String description) {
         long first = Math.min(message.deliveries.stream().mapToLong(t -> t).min().orElse(Long.MAX_VALUE),
             message.notices.stream().mapToLong(t -> t).min().orElse(Long.MAX_VALUE));
         long due = endDueAt(message);
         if (first == Long.MAX_VALUE) {
-            addFinding("lost", due, description + ", handed in at " + message.submittedAt + ", " + message.executions.size() + " calls");
+            addFinding("lost", due, description + ", handed in at " + message.submittedAt + ", "
+                + message.executions.size() + " calls");
         } else if (first > due + TOOL_SLACK_MS) {
-            addFinding("end too late", first, description + ", by " + (first - due) + " ms, " + message.executions.size() + " calls");
+            addFinding("end too late", first, description + ", by " + (first - due) + " ms, "
+                + message.executions.size() + " calls");
         }
     }
 
-    /** When its end is due; a restart puts that off. */
+    /** Returns when the message's end is due; a restart or an unreachable agent in that time extends it. */
     private long endDueAt(History.Message message) {
         long due = message.submittedAt + message.lifetimeMillis + END_DUE_MS;
         for (History.Interval downtime : history.downtimes(message.relay)) {
@@ -104,6 +117,7 @@
         return due;
     }
 
+    /** Checks that repeated executions are allowed by the message's effect. */
     private void checkExecutions(History.Message message, String description) {
         long allowedMillis = switch (message.effect) {
             case SAFE -> Long.MAX_VALUE;
@@ -114,40 +128,51 @@
         if (executions.size() > 1) {
             long spreadMillis = executions.get(executions.size() - 1) - executions.get(0);
             if (spreadMillis > allowedMillis) {
-                addFinding("run again", executions.get(executions.size() - 1), description + ", " + executions.size() + " calls, " + spreadMillis
-                    + " ms apart");
+                addFinding("run again", executions.get(executions.size() - 1), description + ", "
+                    + executions.size() + " calls, " + spreadMillis + " ms apart");
             }
         }
     }
 
+    /**
+     * Checks that a relay sends nothing to any endpoint of a destination before the end of a Retry-After that
+     * it has received from one of them. A relay that was restarted in between need not know of it.
+     */
     private void checkRetryAfter() {
         List<History.Call> calls = history.calls().stream()
             .sorted(Comparator.comparingLong(History.Call::atMillis)).toList();
-        for (History.Call notice : calls) {
-            long until = notice.atMillis() + notice.retryAfterMillis();
-            if (notice.retryAfterMillis() == 0
-                || firstOverlap(history.linkFaults(notice.endpoint()), notice.atMillis() - TOOL_SLACK_MS, notice.atMillis() + TOOL_SLACK_MS) != null) {
+        for (History.Call refused : calls) {
+            long until = refused.atMillis() + refused.retryAfterMillis();
+            if (refused.retryAfterMillis() == 0
+                || firstOverlap(history.linkFaults(refused.endpoint()), refused.atMillis() - TOOL_SLACK_MS,
+                    refused.atMillis() + TOOL_SLACK_MS) != null) {
                 continue;
             }
             for (History.Call call : calls) {
-                boolean early = call.relay() == notice.relay() && call.destination() == notice.destination()
-                    && call.atMillis() > notice.atMillis() + RETRY_AFTER_SLACK_MS + TOOL_SLACK_MS && call.atMillis() < until - TOOL_SLACK_MS / 10;
-                if (early && firstOverlap(history.linkFaults(call.endpoint()), notice.atMillis(), call.atMillis()) == null
-                    && firstOverlap(history.downtimes(call.relay()), notice.atMillis(), call.atMillis()) == null) {
-                    addFinding("sent within a wait", call.atMillis(), "message " + call.messageId() + " of relay "
-                        + call.relay() + " to destination " + call.destination() + ", "
+                boolean early = call.relay() == refused.relay() && call.destination() == refused.destination()
+                    && call.atMillis() > refused.atMillis() + RETRY_AFTER_SLACK_MS + TOOL_SLACK_MS
+                    && call.atMillis() < until - TOOL_SLACK_MS / 10;
+                if (early
+                    && firstOverlap(history.linkFaults(call.endpoint()), refused.atMillis(),
+                        call.atMillis()) == null
+                    && firstOverlap(history.downtimes(call.relay()), refused.atMillis(),
+                        call.atMillis()) == null) {
+                    addFinding("sent within a wait", call.atMillis(), "message " + call.messageId()
+                        + " of relay " + call.relay() + " to destination " + call.destination() + ", "
                         + (until - call.atMillis()) + " ms early");
                 }
             }
         }
     }
 
+    /** Checks that relays stop sending to an endpoint that the list shows as draining. */
     private void checkDrains() {
         for (Map.Entry<Integer, List<History.Interval>> entry : history.drains().entrySet()) {
             for (History.Interval drain : entry.getValue()) {
                 for (History.Call call : history.calls()) {
                     if (call.endpoint() == entry.getKey()
-                        && firstOverlap(history.linkFaults(call.endpoint()), drain.from(), call.atMillis()) == null) {
+                        && firstOverlap(history.linkFaults(call.endpoint()), drain.from(),
+                            call.atMillis()) == null) {
                         checkDrain(drain, call);
                     }
                 }
@@ -156,47 +181,55 @@
     }
 
     private void checkDrain(History.Interval drain, History.Call call) {
-        boolean undisturbed = firstOverlap(history.relayFaults(call.relay()), drain.from() - LIST_PROPAGATION_MS, call.atMillis()) == null
-            && firstOverlap(history.downtimes(call.relay()), drain.from() - TOOL_SLACK_MS, call.atMillis()) == null;
-        long notice = drain.from() + (undisturbed ? QUIET_LIST_PROPAGATION_MS : LIST_PROPAGATION_MS);
+        boolean undisturbed = firstOverlap(history.relayFaults(call.relay()),
+            drain.from() - LIST_PROPAGATION_MS, call.atMillis()) == null
+            && firstOverlap(history.downtimes(call.relay()), drain.from() - TOOL_SLACK_MS,
+                call.atMillis()) == null;
+        long notifiedAt = drain.from() + (undisturbed ? QUIET_LIST_PROPAGATION_MS : LIST_PROPAGATION_MS);
         for (History.Interval fault : history.relayFaults(call.relay())) {
             if (!undisturbed && fault.overlaps(drain.from(), call.atMillis())) {
                 long faultEnd = Math.min(fault.to(), Long.MAX_VALUE / 2);
-                notice = Math.max(notice, faultEnd + LIST_PROPAGATION_MS);
+                notifiedAt = Math.max(notifiedAt, faultEnd + LIST_PROPAGATION_MS);
             }
         }
-        long lastAllowedAt = notice + STOP_SENDING_MS + TOOL_SLACK_MS;
+        long lastAllowedAt = notifiedAt + STOP_SENDING_MS + TOOL_SLACK_MS;
         if (call.atMillis() > lastAllowedAt && call.atMillis() < drain.to()) {
-            addFinding("sent while draining", call.atMillis(), "message " + call.messageId() + " of relay " + call.relay()
-                + " to endpoint " + call.endpoint() + ", which drains since " + drain.from());
+            addFinding("sent while draining", call.atMillis(), "message " + call.messageId() + " of relay "
+                + call.relay() + " to endpoint " + call.endpoint() + ", which drains since " + drain.from());
         }
     }
 
-    /** All relays together count, whatever each of them has been told: what an endpoint bears is one sum. */
+    /**
+     * Checks that no endpoint is overloaded in the time after an outage. The calls of all relays are counted
+     * together, whatever each of them knows of the outage, because they share the endpoint's capacity.
+     */
     private void checkColdStartBudgets() {
         history.outages().forEach((endpoint, outages) -> {
             double capacity = history.capacities().get(endpoint);
-            ColdStartBudget budget = new ColdStartBudget(capacity, COLD_CAPACITY_SHARE, COLD_MS, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW_MS);
+            ColdStartBudget budget = new ColdStartBudget(capacity, COLD_CAPACITY_SHARE, COLD_MS,
+                OVERLOAD_MULTIPLE, OVERLOAD_WINDOW_MS);
             for (History.Interval outage : outages) {
-                long nextOutageAt = outages.stream().mapToLong(History.Interval::from).filter(from -> from > outage.to())
-                    .min().orElse(Long.MAX_VALUE);
+                long nextOutageAt = outages.stream().mapToLong(History.Interval::from)
+                    .filter(from -> from > outage.to()).min().orElse(Long.MAX_VALUE);
                 List<Long> calls = history.calls().stream().filter(call -> call.endpoint() == endpoint)
                     .map(History.Call::atMillis).filter(at -> at < nextOutageAt).sorted().toList();
                 ColdStartBudget.WorstWindow worstWindow = budget.worstWindow(outage.to(), calls);
                 if (worstWindow.ratio() > 1) {
-                    addFinding("cold endpoint overrun", worstWindow.endMillis(), "endpoint " + endpoint + ", out until "
-                        + outage.to() + ": " + worstWindow.calls() + " calls in " + OVERLOAD_WINDOW_MS + " ms, it bears "
-                        + Math.round(worstWindow.bound()));
+                    addFinding("cold endpoint overrun", worstWindow.endMillis(), "endpoint " + endpoint
+                        + ", out until " + outage.to() + ": " + worstWindow.calls() + " calls in "
+                        + OVERLOAD_WINDOW_MS + " ms, it bears " + Math.round(worstWindow.bound()));
                 }
             }
         });
     }
 
+    /** Checks that bad clients receive an error or a close in time. */
     private void checkBadClients() {
         for (History.BadClientResult client : history.badClients()) {
             long due = client.connectedAt() + BAD_CLIENT_TIMEOUT_MS + TOOL_SLACK_MS;
             boolean late = client.endedAt() < 0 || client.endedAt() > due;
-            if (late && firstOverlap(history.downtimes(client.relay()), client.connectedAt() - TOOL_SLACK_MS, due) == null) {
+            if (late && firstOverlap(history.downtimes(client.relay()),
+                client.connectedAt() - TOOL_SLACK_MS, due) == null) {
                 addFinding("bad peer held", due, client.payload() + " at relay " + client.relay() + ", "
                     + (client.endedAt() < 0 ? "never closed" : "closed after "
                     + (client.endedAt() - client.connectedAt()) + " ms"));
@@ -204,16 +237,18 @@
         }
     }
 
-    /** A relay that lives and answers none of those who come to it for seconds. */
+    /** Checks that no running relay leaves all its clients without a response for seconds. */
     private void checkService() {
         Map<Integer, List<History.Message>> byRelay = new HashMap<>();
-        history.messages().forEach(message -> byRelay.computeIfAbsent(message.relay, r -> new ArrayList<>()).add(message));
+        history.messages().forEach(message ->
+            byRelay.computeIfAbsent(message.relay, r -> new ArrayList<>()).add(message));
         byRelay.forEach((relay, all) -> {
             List<History.Message> unserved = new ArrayList<>();
             all.sort(Comparator.comparingLong(message -> message.submittedAt));
             for (History.Message message : all) {
                 long from = message.submittedAt - TOOL_SLACK_MS;
-                boolean faultInjected = firstOverlap(history.downtimes(relay), from, message.submittedAt + 1_000) != null
+                boolean faultInjected = firstOverlap(history.downtimes(relay), from,
+                    message.submittedAt + 1_000) != null
                     || firstOverlap(history.floods(relay), from, message.submittedAt + 1_000) != null;
                 if (message.status != 0 || faultInjected) {
                     unserved.clear();
@@ -229,7 +264,8 @@
         });
     }
 
-    private static History.Interval firstOverlap(List<History.Interval> spans, long from, long to) {
-        return spans.stream().filter(interval -> interval.overlaps(from, to)).findFirst().orElse(null);
+    /** Returns the first interval that overlaps the given time, or null. */
+    private static History.Interval firstOverlap(List<History.Interval> intervals, long from, long to) {
+        return intervals.stream().filter(interval -> interval.overlaps(from, to)).findFirst().orElse(null);
     }
 }
--- a/src/main/java/wrenkeel/soak/PortAllocator.java
+++ b/src/main/java/wrenkeel/soak/PortAllocator.java
@@ -6,14 +6,18 @@
 import java.net.ServerSocket;
 
 /**
- * Addresses for the relays of one soak. Relays share their address with a successor, so two of them would
- * share it unseen: each soak has a loopback address of its own, made from its process number, and its ports
- * are none that the system gives to connections.
+ * Allocates listen addresses for the relays of one soak process. Relays listen with
+ * SO_REUSEPORT so that their successor can bind the same address; two unrelated relays on one address would
+ * therefore not fail but share its connections unnoticed. So each soak process uses a loopback address of its
+ * own, derived from its process id, and ports outside the range that the system assigns to outgoing
+ * connections. Any thread may call this class.
  */
 final class PortAllocator {
+    /** Ports from the first up to, but not including, the last. */
     private static final int FIRST_PORT = 12_000, LAST_PORT = 30_000;
-    /** First part of the address that is made, and the bits of the process number in the others. */
-    private static final int FIRST_OCTET = 127, SECOND_OCTET_BASE = 64, OCTET_BITS = 8, OCTET_MASK = 0xff, SECOND_OCTET_PID_MASK = 0x3f;
+    /** The address is 127.64.0.0 plus the low 22 bits of the process id. */
+    private static final int FIRST_OCTET = 127, SECOND_OCTET_BASE = 64;
+    private static final int OCTET_BITS = 8, OCTET_MASK = 0xff, SECOND_OCTET_PID_MASK = 0x3f;
 
     private static int nextPort = FIRST_PORT;
 
@@ -22,17 +26,17 @@
     private static InetAddress loopbackAddress() throws IOException {
         long pid = ProcessHandle.current().pid();
         return InetAddress.getByAddress(new byte[] {FIRST_OCTET,
-            (byte) (SECOND_OCTET_BASE + (pid >> 2 * OCTET_BITS & SECOND_OCTET_PID_MASK)), (byte) (pid >> OCTET_BITS & OCTET_MASK),
-            (byte) (pid & OCTET_MASK)});
+            (byte) (SECOND_OCTET_BASE + (pid >> 2 * OCTET_BITS & SECOND_OCTET_PID_MASK)),
+            (byte) (pid >> OCTET_BITS & OCTET_MASK), (byte) (pid & OCTET_MASK)});
     }
 
-    /** An address at which nobody listens now, and that no other soak gives out. */
+    /** Returns an address on which nobody listens and that no other soak process allocates. */
     static synchronized InetSocketAddress allocate() throws IOException {
         while (nextPort < LAST_PORT) {
             try (ServerSocket socket = new ServerSocket(nextPort++, 1, loopbackAddress())) {
                 return new InetSocketAddress(socket.getInetAddress(), socket.getLocalPort());
             } catch (java.net.BindException e) {
-                // Taken; the next may be free.
+                // In use; try the next port.
             }
         }
         throw new IOException("no free port left");
--- a/src/main/java/wrenkeel/soak/RelayHandle.java
+++ b/src/main/java/wrenkeel/soak/RelayHandle.java
@@ -13,31 +13,47 @@
 import wrenkeel.scale.RelayProcess;
 import wrenkeel.scale.RelaySettings;
 
-/** One relay of a run: its process, its shim, and its links to the agent. */
+/**
+ * One relay of a run: its process, the shim that lets its system calls fail, and its links to the discovery
+ * agent. Faults may be injected from several threads; while the process is being restarted or reloaded,
+ * further restarts and reloads are ignored.
+ */
 final class RelayHandle implements AutoCloseable {
     private static final Duration START_TIMEOUT = Duration.ofSeconds(30);
-    /** ms from a start, or from when the folder could be written again, in which a relay must be ready. */
+    /** Time from a start, or from when the state folder is writable again, in which a relay must be ready. */
     private static final long READY_WITHIN_MS = 10_000;
+    /** Time from SIGTERM to SIGKILL, and from SIGKILL to the restart. */
     private static final long KILL_AFTER_TERM_MS = 3_700, RESTART_DELAY_MS = 600;
-    /** ms after a reload for which the old address still serves its open connections. */
+    /** Time after a reload in which the old address of the agent still serves its open connections. */
     private static final long OLD_AGENT_SERVES_MS = 1_500;
     private static final String TRACE_OPTION = "-Dorg.slf4j.simpleLogger.log.wrenkeel.trace=debug";
 
     final int number;
     final Shim shim;
-    /** Where clients connect, the same for each process of this relay. */
+    /** Where clients connect, the same after each restart. */
     final InetSocketAddress address;
+    /** Two links to the agent; a reload switches from one to the other. */
     private final FaultProxy[] agentLinks;
     private final RelayProcess process;
     private final LongSupplier clock;
     private final History history;
-    /** Its process ends or starts just now. */
+    /** True while the process is being restarted or reloaded, and for good once it is down or closed. */
     private final AtomicBoolean inTransition = new AtomicBoolean();
+    /** Index of the link that the relay's configuration names. */
     private volatile int currentAgentLink;
+    /** When the relay last became ready, ms on the clock; 0 before the first time. */
     private volatile long readyAt;
-    /** Until when the folder cannot be written. */
+    /** Until when writes to the state folder fail, ms on the clock. */
     private volatile long folderFailsUntil;
 
+    /**
+     * @param root a built checkout of the repository, whose relay is started
+     * @param folder where the control file of the shim is created
+     * @param library the compiled shim
+     * @param trace whether the relay logs each step of each message
+     * @param agent address of the stand-in agent
+     * @param clock ms since the start of the traffic
+     */
     RelayHandle(int number, Path root, Path folder, Path library, RelaySettings settings, boolean trace,
                 InetSocketAddress agent, EventLoopGroup eventLoops, LongSupplier clock, History history)
         throws IOException, InterruptedException {
@@ -55,15 +71,17 @@
         process = new RelayProcess(root, settings, agentLinks[0].address(), null, environment);
     }
 
+    /** The link to the agent that the relay's configuration names. */
     FaultProxy agentLink() {
         return agentLinks[currentAgentLink];
     }
 
+    /** The logs of all processes of this relay, the latest last. */
     String logs() throws IOException {
         return process.logs();
     }
 
-    /** Starts the process and waits until it serves; false, and told, where it does not. */
+    /** Starts the process and waits until it serves; otherwise records a finding and returns false. */
     boolean start() throws InterruptedException {
         long startedAt = clock.getAsLong();
         try {
@@ -88,14 +106,18 @@
         history.addFinding(new Finding(rule, clock.getAsLong(), "relay " + number + ": " + detail));
     }
 
-    /** Tells of a process that has ended though nobody told it to. */
+    /** Records a finding, once, if the process has ended although nobody ended it. */
     void checkAlive() {
-        if (!inTransition.get() && readyAt > 0 && !process.alive() && inTransition.compareAndSet(false, true)) {
+        if (!inTransition.get() && readyAt > 0 && !process.alive()
+            && inTransition.compareAndSet(false, true)) {
             addFinding("crashed", "the process is gone");
         }
     }
 
-    /** Ends the process in one of the ways and starts it again; does nothing while that is under way. */
+    /**
+     * Ends the process in the way of the fault kind and starts it again. Does nothing if another restart or
+     * reload is in progress. A relay that does not come back is never restarted again.
+     */
     void restart(FaultKind kind) throws IOException, InterruptedException {
         if (!inTransition.compareAndSet(false, true)) {
             return;
@@ -129,7 +151,12 @@
         }
     }
 
-    /** SIGKILL, and the next start; {@code from}: when the first signal came. False if it does not serve. */
+    /**
+     * Sends SIGKILL, starts the process again and records the downtime.
+     *
+     * @param signalledAt when the first signal was sent
+     * @return whether the relay serves again
+     */
     private boolean killAndStart(long signalledAt) throws InterruptedException {
         long killedAt = clock.getAsLong();
         process.kill();
@@ -140,7 +167,10 @@
         return serves;
     }
 
-    /** A new configuration that names another address of discovery; not in a process's first second. */
+    /**
+     * Reloads the configuration with another address of the agent, whose old address resets all connections
+     * a little later. Does nothing in the first second of a process.
+     */
     void reload() throws IOException, InterruptedException {
         if (clock.getAsLong() - readyAt < 1_000 || !inTransition.compareAndSet(false, true)) {
             return;
@@ -154,11 +184,12 @@
         old.setMode(FaultProxy.Mode.RESET);
     }
 
-    void extendFolderFailure(long millis) {
-        folderFailsUntil = Math.max(folderFailsUntil, millis);
+    /** Notes that writes to the state folder fail until then, ms on the clock; only ever moves it later. */
+    void extendFolderFailure(long untilMillis) {
+        folderFailsUntil = Math.max(folderFailsUntil, untilMillis);
     }
 
-    /** Stops the process for a moment, if it runs. */
+    /** Suspends the process for so many ms, if it runs. */
     void pause(long millis) throws IOException, InterruptedException {
         if (process.alive()) {
             process.signal("STOP");
--- a/src/main/java/wrenkeel/soak/Schedule.java
+++ b/src/main/java/wrenkeel/soak/Schedule.java
@@ -5,12 +5,16 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** What goes wrong in one run, and when. The same seed and sizes give the same schedule. */
+/**
+ * The faults that one run injects, with their times. The same seed and sizes always give the same schedule: a
+ * change in the order of the random draws would make the seeds of earlier reports worthless.
+ */
 final class Schedule {
-    /** Troubles that begin together, some hundred ms apart, on one relay or on what it needs. */
+    /** Number of faults in a cluster. All its relay faults are aimed at the same relay. */
     private static final int MIN_CLUSTER_SIZE = 2, MAX_CLUSTER_SIZE = 3;
+    /** Time within which the faults of a cluster begin, so that they overlap. */
     private static final int CLUSTER_SPREAD_MS = 900;
-    /** ms; the first trouble comes after this much plain traffic. */
+    /** Traffic without faults at the start of a run. */
     private static final int FAULT_FREE_MS = 1_500;
 
     private final List<Fault> faults;
@@ -20,8 +24,12 @@
     }
 
     /**
-     * @param clusters how many groups of troubles that overlap
-     * @param spanMillis within which they begin
+     * Draws a schedule.
+     *
+     * @param relays number of relays, which may be targets
+     * @param endpoints number of endpoints, which may be targets
+     * @param clusters number of groups of faults that overlap
+     * @param spanMillis time after the start of the traffic before which each cluster begins
      */
     static Schedule generate(long seed, int relays, int endpoints, int clusters, int spanMillis) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -34,7 +42,7 @@
     }
 
     private static void addCluster(SplittableRandom random, int relays, int endpoints, int spanMillis,
-                                List<Fault> target) {
+                                   List<Fault> target) {
         int clusterStart = FAULT_FREE_MS + random.nextInt(Math.max(1, spanMillis - FAULT_FREE_MS));
         int relay = random.nextInt(relays);
         int size = MIN_CLUSTER_SIZE + random.nextInt(MAX_CLUSTER_SIZE - MIN_CLUSTER_SIZE + 1);
@@ -50,12 +58,12 @@
             int range = kind.maxDurationMillis() - kind.minDurationMillis();
             int duration = kind.minDurationMillis() + (range == 0 ? 0 : random.nextInt(range));
             int targetNumber = kind.target() == FaultKind.Target.RELAY ? relay : random.nextInt(endpoints);
-            target.add(new Fault(kind, clusterStart + random.nextInt(CLUSTER_SPREAD_MS), duration, targetNumber,
-                random.nextInt(1 << 16)));
+            target.add(new Fault(kind, clusterStart + random.nextInt(CLUSTER_SPREAD_MS), duration,
+                targetNumber, random.nextInt(1 << 16)));
         }
     }
 
-    /** In the order of their starts. */
+    /** The faults in ascending order of their start times; unmodifiable. */
     List<Fault> faults() {
         return faults;
     }
--- a/src/main/java/wrenkeel/soak/Shim.java
+++ b/src/main/java/wrenkeel/soak/Shim.java
@@ -10,9 +10,15 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** What system calls of one relay's process fail now: the file that {@code soak_shim.c} reads. Any thread. */
+/**
+ * Controls which system calls of one relay's process fail. The control file that {@code soak_shim.c} maps is
+ * mapped here too, so that a change takes effect while the process runs. Any thread may call it.
+ */
 final class Shim {
-    /** The words of the file, in the order of the C source. */
+    /**
+     * The 32-bit words of the control file, in the order of the enum in the C source, which says what each of
+     * them does.
+     */
     enum Word {
         WALL_STEP_S, ACCEPT_ERRNO, ACCEPT_COUNT, CONNECT_ERRNO, CONNECT_COUNT, SOCKET_ERRNO, SOCKET_COUNT,
         FILE_ERRNO, FILE_HALF, SHORT_IO, EINTR_COUNT, PAUSE_MS, PAUSE_COUNT, READ_ERRNO, READ_COUNT
@@ -27,6 +33,7 @@
     private final Path file;
     private final MappedByteBuffer words;
 
+    /** Creates the control file with all words 0: no call fails. */
     Shim(Path file) throws IOException {
         this.file = file;
         int bytes = Word.values().length * Integer.BYTES;
@@ -42,12 +49,16 @@
         words.putInt(word.ordinal() * Integer.BYTES, value);
     }
 
-    /** What a process needs to be started with. */
+    /** The environment variables that load the shim into a process. */
     Map<String, String> environment(Path library) {
         return Map.of("LD_PRELOAD", library.toString(), "SOAK_SHIM", file.toString());
     }
 
-    /** Compiles the shim into a folder; fails where there is no C compiler. */
+    /**
+     * Compiles the shim into a folder and returns the library's path.
+     *
+     * @throws IOException if there is no C compiler, or it fails or takes longer than 60 s
+     */
     static Path compile(Path root, Path folder) throws IOException, InterruptedException {
         Path library = folder.resolve("soak_shim.so");
         Process compiler;
@@ -55,10 +66,10 @@
             compiler = new ProcessBuilder("cc", "-shared", "-fPIC", "-O2", "-o", library.toString(),
                 root.resolve(SOURCE).toString(), "-ldl").inheritIO().start();
         } catch (IOException e) {
-            throw new IOException("no C compiler, install the Debian package gcc: " + e.getMessage(), e);
+            throw new IOException("cannot run the C compiler cc (Debian package gcc): " + e.getMessage(), e);
         }
         if (!compiler.waitFor(60, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
-            throw new IOException("the shim does not compile");
+            throw new IOException("compiling " + SOURCE + " failed");
         }
         return library;
     }
--- a/src/main/java/wrenkeel/soak/package-info.java
+++ b/src/main/java/wrenkeel/soak/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The randomized fault soak: real relay processes on loopback between stand-ins, with faults that overlap in
- * time, and an oracle that goes by the stand-ins' own records. A relay loads nothing of it.
+ * The randomized fault soak. It runs real relay processes on loopback between stand-in clients, destinations
+ * and a stand-in discovery agent, injects faults that overlap in time, and lets an oracle check the records of
+ * the stand-ins against the rules of the protocol. A serving relay loads no class of this package.
  */
 package wrenkeel.soak;
