--- a/src/main/java/wrenkeel/soak/Oracle.java
+++ b/src/main/java/wrenkeel/soak/Oracle.java
@@ -32,7 +32,7 @@
     private static final long STOP_SENDING_MS = 300;
     /** Time from connecting within which a bad client must receive an error or a close. */
     private static final long BAD_CLIENT_TIMEOUT_MS = 3_000;
-    /** So many unanswered messages in a row, submitted over this time or longer, mean that nobody is served. */
+    /** So many unanswered messages in a row, submitted over this time or more, mean that nobody is served. */
     private static final int UNSERVED_MESSAGES = 15;
     private static final long UNSERVED_MS = 4_000;
 
--- a/src/main/java/wrenkeel/soak/OutageRun.java
+++ b/src/main/java/wrenkeel/soak/OutageRun.java
@@ -34,40 +34,53 @@
 import wrenkeel.scale.Traffic;
 
 /**
- * One destination's outage and its return, met by real relays of which some are killed on the way. Judged is
- * the sum of what all relays send to the destination while it is cold.
+ * A run of real relays against one destination that has an outage and returns cold, while some of the relays
+ * are killed and restarted. The result compares the calls of all relays together in the cold time with the
+ * destination's {@link ColdStartBudget}. Not for several threads.
  */
 final class OutageRun implements AutoCloseable {
     /**
-     * What happens. Times are milliseconds.
+     * What happens in a run.
      *
-     * @param messagesPerSecond messages a second at all relays together
+     * @param seed selects the relays that are killed and the random times of the messages
+     * @param relays number of relays
+     * @param messagesPerSecond messages a second that clients submit to all relays together
      * @param capacityPerSecond calls a second that the warm destination takes
-     * @param outageStanding what the destination does meanwhile
-     * @param killFraction part of the relays that are killed
-     * @param killBeforeReturnMillis the return, by so much; negative for after it
-     * @param keepsStateFolder whether the killed relays find their lasting folder again
-     * @param secondKillAfterReturnMillis the return, by so much, of the same relays; 0 for none
+     * @param outageStanding what the destination does with calls during the outage
+     * @param outageMillis length of the outage
+     * @param killFraction fraction of the relays that are killed, 0 to 1
+     * @param killBeforeReturnMillis time from the kill to the end of the outage; negative for a later kill
+     * @param keepsStateFolder whether the restarted relays have the state folder of the killed ones
+     * @param secondKillAfterReturnMillis time from the end of the outage to a second kill of the same relays;
+     *     0 for none
      */
-    record Plan(long seed, int relays, double messagesPerSecond, double capacityPerSecond, EndpointModel.Standing outageStanding,
-                long outageMillis, double killFraction, long killBeforeReturnMillis, boolean keepsStateFolder,
-                long secondKillAfterReturnMillis) { }
+    record Plan(long seed, int relays, double messagesPerSecond, double capacityPerSecond,
+                EndpointModel.Standing outageStanding, long outageMillis, double killFraction,
+                long killBeforeReturnMillis, boolean keepsStateFolder, long secondKillAfterReturnMillis) { }
 
     /**
-     * @param worstWindow window of the cold destination
-     * @param delivered messages, of so many handed in
-     * @param callsInOutage calls that met the outage
+     * What was observed.
+     *
+     * @param worstWindow the window of the cold time with the most calls compared with the budget
+     * @param submitted messages that clients submitted
+     * @param delivered messages that the destination answered with 200
+     * @param callsInOutage calls that the destination received during the outage
      */
-    record Result(ColdStartBudget.WorstWindow worstWindow, int submitted, int delivered, int callsInOutage) { }
+    record Result(ColdStartBudget.WorstWindow worstWindow, int submitted, int delivered,
+                  int callsInOutage) { }
 
-    private static final long WARM_UP_MS = 15_000, RESTART_DELAY_MS = 600;
+    /** Traffic before the outage. */
+    private static final long WARM_UP_MS = 15_000;
+    /** Time from a kill to the restart. */
+    private static final long RESTART_DELAY_MS = 600;
+    /** How the destination's capacity grows back; see {@link ColdStartBudget}. */
     private static final long COLD_MS = 10_000, OVERLOAD_WINDOW_MS = 2_000;
     private static final double COLD_CAPACITY_SHARE = 0.2, OVERLOAD_MULTIPLE = 2;
     private static final Duration START_TIMEOUT = Duration.ofSeconds(30);
     private static final int MAX_CONNECTIONS = 50, BODY_BYTES = 100, THREADS = 2;
     private static final long LIFETIME_MS = 28_000, TARGET_TIME_MS = 3_000, CLIENT_TIMEOUT_MS = 400;
     private static final long ANSWER_DELAY_MICROS = 5_000;
-    /** Bits of a message's sequence number below that of its relay. */
+    /** A message's sequence number has its relay's number above so many bits, and a counter below. */
     private static final int SEQUENCE_BITS = 32;
     private static final String MESSAGE_CLASS = "query";
 
@@ -86,9 +99,10 @@
     private final StandInDestinations destination;
     private final StandInAgent agent;
     private final List<RelayWithClients> relays = new ArrayList<>();
+    /** When the destination received each call. */
     private final List<Long> callMillis = Collections.synchronizedList(new ArrayList<>());
     private final AtomicInteger submitted = new AtomicInteger();
-    /** Sequence numbers of messages. */
+    /** Sequence numbers of the messages that the destination has answered with 200. */
     private final Set<Long> deliveredSequences = ConcurrentHashMap.newKeySet();
     private final ExecutorService tasks = Executors.newCachedThreadPool(task -> {
         Thread thread = new Thread(task, "outage run");
@@ -96,7 +110,7 @@
         return thread;
     });
 
-    /** {@code root}: a repository, built, whose relay is played. */
+    /** {@code root}: a built checkout of the repository, whose relay is run. */
     OutageRun(Path root, Plan plan) throws IOException, InterruptedException {
         this.plan = plan;
         destination = new StandInDestinations(1, EndpointModel.Behaviour.unlimited(ANSWER_DELAY_MICROS, 0), 1,
@@ -107,7 +121,8 @@
         RelaySettings settings = RelaySettings.typical("n").withRelays(plan.relays).withProfiles(List.of(
             new RelaySettings.Profile(MESSAGE_CLASS, TARGET_TIME_MS, LIFETIME_MS, "retryable", 0)));
         Traffic traffic = new Traffic(1, 0, BODY_BYTES,
-            List.of(new Traffic.ClassShare(MESSAGE_CLASS, 1, LIFETIME_MS, false)), List.of(), MAX_CONNECTIONS);
+            List.of(new Traffic.ClassShare(MESSAGE_CLASS, 1, LIFETIME_MS, false)), List.of(),
+            MAX_CONNECTIONS);
         for (int i = 0; i < plan.relays; i++) {
             InetSocketAddress address = PortAllocator.allocate();
             RelayProcess process = new RelayProcess(root, settings.named("n" + i), agent.address(), null,
@@ -117,7 +132,7 @@
         }
     }
 
-    /** Plays the plan. */
+    /** Runs the plan; returns after the cold time. */
     Result run() throws IOException, InterruptedException, ExecutionException {
         runOnAll(relays, relay -> {
             start(relay.process);
@@ -143,19 +158,20 @@
         long returned = nowMillis();
         sleepUntilMillis(returned + COLD_MS);
         restarts.get();
-        ColdStartBudget budget = new ColdStartBudget(plan.capacityPerSecond, COLD_CAPACITY_SHARE, COLD_MS, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW_MS);
-        return new Result(budget.worstWindow(returned, List.copyOf(callMillis)), submitted.get(), deliveredSequences.size(),
-            callsInOutage);
+        ColdStartBudget budget = new ColdStartBudget(plan.capacityPerSecond, COLD_CAPACITY_SHARE, COLD_MS,
+            OVERLOAD_MULTIPLE, OVERLOAD_WINDOW_MS);
+        return new Result(budget.worstWindow(returned, List.copyOf(callMillis)), submitted.get(),
+            deliveredSequences.size(), callsInOutage);
     }
 
     private static void start(RelayProcess process) throws IOException, InterruptedException {
         process.start();
         if (!process.awaitServing(START_TIMEOUT)) {
-            throw new IOException("a relay is not ready within " + START_TIMEOUT.toSeconds() + " s");
+            throw new IOException("a relay does not serve within " + START_TIMEOUT.toSeconds() + " s");
         }
     }
 
-    /** Kills some of the relays, the same for the same seed, and starts them again. */
+    /** Kills a fraction of the relays, the same ones for the same seed, and starts them again. */
     private void killAndRestart(long killAt) throws InterruptedException, ExecutionException {
         List<RelayWithClients> shuffled = new ArrayList<>(relays);
         Collections.shuffle(shuffled, new Random(plan.seed));
@@ -179,17 +195,21 @@
         }
     }
 
+    /** A step that may throw; it returns null. */
     private interface RelayTask {
         Void run(RelayWithClients relay) throws Exception;
     }
 
-    private void runOnAll(List<RelayWithClients> selected, RelayTask task) throws InterruptedException, ExecutionException {
+    /** Runs a step for all given relays in parallel and waits for the last. */
+    private void runOnAll(List<RelayWithClients> selected, RelayTask task)
+        throws InterruptedException, ExecutionException {
         for (Future<?> result : tasks.invokeAll(selected.stream()
                 .map(relay -> (Callable<Void>) () -> task.run(relay)).toList())) {
             result.get();
         }
     }
 
+    /** The clock of all times of a run, which is also that of the stand-in destination. */
     private static long nowMillis() {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
@@ -198,7 +218,7 @@
         TimeUnit.MILLISECONDS.sleep(Math.max(0, millis - nowMillis()));
     }
 
-    /** The logs of all relays, each process after the one before. */
+    /** The logs of all relays, one text a relay with its processes in the order of their starts. */
     List<String> logs() throws IOException {
         List<String> all = new ArrayList<>();
         for (RelayWithClients relay : relays) {
@@ -227,7 +247,7 @@
 
         @Override
         public void ended(MessageId id, Ending ending, int status, boolean written) {
-            // Judged is what the destination gets.
+            // The result depends only on what the destination receives.
         }
     }
 
--- a/src/main/java/wrenkeel/soak/SoakCommand.java
+++ b/src/main/java/wrenkeel/soak/SoakCommand.java
@@ -11,9 +11,12 @@
 import picocli.CommandLine.Option;
 import wrenkeel.scale.TimeLimit;
 
-/** Entry point of the soak: plays seeds one after the other. Nothing of it is loaded by a relay. */
+/**
+ * The command {@code soak}: runs one seed after the other and prints schedule, summary and findings of each.
+ * A serving relay does not load this class.
+ */
 @Command(name = "soak", mixinStandardHelpOptions = true,
-    description = "Plays real relays on loopback under faults that overlap; the stand-ins' records judge.")
+    description = "Runs real relays on loopback under overlapping faults and checks the stand-ins' records.")
 public final class SoakCommand implements Callable<Integer> {
     private static final int EXIT_FAILURE = 1;
 
@@ -22,35 +25,38 @@
     private long firstSeed;
 
     @Option(names = "--seeds", defaultValue = "1", paramLabel = "K",
-        description = "How many, counting up (default: ${DEFAULT-VALUE}).")
+        description = "Number of seeds, counting up from the first (default: ${DEFAULT-VALUE}).")
     private int seedCount;
 
     @Option(names = "--relays", defaultValue = "10..16", paramLabel = "A..B",
-        description = "How many relays; the seed draws one of the range (default: ${DEFAULT-VALUE}).")
+        description = "Range of the number of relays; the seed draws one (default: ${DEFAULT-VALUE}).")
     private String relayRange;
 
     @Option(names = "--clusters", defaultValue = "8", paramLabel = "N",
-        description = "Groups of two or three troubles that overlap (default: ${DEFAULT-VALUE}).")
+        description = "Number of clusters of two or three overlapping faults (default: ${DEFAULT-VALUE}).")
     private int clusters;
 
     @Option(names = "--root", defaultValue = ".", paramLabel = "DIR",
-        description = "The repository's root, built, whose relay is played (default: ${DEFAULT-VALUE}).")
+        description = "Root of a built checkout of the repository (default: ${DEFAULT-VALUE}).")
     private Path root;
 
     @Option(names = "--logs", paramLabel = "DIR",
-        description = "Keep the relays' logs of runs that break a rule here.")
+        description = "Folder in which to keep the relays' logs of runs that break a rule.")
     private Path logFolder;
 
-    @Option(names = "--trace", description = "Let the relays log each step of each message.")
+    @Option(names = "--trace", description = "Have the relays log each step of each message.")
     private boolean trace;
 
     @Option(names = "--most-seconds", defaultValue = "3600", paramLabel = "N",
-        description = "The whole run ends with an error after so long (default: ${DEFAULT-VALUE}).")
+        description = "Time limit of the whole run, which fails after it (default: ${DEFAULT-VALUE}).")
     private long maxSeconds;
 
     private SoakCommand() { }
 
-    /** The exit code: 0 where no rule was broken, 1 where one was, 2 for a command line of no use. */
+    /**
+     * Runs the command and returns its exit code: 0 if no rule was broken, 1 if one was or a run could not be
+     * carried out, 2 for an invalid command line.
+     */
     public static int run(String[] args) {
         return new CommandLine(new SoakCommand()).execute(args);
     }
@@ -74,11 +80,12 @@
         return failedSeeds == 0 ? 0 : EXIT_FAILURE;
     }
 
+    /** Runs one seed, prints what it did and found, and returns the findings. */
     private List<Finding> runSeed(long seed) throws IOException, InterruptedException, ExecutionException {
         int count = relayCount(seed);
         try (SoakRun run = new SoakRun(root.toAbsolutePath().normalize(), seed, count, clusters, trace)) {
             System.out.println("seed " + seed + ", " + count + " relays");
-            run.schedule().faults().forEach(trouble -> System.out.println("  " + trouble));
+            run.schedule().faults().forEach(fault -> System.out.println("  " + fault));
             List<Finding> findings = run.run();
             System.out.println("  " + run.summary());
             findings.forEach(finding -> System.out.println("  BROKEN " + finding));
@@ -89,6 +96,7 @@
         }
     }
 
+    /** Draws the number of relays; both bounds of the range are included. */
     private int relayCount(long seed) {
         String[] bounds = relayRange.split("\\.\\.");
         int min = Integer.parseInt(bounds[0]);
--- a/src/main/java/wrenkeel/soak/SoakRun.java
+++ b/src/main/java/wrenkeel/soak/SoakRun.java
@@ -31,20 +31,30 @@
 import wrenkeel.scale.StandInDestinations;
 import wrenkeel.scale.Traffic;
 
-/** One run: relays, stand-ins and links for one seed, with the schedule's troubles. */
+/**
+ * One run of the soak for one seed: starts relays, stand-ins and the links between them, injects the faults
+ * of the schedule into them, and lets the oracle check the history. Each fault runs on a thread of its own.
+ */
 final class SoakRun implements AutoCloseable {
-    /** Endpoints, 1.7 a destination; ms in which troubles begin, and of traffic. */
-    static final int ENDPOINTS = 24, FAULT_PERIOD_MS = 12_000, TRAFFIC_MS = 16_000;
-    /** ms after the traffic in which all that was taken on has ended. */
+    /** Number of endpoints; there are 1.7 for each destination. */
+    static final int ENDPOINTS = 24;
+    /** Time from the start of the traffic within which clusters of faults begin. */
+    static final int FAULT_PERIOD_MS = 12_000;
+    /** Length of the traffic. */
+    static final int TRAFFIC_MS = 16_000;
+    /** Time after the traffic, and the last fault, in which all accepted messages must end. */
     private static final int TAIL_MS = 6_500;
     private static final double MESSAGES_PER_SECOND_PER_RELAY = 12;
     private static final int THREADS = 3, MAX_CONNECTIONS = 100, BODY_BYTES = 200;
     private static final long CLIENT_TIMEOUT_MS = 400, MEDIAN_ANSWER_MICROS = 25_000;
     private static final double ANSWER_SIGMA = 0.6;
-    /** Bits of a message's sequence number below that of its relay. */
+    /** A message's sequence number has its relay's number above so many bits, and a counter below. */
     private static final int SEQUENCE_BITS = 32;
-    private static final long STALL_MS = 150, STEP_MS = 100;
-    /** What an endpoint takes, of what goes to it in the mean. */
+    /** Length of one stop of a process and of one delay of its writes. */
+    private static final long STALL_MS = 150;
+    /** Interval at which faults are repeated and the relays' processes are checked. */
+    private static final long STEP_MS = 100;
+    /** An endpoint's capacity as a multiple of the mean traffic to it. */
     private static final double CAPACITY_TO_TRAFFIC_RATIO = 1.5;
     private static final int HOUR_SECONDS = 3_600;
     private static final List<RelaySettings.Profile> PROFILES = List.of(
@@ -60,7 +70,8 @@
     private final Schedule schedule;
     private final Path tempFolder;
     private final History history = new History();
-    private final EventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(THREADS, NioIoHandler.newFactory());
+    private final EventLoopGroup eventLoops =
+        new MultiThreadIoEventLoopGroup(THREADS, NioIoHandler.newFactory());
     private final ExecutorService tasks = Executors.newCachedThreadPool(task -> {
         Thread thread = new Thread(task, "soak");
         thread.setDaemon(true);
@@ -69,22 +80,31 @@
     private final StandInDestinations destinations;
     private final StandInAgent agent;
     private final Traffic traffic;
+    /** By endpoint number: the link through which all relays reach it. */
     private final List<FaultProxy> endpointLinks = new ArrayList<>();
     private final List<RelayHandle> relays = new ArrayList<>();
     private final List<StandInClients> clients = new ArrayList<>();
-    /** Endpoints that are out just now: one outage at a time. */
+    /** Endpoints that are in an outage now: a second outage of the same endpoint is skipped. */
     private final Set<Integer> endpointsInOutage = ConcurrentHashMap.newKeySet();
-    /** The same for drains. */
+    /** Endpoints that are draining now: a second drain of the same endpoint is skipped. */
     private final Set<Integer> endpointsDraining = ConcurrentHashMap.newKeySet();
+    /** Origin of the run's clock; until the traffic starts, the creation of this object. */
     private volatile long trafficStartNanos = System.nanoTime();
 
+    /**
+     * Compiles the shim and starts the stand-ins and links, but no relay yet.
+     *
+     * @param root a built checkout of the repository, whose relay is run
+     * @param clusters number of clusters of faults
+     * @param trace whether the relays log each step of each message
+     */
     SoakRun(Path root, long seed, int relayCount, int clusters, boolean trace)
         throws IOException, InterruptedException {
         this.seed = seed;
         schedule = Schedule.generate(seed, relayCount, ENDPOINTS, clusters, FAULT_PERIOD_MS);
         tempFolder = Files.createTempDirectory("soak");
         Path library = Shim.compile(root, tempFolder);
-        destinations = new StandInDestinations(ENDPOINTS, 
+        destinations = new StandInDestinations(ENDPOINTS,
             EndpointModel.Behaviour.unlimited(MEDIAN_ANSWER_MICROS, ANSWER_SIGMA), 1,
             THREADS, seed, System::nanoTime);
         for (int port : destinations.ports()) {
@@ -94,7 +114,8 @@
         HostCatalog catalog = new HostCatalog(ENDPOINTS, seed,
             host -> "127.0.0.1:" + endpointLinks.get(host).address().getPort());
         agent = new StandInAgent(catalog, this::recordNotice);
-        traffic = new Traffic(catalog.destinations(), 0.5, BODY_BYTES, CLASS_SHARES, List.of(), MAX_CONNECTIONS);
+        traffic = new Traffic(catalog.destinations(), 0.5, BODY_BYTES, CLASS_SHARES, List.of(),
+            MAX_CONNECTIONS);
         for (int endpoint = 0; endpoint < ENDPOINTS; endpoint++) {
             limitCapacity(endpoint, relayCount);
         }
@@ -105,33 +126,39 @@
         }
     }
 
-    /** Gives an endpoint its limit, from which it falls in an outage and comes back to in its cold time. */
+    /**
+     * Limits the calls a second that an endpoint takes. After an outage it starts with a share of the limit,
+     * which grows back in the cold time. Too many calls do not make it fail again: the oracle reports them.
+     */
     private void limitCapacity(int endpoint, int relayCount) {
         int destination = HostCatalog.destination(endpoint);
         long siblings = IntStream.range(0, ENDPOINTS)
-            .filter(alternative -> HostCatalog.destination(alternative) == destination).count();
-        double meanCallsPerSecond = traffic.share(destination) * MESSAGES_PER_SECOND_PER_RELAY * relayCount / siblings;
+            .filter(other -> HostCatalog.destination(other) == destination).count();
+        double meanCallsPerSecond = traffic.share(destination) * MESSAGES_PER_SECOND_PER_RELAY * relayCount
+            / siblings;
         double capacity = CAPACITY_TO_TRAFFIC_RATIO * meanCallsPerSecond;
         history.recordCapacity(endpoint, capacity);
         destinations.behave(endpoint, EndpointModel.Behaviour.unlimited(MEDIAN_ANSWER_MICROS, ANSWER_SIGMA)
             .with(new EndpointModel.Limit(capacity, 1_000, false, false))
-            .with(new EndpointModel.Cold(Oracle.COLD_CAPACITY_SHARE, Oracle.COLD_MS, 0, Oracle.OVERLOAD_WINDOW_MS, 0)));
+            .with(new EndpointModel.Cold(Oracle.COLD_CAPACITY_SHARE, Oracle.COLD_MS, 0,
+                Oracle.OVERLOAD_WINDOW_MS, 0)));
     }
 
     Schedule schedule() {
         return schedule;
     }
 
-    /** ms since the traffic began. */
+    /** The run's clock: ms since the start of the traffic. */
     private long nowMillis() {
         return (System.nanoTime() - trafficStartNanos) / 1_000_000;
     }
 
+    /** Converts a time of {@link System#nanoTime} to the run's clock. */
     private long toMillis(long nanos) {
         return (nanos - trafficStartNanos) / 1_000_000;
     }
 
-    /** Plays the schedule; what broke a rule. */
+    /** Starts the relays, runs traffic and faults, and returns the violations that were found. */
     List<Finding> run() throws InterruptedException, ExecutionException {
         awaitAll(relays.stream().map(relay -> tasks.submit(relay::start)).toList());
         trafficStartNanos = System.nanoTime();
@@ -161,12 +188,14 @@
         return Oracle.check(history);
     }
 
-    private static void awaitAll(List<? extends Future<?>> all) throws InterruptedException, ExecutionException {
+    private static void awaitAll(List<? extends Future<?>> all)
+        throws InterruptedException, ExecutionException {
         for (Future<?> task : all) {
             task.get();
         }
     }
 
+    /** Looks for crashed relays until the thread is interrupted. */
     private void watchRelays() {
         while (!Thread.currentThread().isInterrupted()) {
             relays.forEach(RelayHandle::checkAlive);
@@ -178,15 +207,16 @@
         }
     }
 
-    /** The relays' own word: what their counters of broken rules have logged. */
+    /** Adds a finding for each violation or internal error that a relay itself has logged. */
     private void collectLoggedErrors() {
         for (RelayHandle relay : relays) {
             try {
                 relay.logs().lines().filter(line -> line.matches(".* ERROR wrenkeel\\.net\\.\\w+ - "
                     + "(SENT_|REPEATED_|ENDED_|CLOSED_).*") || line.contains("could not carry out")
                     || line.contains("turn failed"))
-                    // Not where the links kept an end from the agent: the oracle judges those.
-                    .filter(line -> !line.contains("ENDED_LATE") || history.agentOutages(relay.number).isEmpty())
+                    // Notices may be late where a fault cut off the agent; the oracle checks them instead.
+                    .filter(line -> !line.contains("ENDED_LATE")
+                        || history.agentOutages(relay.number).isEmpty())
                     .forEach(line -> history.addFinding(new Finding("relay's own counter", nowMillis(),
                         "relay " + relay.number + ": " + line)));
             } catch (IOException e) {
@@ -195,7 +225,7 @@
         }
     }
 
-    /** Writes the logs of all relays into a folder. */
+    /** Writes the logs of all relays and the schedule into a folder, which is created if necessary. */
     void saveLogs(Path target) throws IOException {
         Files.createDirectories(target);
         for (RelayHandle relay : relays) {
@@ -205,20 +235,24 @@
         Files.write(target.resolve("schedule.txt"), lines);
     }
 
+    /** One line with the numbers of messages, calls and bad clients. */
     String summary() {
         List<History.Message> all = history.messages();
         long accepted = all.stream().filter(History.Message::isAccepted).count();
         long delivered = all.stream().filter(message -> !message.deliveries.isEmpty()).count();
-        long refused = all.stream().filter(message -> message.status == 429 || message.status == 503).count();
-        return all.size() + " messages, " + accepted + " taken on, " + delivered + " delivered, " + refused
-            + " refused, " + history.calls().size() + " calls, " + history.badClients().size() + " bad peers";
+        long refused = all.stream()
+            .filter(message -> message.status == 429 || message.status == 503).count();
+        return all.size() + " messages, " + accepted + " accepted, " + delivered + " delivered, " + refused
+            + " refused, " + history.calls().size() + " calls, " + history.badClients().size()
+            + " bad clients";
     }
 
-    // ---- Troubles -------------------------------------------------------------------------------
+    // ---- Faults ---------------------------------------------------------------------------------
     private interface FaultStep {
         void run() throws IOException, InterruptedException;
     }
 
+    /** Applies a fault, returns once it is over, and records it. */
     private void inject(Fault fault) throws IOException, InterruptedException {
         if (fault.kind().target() == FaultKind.Target.RELAY) {
             long start = nowMillis();
@@ -232,6 +266,7 @@
         }
     }
 
+    /** Records for a fault which of the oracle's rules take it into account. */
     private void recordFault(int relay, FaultKind kind, History.Interval interval) {
         switch (kind) {
             case READ_FAILS -> {
@@ -250,18 +285,20 @@
         }
     }
 
-    private void repeat(Fault fault, long gapMillis, FaultStep step) throws IOException, InterruptedException {
+    /** Repeats a step with a pause in between for as long as the fault lasts. */
+    private void repeat(Fault fault, long gapMillis, FaultStep step)
+        throws IOException, InterruptedException {
         for (long end = nowMillis() + fault.durationMillis(); nowMillis() < end;) {
             step.run();
             TimeUnit.MILLISECONDS.sleep(gapMillis);
         }
     }
 
-    private static int select(Fault fault, int task, int alternative) {
-        return fault.variant() % 2 == 0 ? task : alternative;
+    private static int select(Fault fault, int first, int second) {
+        return fault.variant() % 2 == 0 ? first : second;
     }
 
-    /** Lets some calls fail, a few at a time. */
+    /** Lets the next one to three calls fail, anew every {@link #STEP_MS}, for as long as the fault lasts. */
     private void failCalls(RelayHandle relay, Fault fault, Shim.Word errno, int value, Shim.Word count)
         throws IOException, InterruptedException {
         relay.shim.set(errno, value);
@@ -269,6 +306,7 @@
         relay.shim.set(count, 0);
     }
 
+    /** Applies a fault to a relay and returns once it is over. */
     private void applyFault(RelayHandle relay, Fault fault) throws IOException, InterruptedException {
         Shim shim = relay.shim;
         switch (fault.kind()) {
@@ -317,12 +355,14 @@
         }
     }
 
+    /** Starts a bad client on a thread of its own; the time selects what it sends. */
     private void startBadClient(RelayHandle relay) {
         BadClient.Payload[] payloads = BadClient.Payload.values();
         BadClient.Payload payload = payloads[(int) (nowMillis() / STEP_MS % payloads.length)];
         tasks.submit(new BadClient(relay.number, relay.address, payload, this::nowMillis, history));
     }
 
+    /** Lets writes to the relay's state folder fail for as long as the fault lasts. */
     private void failStateFolder(RelayHandle relay, Fault fault) throws InterruptedException {
         boolean full = fault.kind() == FaultKind.FOLDER_FULL;
         relay.extendFolderFailure(nowMillis() + fault.durationMillis());
@@ -333,6 +373,7 @@
         relay.extendFolderFailure(nowMillis());
     }
 
+    /** Applies a fault to an endpoint or the link to it, returns once it is over, and records it. */
     private void applyFault(int endpoint, Fault fault) throws InterruptedException {
         FaultProxy link = endpointLinks.get(endpoint);
         long start = nowMillis();
@@ -363,6 +404,7 @@
         history.recordLinkFault(endpoint, new History.Interval(start, nowMillis() + 1_000));
     }
 
+    /** Puts an endpoint into an outage for as long as the fault lasts; skipped if it is in an outage. */
     private void holdStanding(int endpoint, EndpointModel.Standing standing, Fault fault)
         throws InterruptedException {
         if (!endpointsInOutage.add(endpoint)) {
@@ -376,13 +418,15 @@
         endpointsInOutage.remove(endpoint);
     }
 
-    private static void holdMode(FaultProxy link, FaultProxy.Mode mode, Fault fault) throws InterruptedException {
+    private static void holdMode(FaultProxy link, FaultProxy.Mode mode, Fault fault)
+        throws InterruptedException {
         link.setMode(mode);
         TimeUnit.MILLISECONDS.sleep(fault.durationMillis());
         link.setMode(FaultProxy.Mode.FORWARD);
     }
 
-    // ---- What the stand-ins see -----------------------------------------------------------------
+    // ---- Records of the stand-ins ---------------------------------------------------------------
+    /** The number of the relay to which a client sends the message. */
     private static int relayOf(MessageId id) {
         return (int) (id.sequence() >> SEQUENCE_BITS);
     }
@@ -396,8 +440,8 @@
                 default -> History.Effect.UNSAFE;
             };
             long dedupWindowMillis = PROFILES.get(0).window();
-            history.recordSubmission(new History.Message(id.text(), relayOf(id), destination, effect, dedupWindowMillis,
-                toMillis(id.dueNanos()), kind.lifeMillis()));
+            history.recordSubmission(new History.Message(id.text(), relayOf(id), destination, effect,
+                dedupWindowMillis, toMillis(id.dueNanos()), kind.lifeMillis()));
         }
 
         @Override
@@ -410,16 +454,18 @@
         @Override
         public void called(int endpoint, MessageId id, EndpointModel.Verdict verdict, long nowNanos) {
             if (id == null) {
-                history.addFinding(new Finding("made up", toMillis(nowNanos), "a call with an id that no client wrote"));
+                history.addFinding(new Finding("made up", toMillis(nowNanos),
+                    "a call with an id that no client wrote"));
                 return;
             }
+            // Status 0 is silence: the endpoint may have executed the message.
             boolean mayExecute = verdict.status() == 200 || verdict.status() == 0;
-            history.recordCall(new History.Call(relayOf(id), endpoint, HostCatalog.destination(endpoint), id.text(),
-                toMillis(nowNanos), verdict.waitMillis()), mayExecute);
+            history.recordCall(new History.Call(relayOf(id), endpoint, HostCatalog.destination(endpoint),
+                id.text(), toMillis(nowNanos), verdict.waitMillis()), mayExecute);
             History.Message message = history.message(id.text());
             if (message == null || message.destination != HostCatalog.destination(endpoint)) {
-                history.addFinding(new Finding("made up", toMillis(nowNanos), "message " + id.text() + " at endpoint "
-                    + endpoint));
+                history.addFinding(new Finding("made up", toMillis(nowNanos), "message " + id.text()
+                    + " at endpoint " + endpoint));
             }
         }
 
@@ -429,10 +475,12 @@
         }
     }
 
+    /** Records a line of a notice that the agent has received. */
     private void recordNotice(String line) {
         try {
             Wire.Fields notice = Wire.decode(line);
-            history.recordNotice(notice.text("message"), notice.text("outcome").equals("handed_back"), nowMillis());
+            history.recordNotice(notice.text("message"), notice.text("outcome").equals("handed_back"),
+                nowMillis());
         } catch (Wire.Malformed e) {
             history.addFinding(new Finding("unreadable notice", nowMillis(), line));
         }
@@ -452,7 +500,7 @@
                 Files.delete(path);
             }
         } catch (IOException e) {
-            System.err.println("left behind: " + tempFolder + ": " + e);
+            System.err.println("cannot delete " + tempFolder + ": " + e);
         }
     }
 }
--- a/src/main/native/soak_shim.c
+++ b/src/main/native/soak_shim.c
@@ -1,6 +1,7 @@
 /*
- * System calls that fail on demand, for the soak: loaded into a relay's process by LD_PRELOAD. What is to
- * fail stands in a small file, SOAK_SHIM, that the soak maps as well and changes while the process runs.
+ * Replaces functions of the C library in a relay's process so that the fault soak can let system calls fail.
+ * LD_PRELOAD loads it. The environment variable SOAK_SHIM names the control file, an array of 32-bit words
+ * that the soak maps too and changes while the process runs. Without that file no call fails.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -18,23 +19,42 @@
 #include <time.h>
 #include <unistd.h>
 
-/* The order of the words in the file; Shim.java has the same. */
+/*
+ * Indexes of the words in the control file, in the same order as in Shim.java. A word *_COUNT is the number
+ * of calls that are still to be affected: each of them decrements it.
+ */
 enum {
-    WALL_STEP_S, ACCEPT_ERRNO, ACCEPT_COUNT, CONNECT_ERRNO, CONNECT_COUNT, SOCKET_ERRNO, SOCKET_COUNT,
-    FILE_ERRNO, FILE_HALF, SHORT_IO, EINTR_COUNT, PAUSE_MS, PAUSE_COUNT, READ_ERRNO, READ_COUNT, WORDS
+    WALL_STEP_S,   /* seconds added to the wall clock, may be negative */
+    ACCEPT_ERRNO,  /* error of the next ACCEPT_COUNT calls of accept and accept4 */
+    ACCEPT_COUNT,
+    CONNECT_ERRNO, /* error of the next CONNECT_COUNT calls of connect, except to Unix sockets */
+    CONNECT_COUNT,
+    SOCKET_ERRNO,  /* error of the next SOCKET_COUNT calls of socket for IPv4 and IPv6 */
+    SOCKET_COUNT,
+    FILE_ERRNO,    /* error of all writes to files of the state folder; 0 for none */
+    FILE_HALF,     /* not 0: write, but not pwrite64, writes half of the bytes before it fails */
+    SHORT_IO,      /* not 0: reads of sockets return at most 16 bytes, writes take only part of theirs */
+    EINTR_COUNT,   /* the next calls of epoll_wait fail with EINTR */
+    PAUSE_MS,      /* delay of the next PAUSE_COUNT writes to sockets */
+    PAUSE_COUNT,
+    READ_ERRNO,    /* error of the next READ_COUNT reads of sockets */
+    READ_COUNT,
+    WORDS
 };
 
-static atomic_int none[WORDS];
-static atomic_int *control = none;
-static const char *state;
+/* Used in place of the control file if there is none. */
+static atomic_int no_faults[WORDS];
+static atomic_int *control = no_faults;
+/* Path of the state folder, or NULL. */
+static const char *state_folder;
 
-__attribute__((constructor)) static void begin(void)
+__attribute__((constructor)) static void map_control_file(void)
 {
     const char *path = getenv("SOAK_SHIM");
     int fd;
     void *map;
 
-    state = getenv("EDGE_STATE");
+    state_folder = getenv("EDGE_STATE");
     if (path == NULL || (fd = open(path, O_RDWR)) < 0)
         return;
     map = mmap(NULL, WORDS * sizeof(atomic_int), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
@@ -43,12 +63,13 @@
     close(fd);
 }
 
+/* Declares the pointer real and looks up the C library's function at the first call. */
 #define REAL(name) \
     static __typeof__(name) *real; \
     if (real == NULL) \
         real = (__typeof__(name) *)dlsym(RTLD_NEXT, #name)
 
-/* Takes one from a count; true if there was one. */
+/* Decrements a count, also from several threads; true unless it was 0. */
 static int take(int word)
 {
     int left = atomic_load(&control[word]);
@@ -65,21 +86,21 @@
     return fstat(fd, &st) == 0 && S_ISSOCK(st.st_mode);
 }
 
-/* True for a file of the lasting folder. */
-static int is_lasting(int fd)
+/* True for a regular file in the state folder. */
+static int is_state_file(int fd)
 {
     char link[64], path[4096];
     struct stat st;
     ssize_t length;
 
-    if (state == NULL || fstat(fd, &st) != 0 || !S_ISREG(st.st_mode))
+    if (state_folder == NULL || fstat(fd, &st) != 0 || !S_ISREG(st.st_mode))
         return 0;
     snprintf(link, sizeof link, "/proc/self/fd/%d", fd);
     length = readlink(link, path, sizeof path - 1);
     if (length <= 0)
         return 0;
     path[length] = 0;
-    return strncmp(path, state, strlen(state)) == 0;
+    return strncmp(path, state_folder, strlen(state_folder)) == 0;
 }
 
 int clock_gettime(clockid_t clock, struct timespec *now)
@@ -102,13 +123,13 @@
     return result;
 }
 
-time_t time(time_t *into)
+time_t time(time_t *seconds)
 {
     struct timespec now;
 
     clock_gettime(CLOCK_REALTIME, &now);
-    if (into != NULL)
-        *into = now.tv_sec;
+    if (seconds != NULL)
+        *seconds = now.tv_sec;
     return now.tv_sec;
 }
 
@@ -156,6 +177,7 @@
     return real(domain, type, protocol);
 }
 
+/* Delays a write to a socket while PAUSE_COUNT is not used up. */
 static void pause_before_write(int fd)
 {
     if (atomic_load(&control[PAUSE_COUNT]) > 0 && is_socket(fd) && take(PAUSE_COUNT))
@@ -165,12 +187,12 @@
 ssize_t write(int fd, const void *bytes, size_t count)
 {
     REAL(write);
-    int fails = atomic_load(&control[FILE_ERRNO]);
+    int error = atomic_load(&control[FILE_ERRNO]);
 
-    if (fails != 0 && is_lasting(fd)) {
+    if (error != 0 && is_state_file(fd)) {
         if (atomic_load(&control[FILE_HALF]) != 0 && count > 1)
-            return real(fd, bytes, count / 2) < 0 ? -1 : (errno = fails, -1);
-        errno = fails;
+            return real(fd, bytes, count / 2) < 0 ? -1 : (errno = error, -1);
+        errno = error;
         return -1;
     }
     pause_before_write(fd);
@@ -182,10 +204,10 @@
 ssize_t pwrite64(int fd, const void *bytes, size_t count, off64_t offset)
 {
     REAL(pwrite64);
-    int fails = atomic_load(&control[FILE_ERRNO]);
+    int error = atomic_load(&control[FILE_ERRNO]);
 
-    if (fails != 0 && is_lasting(fd)) {
-        errno = fails;
+    if (error != 0 && is_state_file(fd)) {
+        errno = error;
         return -1;
     }
     return real(fd, bytes, count, offset);
@@ -201,7 +223,7 @@
     return real(fd, parts, count);
 }
 
-ssize_t read(int fd, void *into, size_t count)
+ssize_t read(int fd, void *buffer, size_t count)
 {
     REAL(read);
 
@@ -211,12 +233,13 @@
     }
     if (atomic_load(&control[SHORT_IO]) != 0 && count > 16 && is_socket(fd))
         count = 16;
-    return real(fd, into, count);
+    return real(fd, buffer, count);
 }
 
+/* Declared here, since sys/epoll.h is not included. */
 struct epoll_event;
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout)
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout)
 {
     static int (*real)(int, struct epoll_event *, int, int);
 
@@ -226,5 +249,5 @@
         errno = EINTR;
         return -1;
     }
-    return real(fd, events, most, timeout);
+    return real(fd, events, max_events, timeout);
 }
