--- a/src/main/java/wrenkeel/soak/RelayHandle.java
+++ b/src/main/java/wrenkeel/soak/RelayHandle.java
@@ -40,7 +40,7 @@
     /** True while the process is being restarted or reloaded, and for good once it is down or closed. */
     private final AtomicBoolean inTransition = new AtomicBoolean();
     /** Index of the link that the relay's configuration names. */
-    private volatile int currentAgentLink;
+    private volatile int currentAgentLinkIndex;
     /** When the relay last became ready, ms on the clock; 0 before the first time. */
     private volatile long readyAt;
     /** Until when writes to the state folder fail, ms on the clock. */
@@ -72,8 +72,8 @@
     }
 
     /** The link to the agent that the relay's configuration names. */
-    FaultProxy agentLink() {
-        return agentLinks[currentAgentLink];
+    FaultProxy currentAgentLink() {
+        return agentLinks[currentAgentLinkIndex];
     }
 
     /** The logs of all processes of this relay, the latest last. */
@@ -175,10 +175,10 @@
         if (clock.getAsLong() - readyAt < 1_000 || !inTransition.compareAndSet(false, true)) {
             return;
         }
-        FaultProxy old = agentLinks[currentAgentLink];
-        currentAgentLink = 1 - currentAgentLink;
-        agentLinks[currentAgentLink].setMode(FaultProxy.Mode.FORWARD);
-        process.reload(agentLinks[currentAgentLink].address());
+        FaultProxy old = agentLinks[currentAgentLinkIndex];
+        currentAgentLinkIndex = 1 - currentAgentLinkIndex;
+        agentLinks[currentAgentLinkIndex].setMode(FaultProxy.Mode.FORWARD);
+        process.reload(agentLinks[currentAgentLinkIndex].address());
         inTransition.set(false);
         TimeUnit.MILLISECONDS.sleep(OLD_AGENT_SERVES_MS);
         old.setMode(FaultProxy.Mode.RESET);
--- a/src/main/java/wrenkeel/soak/SoakRun.java
+++ b/src/main/java/wrenkeel/soak/SoakRun.java
@@ -338,9 +338,9 @@
                 shim.set(Shim.Word.PAUSE_MS, (int) STALL_MS);
                 repeat(fault, 2 * STALL_MS, () -> shim.set(Shim.Word.PAUSE_COUNT, 1));
             }
-            case AGENT_SILENT -> repeat(fault, 15 * STEP_MS, () -> relay.agentLink().freezeOpenConnections());
+            case AGENT_SILENT -> repeat(fault, 15 * STEP_MS, () -> relay.currentAgentLink().freezeOpenConnections());
             case AGENT_RESETS -> {
-                FaultProxy link = relay.agentLink();
+                FaultProxy link = relay.currentAgentLink();
                 link.setMode(FaultProxy.Mode.RESET);
                 TimeUnit.MILLISECONDS.sleep(fault.durationMillis());
                 link.setMode(FaultProxy.Mode.FORWARD);
--- a/src/test/java/wrenkeel/soak/OracleTest.java
+++ b/src/test/java/wrenkeel/soak/OracleTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void deliveryOrTimelyFailureNoticeBreaksNoRule() {
+    void acceptsDeliveryAndTimelyFailureNotice() {
         accept("a", Effect.UNSAFE, 100, 2_000);
         recordCall("a", 150, 0, true);
         history.recordDelivery("a", 200);
--- a/src/test/java/wrenkeel/soak/ScheduleTest.java
+++ b/src/test/java/wrenkeel/soak/ScheduleTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void everyKindOccursAndEachClusterHasAtLeastTwoFaults() {
+    void everyKindOccursAndEightClustersHaveAtLeastSixteenFaults() {
         for (FaultKind kind : FaultKind.values()) {
             boolean seen = false;
             for (long seed = 0; seed < 200 && !seen; seed++) {
