--- a/src/main/java/wrenkeel/soak/History.java
+++ b/src/main/java/wrenkeel/soak/History.java
@@ -113,6 +113,7 @@
     /** By endpoint: the list showed it as draining. */
     private final Map<Integer, List<Interval>> drains = new HashMap<>();
 
+    /** A client is about to send the message. */
     synchronized void recordSubmission(Message message) {
         messages.put(message.id, message);
     }
@@ -122,6 +123,7 @@
         return messages.get(id);
     }
 
+    /** The client's request has ended: {@code status} 0 means without a response. */
     synchronized void recordRequestEnd(String id, int status, boolean connectionLost, long atMillis) {
         Message message = messages.get(id);
         message.status = status;
--- a/src/main/java/wrenkeel/soak/RelayHandle.java
+++ b/src/main/java/wrenkeel/soak/RelayHandle.java
@@ -26,6 +26,7 @@
     private static final long KILL_AFTER_TERM_MS = 3_700, RESTART_DELAY_MS = 600;
     /** Time after a reload in which the old address of the agent still serves its open connections. */
     private static final long OLD_AGENT_SERVES_MS = 1_500;
+    /** Has the relay log each step of each message. */
     private static final String TRACE_OPTION = "-Dorg.slf4j.simpleLogger.log.wrenkeel.trace=debug";
 
     final int number;
--- a/src/main/java/wrenkeel/soak/Shim.java
+++ b/src/main/java/wrenkeel/soak/Shim.java
@@ -45,6 +45,7 @@
         words.order(ByteOrder.nativeOrder());
     }
 
+    /** Changes one word of the control file; takes effect at the next system call that reads it. */
     void set(Word word, int value) {
         words.putInt(word.ordinal() * Integer.BYTES, value);
     }
--- a/src/main/java/wrenkeel/soak/SoakCommand.java
+++ b/src/main/java/wrenkeel/soak/SoakCommand.java
@@ -48,7 +48,7 @@
     private boolean trace;
 
     @Option(names = "--most-seconds", defaultValue = "3600", paramLabel = "N",
-        description = "Time limit of the whole run, which fails after it (default: ${DEFAULT-VALUE}).")
+        description = "Time limit of the whole run; then the command fails (default: ${DEFAULT-VALUE}).")
     private long maxSeconds;
 
     private SoakCommand() { }
--- a/src/main/java/wrenkeel/soak/SoakRun.java
+++ b/src/main/java/wrenkeel/soak/SoakRun.java
@@ -47,6 +47,7 @@
     private static final double MESSAGES_PER_SECOND_PER_RELAY = 12;
     private static final int THREADS = 3, MAX_CONNECTIONS = 100, BODY_BYTES = 200;
     private static final long CLIENT_TIMEOUT_MS = 400, MEDIAN_ANSWER_MICROS = 25_000;
+    /** Standard deviation of the logarithm of an endpoint's answer time. */
     private static final double ANSWER_SIGMA = 0.6;
     /** A message's sequence number has its relay's number above so many bits, and a counter below. */
     private static final int SEQUENCE_BITS = 32;
@@ -266,7 +267,7 @@
         }
     }
 
-    /** Records for a fault which of the oracle's rules take it into account. */
+    /** Records the fault of a relay where rules of the oracle take it into account. */
     private void recordFault(int relay, FaultKind kind, History.Interval interval) {
         switch (kind) {
             case READ_FAILS -> {
@@ -294,6 +295,7 @@
         }
     }
 
+    /** Selects one of two values by the fault's random variant. */
     private static int select(Fault fault, int first, int second) {
         return fault.variant() % 2 == 0 ? first : second;
     }
@@ -338,7 +340,8 @@
                 shim.set(Shim.Word.PAUSE_MS, (int) STALL_MS);
                 repeat(fault, 2 * STALL_MS, () -> shim.set(Shim.Word.PAUSE_COUNT, 1));
             }
-            case AGENT_SILENT -> repeat(fault, 15 * STEP_MS, () -> relay.currentAgentLink().freezeOpenConnections());
+            case AGENT_SILENT ->
+                repeat(fault, 15 * STEP_MS, () -> relay.currentAgentLink().freezeOpenConnections());
             case AGENT_RESETS -> {
                 FaultProxy link = relay.currentAgentLink();
                 link.setMode(FaultProxy.Mode.RESET);
@@ -418,6 +421,7 @@
         endpointsInOutage.remove(endpoint);
     }
 
+    /** Puts a link into a mode for as long as the fault lasts. */
     private static void holdMode(FaultProxy link, FaultProxy.Mode mode, Fault fault)
         throws InterruptedException {
         link.setMode(mode);
--- a/src/test/java/wrenkeel/soak/OracleTest.java
+++ b/src/test/java/wrenkeel/soak/OracleTest.java
@@ -7,21 +7,28 @@
 import wrenkeel.soak.History.Effect;
 import wrenkeel.soak.History.Interval;
 
-/** The oracle on made records: each rule is found broken, and what the tool itself caused is not. */
+/**
+ * Tests each rule of the oracle on a constructed history: a violation is reported, and what an injected fault
+ * may have caused is not.
+ */
 class OracleTest {
     private static final int RELAY = 2, ENDPOINT = 5, DESTINATION = 1;
 
     private final History history = new History();
 
+    /** Records a message that the relay has accepted, with a dedup window of 3 s. */
     private History.Message accept(String id, Effect effect, long atMillis, long lifetimeMillis) {
-        History.Message message = new History.Message(id, RELAY, DESTINATION, effect, 3_000, atMillis, lifetimeMillis);
+        History.Message message = new History.Message(id, RELAY, DESTINATION, effect, 3_000, atMillis,
+            lifetimeMillis);
         history.recordSubmission(message);
         history.recordRequestEnd(id, 202, false, atMillis + 1);
         return message;
     }
 
+    /** Records a call from the relay to the endpoint. */
     private void recordCall(String id, long atMillis, long retryAfterMillis, boolean mayExecute) {
-        history.recordCall(new History.Call(RELAY, ENDPOINT, DESTINATION, id, atMillis, retryAfterMillis), mayExecute);
+        history.recordCall(new History.Call(RELAY, ENDPOINT, DESTINATION, id, atMillis, retryAfterMillis),
+            mayExecute);
     }
 
     private List<String> brokenRules() {
@@ -120,9 +127,10 @@
         history.recordCapacity(ENDPOINT, 20);
         history.recordOutage(ENDPOINT, new Interval(4_000, 10_000));
         for (int i = 0; i < 31; i++) {
-            history.recordCall(new History.Call(i, ENDPOINT, DESTINATION, "m" + i, 10_000 + i * 60, 0), false);
+            history.recordCall(new History.Call(i, ENDPOINT, DESTINATION, "m" + i, 10_000 + i * 60, 0),
+                false);
         }
-        assertEquals(List.of(), brokenRules(), "16 calls, 3 roots of that and 3 more");
+        assertEquals(List.of(), brokenRules(), "the bound is 16 + 3 * sqrt(16) + 3 calls in 2 s");
         history.recordCall(new History.Call(31, ENDPOINT, DESTINATION, "m31", 11_900, 0), false);
         assertEquals(List.of("cold endpoint overrun"), brokenRules());
     }
@@ -160,7 +168,8 @@
     void reportsRunningRelayThatAnswersNobody() {
         for (int i = 0; i < 20; i++) {
             String id = "m" + i;
-            history.recordSubmission(new History.Message(id, RELAY, DESTINATION, Effect.SAFE, 0, i * 300L, 2_000));
+            history.recordSubmission(
+                new History.Message(id, RELAY, DESTINATION, Effect.SAFE, 0, i * 300L, 2_000));
             history.recordRequestEnd(id, 0, false, i * 300L + 400);
         }
         assertEquals(List.of("nobody served"), brokenRules());
--- a/src/test/java/wrenkeel/soak/OutageRunTest.java
+++ b/src/test/java/wrenkeel/soak/OutageRunTest.java
@@ -12,14 +12,14 @@
 import wrenkeel.KnownRed;
 import wrenkeel.scale.EndpointModel.Standing;
 
-/** Real relays against one destination that has an outage and comes back cold. */
+/** Runs real relays against one destination that has an outage and returns cold. */
 @ExtendWith(KnownRed.class)
 @Timeout(180)
 class OutageRunTest {
     @TempDir
     private Path root;
 
-    /** A repository whose relay is the classes under test. */
+    /** Creates the part of a repository that starts a relay from the classes under test; returns its root. */
     private Path createRepository() throws Exception {
         Files.createDirectories(root.resolve("deploy"));
         Files.writeString(root.resolve("deploy/balancer.toml"), "run = \"exec sh relay.sh\"\n");
@@ -31,11 +31,17 @@
     private static String absoluteClassPath() {
         StringBuilder classPath = new StringBuilder();
         for (String part : System.getProperty("java.class.path").split(File.pathSeparator)) {
-            classPath.append(classPath.length() == 0 ? "" : File.pathSeparator).append(Path.of(part).toAbsolutePath());
+            classPath.append(classPath.length() == 0 ? "" : File.pathSeparator)
+                .append(Path.of(part).toAbsolutePath());
         }
         return classPath.toString();
     }
 
+    /**
+     * All 24 relays are killed 1.5 s before the end of a 6 s outage and restarted with their state folders.
+     * If the restarted relays did not recover the outage from there, they would together overload the cold
+     * destination.
+     */
     @Test
     void relaysKilledDuringAnOutageStayWithinTheColdStartBudget() throws Exception {
         try (OutageRun run = new OutageRun(createRepository(),
--- a/src/test/java/wrenkeel/soak/ScheduleTest.java
+++ b/src/test/java/wrenkeel/soak/ScheduleTest.java
@@ -5,8 +5,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A schedule is replayable, and its troubles overlap. */
+/** Tests that a seed reproduces its schedule and that faults have valid values. */
 class ScheduleTest {
+    /** The faults of a schedule with 10 relays, 24 endpoints and 8 clusters within 12 s. */
     private static List<Fault> faults(long seed) {
         return Schedule.generate(seed, 10, 24, 8, 12_000).faults();
     }
@@ -40,6 +41,6 @@
             assertTrue(seen, kind.toString());
         }
         List<Fault> faults = faults(3);
-        assertTrue(faults.size() >= 16, "two at least in each of eight groups");
+        assertTrue(faults.size() >= 16, "each of the eight clusters has at least two faults");
     }
 }
