--- a/src/main/java/wrenkeel/soak/BadClient.java
+++ b/src/main/java/wrenkeel/soak/BadClient.java
@@ -6,40 +6,49 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.LongSupplier;
 
-/** A peer of a relay that sends something else than a proper request, and stays. */
+/**
+ * A client of a relay that sends no complete, valid request and then waits for the relay to answer with an
+ * error or to close the connection. The time of that goes into the history.
+ */
 final class BadClient implements Runnable {
-    /** What it sends. */
-    enum Sort {
+    /** What the client sends. The order is fixed: runs cycle through the constants by their number. */
+    enum Payload {
         /** Nothing. */ SILENT(""),
-        /** Part of a head. */ HALF_HEAD("POST /order HTTP/1.1\r\nHost: api.internal\r\nX-Requ"),
-        /** A head and part of its body. */ HALF_BODY("POST /order HTTP/1.1\r\nHost: api.internal\r\n"
+        /** Part of a request head. */ HALF_HEAD("POST /order HTTP/1.1\r\nHost: api.internal\r\nX-Requ"),
+        /** A request head and part of its body. */ HALF_BODY("POST /order HTTP/1.1\r\nHost: api.internal\r\n"
             + "X-Request-ID: bad\r\nX-Priority-Class: order\r\nX-Timeout-Ms: 2000\r\nX-Envelope: dest=1\r\n"
             + "Content-Length: 100\r\n\r\nhalf"),
-        /** No HTTP. */ GARBAGE("\u0016\u0003\u0001garbage\r\n\r\n"),
-        /** Two heads of an unknown path at once. */ PIPELINE("GET /a HTTP/1.1\r\nHost: a\r\n\r\n"
+        /** Bytes that are not HTTP. */ GARBAGE("\u0016\u0003\u0001garbage\r\n\r\n"),
+        /** Two pipelined requests for unknown paths. */ PIPELINE("GET /a HTTP/1.1\r\nHost: a\r\n\r\n"
             + "GET /b HTTP/1.1\r\nHost: a\r\n\r\n"),
-        /** A body longer than any may be. */ OVERSIZED("POST /order HTTP/1.1\r\nHost: api.internal\r\n"
+        /** A request head that announces a body above the size limit. */
+        OVERSIZED("POST /order HTTP/1.1\r\nHost: api.internal\r\n"
             + "Content-Length: 70000000\r\n\r\n");
 
         private final String text;
 
-        Sort(String text) {
+        Payload(String text) {
             this.text = text;
         }
     }
 
-    private static final int PATIENCE_MILLIS = 8_000;
+    /** Time for which the client waits for a byte or a close. */
+    private static final int READ_TIMEOUT_MS = 8_000;
 
     private final int relay;
     private final InetSocketAddress address;
-    private final Sort sort;
+    private final Payload payload;
     private final LongSupplier clock;
     private final History history;
 
-    BadClient(int relay, InetSocketAddress address, Sort sort, LongSupplier clock, History history) {
+    /**
+     * @param relay number of the relay at the address
+     * @param clock ms since the start of the traffic
+     */
+    BadClient(int relay, InetSocketAddress address, Payload payload, LongSupplier clock, History history) {
         this.relay = relay;
         this.address = address;
-        this.sort = sort;
+        this.payload = payload;
         this.clock = clock;
         this.history = history;
     }
@@ -49,9 +58,9 @@
         long connected = clock.getAsLong();
         long ended = -1;
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
-            socket.setSoTimeout(PATIENCE_MILLIS);
-            socket.getOutputStream().write(sort.text.getBytes(StandardCharsets.ISO_8859_1));
-            // An error's first byte, or the end, is what it is owed.
+            socket.setSoTimeout(READ_TIMEOUT_MS);
+            socket.getOutputStream().write(payload.text.getBytes(StandardCharsets.ISO_8859_1));
+            // Returns on the first byte of an error response, or when the relay closes the connection.
             socket.getInputStream().read();
             ended = clock.getAsLong();
         } catch (java.net.SocketTimeoutException e) {
@@ -59,6 +68,6 @@
         } catch (IOException e) {
             ended = clock.getAsLong();
         }
-        history.badPeer(new History.BadPeer(relay, sort.name(), connected, ended));
+        history.recordBadClient(new History.BadClientResult(relay, payload.name(), connected, ended));
     }
 }
--- a/src/main/java/wrenkeel/soak/FaultProxy.java
+++ b/src/main/java/wrenkeel/soak/FaultProxy.java
@@ -21,29 +21,31 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A link that can be made to fail: passes bytes on between whoever connects to its port and a target. A reset
- * of one side becomes a reset of the other. Any thread may change it.
+ * A TCP proxy with injected faults: listens on a loopback port and forwards each connection to a target
+ * address. A reset on one side resets the other side. Any thread may call its methods; each connection is
+ * handled on one event loop.
  */
 final class FaultProxy implements AutoCloseable {
-    /** How the link behaves. */
+    /** What the proxy does with connections and their bytes. */
     enum Mode {
-        /** Passes all on. */ PASS,
-        /** Passes nothing on; connections that were open meanwhile are reset once it is over. */ SILENT,
-        /** Resets open connections and new ones. */ RESET,
-        /** Resets a connection once it has passed on a few bytes of an answer. */ CUT,
-        /** A new connection passes nothing on for a while. */ LATE
+        /** Forwards all bytes. */ FORWARD,
+        /** Forwards nothing; connections that were open in this mode are reset when it ends. */ STALL,
+        /** Resets open and new connections. */ RESET,
+        /** Resets a connection after the first bytes of a response. */ TRUNCATE,
+        /** Forwards nothing on a new connection until {@link FaultProxy#DELAY_MS} have passed. */ DELAY
     }
 
-    /** Bytes of an answer that pass before the reset: within its first line. */
-    private static final int CUT_AFTER = 7;
-    private static final long LATE_MILLIS = 700;
+    /** Bytes of a response that are forwarded before the reset; the cut is within the status line. */
+    private static final int TRUNCATE_AFTER_BYTES = 7;
+    private static final long DELAY_MS = 700;
 
     private final EventLoopGroup group;
-    private final Set<Pair> pairs = ConcurrentHashMap.newKeySet();
+    private final Set<ProxiedConnection> connections = ConcurrentHashMap.newKeySet();
     private final Channel listener;
     private final InetSocketAddress target;
-    private volatile Mode mode = Mode.PASS;
+    private volatile Mode mode = Mode.FORWARD;
 
+    /** Starts listening on a free port; the event loops must outlive the proxy. */
     FaultProxy(EventLoopGroup group, InetSocketAddress target) throws InterruptedException {
         this.group = group;
         this.target = target;
@@ -53,102 +55,110 @@
             .childHandler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel channel) {
-                    new Pair(channel).begin();
+                    new ProxiedConnection(channel).open();
                 }
             }).bind(InetAddress.getLoopbackAddress(), 0).sync().channel();
     }
 
+    /** The address on which the proxy listens. */
     InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
 
-    void set(Mode next) {
+    /** Changes the mode; open connections follow shortly after, each on its event loop. */
+    void setMode(Mode next) {
         mode = next;
-        for (Pair pair : pairs) {
-            pair.front.eventLoop().execute(() -> pair.changed(next));
+        for (ProxiedConnection connection : connections) {
+            connection.clientSide.eventLoop().execute(() -> connection.modeChanged(next));
         }
     }
 
-    /** Those that are open now pass nothing on any more, for ever; new ones are as before. */
-    void freezeOpen() {
-        for (Pair pair : pairs) {
-            pair.front.eventLoop().execute(() -> {
-                pair.frozen = true;
-                pair.readOn();
+    /** Stops forwarding on the connections that are open now, for good; new connections are not affected. */
+    void freezeOpenConnections() {
+        for (ProxiedConnection connection : connections) {
+            connection.clientSide.eventLoop().execute(() -> {
+                connection.frozen = true;
+                connection.updateReading();
             });
         }
     }
 
-    /** Takes no new connections, and resets the open ones. */
+    /** Stops listening and resets the open connections. */
     @Override
     public void close() {
         listener.close();
-        pairs.forEach(pair -> pair.front.eventLoop().execute(pair::reset));
+        connections.forEach(connection -> connection.clientSide.eventLoop().execute(connection::reset));
     }
 
-    /** One connection and its counterpart at the target; both on one event loop. */
-    private final class Pair {
-        private final Channel front;
-        private Channel back;
-        private boolean late;
+    /** A connection from a client and its counterpart to the target, both on one event loop. */
+    private final class ProxiedConnection {
+        private final Channel clientSide;
+        private Channel targetSide;
+        /** Opened in mode DELAY, and the delay has not passed yet. */
+        private boolean delayed;
+        /** Forwards nothing for the rest of its life. */
         private boolean frozen;
-        private boolean silent;
-        private int answered;
+        /** Was open at some time in mode STALL. */
+        private boolean stalled;
+        /** Bytes of responses that came in mode TRUNCATE. */
+        private int answeredBytes;
 
-        Pair(Channel front) {
-            this.front = front;
+        ProxiedConnection(Channel clientSide) {
+            this.clientSide = clientSide;
         }
 
-        void begin() {
-            pairs.add(this);
-            front.closeFuture().addListener(closed -> pairs.remove(this));
-            front.pipeline().addLast(new Passing(true));
+        void open() {
+            connections.add(this);
+            clientSide.closeFuture().addListener(closed -> connections.remove(this));
+            clientSide.pipeline().addLast(new Forwarder(true));
             if (mode == Mode.RESET) {
                 reset();
                 return;
             }
-            late = mode == Mode.LATE;
-            if (late) {
-                front.eventLoop().schedule(() -> {
-                    late = false;
-                    readOn();
-                }, LATE_MILLIS, TimeUnit.MILLISECONDS);
+            delayed = mode == Mode.DELAY;
+            if (delayed) {
+                clientSide.eventLoop().schedule(() -> {
+                    delayed = false;
+                    updateReading();
+                }, DELAY_MS, TimeUnit.MILLISECONDS);
             }
-            ChannelFuture connect = new Bootstrap().group(front.eventLoop()).channel(NioSocketChannel.class)
+            ChannelFuture connect = new Bootstrap().group(clientSide.eventLoop())
+                .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.AUTO_READ, false)
-                .handler(new Passing(false)).connect(target);
-            back = connect.channel();
+                .handler(new Forwarder(false)).connect(target);
+            targetSide = connect.channel();
             connect.addListener(done -> {
                 if (done.isSuccess()) {
-                    readOn();
+                    updateReading();
                 } else {
                     reset();
                 }
             });
         }
 
-        private void changed(Mode next) {
-            // What was sent into a silence must not arrive long after its sender has given it up.
-            if (next == Mode.RESET || silent && next != Mode.SILENT) {
+        private void modeChanged(Mode next) {
+            // Bytes that were held back in mode STALL must not arrive long after their sender has timed out.
+            if (next == Mode.RESET || stalled && next != Mode.STALL) {
                 reset();
             } else {
-                readOn();
+                updateReading();
             }
         }
 
-        private void readOn() {
-            silent |= mode == Mode.SILENT;
-            boolean reads = !late && !frozen && mode != Mode.SILENT;
-            front.config().setAutoRead(reads && back != null && back.isActive());
-            if (back != null) {
-                back.config().setAutoRead(reads);
+        /** Applies the mode: bytes that are not read are not forwarded. */
+        private void updateReading() {
+            stalled |= mode == Mode.STALL;
+            boolean reads = !delayed && !frozen && mode != Mode.STALL;
+            clientSide.config().setAutoRead(reads && targetSide != null && targetSide.isActive());
+            if (targetSide != null) {
+                targetSide.config().setAutoRead(reads);
             }
         }
 
         private void reset() {
-            reset(front);
-            if (back != null) {
-                reset(back);
+            reset(clientSide);
+            if (targetSide != null) {
+                reset(targetSide);
             }
         }
 
@@ -159,34 +169,35 @@
             }
         }
 
-        /** Passes on what one side sends, and its end. */
-        private final class Passing extends ChannelInboundHandlerAdapter {
-            private final boolean ofFront;
+        /** Forwards to the other side what one side sends, and its close. */
+        private final class Forwarder extends ChannelInboundHandlerAdapter {
+            private final boolean fromClient;
 
-            Passing(boolean ofFront) {
-                this.ofFront = ofFront;
+            Forwarder(boolean fromClient) {
+                this.fromClient = fromClient;
             }
 
-            private Channel other() {
-                return ofFront ? back : front;
+            private Channel otherSide() {
+                return fromClient ? targetSide : clientSide;
             }
 
             @Override
             public void channelRead(ChannelHandlerContext context, Object message) {
                 ByteBuf bytes = (ByteBuf) message;
-                if (!ofFront && mode == Mode.CUT) {
-                    answered += bytes.readableBytes();
-                    ByteBuf part = bytes.readRetainedSlice(Math.min(CUT_AFTER, bytes.readableBytes()));
+                if (!fromClient && mode == Mode.TRUNCATE) {
+                    answeredBytes += bytes.readableBytes();
+                    ByteBuf part = bytes.readRetainedSlice(
+                        Math.min(TRUNCATE_AFTER_BYTES, bytes.readableBytes()));
                     ReferenceCountUtil.release(bytes);
-                    front.writeAndFlush(part).addListener(done -> reset());
+                    clientSide.writeAndFlush(part).addListener(done -> reset());
                     return;
                 }
-                other().writeAndFlush(bytes);
+                otherSide().writeAndFlush(bytes);
             }
 
             @Override
             public void channelInactive(ChannelHandlerContext context) {
-                Channel other = other();
+                Channel other = otherSide();
                 if (other != null && other.isActive()) {
                     other.writeAndFlush(other.alloc().buffer(0)).addListener(ChannelFutureListener.CLOSE);
                 } else if (other != null) {
@@ -196,7 +207,7 @@
 
             @Override
             public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-                // A reset of one side; the other side gets one too.
+                // One side has reset its connection.
                 reset();
             }
         }
--- a/src/main/java/wrenkeel/soak/History.java
+++ b/src/main/java/wrenkeel/soak/History.java
@@ -6,179 +6,208 @@
 import java.util.Map;
 
 /**
- * What the stand-ins saw and the run did, by one monotonic clock in milliseconds after the traffic's start.
- * Any thread may write; it is read once the run is over.
+ * Records of one run: what the stand-ins observed and which faults were injected. All times are milliseconds
+ * since the start of the traffic on one monotonic clock. Any thread may add records; the oracle reads them
+ * after the run.
  */
 final class History {
-    /** What a repeat of a message does. */
+    /** What happens if a message is executed more than once. Findings print the names. */
     enum Effect {
-        /** May be repeated at will. */ SAFE,
-        /** A repeat is dropped within a window. */ KEYED,
-        /** A second run would take effect twice. */ UNSAFE
+        /** Nothing: it may be repeated at any time. */ SAFE,
+        /** The destination drops a repeat with the same idempotency key within the dedup window. */ KEYED,
+        /** It takes effect twice, so it must not be repeated. */ UNSAFE
     }
 
-    /** One message, and all that was seen of it. */
+    /** One message and all that was observed of it. */
     static final class Message {
+        /** The value of X-Request-ID. */
         final String id;
+        /** Number of the relay to which the client sends it. */
         final int relay;
         final int destination;
         final Effect effect;
-        final long windowMillis;
-        final long handedInAt;
-        final long lifeMillis;
-        /** Status of the answer; 0 for none. */
+        /** Time in which a repeat is dropped; only for {@link Effect#KEYED}. */
+        final long dedupWindowMillis;
+        /** When the client was due to send it. */
+        final long submittedAt;
+        /** Time from submission to its deadline. */
+        final long lifetimeMillis;
+        /** HTTP status of the relay's response to the client; 0 for none. */
         int status;
-        /** When the handing in ended; -1 while it has not. */
-        long endedAt = -1;
-        /** The connection ended on the request after its last byte was written. */
-        boolean cutOff;
-        /** When calls with it began to run, or may have. */
-        final List<Long> runs = new ArrayList<>();
-        final List<Long> delivered = new ArrayList<>();
+        /** When the client's request ended; -1 before. */
+        long requestEndedAt = -1;
+        /** The connection ended without a response after the last byte of the request was written. */
+        boolean connectionLost;
+        /** When an endpoint received it in a call that it executed or may have executed. */
+        final List<Long> executions = new ArrayList<>();
+        /** When an endpoint answered it with 200. */
+        final List<Long> deliveries = new ArrayList<>();
+        /** When the agent received a notice about its end. */
         final List<Long> notices = new ArrayList<>();
-        boolean handedBack;
+        /** Whether a notice has the outcome handed_back, that is, says that it was not executed. */
+        boolean returned;
 
-        Message(String id, int relay, int destination, Effect effect, long windowMillis, long handedInAt,
-                long lifeMillis) {
+        Message(String id, int relay, int destination, Effect effect, long dedupWindowMillis,
+                long submittedAt, long lifetimeMillis) {
             this.id = id;
             this.relay = relay;
             this.destination = destination;
             this.effect = effect;
-            this.windowMillis = windowMillis;
-            this.handedInAt = handedInAt;
-            this.lifeMillis = lifeMillis;
+            this.dedupWindowMillis = dedupWindowMillis;
+            this.submittedAt = submittedAt;
+            this.lifetimeMillis = lifetimeMillis;
         }
 
-        boolean takenOn() {
+        /** Whether the relay has taken responsibility for it: its response was 200 or 202. */
+        boolean isAccepted() {
             return status == 200 || status == 202;
         }
     }
 
-    /** A call that an endpoint got. {@code waitMillis}: what its answer told to wait; 0 for nothing. */
-    record Call(int relay, int endpoint, int destination, String id, long at, long waitMillis) { }
+    /**
+     * A call that an endpoint received.
+     *
+     * @param atMillis when its last byte was received
+     * @param retryAfterMillis Retry-After of the response; 0 for none
+     */
+    record Call(int relay, int endpoint, int destination, String messageId, long atMillis,
+                long retryAfterMillis) { }
 
-    /** A span in which something was so; {@code to} is {@link Long#MAX_VALUE} while it lasts. */
-    record Span(long from, long to) {
+    /** A closed time interval; {@code to} is {@link Long#MAX_VALUE} if the condition did not end. */
+    record Interval(long from, long to) {
         boolean overlaps(long begin, long end) {
             return from <= end && to >= begin;
         }
     }
 
-    /** A peer that sent no proper request, and when it had an error or a close; -1 for never. */
-    record BadPeer(int relay, String sort, long connectedAt, long endedAt) { }
+    /**
+     * How a relay treated a {@link BadClient}.
+     *
+     * @param payload name of what the client sent
+     * @param endedAt when the client received an error or a close; -1 for never
+     */
+    record BadClientResult(int relay, String payload, long connectedAt, long endedAt) { }
 
     private final Map<String, Message> messages = new HashMap<>();
     private final List<Call> calls = new ArrayList<>();
-    private final List<BadPeer> badPeers = new ArrayList<>();
-    private final List<Finding> seen = new ArrayList<>();
-    /** By relay: from a signal that ends the process until the next one serves. */
-    private final Map<Integer, List<Span>> down = new HashMap<>();
-    /** By relay: from SIGKILL, or the process's own end, until the next one serves. */
-    private final Map<Integer, List<Span>> dead = new HashMap<>();
-    /** By relay: its process, machine or agent was in trouble. */
-    private final Map<Integer, List<Span>> troubled = new HashMap<>();
-    /** By relay: reads of its sockets failed, which ends connections of clients. */
-    private final Map<Integer, List<Span>> cut = new HashMap<>();
-    /** By relay: idle clients took all places, new connections may be shut unread. */
-    private final Map<Integer, List<Span>> crowded = new HashMap<>();
-    /** By endpoint: its outages, after each of which it is cold. */
-    private final Map<Integer, List<Span>> outages = new HashMap<>();
-    /** By endpoint: calls a second that it takes when warm. */
+    private final List<BadClientResult> badClients = new ArrayList<>();
+    private final List<Finding> findings = new ArrayList<>();
+    /** By relay: from the first signal that ends the process until its successor serves. */
+    private final Map<Integer, List<Interval>> downtimes = new HashMap<>();
+    /** By relay: from SIGKILL, sent even if the process has ended before, until its successor serves. */
+    private final Map<Integer, List<Interval>> processAbsences = new HashMap<>();
+    /** By relay: a fault delayed its process, its system calls or its exchange with the agent. */
+    private final Map<Integer, List<Interval>> relayFaults = new HashMap<>();
+    /** By relay: reads of its sockets failed, which closes connections of clients. */
+    private final Map<Integer, List<Interval>> readFailures = new HashMap<>();
+    /** By relay: idle clients used up its connections, so it may close new ones without reading. */
+    private final Map<Integer, List<Interval>> floods = new HashMap<>();
+    /** By endpoint: its outages, after each of which it is cold and takes fewer calls. */
+    private final Map<Integer, List<Interval>> outages = new HashMap<>();
+    /** By endpoint: calls a second that it takes when it is warm. */
     private final Map<Integer, Double> capacities = new HashMap<>();
-    /** By relay: nothing could be told to its agent. */
-    private final Map<Integer, List<Span>> untold = new HashMap<>();
-    /** By endpoint: its link or itself was in trouble. */
-    private final Map<Integer, List<Span>> links = new HashMap<>();
-    /** By endpoint: draining by the list. */
-    private final Map<Integer, List<Span>> draining = new HashMap<>();
-
-    synchronized void handedIn(Message message) {
+    /** By relay: it could not send anything to its agent. */
+    private final Map<Integer, List<Interval>> agentOutages = new HashMap<>();
+    /** By endpoint: it or its link had a fault. */
+    private final Map<Integer, List<Interval>> linkFaults = new HashMap<>();
+    /** By endpoint: the list showed it as draining. */
+    private final Map<Integer, List<Interval>> drains = new HashMap<>();
+
+    /** A client is about to send the message. */
+    synchronized void recordSubmission(Message message) {
         messages.put(message.id, message);
     }
 
+    /** Returns null for an id that no client has sent. */
     synchronized Message message(String id) {
         return messages.get(id);
     }
 
-    synchronized void ended(String id, int status, boolean cutOff, long at) {
+    /** The client's request has ended: {@code status} 0 means without a response. */
+    synchronized void recordRequestEnd(String id, int status, boolean connectionLost, long atMillis) {
         Message message = messages.get(id);
         message.status = status;
-        message.cutOff = cutOff;
-        message.endedAt = at;
+        message.connectionLost = connectionLost;
+        message.requestEndedAt = atMillis;
     }
 
-    synchronized void called(Call call, boolean runs) {
+    /** {@code mayExecute}: whether the endpoint executed the message or may have done so. */
+    synchronized void recordCall(Call call, boolean mayExecute) {
         calls.add(call);
-        Message message = messages.get(call.id);
-        if (message != null && runs) {
-            message.runs.add(call.at);
+        Message message = messages.get(call.messageId);
+        if (message != null && mayExecute) {
+            message.executions.add(call.atMillis);
         }
     }
 
-    synchronized void delivered(String id, long at) {
+    synchronized void recordDelivery(String id, long atMillis) {
         Message message = messages.get(id);
         if (message != null) {
-            message.delivered.add(at);
+            message.deliveries.add(atMillis);
         }
     }
 
-    synchronized void noticed(String id, boolean handedBack, long at) {
+    synchronized void recordNotice(String id, boolean returned, long atMillis) {
         Message message = messages.get(id);
         if (message != null) {
-            message.notices.add(at);
-            message.handedBack |= handedBack;
+            message.notices.add(atMillis);
+            message.returned |= returned;
         }
     }
 
-    synchronized void badPeer(BadPeer peer) {
-        badPeers.add(peer);
+    synchronized void recordBadClient(BadClientResult client) {
+        badClients.add(client);
     }
 
-    /** Something that the run itself has seen to break a rule. */
-    synchronized void found(Finding finding) {
-        seen.add(finding);
+    /** Adds a violation that the run itself has detected. */
+    synchronized void addFinding(Finding finding) {
+        findings.add(finding);
     }
 
-    synchronized void down(int relay, Span span) {
-        down.computeIfAbsent(relay, r -> new ArrayList<>()).add(span);
+    // Each of the following methods adds one record to the field that is named like it or like its subject.
+
+    synchronized void downtimes(int relay, Interval interval) {
+        downtimes.computeIfAbsent(relay, r -> new ArrayList<>()).add(interval);
     }
 
-    synchronized void dead(int relay, Span span) {
-        dead.computeIfAbsent(relay, r -> new ArrayList<>()).add(span);
+    synchronized void processAbsences(int relay, Interval interval) {
+        processAbsences.computeIfAbsent(relay, r -> new ArrayList<>()).add(interval);
     }
 
-    synchronized void troubled(int relay, Span span) {
-        troubled.computeIfAbsent(relay, r -> new ArrayList<>()).add(span);
+    synchronized void relayFaults(int relay, Interval interval) {
+        relayFaults.computeIfAbsent(relay, r -> new ArrayList<>()).add(interval);
     }
 
-    synchronized void cut(int relay, Span span) {
-        cut.computeIfAbsent(relay, r -> new ArrayList<>()).add(span);
+    synchronized void readFailures(int relay, Interval interval) {
+        readFailures.computeIfAbsent(relay, r -> new ArrayList<>()).add(interval);
     }
 
-    synchronized void crowded(int relay, Span span) {
-        crowded.computeIfAbsent(relay, r -> new ArrayList<>()).add(span);
+    synchronized void floods(int relay, Interval interval) {
+        floods.computeIfAbsent(relay, r -> new ArrayList<>()).add(interval);
     }
 
-    synchronized void outage(int endpoint, Span span) {
-        outages.computeIfAbsent(endpoint, e -> new ArrayList<>()).add(span);
+    synchronized void recordOutage(int endpoint, Interval interval) {
+        outages.computeIfAbsent(endpoint, e -> new ArrayList<>()).add(interval);
     }
 
-    synchronized void capacity(int endpoint, double callsPerSecond) {
+    synchronized void recordCapacity(int endpoint, double callsPerSecond) {
         capacities.put(endpoint, callsPerSecond);
     }
 
-    synchronized void untold(int relay, Span span) {
-        untold.computeIfAbsent(relay, r -> new ArrayList<>()).add(span);
+    synchronized void agentOutages(int relay, Interval interval) {
+        agentOutages.computeIfAbsent(relay, r -> new ArrayList<>()).add(interval);
     }
 
-    synchronized void link(int endpoint, Span span) {
-        links.computeIfAbsent(endpoint, e -> new ArrayList<>()).add(span);
+    synchronized void recordLinkFault(int endpoint, Interval interval) {
+        linkFaults.computeIfAbsent(endpoint, e -> new ArrayList<>()).add(interval);
     }
 
-    synchronized void draining(int endpoint, Span span) {
-        draining.computeIfAbsent(endpoint, e -> new ArrayList<>()).add(span);
+    synchronized void drains(int endpoint, Interval interval) {
+        drains.computeIfAbsent(endpoint, e -> new ArrayList<>()).add(interval);
     }
 
+    // All of the following methods return unmodifiable copies; the order of messages is arbitrary.
+
     synchronized List<Message> messages() {
         return List.copyOf(messages.values());
     }
@@ -187,35 +216,35 @@
         return List.copyOf(calls);
     }
 
-    synchronized List<BadPeer> badPeers() {
-        return List.copyOf(badPeers);
+    synchronized List<BadClientResult> badClients() {
+        return List.copyOf(badClients);
     }
 
-    synchronized List<Finding> seen() {
-        return List.copyOf(seen);
+    synchronized List<Finding> findings() {
+        return List.copyOf(findings);
     }
 
-    synchronized List<Span> down(int relay) {
-        return List.copyOf(down.getOrDefault(relay, List.of()));
+    synchronized List<Interval> downtimes(int relay) {
+        return List.copyOf(downtimes.getOrDefault(relay, List.of()));
     }
 
-    synchronized List<Span> dead(int relay) {
-        return List.copyOf(dead.getOrDefault(relay, List.of()));
+    synchronized List<Interval> processAbsences(int relay) {
+        return List.copyOf(processAbsences.getOrDefault(relay, List.of()));
     }
 
-    synchronized List<Span> troubled(int relay) {
-        return List.copyOf(troubled.getOrDefault(relay, List.of()));
+    synchronized List<Interval> relayFaults(int relay) {
+        return List.copyOf(relayFaults.getOrDefault(relay, List.of()));
     }
 
-    synchronized List<Span> cut(int relay) {
-        return List.copyOf(cut.getOrDefault(relay, List.of()));
+    synchronized List<Interval> readFailures(int relay) {
+        return List.copyOf(readFailures.getOrDefault(relay, List.of()));
     }
 
-    synchronized List<Span> crowded(int relay) {
-        return List.copyOf(crowded.getOrDefault(relay, List.of()));
+    synchronized List<Interval> floods(int relay) {
+        return List.copyOf(floods.getOrDefault(relay, List.of()));
     }
 
-    synchronized Map<Integer, List<Span>> outages() {
+    synchronized Map<Integer, List<Interval>> outages() {
         return Map.copyOf(outages);
     }
 
@@ -223,15 +252,15 @@
         return Map.copyOf(capacities);
     }
 
-    synchronized List<Span> untold(int relay) {
-        return List.copyOf(untold.getOrDefault(relay, List.of()));
+    synchronized List<Interval> agentOutages(int relay) {
+        return List.copyOf(agentOutages.getOrDefault(relay, List.of()));
     }
 
-    synchronized List<Span> links(int endpoint) {
-        return List.copyOf(links.getOrDefault(endpoint, List.of()));
+    synchronized List<Interval> linkFaults(int endpoint) {
+        return List.copyOf(linkFaults.getOrDefault(endpoint, List.of()));
     }
 
-    synchronized Map<Integer, List<Span>> draining() {
-        return Map.copyOf(draining);
+    synchronized Map<Integer, List<Interval>> drains() {
+        return Map.copyOf(drains);
     }
 }
--- a/src/main/java/wrenkeel/soak/RelayHandle.java
+++ b/src/main/java/wrenkeel/soak/RelayHandle.java
@@ -13,152 +13,184 @@
 import wrenkeel.scale.RelayProcess;
 import wrenkeel.scale.RelaySettings;
 
-/** One relay of a run: its process, its shim, and its links to the agent. */
+/**
+ * One relay of a run: its process, the shim that lets its system calls fail, and its links to the discovery
+ * agent. Faults may be injected from several threads; while the process is being restarted or reloaded,
+ * further restarts and reloads are ignored.
+ */
 final class RelayHandle implements AutoCloseable {
-    private static final Duration START_MOST = Duration.ofSeconds(30);
-    /** ms from a start, or from when the folder could be written again, in which a relay must be ready. */
-    private static final long READY_WITHIN = 10_000;
-    private static final long KILL_AFTER_TERM = 3_700, START_AFTER_END = 600;
-    /** ms after a reload for which the old address still serves its open connections. */
-    private static final long OLD_AGENT_SERVES = 1_500;
-    private static final String TRACE = "-Dorg.slf4j.simpleLogger.log.wrenkeel.trace=debug";
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(30);
+    /** Time from a start, or from when the state folder is writable again, in which a relay must be ready. */
+    private static final long READY_WITHIN_MS = 10_000;
+    /** Time from SIGTERM to SIGKILL, and from SIGKILL to the restart. */
+    private static final long KILL_AFTER_TERM_MS = 3_700, RESTART_DELAY_MS = 600;
+    /** Time after a reload in which the old address of the agent still serves its open connections. */
+    private static final long OLD_AGENT_SERVES_MS = 1_500;
+    /** Has the relay log each step of each message. */
+    private static final String TRACE_OPTION = "-Dorg.slf4j.simpleLogger.log.wrenkeel.trace=debug";
 
     final int number;
     final Shim shim;
-    /** Where clients connect, the same for each process of this relay. */
+    /** Where clients connect, the same after each restart. */
     final InetSocketAddress address;
+    /** Two links to the agent; a reload switches from one to the other. */
     private final FaultProxy[] agentLinks;
     private final RelayProcess process;
     private final LongSupplier clock;
     private final History history;
-    /** Its process ends or starts just now. */
-    private final AtomicBoolean changing = new AtomicBoolean();
-    private volatile int agentLink;
+    /** True while the process is being restarted or reloaded, and for good once it is down or closed. */
+    private final AtomicBoolean inTransition = new AtomicBoolean();
+    /** Index of the link that the relay's configuration names. */
+    private volatile int currentAgentLinkIndex;
+    /** When the relay last became ready, ms on the clock; 0 before the first time. */
     private volatile long readyAt;
-    /** Until when the folder cannot be written. */
+    /** Until when writes to the state folder fail, ms on the clock. */
     private volatile long folderFailsUntil;
 
+    /**
+     * @param root a built checkout of the repository, whose relay is started
+     * @param folder where the control file of the shim is created
+     * @param library the compiled shim
+     * @param trace whether the relay logs each step of each message
+     * @param agent address of the stand-in agent
+     * @param clock ms since the start of the traffic
+     */
     RelayHandle(int number, Path root, Path folder, Path library, RelaySettings settings, boolean trace,
-                InetSocketAddress agent, EventLoopGroup loops, LongSupplier clock, History history)
+                InetSocketAddress agent, EventLoopGroup eventLoops, LongSupplier clock, History history)
         throws IOException, InterruptedException {
         this.number = number;
         this.clock = clock;
         this.history = history;
         shim = new Shim(folder.resolve("shim." + number));
-        address = Ports.free();
-        agentLinks = new FaultProxy[] {new FaultProxy(loops, agent), new FaultProxy(loops, agent)};
+        address = PortAllocator.allocate();
+        agentLinks = new FaultProxy[] {new FaultProxy(eventLoops, agent), new FaultProxy(eventLoops, agent)};
         Map<String, String> environment = new HashMap<>(shim.environment(library));
         environment.put("EDGE_LISTEN", address.getAddress().getHostAddress() + ":" + address.getPort());
         if (trace) {
-            environment.put("JAVA_TOOL_OPTIONS", TRACE);
+            environment.put("JAVA_TOOL_OPTIONS", TRACE_OPTION);
         }
         process = new RelayProcess(root, settings, agentLinks[0].address(), null, environment);
     }
 
-    FaultProxy agentLink() {
-        return agentLinks[agentLink];
+    /** The link to the agent that the relay's configuration names. */
+    FaultProxy currentAgentLink() {
+        return agentLinks[currentAgentLinkIndex];
     }
 
+    /** The logs of all processes of this relay, the latest last. */
     String logs() throws IOException {
         return process.logs();
     }
 
-    /** Starts the process and waits until it serves; false, and told, where it does not. */
+    /** Starts the process and waits until it serves; otherwise records a finding and returns false. */
     boolean start() throws InterruptedException {
-        long begun = clock.getAsLong();
+        long startedAt = clock.getAsLong();
         try {
             process.start();
-            if (!process.awaitServing(START_MOST)) {
-                found("never ready", "within " + START_MOST.toSeconds() + " s");
+            if (!process.awaitServing(START_TIMEOUT)) {
+                addFinding("never ready", "within " + START_TIMEOUT.toSeconds() + " s");
                 return false;
             }
         } catch (IOException e) {
-            found("refused start", e.getMessage());
+            addFinding("refused start", e.getMessage());
             return false;
         }
         readyAt = clock.getAsLong();
-        long took = readyAt - Math.max(begun, folderFailsUntil);
-        if (took > READY_WITHIN) {
-            found("late ready", took + " ms");
+        long took = readyAt - Math.max(startedAt, folderFailsUntil);
+        if (took > READY_WITHIN_MS) {
+            addFinding("late ready", took + " ms");
         }
         return true;
     }
 
-    private void found(String rule, String detail) {
-        history.found(new Finding(rule, clock.getAsLong(), "relay " + number + ": " + detail));
+    private void addFinding(String rule, String detail) {
+        history.addFinding(new Finding(rule, clock.getAsLong(), "relay " + number + ": " + detail));
     }
 
-    /** Tells of a process that has ended though nobody told it to. */
-    void look() {
-        if (!changing.get() && readyAt > 0 && !process.alive() && changing.compareAndSet(false, true)) {
-            found("crashed", "the process is gone");
+    /** Records a finding, once, if the process has ended although nobody ended it. */
+    void checkAlive() {
+        if (!inTransition.get() && readyAt > 0 && !process.alive()
+            && inTransition.compareAndSet(false, true)) {
+            addFinding("crashed", "the process is gone");
         }
     }
 
-    /** Ends the process in one of the ways and starts it again; does nothing while that is under way. */
-    void replace(TroubleKind how) throws IOException, InterruptedException {
-        if (!changing.compareAndSet(false, true)) {
+    /**
+     * Ends the process in the way of the fault kind and starts it again. Does nothing if another restart or
+     * reload is in progress. A relay that does not come back is never restarted again.
+     */
+    void restart(FaultKind kind) throws IOException, InterruptedException {
+        if (!inTransition.compareAndSet(false, true)) {
             return;
         }
-        long from = clock.getAsLong();
-        switch (how) {
+        long signalledAt = clock.getAsLong();
+        switch (kind) {
             case TERMINATE -> {
                 process.beginEnd();
-                process.awaitEnd(Duration.ofMillis(KILL_AFTER_TERM));
+                process.awaitEnd(Duration.ofMillis(KILL_AFTER_TERM_MS));
             }
             case TERMINATE_TWICE, SIGNAL_SERIES -> {
                 process.beginEnd();
-                TimeUnit.MILLISECONDS.sleep(START_AFTER_END / 2);
+                TimeUnit.MILLISECONDS.sleep(RESTART_DELAY_MS / 2);
                 process.signal("HUP");
                 process.beginEnd();
-                process.awaitEnd(Duration.ofMillis(KILL_AFTER_TERM - START_AFTER_END / 2));
+                process.awaitEnd(Duration.ofMillis(KILL_AFTER_TERM_MS - RESTART_DELAY_MS / 2));
             }
             case KILL_WHILE_LEAVING -> {
                 process.beginEnd();
-                TimeUnit.MILLISECONDS.sleep(START_AFTER_END);
+                TimeUnit.MILLISECONDS.sleep(RESTART_DELAY_MS);
             }
             default -> { }
         }
-        boolean serves = killAndStart(from);
-        if (serves && how == TroubleKind.SIGNAL_SERIES) {
-            TimeUnit.MILLISECONDS.sleep(START_AFTER_END);
+        boolean serves = killAndStart(signalledAt);
+        if (serves && kind == FaultKind.SIGNAL_SERIES) {
+            TimeUnit.MILLISECONDS.sleep(RESTART_DELAY_MS);
             serves = killAndStart(clock.getAsLong());
         }
         if (serves) {
-            changing.set(false);
+            inTransition.set(false);
         }
     }
 
-    /** SIGKILL, and the next start; {@code from}: when the first signal came. False if it does not serve. */
-    private boolean killAndStart(long from) throws InterruptedException {
-        long gone = clock.getAsLong();
+    /**
+     * Sends SIGKILL, starts the process again and records the downtime.
+     *
+     * @param signalledAt when the first signal was sent
+     * @return whether the relay serves again
+     */
+    private boolean killAndStart(long signalledAt) throws InterruptedException {
+        long killedAt = clock.getAsLong();
         process.kill();
-        TimeUnit.MILLISECONDS.sleep(START_AFTER_END);
+        TimeUnit.MILLISECONDS.sleep(RESTART_DELAY_MS);
         boolean serves = start();
-        history.down(number, new History.Span(from, serves ? readyAt : Long.MAX_VALUE));
-        history.dead(number, new History.Span(gone, serves ? readyAt : Long.MAX_VALUE));
+        history.downtimes(number, new History.Interval(signalledAt, serves ? readyAt : Long.MAX_VALUE));
+        history.processAbsences(number, new History.Interval(killedAt, serves ? readyAt : Long.MAX_VALUE));
         return serves;
     }
 
-    /** A new configuration that names another address of discovery; not in a process's first second. */
+    /**
+     * Reloads the configuration with another address of the agent, whose old address resets all connections
+     * a little later. Does nothing in the first second of a process.
+     */
     void reload() throws IOException, InterruptedException {
-        if (clock.getAsLong() - readyAt < 1_000 || !changing.compareAndSet(false, true)) {
+        if (clock.getAsLong() - readyAt < 1_000 || !inTransition.compareAndSet(false, true)) {
             return;
         }
-        FaultProxy old = agentLinks[agentLink];
-        agentLink = 1 - agentLink;
-        agentLinks[agentLink].set(FaultProxy.Mode.PASS);
-        process.reload(agentLinks[agentLink].address());
-        changing.set(false);
-        TimeUnit.MILLISECONDS.sleep(OLD_AGENT_SERVES);
-        old.set(FaultProxy.Mode.RESET);
+        FaultProxy old = agentLinks[currentAgentLinkIndex];
+        currentAgentLinkIndex = 1 - currentAgentLinkIndex;
+        agentLinks[currentAgentLinkIndex].setMode(FaultProxy.Mode.FORWARD);
+        process.reload(agentLinks[currentAgentLinkIndex].address());
+        inTransition.set(false);
+        TimeUnit.MILLISECONDS.sleep(OLD_AGENT_SERVES_MS);
+        old.setMode(FaultProxy.Mode.RESET);
     }
 
-    void folderFailsUntil(long millis) {
-        folderFailsUntil = Math.max(folderFailsUntil, millis);
+    /** Notes that writes to the state folder fail until then, ms on the clock; only ever moves it later. */
+    void extendFolderFailure(long untilMillis) {
+        folderFailsUntil = Math.max(folderFailsUntil, untilMillis);
     }
 
-    /** Stops the process for a moment, if it runs. */
+    /** Suspends the process for so many ms, if it runs. */
     void pause(long millis) throws IOException, InterruptedException {
         if (process.alive()) {
             process.signal("STOP");
@@ -169,7 +201,7 @@
 
     @Override
     public void close() {
-        changing.set(true);
+        inTransition.set(true);
         process.close();
         for (FaultProxy link : agentLinks) {
             link.close();
--- a/src/main/java/wrenkeel/soak/SoakRun.java
+++ b/src/main/java/wrenkeel/soak/SoakRun.java
@@ -31,36 +31,48 @@
 import wrenkeel.scale.StandInDestinations;
 import wrenkeel.scale.Traffic;
 
-/** One run: relays, stand-ins and links for one seed, with the schedule's troubles. */
+/**
+ * One run of the soak for one seed: starts relays, stand-ins and the links between them, injects the faults
+ * of the schedule into them, and lets the oracle check the history. Each fault runs on a thread of its own.
+ */
 final class SoakRun implements AutoCloseable {
-    /** Endpoints, 1.7 a destination; ms in which troubles begin, and of traffic. */
-    static final int ENDPOINTS = 24, TROUBLE_MILLIS = 12_000, TRAFFIC_MILLIS = 16_000;
-    /** ms after the traffic in which all that was taken on has ended. */
-    private static final int TAIL_MILLIS = 6_500;
-    private static final double EVENTS_PER_SECOND = 12;
-    private static final int THREADS = 3, CONNECTIONS_MOST = 100, BODY_BYTES = 200;
-    private static final long CLIENT_PATIENCE = 400, ANSWER_MICROS = 25_000;
+    /** Number of endpoints; there are 1.7 for each destination. */
+    static final int ENDPOINTS = 24;
+    /** Time from the start of the traffic within which clusters of faults begin. */
+    static final int FAULT_PERIOD_MS = 12_000;
+    /** Length of the traffic. */
+    static final int TRAFFIC_MS = 16_000;
+    /** Time after the traffic, and the last fault, in which all accepted messages must end. */
+    private static final int TAIL_MS = 6_500;
+    private static final double MESSAGES_PER_SECOND_PER_RELAY = 12;
+    private static final int THREADS = 3, MAX_CONNECTIONS = 100, BODY_BYTES = 200;
+    private static final long CLIENT_TIMEOUT_MS = 400, MEDIAN_ANSWER_MICROS = 25_000;
+    /** Standard deviation of the logarithm of an endpoint's answer time. */
     private static final double ANSWER_SIGMA = 0.6;
-    /** Bits of a message's sequence number below that of its relay. */
-    private static final int RELAY_SHIFT = 32;
-    private static final long PAUSE_MILLIS = 150, STEP_MILLIS = 100;
-    /** What an endpoint takes, of what goes to it in the mean. */
-    private static final double CAPACITY_OVER_TRAFFIC = 1.5;
+    /** A message's sequence number has its relay's number above so many bits, and a counter below. */
+    private static final int SEQUENCE_BITS = 32;
+    /** Length of one stop of a process and of one delay of its writes. */
+    private static final long STALL_MS = 150;
+    /** Interval at which faults are repeated and the relays' processes are checked. */
+    private static final long STEP_MS = 100;
+    /** An endpoint's capacity as a multiple of the mean traffic to it. */
+    private static final double CAPACITY_TO_TRAFFIC_RATIO = 1.5;
     private static final int HOUR_SECONDS = 3_600;
     private static final List<RelaySettings.Profile> PROFILES = List.of(
         new RelaySettings.Profile("notice", 1_000, 4_000, "dedup", 3_000),
         new RelaySettings.Profile("query", 800, 2_000, "retryable", 0),
         new RelaySettings.Profile("order", 1_000, 4_000, "fragile", 0));
-    private static final List<Traffic.ClassShare> CLASSES = List.of(
+    private static final List<Traffic.ClassShare> CLASS_SHARES = List.of(
         new Traffic.ClassShare("notice", 0.3, 4_000, true),
         new Traffic.ClassShare("query", 0.3, 2_000, false),
         new Traffic.ClassShare("order", 0.4, 4_000, false));
 
     private final long seed;
     private final Schedule schedule;
-    private final Path folder;
+    private final Path tempFolder;
     private final History history = new History();
-    private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(THREADS, NioIoHandler.newFactory());
+    private final EventLoopGroup eventLoops =
+        new MultiThreadIoEventLoopGroup(THREADS, NioIoHandler.newFactory());
     private final ExecutorService tasks = Executors.newCachedThreadPool(task -> {
         Thread thread = new Thread(task, "soak");
         thread.setDaemon(true);
@@ -69,325 +81,361 @@
     private final StandInDestinations destinations;
     private final StandInAgent agent;
     private final Traffic traffic;
-    private final List<FaultProxy> links = new ArrayList<>();
+    /** By endpoint number: the link through which all relays reach it. */
+    private final List<FaultProxy> endpointLinks = new ArrayList<>();
     private final List<RelayHandle> relays = new ArrayList<>();
     private final List<StandInClients> clients = new ArrayList<>();
-    /** Endpoints that are out just now: one outage at a time. */
-    private final Set<Integer> out = ConcurrentHashMap.newKeySet();
-    /** The same for drains. */
-    private final Set<Integer> draining = ConcurrentHashMap.newKeySet();
-    private volatile long beganNanos = System.nanoTime();
-
+    /** Endpoints that are in an outage now: a second outage of the same endpoint is skipped. */
+    private final Set<Integer> endpointsInOutage = ConcurrentHashMap.newKeySet();
+    /** Endpoints that are draining now: a second drain of the same endpoint is skipped. */
+    private final Set<Integer> endpointsDraining = ConcurrentHashMap.newKeySet();
+    /** Origin of the run's clock; until the traffic starts, the creation of this object. */
+    private volatile long trafficStartNanos = System.nanoTime();
+
+    /**
+     * Compiles the shim and starts the stand-ins and links, but no relay yet.
+     *
+     * @param root a built checkout of the repository, whose relay is run
+     * @param clusters number of clusters of faults
+     * @param trace whether the relays log each step of each message
+     */
     SoakRun(Path root, long seed, int relayCount, int clusters, boolean trace)
         throws IOException, InterruptedException {
         this.seed = seed;
-        schedule = Schedule.of(seed, relayCount, ENDPOINTS, clusters, TROUBLE_MILLIS);
-        folder = Files.createTempDirectory("soak");
-        Path library = Shim.compile(root, folder);
-        destinations = new StandInDestinations(ENDPOINTS, 
-            EndpointModel.Behaviour.unlimited(ANSWER_MICROS, ANSWER_SIGMA), 1,
+        schedule = Schedule.generate(seed, relayCount, ENDPOINTS, clusters, FAULT_PERIOD_MS);
+        tempFolder = Files.createTempDirectory("soak");
+        Path library = Shim.compile(root, tempFolder);
+        destinations = new StandInDestinations(ENDPOINTS,
+            EndpointModel.Behaviour.unlimited(MEDIAN_ANSWER_MICROS, ANSWER_SIGMA), 1,
             THREADS, seed, System::nanoTime);
         for (int port : destinations.ports()) {
-            links.add(new FaultProxy(loops, new java.net.InetSocketAddress("127.0.0.1", port)));
+            endpointLinks.add(new FaultProxy(eventLoops, new java.net.InetSocketAddress("127.0.0.1", port)));
         }
-        destinations.report(new Calls());
+        destinations.report(new CallRecorder());
         HostCatalog catalog = new HostCatalog(ENDPOINTS, seed,
-            host -> "127.0.0.1:" + links.get(host).address().getPort());
-        agent = new StandInAgent(catalog, this::noticed);
-        traffic = new Traffic(catalog.destinations(), 0.5, BODY_BYTES, CLASSES, List.of(), CONNECTIONS_MOST);
+            host -> "127.0.0.1:" + endpointLinks.get(host).address().getPort());
+        agent = new StandInAgent(catalog, this::recordNotice);
+        traffic = new Traffic(catalog.destinations(), 0.5, BODY_BYTES, CLASS_SHARES, List.of(),
+            MAX_CONNECTIONS);
         for (int endpoint = 0; endpoint < ENDPOINTS; endpoint++) {
-            limit(endpoint, relayCount);
+            limitCapacity(endpoint, relayCount);
         }
         RelaySettings settings = RelaySettings.typical("n").withRelays(relayCount).withProfiles(PROFILES);
         for (int i = 0; i < relayCount; i++) {
-            relays.add(new RelayHandle(i, root, folder, library, settings.named("n" + i), trace,
-                agent.address(), loops, this::now, history));
+            relays.add(new RelayHandle(i, root, tempFolder, library, settings.named("n" + i), trace,
+                agent.address(), eventLoops, this::nowMillis, history));
         }
     }
 
-    /** Gives an endpoint its limit, from which it falls in an outage and comes back to in its cold time. */
-    private void limit(int endpoint, int relayCount) {
+    /**
+     * Limits the calls a second that an endpoint takes. After an outage it starts with a share of the limit,
+     * which grows back in the cold time. Too many calls do not make it fail again: the oracle reports them.
+     */
+    private void limitCapacity(int endpoint, int relayCount) {
         int destination = HostCatalog.destination(endpoint);
         long siblings = IntStream.range(0, ENDPOINTS)
             .filter(other -> HostCatalog.destination(other) == destination).count();
-        double mean = traffic.share(destination) * EVENTS_PER_SECOND * relayCount / siblings;
-        double capacity = CAPACITY_OVER_TRAFFIC * mean;
-        history.capacity(endpoint, capacity);
-        destinations.behave(endpoint, EndpointModel.Behaviour.unlimited(ANSWER_MICROS, ANSWER_SIGMA)
+        double meanCallsPerSecond = traffic.share(destination) * MESSAGES_PER_SECOND_PER_RELAY * relayCount
+            / siblings;
+        double capacity = CAPACITY_TO_TRAFFIC_RATIO * meanCallsPerSecond;
+        history.recordCapacity(endpoint, capacity);
+        destinations.behave(endpoint, EndpointModel.Behaviour.unlimited(MEDIAN_ANSWER_MICROS, ANSWER_SIGMA)
             .with(new EndpointModel.Limit(capacity, 1_000, false, false))
-            .with(new EndpointModel.Cold(Oracle.COLD_FROM, Oracle.COLD_MILLIS, 0, Oracle.TIP_MILLIS, 0)));
+            .with(new EndpointModel.Cold(Oracle.COLD_CAPACITY_SHARE, Oracle.COLD_MS, 0,
+                Oracle.OVERLOAD_WINDOW_MS, 0)));
     }
 
     Schedule schedule() {
         return schedule;
     }
 
-    /** ms since the traffic began. */
-    private long now() {
-        return (System.nanoTime() - beganNanos) / 1_000_000;
+    /** The run's clock: ms since the start of the traffic. */
+    private long nowMillis() {
+        return (System.nanoTime() - trafficStartNanos) / 1_000_000;
     }
 
-    private long at(long nanos) {
-        return (nanos - beganNanos) / 1_000_000;
+    /** Converts a time of {@link System#nanoTime} to the run's clock. */
+    private long toMillis(long nanos) {
+        return (nanos - trafficStartNanos) / 1_000_000;
     }
 
-    /** Plays the schedule; what broke a rule. */
-    List<Finding> play() throws InterruptedException, ExecutionException {
-        await(relays.stream().map(relay -> tasks.submit(relay::start)).toList());
-        beganNanos = System.nanoTime();
+    /** Starts the relays, runs traffic and faults, and returns the violations that were found. */
+    List<Finding> run() throws InterruptedException, ExecutionException {
+        awaitAll(relays.stream().map(relay -> tasks.submit(relay::start)).toList());
+        trafficStartNanos = System.nanoTime();
         for (RelayHandle relay : relays) {
-            StandInClients own = new StandInClients(relay.address, traffic, seed + relay.number,
-                CLIENT_PATIENCE, (long) relay.number << RELAY_SHIFT, new Clients());
-            clients.add(own);
-            own.rate(EVENTS_PER_SECOND);
+            StandInClients relayClients = new StandInClients(relay.address, traffic, seed + relay.number,
+                CLIENT_TIMEOUT_MS, (long) relay.number << SEQUENCE_BITS, new ClientRecorder());
+            clients.add(relayClients);
+            relayClients.rate(MESSAGES_PER_SECOND_PER_RELAY);
         }
-        Future<?> looking = tasks.submit(this::look);
-        List<Future<?>> troubles = new ArrayList<>();
-        for (Trouble trouble : schedule.troubles()) {
-            troubles.add(tasks.submit(() -> {
-                TimeUnit.MILLISECONDS.sleep(Math.max(0, trouble.startMillis() - now()));
-                make(trouble);
+        Future<?> watcher = tasks.submit(this::watchRelays);
+        List<Future<?>> injections = new ArrayList<>();
+        for (Fault fault : schedule.faults()) {
+            injections.add(tasks.submit(() -> {
+                TimeUnit.MILLISECONDS.sleep(Math.max(0, fault.startMillis() - nowMillis()));
+                inject(fault);
                 return null;
             }));
         }
-        TimeUnit.MILLISECONDS.sleep(Math.max(0, TRAFFIC_MILLIS - now()));
-        for (StandInClients own : clients) {
-            own.rate(0);
+        TimeUnit.MILLISECONDS.sleep(Math.max(0, TRAFFIC_MS - nowMillis()));
+        for (StandInClients relayClients : clients) {
+            relayClients.rate(0);
         }
-        await(troubles);
-        TimeUnit.MILLISECONDS.sleep(TAIL_MILLIS);
-        looking.cancel(true);
-        readCounters();
-        return Oracle.judge(history);
+        awaitAll(injections);
+        TimeUnit.MILLISECONDS.sleep(TAIL_MS);
+        watcher.cancel(true);
+        collectLoggedErrors();
+        return Oracle.check(history);
     }
 
-    private static void await(List<? extends Future<?>> all) throws InterruptedException, ExecutionException {
-        for (Future<?> one : all) {
-            one.get();
+    private static void awaitAll(List<? extends Future<?>> all)
+        throws InterruptedException, ExecutionException {
+        for (Future<?> task : all) {
+            task.get();
         }
     }
 
-    private void look() {
+    /** Looks for crashed relays until the thread is interrupted. */
+    private void watchRelays() {
         while (!Thread.currentThread().isInterrupted()) {
-            relays.forEach(RelayHandle::look);
+            relays.forEach(RelayHandle::checkAlive);
             try {
-                TimeUnit.MILLISECONDS.sleep(STEP_MILLIS);
+                TimeUnit.MILLISECONDS.sleep(STEP_MS);
             } catch (InterruptedException e) {
                 return;
             }
         }
     }
 
-    /** The relays' own word: what their counters of broken rules have logged. */
-    private void readCounters() {
+    /** Adds a finding for each violation or internal error that a relay itself has logged. */
+    private void collectLoggedErrors() {
         for (RelayHandle relay : relays) {
             try {
                 relay.logs().lines().filter(line -> line.matches(".* ERROR wrenkeel\\.net\\.\\w+ - "
                     + "(SENT_|REPEATED_|ENDED_|CLOSED_).*") || line.contains("could not carry out")
                     || line.contains("turn failed"))
-                    // Not where the links kept an end from the agent: the oracle judges those.
-                    .filter(line -> !line.contains("ENDED_LATE") || history.untold(relay.number).isEmpty())
-                    .forEach(line -> history.found(new Finding("relay's own counter", now(),
+                    // Notices may be late where a fault cut off the agent; the oracle checks them instead.
+                    .filter(line -> !line.contains("ENDED_LATE")
+                        || history.agentOutages(relay.number).isEmpty())
+                    .forEach(line -> history.addFinding(new Finding("relay's own counter", nowMillis(),
                         "relay " + relay.number + ": " + line)));
             } catch (IOException e) {
-                history.found(new Finding("no log", now(), "relay " + relay.number + ": " + e));
+                history.addFinding(new Finding("no log", nowMillis(), "relay " + relay.number + ": " + e));
             }
         }
     }
 
-    /** Writes the logs of all relays into a folder. */
-    void keepLogs(Path into) throws IOException {
-        Files.createDirectories(into);
+    /** Writes the logs of all relays and the schedule into a folder, which is created if necessary. */
+    void saveLogs(Path target) throws IOException {
+        Files.createDirectories(target);
         for (RelayHandle relay : relays) {
-            Files.writeString(into.resolve("relay-" + relay.number + ".log"), relay.logs());
+            Files.writeString(target.resolve("relay-" + relay.number + ".log"), relay.logs());
         }
-        List<String> lines = schedule.troubles().stream().map(Trouble::toString).toList();
-        Files.write(into.resolve("schedule.txt"), lines);
+        List<String> lines = schedule.faults().stream().map(Fault::toString).toList();
+        Files.write(target.resolve("schedule.txt"), lines);
     }
 
+    /** One line with the numbers of messages, calls and bad clients. */
     String summary() {
         List<History.Message> all = history.messages();
-        long taken = all.stream().filter(History.Message::takenOn).count();
-        long delivered = all.stream().filter(m -> !m.delivered.isEmpty()).count();
-        long refused = all.stream().filter(m -> m.status == 429 || m.status == 503).count();
-        return all.size() + " messages, " + taken + " taken on, " + delivered + " delivered, " + refused
-            + " refused, " + history.calls().size() + " calls, " + history.badPeers().size() + " bad peers";
+        long accepted = all.stream().filter(History.Message::isAccepted).count();
+        long delivered = all.stream().filter(message -> !message.deliveries.isEmpty()).count();
+        long refused = all.stream()
+            .filter(message -> message.status == 429 || message.status == 503).count();
+        return all.size() + " messages, " + accepted + " accepted, " + delivered + " delivered, " + refused
+            + " refused, " + history.calls().size() + " calls, " + history.badClients().size()
+            + " bad clients";
     }
 
-    // ---- Troubles -------------------------------------------------------------------------------
-    private interface Step {
+    // ---- Faults ---------------------------------------------------------------------------------
+    private interface FaultStep {
         void run() throws IOException, InterruptedException;
     }
 
-    private void make(Trouble t) throws IOException, InterruptedException {
-        if (t.kind().target() == TroubleKind.Target.RELAY) {
-            long from = now();
-            RelayHandle relay = relays.get(t.subject());
-            trouble(relay, t);
-            if (!t.kind().endsProcess()) {
-                record(relay.number, t.kind(), new History.Span(from, now()));
+    /** Applies a fault, returns once it is over, and records it. */
+    private void inject(Fault fault) throws IOException, InterruptedException {
+        if (fault.kind().target() == FaultKind.Target.RELAY) {
+            long start = nowMillis();
+            RelayHandle relay = relays.get(fault.targetNumber());
+            applyFault(relay, fault);
+            if (!fault.kind().endsProcess()) {
+                recordFault(relay.number, fault.kind(), new History.Interval(start, nowMillis()));
             }
         } else {
-            trouble(t.subject(), t);
+            applyFault(fault.targetNumber(), fault);
         }
     }
 
-    private void record(int relay, TroubleKind kind, History.Span span) {
+    /** Records the fault of a relay where rules of the oracle take it into account. */
+    private void recordFault(int relay, FaultKind kind, History.Interval interval) {
         switch (kind) {
             case READ_FAILS -> {
-                history.cut(relay, span);
-                history.troubled(relay, span);
-                history.untold(relay, span);
+                history.readFailures(relay, interval);
+                history.relayFaults(relay, interval);
+                history.agentOutages(relay, interval);
             }
             case AGENT_RESETS -> {
-                history.troubled(relay, span);
-                history.untold(relay, span);
+                history.relayFaults(relay, interval);
+                history.agentOutages(relay, interval);
             }
-            case CROWD -> history.crowded(relay, span);
+            case CROWD -> history.floods(relay, interval);
             case RELOAD, AGENT_SILENT, CONNECT_FAILS, SOCKET_FAILS, LATE_WRITES, PAUSES, SHORT_CALLS ->
-                history.troubled(relay, span);
+                history.relayFaults(relay, interval);
             default -> { }
         }
     }
 
-    private void repeat(Trouble t, long gapMillis, Step step) throws IOException, InterruptedException {
-        for (long end = now() + t.lengthMillis(); now() < end;) {
+    /** Repeats a step with a pause in between for as long as the fault lasts. */
+    private void repeat(Fault fault, long gapMillis, FaultStep step)
+        throws IOException, InterruptedException {
+        for (long end = nowMillis() + fault.durationMillis(); nowMillis() < end;) {
             step.run();
             TimeUnit.MILLISECONDS.sleep(gapMillis);
         }
     }
 
-    private static int either(Trouble t, int one, int other) {
-        return t.choice() % 2 == 0 ? one : other;
+    /** Selects one of two values by the fault's random variant. */
+    private static int select(Fault fault, int first, int second) {
+        return fault.variant() % 2 == 0 ? first : second;
     }
 
-    /** Lets some calls fail, a few at a time. */
-    private void failSome(RelayHandle relay, Trouble t, Shim.Word errno, int value, Shim.Word count)
+    /** Lets the next one to three calls fail, anew every {@link #STEP_MS}, for as long as the fault lasts. */
+    private void failCalls(RelayHandle relay, Fault fault, Shim.Word errno, int value, Shim.Word count)
         throws IOException, InterruptedException {
         relay.shim.set(errno, value);
-        repeat(t, STEP_MILLIS, () -> relay.shim.set(count, 1 + t.choice() % 3));
+        repeat(fault, STEP_MS, () -> relay.shim.set(count, 1 + fault.variant() % 3));
         relay.shim.set(count, 0);
     }
 
-    private void trouble(RelayHandle relay, Trouble t) throws IOException, InterruptedException {
+    /** Applies a fault to a relay and returns once it is over. */
+    private void applyFault(RelayHandle relay, Fault fault) throws IOException, InterruptedException {
         Shim shim = relay.shim;
-        switch (t.kind()) {
+        switch (fault.kind()) {
             case KILL, TERMINATE, TERMINATE_TWICE, KILL_WHILE_LEAVING, SIGNAL_SERIES ->
-                relay.replace(t.kind());
+                relay.restart(fault.kind());
             case RELOAD -> relay.reload();
-            case PAUSES -> repeat(t, 2 * PAUSE_MILLIS, () -> relay.pause(PAUSE_MILLIS));
+            case PAUSES -> repeat(fault, 2 * STALL_MS, () -> relay.pause(STALL_MS));
             case CLOCK_FORWARD, CLOCK_BACK -> {
-                int step = t.kind() == TroubleKind.CLOCK_FORWARD ? HOUR_SECONDS : -HOUR_SECONDS;
+                int step = fault.kind() == FaultKind.CLOCK_FORWARD ? HOUR_SECONDS : -HOUR_SECONDS;
                 shim.set(Shim.Word.WALL_STEP_S, step);
-                TimeUnit.MILLISECONDS.sleep(t.lengthMillis());
+                TimeUnit.MILLISECONDS.sleep(fault.durationMillis());
                 shim.set(Shim.Word.WALL_STEP_S, 0);
             }
-            case ACCEPT_FAILS -> failSome(relay, t, Shim.Word.ACCEPT_ERRNO,
-                either(t, Shim.ENOBUFS, Shim.ENFILE), Shim.Word.ACCEPT_COUNT);
-            case CONNECT_FAILS -> failSome(relay, t, Shim.Word.CONNECT_ERRNO,
-                either(t, Shim.EADDRNOTAVAIL, Shim.ENETUNREACH), Shim.Word.CONNECT_COUNT);
-            case SOCKET_FAILS -> failSome(relay, t, Shim.Word.SOCKET_ERRNO,
-                either(t, Shim.ENFILE, Shim.ENOBUFS), Shim.Word.SOCKET_COUNT);
-            case READ_FAILS -> failSome(relay, t, Shim.Word.READ_ERRNO,
-                either(t, Shim.ETIMEDOUT, Shim.EHOSTUNREACH), Shim.Word.READ_COUNT);
-            case FOLDER_FULL, FOLDER_BREAKS -> failFolder(relay, t);
+            case ACCEPT_FAILS -> failCalls(relay, fault, Shim.Word.ACCEPT_ERRNO,
+                select(fault, Shim.ENOBUFS, Shim.ENFILE), Shim.Word.ACCEPT_COUNT);
+            case CONNECT_FAILS -> failCalls(relay, fault, Shim.Word.CONNECT_ERRNO,
+                select(fault, Shim.EADDRNOTAVAIL, Shim.ENETUNREACH), Shim.Word.CONNECT_COUNT);
+            case SOCKET_FAILS -> failCalls(relay, fault, Shim.Word.SOCKET_ERRNO,
+                select(fault, Shim.ENFILE, Shim.ENOBUFS), Shim.Word.SOCKET_COUNT);
+            case READ_FAILS -> failCalls(relay, fault, Shim.Word.READ_ERRNO,
+                select(fault, Shim.ETIMEDOUT, Shim.EHOSTUNREACH), Shim.Word.READ_COUNT);
+            case FOLDER_FULL, FOLDER_BREAKS -> failStateFolder(relay, fault);
             case SHORT_CALLS -> {
                 shim.set(Shim.Word.SHORT_IO, 1);
-                repeat(t, STEP_MILLIS, () -> shim.set(Shim.Word.EINTR_COUNT, 1));
+                repeat(fault, STEP_MS, () -> shim.set(Shim.Word.EINTR_COUNT, 1));
                 shim.set(Shim.Word.SHORT_IO, 0);
             }
             case LATE_WRITES -> {
-                shim.set(Shim.Word.PAUSE_MS, (int) PAUSE_MILLIS);
-                repeat(t, 2 * PAUSE_MILLIS, () -> shim.set(Shim.Word.PAUSE_COUNT, 1));
+                shim.set(Shim.Word.PAUSE_MS, (int) STALL_MS);
+                repeat(fault, 2 * STALL_MS, () -> shim.set(Shim.Word.PAUSE_COUNT, 1));
             }
-            case AGENT_SILENT -> repeat(t, 15 * STEP_MILLIS, () -> relay.agentLink().freezeOpen());
+            case AGENT_SILENT ->
+                repeat(fault, 15 * STEP_MS, () -> relay.currentAgentLink().freezeOpenConnections());
             case AGENT_RESETS -> {
-                FaultProxy link = relay.agentLink();
-                link.set(FaultProxy.Mode.RESET);
-                TimeUnit.MILLISECONDS.sleep(t.lengthMillis());
-                link.set(FaultProxy.Mode.PASS);
+                FaultProxy link = relay.currentAgentLink();
+                link.setMode(FaultProxy.Mode.RESET);
+                TimeUnit.MILLISECONDS.sleep(fault.durationMillis());
+                link.setMode(FaultProxy.Mode.FORWARD);
             }
             case CROWD -> {
-                try (Crowd crowd = new Crowd(relay.address)) {
-                    TimeUnit.MILLISECONDS.sleep(t.lengthMillis());
+                try (ConnectionFlood crowd = new ConnectionFlood(relay.address)) {
+                    TimeUnit.MILLISECONDS.sleep(fault.durationMillis());
                 }
             }
-            case BAD_CLIENTS -> repeat(t, STEP_MILLIS, () -> badClient(relay));
-            default -> throw new IllegalArgumentException(t.toString());
+            case BAD_CLIENTS -> repeat(fault, STEP_MS, () -> startBadClient(relay));
+            default -> throw new IllegalArgumentException(fault.toString());
         }
     }
 
-    private void badClient(RelayHandle relay) {
-        BadClient.Sort[] sorts = BadClient.Sort.values();
-        BadClient.Sort sort = sorts[(int) (now() / STEP_MILLIS % sorts.length)];
-        tasks.submit(new BadClient(relay.number, relay.address, sort, this::now, history));
+    /** Starts a bad client on a thread of its own; the time selects what it sends. */
+    private void startBadClient(RelayHandle relay) {
+        BadClient.Payload[] payloads = BadClient.Payload.values();
+        BadClient.Payload payload = payloads[(int) (nowMillis() / STEP_MS % payloads.length)];
+        tasks.submit(new BadClient(relay.number, relay.address, payload, this::nowMillis, history));
     }
 
-    private void failFolder(RelayHandle relay, Trouble t) throws InterruptedException {
-        boolean full = t.kind() == TroubleKind.FOLDER_FULL;
-        relay.folderFailsUntil(now() + t.lengthMillis());
+    /** Lets writes to the relay's state folder fail for as long as the fault lasts. */
+    private void failStateFolder(RelayHandle relay, Fault fault) throws InterruptedException {
+        boolean full = fault.kind() == FaultKind.FOLDER_FULL;
+        relay.extendFolderFailure(nowMillis() + fault.durationMillis());
         relay.shim.set(Shim.Word.FILE_HALF, full ? 0 : 1);
         relay.shim.set(Shim.Word.FILE_ERRNO, full ? Shim.ENOSPC : Shim.EIO);
-        TimeUnit.MILLISECONDS.sleep(t.lengthMillis());
+        TimeUnit.MILLISECONDS.sleep(fault.durationMillis());
         relay.shim.set(Shim.Word.FILE_ERRNO, 0);
-        relay.folderFailsUntil(now());
+        relay.extendFolderFailure(nowMillis());
     }
 
-    private void trouble(int endpoint, Trouble t) throws InterruptedException {
-        FaultProxy link = links.get(endpoint);
-        long from = now();
-        switch (t.kind()) {
-            case ENDPOINT_SILENT -> standFor(endpoint, EndpointModel.Standing.SILENT, t);
-            case ENDPOINT_DOWN -> standFor(endpoint, EndpointModel.Standing.REFUSING, t);
-            case ENDPOINT_FAILS -> standFor(endpoint, EndpointModel.Standing.FAILING, t);
+    /** Applies a fault to an endpoint or the link to it, returns once it is over, and records it. */
+    private void applyFault(int endpoint, Fault fault) throws InterruptedException {
+        FaultProxy link = endpointLinks.get(endpoint);
+        long start = nowMillis();
+        switch (fault.kind()) {
+            case ENDPOINT_SILENT -> holdStanding(endpoint, EndpointModel.Standing.SILENT, fault);
+            case ENDPOINT_DOWN -> holdStanding(endpoint, EndpointModel.Standing.REFUSING, fault);
+            case ENDPOINT_FAILS -> holdStanding(endpoint, EndpointModel.Standing.FAILING, fault);
             case ENDPOINT_SHUT -> {
-                destinations.shut(endpoint, t.lengthMillis());
+                destinations.shut(endpoint, fault.durationMillis());
                 return;
             }
             case ENDPOINT_DRAINS -> {
-                if (!draining.add(endpoint)) {
+                if (!endpointsDraining.add(endpoint)) {
                     return;
                 }
                 agent.change(endpoint, HostCatalog.Health.DRAINING);
-                TimeUnit.MILLISECONDS.sleep(t.lengthMillis());
-                history.draining(endpoint, new History.Span(from, now()));
+                TimeUnit.MILLISECONDS.sleep(fault.durationMillis());
+                history.drains(endpoint, new History.Interval(start, nowMillis()));
                 agent.change(endpoint, HostCatalog.Health.READY);
-                draining.remove(endpoint);
+                endpointsDraining.remove(endpoint);
                 return;
             }
-            case LINK_SILENT -> setFor(link, FaultProxy.Mode.SILENT, t);
-            case LINK_CUTS -> setFor(link, FaultProxy.Mode.CUT, t);
-            case LINK_LATE -> setFor(link, FaultProxy.Mode.LATE, t);
-            default -> throw new IllegalArgumentException(t.toString());
+            case LINK_SILENT -> holdMode(link, FaultProxy.Mode.STALL, fault);
+            case LINK_CUTS -> holdMode(link, FaultProxy.Mode.TRUNCATE, fault);
+            case LINK_LATE -> holdMode(link, FaultProxy.Mode.DELAY, fault);
+            default -> throw new IllegalArgumentException(fault.toString());
         }
-        history.link(endpoint, new History.Span(from, now() + 1_000));
+        history.recordLinkFault(endpoint, new History.Interval(start, nowMillis() + 1_000));
     }
 
-    private void standFor(int endpoint, EndpointModel.Standing standing, Trouble t)
+    /** Puts an endpoint into an outage for as long as the fault lasts; skipped if it is in an outage. */
+    private void holdStanding(int endpoint, EndpointModel.Standing standing, Fault fault)
         throws InterruptedException {
-        if (!out.add(endpoint)) {
+        if (!endpointsInOutage.add(endpoint)) {
             return;
         }
-        long from = now();
+        long start = nowMillis();
         destinations.stand(endpoint, standing);
-        TimeUnit.MILLISECONDS.sleep(t.lengthMillis());
+        TimeUnit.MILLISECONDS.sleep(fault.durationMillis());
         destinations.stand(endpoint, EndpointModel.Standing.SERVING);
-        history.outage(endpoint, new History.Span(from, now()));
-        out.remove(endpoint);
+        history.recordOutage(endpoint, new History.Interval(start, nowMillis()));
+        endpointsInOutage.remove(endpoint);
     }
 
-    private static void setFor(FaultProxy link, FaultProxy.Mode mode, Trouble t) throws InterruptedException {
-        link.set(mode);
-        TimeUnit.MILLISECONDS.sleep(t.lengthMillis());
-        link.set(FaultProxy.Mode.PASS);
+    /** Puts a link into a mode for as long as the fault lasts. */
+    private static void holdMode(FaultProxy link, FaultProxy.Mode mode, Fault fault)
+        throws InterruptedException {
+        link.setMode(mode);
+        TimeUnit.MILLISECONDS.sleep(fault.durationMillis());
+        link.setMode(FaultProxy.Mode.FORWARD);
     }
 
-    // ---- What the stand-ins see -----------------------------------------------------------------
-    private static int relay(MessageId id) {
-        return (int) (id.sequence() >> RELAY_SHIFT);
+    // ---- Records of the stand-ins ---------------------------------------------------------------
+    /** The number of the relay to which a client sends the message. */
+    private static int relayOf(MessageId id) {
+        return (int) (id.sequence() >> SEQUENCE_BITS);
     }
 
-    private final class Clients implements ClientObserver {
+    private final class ClientRecorder implements ClientObserver {
         @Override
         public void handedIn(MessageId id, Traffic.ClassShare kind, int destination) {
             History.Effect effect = switch (kind.name()) {
@@ -395,46 +443,50 @@
                 case "query" -> History.Effect.SAFE;
                 default -> History.Effect.UNSAFE;
             };
-            long window = PROFILES.get(0).window();
-            history.handedIn(new History.Message(id.text(), relay(id), destination, effect, window,
-                at(id.dueNanos()), kind.lifeMillis()));
+            long dedupWindowMillis = PROFILES.get(0).window();
+            history.recordSubmission(new History.Message(id.text(), relayOf(id), destination, effect,
+                dedupWindowMillis, toMillis(id.dueNanos()), kind.lifeMillis()));
         }
 
         @Override
         public void ended(MessageId id, Ending ending, int status, boolean written) {
-            history.ended(id.text(), status, ending == Ending.BROKEN_OFF && written, now());
+            history.recordRequestEnd(id.text(), status, ending == Ending.BROKEN_OFF && written, nowMillis());
         }
     }
 
-    private final class Calls implements CallObserver {
+    private final class CallRecorder implements CallObserver {
         @Override
         public void called(int endpoint, MessageId id, EndpointModel.Verdict verdict, long nowNanos) {
             if (id == null) {
-                history.found(new Finding("made up", at(nowNanos), "a call with an id that no client wrote"));
+                history.addFinding(new Finding("made up", toMillis(nowNanos),
+                    "a call with an id that no client wrote"));
                 return;
             }
-            boolean runs = verdict.status() == 200 || verdict.status() == 0;
-            history.called(new History.Call(relay(id), endpoint, HostCatalog.destination(endpoint), id.text(),
-                at(nowNanos), verdict.waitMillis()), runs);
+            // Status 0 is silence: the endpoint may have executed the message.
+            boolean mayExecute = verdict.status() == 200 || verdict.status() == 0;
+            history.recordCall(new History.Call(relayOf(id), endpoint, HostCatalog.destination(endpoint),
+                id.text(), toMillis(nowNanos), verdict.waitMillis()), mayExecute);
             History.Message message = history.message(id.text());
             if (message == null || message.destination != HostCatalog.destination(endpoint)) {
-                history.found(new Finding("made up", at(nowNanos), "message " + id.text() + " at endpoint "
-                    + endpoint));
+                history.addFinding(new Finding("made up", toMillis(nowNanos), "message " + id.text()
+                    + " at endpoint " + endpoint));
             }
         }
 
         @Override
         public void delivered(int endpoint, MessageId id, long nowNanos) {
-            history.delivered(id.text(), at(nowNanos));
+            history.recordDelivery(id.text(), toMillis(nowNanos));
         }
     }
 
-    private void noticed(String line) {
+    /** Records a line of a notice that the agent has received. */
+    private void recordNotice(String line) {
         try {
             Wire.Fields notice = Wire.decode(line);
-            history.noticed(notice.text("message"), notice.text("outcome").equals("handed_back"), now());
+            history.recordNotice(notice.text("message"), notice.text("outcome").equals("handed_back"),
+                nowMillis());
         } catch (Wire.MalformedException e) {
-            history.found(new Finding("unreadable notice", now(), line));
+            history.addFinding(new Finding("unreadable notice", nowMillis(), line));
         }
     }
 
@@ -442,17 +494,17 @@
     public void close() {
         clients.forEach(StandInClients::close);
         relays.forEach(RelayHandle::close);
-        links.forEach(FaultProxy::close);
+        endpointLinks.forEach(FaultProxy::close);
         agent.close();
         destinations.close();
         tasks.shutdownNow();
-        Shutdown.now(loops);
-        try (Stream<Path> all = Files.walk(folder)) {
+        Shutdown.now(eventLoops);
+        try (Stream<Path> all = Files.walk(tempFolder)) {
             for (Path path : all.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(path);
             }
         } catch (IOException e) {
-            System.err.println("left behind: " + folder + ": " + e);
+            System.err.println("cannot delete " + tempFolder + ": " + e);
         }
     }
 }
