--- a/src/main/java/wrenkeel/scale/ChangeExperiment.java
+++ b/src/main/java/wrenkeel/scale/ChangeExperiment.java
@@ -41,11 +41,11 @@
 
     private Map<String, Double> play(int size, long seed) throws IOException, InterruptedException {
         Map<String, Double> values = new LinkedHashMap<>();
-        try (Fleet fleet = new Fleet(size, seed, fleetOptions, Fleet::spread)) {
+        try (Fleet fleet = new Fleet(size, seed, fleetOptions, Fleet::roundRobinZone)) {
             fleet.start();
             // What runs for the first time is compiled before it is measured.
-            fleet.changes(dayChanges, BURST_GAP);
-            fleet.awaitRelays();
+            fleet.publishChanges(dayChanges, BURST_GAP);
+            fleet.awaitAllRelays();
             measure(fleet, size, "day_", dayChanges, dayGap, values);
             measure(fleet, size, "burst_", burstChanges, BURST_GAP, values);
         }
@@ -54,13 +54,13 @@
 
     private static void measure(Fleet fleet, int size, String prefix, int changes, double gap,
                                 Map<String, Double> values) throws IOException, InterruptedException {
-        fleet.relays().note(fleet.version(), changes);
-        Fleet.Spent before = fleet.spent();
-        List<Long> publishedAt = fleet.changes(changes, gap);
-        fleet.awaitRelays();
-        Fleet.Spent spent = fleet.spent().minus(before);
-        HollowFleet.InForce inForce = fleet.relays().inForce(publishedAt);
-        Histogram spans = inForce.spans();
+        fleet.relays().recordVersions(fleet.latestVersion(), changes);
+        Fleet.ResourceUsage before = fleet.usage();
+        List<Long> publishedAt = fleet.publishChanges(changes, gap);
+        fleet.awaitAllRelays();
+        Fleet.ResourceUsage spent = fleet.usage().minus(before);
+        ListOnlyFleet.PropagationTimes inForce = fleet.relays().propagationTimes(publishedAt);
+        Histogram spans = inForce.delays();
         long owed = (long) size * changes;
         if (spans.getTotalCount() != owed) {
             throw new IllegalStateException(spans.getTotalCount() + " times noted of " + owed);
@@ -68,14 +68,14 @@
         values.put(prefix + "p50_ms", spans.getValueAtPercentile(50) / 1e3);
         values.put(prefix + "p99_ms", spans.getValueAtPercentile(99) / 1e3);
         values.put(prefix + "last_relay_mean_ms",
-            inForce.last().stream().mapToLong(us -> us).average().orElseThrow() / 1e3);
+            inForce.lastRelayDelays().stream().mapToLong(us -> us).average().orElseThrow() / 1e3);
         values.put(prefix + "last_relay_most_ms",
-            inForce.last().stream().mapToLong(us -> us).max().orElseThrow() / 1e3);
+            inForce.lastRelayDelays().stream().mapToLong(us -> us).max().orElseThrow() / 1e3);
         // With the watches that end by themselves meanwhile.
-        values.put(prefix + "source_bytes_a_change", (double) spent.source().bytes() / changes);
-        values.put(prefix + "machine_bytes_a_change", (double) spent.machine().bytes() / changes);
-        values.put(prefix + "agent_bytes_a_change", (double) spent.agent().bytes() / changes);
+        values.put(prefix + "source_bytes_a_change", (double) spent.source().totalBytes() / changes);
+        values.put(prefix + "machine_bytes_a_change", (double) spent.machine().totalBytes() / changes);
+        values.put(prefix + "agent_bytes_a_change", (double) spent.agent().totalBytes() / changes);
         values.put(prefix + "agent_calls_a_change", (double) spent.agent().calls() / changes);
-        spent.cpu(prefix, values);
+        spent.putCpuPercent(prefix, values);
     }
 }
--- a/src/main/java/wrenkeel/scale/ChangeLog.java
+++ b/src/main/java/wrenkeel/scale/ChangeLog.java
@@ -30,14 +30,14 @@
         this.catalog = catalog;
         this.entries = new byte[most][];
         this.first = catalog.version();
-        wholes.put(first, catalog.whole());
+        wholes.put(first, catalog.wholeList());
     }
 
     /** Gives one host another standing, and returns the list's version. */
     synchronized long publish(int host, HostCatalog.Health health) {
         long before = catalog.version();
-        long version = catalog.change(host, health);
-        entries[slot(version)] = entry(catalog.since(before));
+        long version = catalog.changeHealth(host, health);
+        entries[slot(version)] = entry(catalog.changesSince(before));
         return version;
     }
 
@@ -52,13 +52,13 @@
         return (int) (version % entries.length);
     }
 
-    synchronized long latest() {
+    synchronized long latestVersion() {
         return catalog.version();
     }
 
     /** The answer to a watch: what came after one version up to another; null if the log begins later. */
-    synchronized byte[] changes(long after, long upTo) {
-        if (after < first || after > upTo || after < latest() - entries.length) {
+    synchronized byte[] changesBetween(long after, long upTo) {
+        if (after < first || after > upTo || after < latestVersion() - entries.length) {
             return null;
         }
         if (after != builtAfter || upTo != builtUpTo) {
@@ -87,10 +87,10 @@
      * The latest encoded whole list that is no newer than this version; whoever gets it asks for the rest
      * next. Null if all that are kept are newer.
      */
-    synchronized byte[] whole(long upTo) {
-        long latest = latest();
+    synchronized byte[] wholeList(long upTo) {
+        long latest = latestVersion();
         if (upTo >= latest && !wholes.containsKey(latest)) {
-            wholes.put(latest, catalog.whole());
+            wholes.put(latest, catalog.wholeList());
             if (wholes.size() > WHOLES_MOST) {
                 wholes.pollFirstEntry();
             }
--- a/src/main/java/wrenkeel/scale/ControlMachines.java
+++ b/src/main/java/wrenkeel/scale/ControlMachines.java
@@ -16,7 +16,7 @@
  * costs stays with that zone's machine. Each machine is one thread here.
  */
 final class ControlMachines implements AutoCloseable {
-    static final int MACHINES = 7, ZONES = 5;
+    static final int MACHINE_COUNT = 7, ZONE_COUNT = 5;
     /** Zones of the first region; the others are in the second. */
     private static final int ZONES_OF_SOURCE = 3;
 
@@ -25,7 +25,7 @@
     private final HopCounters sourceHop = new HopCounters();
     private final HopCounters machineHop = new HopCounters();
     private final ThreadTimes times = new ThreadTimes();
-    private final MultiThreadIoEventLoopGroup threads = new MultiThreadIoEventLoopGroup(MACHINES,
+    private final MultiThreadIoEventLoopGroup threads = new MultiThreadIoEventLoopGroup(MACHINE_COUNT,
         new DefaultThreadFactory("control-machine", true), NioIoHandler.newFactory());
     private final ListNode source;
     private final ListNode secondHead;
@@ -36,12 +36,12 @@
         this.log = log;
         this.wait = wait;
         source = machine(sourceHop);
-        source.advance(log.latest());
+        source.advanceTo(log.latestVersion());
         secondHead = machine(sourceHop);
-        secondHead.follow(source.address(), wait);
-        for (int zone = 0; zone < ZONES; zone++) {
+        secondHead.watch(source.address(), wait);
+        for (int zone = 0; zone < ZONE_COUNT; zone++) {
             ListNode machine = machine(machineHop);
-            machine.follow(above(zone), wait);
+            machine.watch(above(zone), wait);
             zones.add(machine);
         }
     }
@@ -57,13 +57,13 @@
     }
 
     /** Where the agents of a zone watch. */
-    InetSocketAddress zone(int zone) {
+    InetSocketAddress zoneAddress(int zone) {
         return zones.get(zone).address();
     }
 
     /** Tells the source of what has been published. */
-    void published(long version) {
-        source.advance(version);
+    void advanceSource(long version) {
+        source.advanceTo(version);
     }
 
     /** A zone's machine is lost and back. */
@@ -72,24 +72,24 @@
     }
 
     /** The lowest version that any machine holds. */
-    long version() {
+    long minVersion() {
         return Math.min(secondHead.version(),
             zones.stream().mapToLong(ListNode::version).min().orElseThrow());
     }
 
     /** Between the machines. */
-    HopCounters.Counts sourceHop() {
-        return sourceHop.read();
+    HopCounters.Counts sourceHopCounts() {
+        return sourceHop.snapshot();
     }
 
     /** Between the zones' machines and the agents. */
-    HopCounters.Counts machineHop() {
-        return machineHop.read();
+    HopCounters.Counts machineHopCounts() {
+        return machineHop.snapshot();
     }
 
     /** us of processor time of all machines so far. */
     long cpuMicros() {
-        return times.micros();
+        return times.cpuMicros();
     }
 
     @Override
--- a/src/main/java/wrenkeel/scale/Descriptors.java
+++ b/src/main/java/wrenkeel/scale/Descriptors.java
@@ -8,7 +8,7 @@
     private Descriptors() { }
 
     /** How many are open now; -1 where the platform does not tell. */
-    static long open() {
+    static long openCount() {
         return ManagementFactory.getOperatingSystemMXBean() instanceof UnixOperatingSystemMXBean system
             ? system.getOpenFileDescriptorCount() : -1;
     }
--- a/src/main/java/wrenkeel/scale/FleetAgents.java
+++ b/src/main/java/wrenkeel/scale/FleetAgents.java
@@ -35,7 +35,7 @@
         for (int i = 0; i < count; i++) {
             EventLoop loop = threads.next();
             ListNode agent = new ListNode(loop, log, hop);
-            agent.follow(machines.zone(zones.applyAsInt(i)), wait);
+            agent.watch(machines.zoneAddress(zones.applyAsInt(i)), wait);
             agents.add(agent);
         }
     }
@@ -50,22 +50,22 @@
 
     /** The agent's machine is lost and back: it holds nothing. */
     Future<?> restart(int agent) {
-        return agents.get(agent).restart(machines.zone(zones.applyAsInt(agent)), wait);
+        return agents.get(agent).restart(machines.zoneAddress(zones.applyAsInt(agent)), wait);
     }
 
     /** The lowest version that any agent holds; -1 while one has no list. */
-    long version() {
+    long minVersion() {
         return agents.stream().mapToLong(ListNode::version).min().orElseThrow();
     }
 
     /** Between the agents and their relays. */
-    HopCounters.Counts hop() {
-        return hop.read();
+    HopCounters.Counts hopCounts() {
+        return hop.snapshot();
     }
 
     /** us of processor time of all agents so far. */
     long cpuMicros() {
-        return times.micros();
+        return times.cpuMicros();
     }
 
     @Override
--- a/src/main/java/wrenkeel/scale/FleetOptions.java
+++ b/src/main/java/wrenkeel/scale/FleetOptions.java
@@ -10,7 +10,7 @@
 
     @Option(names = "--relays-a-process", defaultValue = "300", paramLabel = "N",
         description = "Hollow relays in one process (default: ${DEFAULT-VALUE}).")
-    int each;
+    int relaysPerProcess;
 
     @Option(names = "--heap-mb", defaultValue = "768", paramLabel = "N",
         description = "Most heap of each such process (default: ${DEFAULT-VALUE}).")
@@ -19,9 +19,9 @@
     @Option(names = "--wait-ms", defaultValue = "4000", paramLabel = "N",
         description = "How long a watch of an agent or a control machine waits; relays have their own"
             + " (default: ${DEFAULT-VALUE}).")
-    long wait;
+    long waitMs;
 
     @Option(names = "--log", defaultValue = "4096", paramLabel = "N",
         description = "Changes that control machines and agents remember (default: ${DEFAULT-VALUE}).")
-    int log;
+    int changeLogSize;
 }
--- a/src/main/java/wrenkeel/scale/HopCounters.java
+++ b/src/main/java/wrenkeel/scale/HopCounters.java
@@ -21,29 +21,29 @@
                 connections - before.connections, bytesIn - before.bytesIn, bytesOut - before.bytesOut);
         }
 
-        long bytes() {
+        long totalBytes() {
             return bytesIn + bytesOut;
         }
     }
 
-    Counts read() {
+    Counts snapshot() {
         return new Counts(calls.sum(), wholeLists.sum(), connections.sum(), bytesIn.sum(), bytesOut.sum());
     }
 
-    void connected() {
+    void countConnection() {
         connections.increment();
     }
 
-    void called() {
+    void countCall() {
         calls.increment();
     }
 
-    void sentWhole() {
+    void countWholeList() {
         wholeLists.increment();
     }
 
     /** Stands first in a connection's pipeline. */
-    ChannelHandler bytes() {
+    ChannelHandler byteCounter() {
         return new ByteCounter(bytesIn, bytesOut);
     }
 }
--- a/src/main/java/wrenkeel/scale/HostCatalog.java
+++ b/src/main/java/wrenkeel/scale/HostCatalog.java
@@ -25,7 +25,7 @@
     static final List<String> ZONES = List.of("a1", "a2", "a3", "b1", "b2");
     static final List<String> KINDS = List.of("m1", "m2");
     /** Changes remembered; who asks for older ones gets the whole list. */
-    static final int CHANGES_MOST = 4_096;
+    static final int MAX_CHANGES = 4_096;
     private static final JsonFactory JSON = new JsonFactory();
     private static final long FIRST_VERSION = 41;
     /** Odd, so that no two numbers below 2^32 have the same product in 32 bits. */
@@ -35,7 +35,7 @@
     public enum Health {
         READY, DRAINING, GONE;
 
-        String word() {
+        String wireName() {
             return name().toLowerCase(Locale.ROOT);
         }
     }
@@ -77,20 +77,20 @@
     }
 
     /** How many hosts there are, those that are gone included. */
-    public int size() {
+    public int hostCount() {
         return hosts;
     }
 
-    public int destinations() {
-        return hosts == 0 ? 0 : destination(hosts - 1) + 1;
+    public int destinationCount() {
+        return hosts == 0 ? 0 : destinationOf(hosts - 1) + 1;
     }
 
     /** The number of a host's destination. */
-    public static int destination(int host) {
+    public static int destinationOf(int host) {
         return (int) (host * 10L / 17);
     }
 
-    public String name(int host) {
+    public String hostName(int host) {
         return String.format(Locale.ROOT, "s-%08x", host * SPREAD + salt);
     }
 
@@ -99,12 +99,12 @@
     }
 
     /** How many hosts the list names, ready or draining. */
-    synchronized int listed() {
+    synchronized int listedCount() {
         return hosts - gone;
     }
 
     /** Changes the standing of one host; the list's new version. */
-    public synchronized long change(int host, Health health) {
+    public synchronized long changeHealth(int host, Health health) {
         Changed before = standing(host);
         // One that comes back has started anew.
         long born = before.health == Health.GONE && health != Health.GONE ? System.currentTimeMillis()
@@ -113,7 +113,7 @@
     }
 
     /** Gives one host another address; the list's new version. */
-    synchronized long move(int host, String dial) {
+    synchronized long changeAddress(int host, String dial) {
         Changed before = standing(host);
         return put(host, new Changed(before.health, dial, before.bornMillis));
     }
@@ -131,14 +131,14 @@
         changed.put(host, next);
         whole = null;
         changes.add(new Change(++version, host));
-        if (changes.size() > CHANGES_MOST) {
+        if (changes.size() > MAX_CHANGES) {
             changes.remove();
         }
         return version;
     }
 
     /** The whole list in discovery's form. Shared by all who ask: not to be written to. */
-    synchronized byte[] whole() {
+    synchronized byte[] wholeList() {
         if (whole == null) {
             whole = encode(true, null);
         }
@@ -146,9 +146,9 @@
     }
 
     /** What changed after a version, perhaps nothing; the whole list where that is no longer known. */
-    synchronized byte[] since(long after) {
-        if (!remembers(after)) {
-            return whole();
+    synchronized byte[] changesSince(long after) {
+        if (!hasChangesSince(after)) {
+            return wholeList();
         }
         Set<Integer> named = new LinkedHashSet<>();
         for (Change change : changes) {
@@ -160,7 +160,7 @@
     }
 
     /** True where the answer to a watch after this version is made of changes. */
-    synchronized boolean remembers(long after) {
+    synchronized boolean hasChangesSince(long after) {
         return after <= version && after >= version - changes.size();
     }
 
@@ -193,12 +193,12 @@
     private void entry(JsonGenerator out, int host) throws IOException {
         Changed now = standing(host);
         out.writeStartObject();
-        out.writeStringField("host", name(host));
+        out.writeStringField("host", hostName(host));
         out.writeStringField("dial", now.dial);
         out.writeStringField("site", ZONES.get(host % ZONES.size()));
         out.writeStringField("class", KINDS.get(host % KINDS.size()));
-        out.writeNumberField("block", destination(host));
-        out.writeStringField("health", now.health.word());
+        out.writeNumberField("block", destinationOf(host));
+        out.writeStringField("health", now.health.wireName());
         out.writeNumberField("share", 1.0);
         out.writeNumberField("born_ms", now.bornMillis);
         out.writeEndObject();
--- a/src/main/java/wrenkeel/scale/ListExperiment.java
+++ b/src/main/java/wrenkeel/scale/ListExperiment.java
@@ -58,7 +58,7 @@
     private Map<String, Double> play(int hosts, long seed) throws IOException, InterruptedException {
         Map<String, Double> values = new LinkedHashMap<>();
         HostCatalog catalog = new HostCatalog(hosts, seed);
-        byte[] list = catalog.whole();
+        byte[] list = catalog.wholeList();
         values.put("list_mb", list.length / MB);
         try (StandInAgent agent = new StandInAgent(catalog);
              RelayProcess relay = new RelayProcess(options.root(), RelaySettings.typical("n1"),
@@ -82,7 +82,7 @@
         throws IOException, InterruptedException {
         long begun = System.nanoTime();
         relay.start();
-        boolean held = relay.awaitMembers(agent.catalog().listed(), HELD_WITHIN, LOOK);
+        boolean held = relay.awaitMemberCount(agent.catalog().listedCount(), HELD_WITHIN, LOOK);
         double seconds = (System.nanoTime() - begun) / 1e9;
         values.put("held", held ? 1.0 : 0.0);
         if (held) {
@@ -93,9 +93,9 @@
         } else {
             values.put("unheld_whole_lists_per_s", agent.wholeLists() / seconds);
             values.put("unheld_mb_per_s", agent.bytesOut() / MB / seconds);
-            values.put("unheld_alive", relay.alive() ? 1.0 : 0.0);
-            if (relay.alive()) {
-                values.put("unheld_ready", relay.ready() ? 1.0 : 0.0);
+            values.put("unheld_alive", relay.isAlive() ? 1.0 : 0.0);
+            if (relay.isAlive()) {
+                values.put("unheld_ready", relay.isReady() ? 1.0 : 0.0);
                 values.put("unheld_cpu_percent", relay.cpuMicros() / 1e4 / seconds);
                 values.put("unheld_peak_rss_mb", relay.peakRssBytes() / MB);
             }
@@ -135,13 +135,13 @@
         int host = 0;
         for (int i = 0; i < count; i++) {
             if (i % 4 == 0) {
-                host = random.nextInt(agent.catalog().size());
+                host = random.nextInt(agent.catalog().hostCount());
             }
             long version = switch (i % 4) {
-                case 0 -> agent.change(host, HostCatalog.Health.DRAINING);
-                case 1 -> agent.change(host, HostCatalog.Health.GONE);
-                case 2 -> agent.change(host, HostCatalog.Health.READY);
-                default -> agent.move(host, "10.200.0." + i + ":8081");
+                case 0 -> agent.changeHealth(host, HostCatalog.Health.DRAINING);
+                case 1 -> agent.changeHealth(host, HostCatalog.Health.GONE);
+                case 2 -> agent.changeHealth(host, HostCatalog.Health.READY);
+                default -> agent.changeAddress(host, "10.200.0." + i + ":8081");
             };
             if (!agent.awaitHeld(version, CHANGE_WITHIN)) {
                 return;
@@ -157,13 +157,13 @@
     private static void restart(RelayProcess relay, StandInAgent agent, Map<String, Double> values)
         throws IOException, InterruptedException {
         // Encoded before, so that no relay waits for it.
-        agent.catalog().whole();
+        agent.catalog().wholeList();
         relay.kill();
         long lists = agent.wholeLists();
         long bytes = agent.bytesOut();
         long begun = System.nanoTime();
         relay.start();
-        if (relay.awaitMembers(agent.catalog().listed(), HELD_WITHIN, LOOK)) {
+        if (relay.awaitMemberCount(agent.catalog().listedCount(), HELD_WITHIN, LOOK)) {
             values.put("restart_held_ms", (System.nanoTime() - begun) / 1e6);
         }
         values.put("restart_whole_lists", (double) agent.wholeLists() - lists);
--- a/src/main/java/wrenkeel/scale/ListNode.java
+++ b/src/main/java/wrenkeel/scale/ListNode.java
@@ -62,8 +62,8 @@
                 @Override
                 protected void initChannel(Channel channel) {
                     callers.add(channel);
-                    below.connected();
-                    channel.pipeline().addLast(below.bytes(), new HttpServerCodec(),
+                    below.countConnection();
+                    channel.pipeline().addLast(below.byteCounter(), new HttpServerCodec(),
                         new HttpObjectAggregator(REQUEST_MOST), new Caller());
                 }
             }).bind(InetAddress.getLoopbackAddress(), 0).syncUninterruptibly().channel();
@@ -79,15 +79,15 @@
     }
 
     /** Watches the place above from now on, with calls that wait for so many milliseconds. */
-    void follow(InetSocketAddress above, long wait) {
+    void watch(InetSocketAddress above, long wait) {
         loop.execute(() -> {
             upstream = new UpstreamWatch(loop, above, wait, version, this::arrived);
-            upstream.begin();
+            upstream.connect();
         });
     }
 
     /** It holds the list up to this version now: at the source as published, elsewhere as sent. */
-    void advance(long next) {
+    void advanceTo(long next) {
         if (loop.inEventLoop()) {
             arrived(next);
         } else {
@@ -106,7 +106,7 @@
             upstream.close();
             List.copyOf(callers).forEach(Channel::close);
             version = -1;
-            follow(above, wait);
+            watch(above, wait);
         });
     }
 
@@ -131,7 +131,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext from, FullHttpRequest request) {
             context = from;
-            below.called();
+            below.countCall();
             QueryStringDecoder uri = new QueryStringDecoder(request.uri());
             if (uri.path().equals("/reports")) {
                 answer(HttpResponseStatus.NO_CONTENT, Unpooled.EMPTY_BUFFER);
@@ -156,19 +156,19 @@
         /** Silent while it has no list; a watch waits for something newer. */
         private void answerIfDue() {
             if (version >= 0 && after < version) {
-                byte[] changes = after < 0 ? null : log.changes(after, version);
-                byte[] whole = changes == null ? log.whole(version) : null;
+                byte[] changes = after < 0 ? null : log.changesBetween(after, version);
+                byte[] whole = changes == null ? log.wholeList(version) : null;
                 if (changes != null) {
                     answerWaiting(changes);
                 } else if (whole != null) {
-                    below.sentWhole();
+                    below.countWholeList();
                     answerWaiting(whole);
                 }
             }
         }
 
         private void answerUnchanged() {
-            byte[] none = version < 0 ? null : log.changes(version, version);
+            byte[] none = version < 0 ? null : log.changesBetween(version, version);
             if (waiting.contains(this) && none != null) {
                 answerWaiting(none);
             }
--- a/src/main/java/wrenkeel/scale/HollowFleet.java
+++ b/src/main/java/wrenkeel/scale/ListOnlyFleet.java
@@ -24,17 +24,17 @@
 import java.util.zip.DataFormatException;
 import org.HdrHistogram.Histogram;
 
-/** Hollow relays in processes of some hundreds each, told what to do by {@link HollowProcess}'s commands. */
-final class HollowFleet implements AutoCloseable {
+/** Hollow relays in processes of some hundreds each, told what to do by {@link ListOnlyProcess}'s commands. */
+final class ListOnlyFleet implements AutoCloseable {
     /** Digits of a histogram that count. */
-    static final int DIGITS = 3;
+    static final int HISTOGRAM_DIGITS = 3;
     private static final long END_MOST_S = 5;
     /** The flags of a real relay that shape its speed. */
     private static final List<String> FLAGS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
         "-XX:-UsePerfData", "-Xss512k", "-Dorg.slf4j.simpleLogger.defaultLogLevel=error");
 
     /** How long some versions took to be in force: at all relays, and at the last one of each, us. */
-    record InForce(Histogram spans, List<Long> last) { }
+    record PropagationTimes(Histogram delays, List<Long> lastRelayDelays) { }
 
     /** After a collection, over all processes. */
     record Memory(long heapBytes, long rssBytes, long descriptors) { }
@@ -52,7 +52,7 @@
      * @param each relays a process
      * @param heapMb most heap of a process
      */
-    HollowFleet(FleetAgents agents, int each, int heapMb) throws IOException {
+    ListOnlyFleet(FleetAgents agents, int each, int heapMb) throws IOException {
         this.each = each;
         this.count = agents.size();
         this.folder = Files.createTempDirectory("wrenkeel-fleet");
@@ -89,20 +89,20 @@
     }
 
     /** Waits until all that run hold this version; how many do after so many seconds. */
-    long await(long version, long seconds) throws IOException {
+    long awaitVersion(long version, long seconds) throws IOException {
         return tell(child -> "await " + version + " " + seconds).stream().mapToLong(Long::parseLong).sum();
     }
 
     /** Notes from now on when each of so many versions after this one, which all hold, is in force. */
-    void note(long version, int versions) throws IOException {
+    void recordVersions(long version, int versions) throws IOException {
         tell(child -> "note " + version + " " + versions);
     }
 
     /** Given when each of the noted versions was published (epoch us): how long they took to be in force. */
-    InForce inForce(List<Long> publishedAt) throws IOException {
+    PropagationTimes propagationTimes(List<Long> publishedAt) throws IOException {
         String command = "inforce "
             + publishedAt.stream().map(String::valueOf).collect(Collectors.joining(" "));
-        Histogram spans = new Histogram(DIGITS);
+        Histogram spans = new Histogram(HISTOGRAM_DIGITS);
         Map<Integer, Long> last = new TreeMap<>();
         for (String answer : tell(child -> command)) {
             String[] words = answer.split(" ");
@@ -111,19 +111,19 @@
                 last.merge(i, Long.parseLong(words[i]), Math::max);
             }
         }
-        return new InForce(spans, List.copyOf(last.values()));
+        return new PropagationTimes(spans, List.copyOf(last.values()));
     }
 
     /** us from the latest start of each of these relays until its list was in force; others are left out. */
-    Histogram starts(int from, int to) throws IOException {
-        Histogram spans = new Histogram(DIGITS);
+    Histogram startTimes(int from, int to) throws IOException {
+        Histogram spans = new Histogram(HISTOGRAM_DIGITS);
         for (String answer : range("starts", from, to)) {
             spans.add(decode(answer));
         }
         return spans;
     }
 
-    Memory memory() throws IOException {
+    Memory measureMemory() throws IOException {
         long heap = 0;
         long descriptors = 0;
         for (String answer : tell(child -> "memory")) {
@@ -146,7 +146,7 @@
         return all;
     }
 
-    int processes() {
+    int processCount() {
         return children.size();
     }
 
@@ -212,7 +212,7 @@
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xmx" + heapMb + "m"));
             command.addAll(FLAGS);
             command.addAll(List.of("-cp", System.getProperty("java.class.path"),
-                HollowProcess.class.getName(), home.toString()));
+                ListOnlyProcess.class.getName(), home.toString()));
             process = new ProcessBuilder(command).redirectError(errors.toFile()).start();
             commands = new PrintStream(process.getOutputStream(), true, StandardCharsets.US_ASCII);
             answers = new BufferedReader(new InputStreamReader(process.getInputStream(),
--- a/src/main/java/wrenkeel/scale/HollowProcess.java
+++ b/src/main/java/wrenkeel/scale/ListOnlyProcess.java
@@ -29,20 +29,20 @@
  *   memory                    after a collection:                        ok HEAP-BYTES DESCRIPTORS
  * </pre>
  */
-final class HollowProcess {
+final class ListOnlyProcess {
     private static final long LOOK = 2;
 
     private final Path folder;
     private final List<TimedRelay> relays = new ArrayList<>();
     private long notedFrom;
 
-    private HollowProcess(Path folder) {
+    private ListOnlyProcess(Path folder) {
         this.folder = folder;
     }
 
     /** The argument: an empty folder for its relays' files. */
     public static void main(String[] args) throws IOException {
-        HollowProcess process = new HollowProcess(Path.of(args[0]));
+        ListOnlyProcess process = new ListOnlyProcess(Path.of(args[0]));
         PrintStream answers = System.out;
         // Only answers go to the standard output.
         System.setOut(System.err);
@@ -77,7 +77,7 @@
             case "await" -> String.valueOf(await(Long.parseLong(words[1]), Long.parseLong(words[2])));
             case "note" -> {
                 notedFrom = Long.parseLong(words[1]);
-                relays.forEach(relay -> relay.note(notedFrom, Integer.parseInt(words[2])));
+                relays.forEach(relay -> relay.recordVersions(notedFrom, Integer.parseInt(words[2])));
                 yield "";
             }
             case "inforce" -> inForce(words);
@@ -93,43 +93,43 @@
 
     private long await(long version, long seconds) throws InterruptedException {
         long by = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
-        long running = relays.stream().filter(TimedRelay::started).count();
+        long running = relays.stream().filter(TimedRelay::isStarted).count();
         long held = 0;
         while (held < running && System.nanoTime() < by) {
             Thread.sleep(LOOK);
-            held = relays.stream().filter(r -> r.started() && r.held() >= version).count();
+            held = relays.stream().filter(r -> r.isStarted() && r.appliedVersion() >= version).count();
         }
         return held;
     }
 
     private String inForce(String[] published) {
-        Histogram spans = new Histogram(HollowFleet.DIGITS);
+        Histogram spans = new Histogram(ListOnlyFleet.HISTOGRAM_DIGITS);
         StringJoiner last = new StringJoiner(" ");
         for (int i = 1; i < published.length; i++) {
             long at = Long.parseLong(published[i]);
             long most = -1;
             for (TimedRelay relay : relays) {
-                long inForceAt = relay.inForceAt(notedFrom + i);
-                if (relay.started() && inForceAt > 0) {
+                long inForceAt = relay.appliedAtMicros(notedFrom + i);
+                if (relay.isStarted() && inForceAt > 0) {
                     spans.recordValue(Math.max(0, inForceAt - at));
                     most = Math.max(most, inForceAt - at);
                 }
             }
             last.add(String.valueOf(most));
         }
-        return HollowFleet.encode(spans) + " " + last;
+        return ListOnlyFleet.encode(spans) + " " + last;
     }
 
     private static String starts(List<TimedRelay> some) {
-        Histogram spans = new Histogram(HollowFleet.DIGITS);
-        some.stream().filter(relay -> relay.heldAt() > 0)
-            .forEach(relay -> spans.recordValue(Math.max(0, relay.heldAt() - relay.startedAt())));
-        return HollowFleet.encode(spans);
+        Histogram spans = new Histogram(ListOnlyFleet.HISTOGRAM_DIGITS);
+        some.stream().filter(relay -> relay.firstAppliedAtMicros() > 0)
+            .forEach(relay -> spans.recordValue(Math.max(0, relay.firstAppliedAtMicros() - relay.startedAtMicros())));
+        return ListOnlyFleet.encode(spans);
     }
 
     private static String memory() {
         System.gc();
         long heap = ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
-        return heap + " " + Descriptors.open();
+        return heap + " " + Descriptors.openCount();
     }
 }
--- a/src/main/java/wrenkeel/scale/LoadedRelay.java
+++ b/src/main/java/wrenkeel/scale/LoadedRelay.java
@@ -51,14 +51,14 @@
     boolean start() throws IOException, InterruptedException {
         long begun = System.nanoTime();
         process.start();
-        boolean held = process.awaitMembers(catalog.listed(), HELD_WITHIN, LOOK)
+        boolean held = process.awaitMemberCount(catalog.listedCount(), HELD_WITHIN, LOOK)
             && process.awaitServing(HELD_WITHIN);
         seconds = (System.nanoTime() - begun) / 1e9;
         return held;
     }
 
     /** What a relay did that does not hold its list. */
-    Map<String, Double> unheld() throws IOException {
+    Map<String, Double> valuesWithoutList() throws IOException {
         Map<String, Double> values = new LinkedHashMap<>();
         values.put("held", 0.0);
         values.put("unheld_cpu_percent", process.cpuMicros() / 1e4 / seconds);
@@ -67,8 +67,8 @@
         return values;
     }
 
-    int destinations() {
-        return catalog.destinations();
+    int destinationCount() {
+        return catalog.destinationCount();
     }
 
     RelayProcess process() {
@@ -80,12 +80,12 @@
     }
 
     /** Notices of messages given up so far. */
-    long givenUp() {
+    long failedMessages() {
         return givenUp.sum();
     }
 
     /** Notices of messages handed back so far. */
-    long handedBack() {
+    long returnedMessages() {
         return handedBack.sum();
     }
 
--- a/src/main/java/wrenkeel/scale/RelayConfig.java
+++ b/src/main/java/wrenkeel/scale/RelayConfig.java
@@ -27,7 +27,7 @@
             out.writeStringField("name", settings.name());
             out.writeStringField("listen", "127.0.0.1:0");
             out.writeStringField("console", "127.0.0.1:0");
-            out.writeStringField("discovery", text(agent));
+            out.writeStringField("discovery", hostAndPort(agent));
             out.writeStringField("seed", settings.seed());
             out.writeObjectFieldStart("limits");
             out.writeNumberField("cores", settings.cores());
@@ -44,7 +44,7 @@
         }
     }
 
-    static String text(InetSocketAddress address) {
+    static String hostAndPort(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
@@ -62,12 +62,12 @@
         out.writeNumberField("connect-timeout", 1_000);
         out.writeNumberField("keepalive", 15_000);
         out.writeNumberField("most-tries", 8);
-        out.writeNumberField("open-cap", settings.open());
+        out.writeNumberField("open-cap", settings.maxOpenMessages());
         out.writeBooleanField("retry-after", true);
         out.writeNumberField("max-retry-after", 2_000);
         out.writeEndObject();
         out.writeObjectFieldStart("family-info");
-        out.writeNumberField("call-slots", settings.slots());
+        out.writeNumberField("call-slots", settings.callSlots());
         out.writeArrayFieldStart("kind-apart");
         for (int i = 0; i < settings.kinds().size(); i++) {
             out.writeBoolean(false);
@@ -93,10 +93,10 @@
         for (RelaySettings.Profile profile : settings.profiles()) {
             out.writeStartObject();
             out.writeStringField("name", profile.name());
-            out.writeNumberField("aim", profile.aim());
-            out.writeNumberField("hard-limit", profile.hardLimit());
+            out.writeNumberField("aim", profile.aimMs());
+            out.writeNumberField("hard-limit", profile.hardLimitMs());
             out.writeStringField("semantics", profile.semantics());
-            out.writeNumberField("window", profile.window());
+            out.writeNumberField("window", profile.windowMs());
             out.writeNumberField("late-worth", 0.5);
             out.writeEndObject();
         }
--- a/src/main/java/wrenkeel/scale/RelayProcess.java
+++ b/src/main/java/wrenkeel/scale/RelayProcess.java
@@ -81,8 +81,8 @@
         ProcessBuilder run = new ProcessBuilder("/bin/sh", "-c", command(root)).directory(root.toFile())
             .redirectErrorStream(true).redirectOutput(log(++starts).toFile());
         run.environment().putAll(Map.of("EDGE_NAME", settings.name(), "EDGE_LISTEN", "127.0.0.1:0",
-            "EDGE_CONSOLE", "127.0.0.1:0", "EDGE_DISCOVERY", RelayConfig.text(agent),
-            "EDGE_STATE", state().toString(), "EDGE_CONFIG", folder.resolve("config.json").toString(),
+            "EDGE_CONSOLE", "127.0.0.1:0", "EDGE_DISCOVERY", RelayConfig.hostAndPort(agent),
+            "EDGE_STATE", stateFolder().toString(), "EDGE_CONFIG", folder.resolve("config.json").toString(),
             "TMPDIR", folder.resolve("tmp").toString()));
         run.environment().putAll(environment);
         process = run.start();
@@ -108,7 +108,7 @@
     }
 
     /** What all processes have written so far, the latest last. */
-    public String logs() throws IOException {
+    public String allLogs() throws IOException {
         StringBuilder all = new StringBuilder();
         for (int start = 1; start <= starts; start++) {
             all.append("---- start ").append(start).append('\n').append(Files.readString(log(start)));
@@ -117,12 +117,12 @@
     }
 
     /** Waits until the process has ended; false where it has not in time. */
-    public boolean awaitEnd(Duration atMost) throws InterruptedException {
+    public boolean awaitExit(Duration atMost) throws InterruptedException {
         return process.waitFor(atMost.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     /** The folder that lasts. */
-    public Path state() {
+    public Path stateFolder() {
         return folder.resolve("state");
     }
 
@@ -130,7 +130,7 @@
         return process.pid();
     }
 
-    public boolean alive() {
+    public boolean isAlive() {
         return process != null && process.isAlive();
     }
 
@@ -172,12 +172,12 @@
     }
 
     /** Where clients connect, once it serves. */
-    public InetSocketAddress clients() {
+    public InetSocketAddress clientAddress() {
         return clients;
     }
 
     /** Where operators connect, once it answers them. */
-    InetSocketAddress console() {
+    InetSocketAddress consoleAddress() {
         return console;
     }
 
@@ -192,7 +192,7 @@
     }
 
     /** True if the console says that it serves. */
-    boolean ready() throws IOException {
+    boolean isReady() throws IOException {
         HttpURLConnection call = call("ready");
         try {
             return call.getResponseCode() == HttpURLConnection.HTTP_OK;
@@ -202,7 +202,7 @@
     }
 
     private HttpURLConnection call(String name) throws IOException {
-        URI uri = URI.create("http://" + RelayConfig.text(console) + "/api/" + name);
+        URI uri = URI.create("http://" + RelayConfig.hostAndPort(console) + "/api/" + name);
         HttpURLConnection call = (HttpURLConnection) uri.toURL().openConnection();
         call.setConnectTimeout(CALL_PATIENCE);
         call.setReadTimeout(CALL_PATIENCE);
@@ -210,7 +210,7 @@
     }
 
     /** How many hosts the list that it holds names. */
-    long members() throws IOException {
+    long memberCount() throws IOException {
         return telemetry().whole("members");
     }
 
@@ -218,16 +218,16 @@
      * Waits until the list that it holds names so many hosts; false where it does not in time, or ends. One
      * that is too busy to answer its operators is asked again.
      */
-    boolean awaitMembers(long hosts, Duration atMost, Duration look)
+    boolean awaitMemberCount(long hosts, Duration atMost, Duration look)
         throws IOException, InterruptedException {
         long by = System.nanoTime() + atMost.toNanos();
-        while (alive() && System.nanoTime() < by) {
+        while (isAlive() && System.nanoTime() < by) {
             try {
-                if (awaitConsole(Duration.ofNanos(by - System.nanoTime())) && members() == hosts) {
+                if (awaitConsole(Duration.ofNanos(by - System.nanoTime())) && memberCount() == hosts) {
                     return true;
                 }
             } catch (IOException e) {
-                if (!alive()) {
+                if (!isAlive()) {
                     System.err.println(settings.name() + ": " + e.getMessage());
                 }
             }
@@ -290,7 +290,7 @@
     }
 
     /** SIGTERM; does not wait. */
-    public void beginEnd() {
+    public void requestTermination() {
         process.destroy();
     }
 
--- a/src/main/java/wrenkeel/scale/RelaySettings.java
+++ b/src/main/java/wrenkeel/scale/RelaySettings.java
@@ -5,18 +5,18 @@
 /**
  * What one relay's configuration holds besides the list: {@code relays} is the size of the fleet that it is
  * told of, {@code seed} hexadecimal, {@code cores}, {@code memoryMb}, {@code sockets} and {@code diskMb} its
- * limits. {@code zones} and {@code kinds} are those that a {@link HostCatalog} names; {@code slots} is how
- * many calls may be out at once, {@code open} how many messages may be held.
+ * limits. {@code zones} and {@code kinds} are those that a {@link HostCatalog} names; {@code callSlots} is how
+ * many calls may be out at once, {@code maxOpenMessages} how many messages may be held.
  */
 public record RelaySettings(String name, String seed, int relays, double cores, int memoryMb, int sockets,
                      double diskMb, List<String> zones, List<String> kinds, List<Profile> profiles,
-                     int slots, int open, List<Tenant> tenants) {
+                     int callSlots, int maxOpenMessages, List<Tenant> tenants) {
 
     /**
      * A class of messages: times in milliseconds; semantics {@code retryable}, {@code dedup} or {@code
      * fragile}.
      */
-    public record Profile(String name, long aim, long hardLimit, String semantics, long window) { }
+    public record Profile(String name, long aimMs, long hardLimitMs, String semantics, long windowMs) { }
 
     /** A client whose messages count in full up to a rate over all relays. */
     public record Tenant(String name, double quotaPerSecond) { }
@@ -30,24 +30,24 @@
     }
 
     /** The same under another name. */
-    public RelaySettings named(String other) {
+    public RelaySettings withName(String other) {
         return new RelaySettings(other, seed, relays, cores, memoryMb, sockets, diskMb, zones, kinds,
-            profiles, slots, open, tenants);
+            profiles, callSlots, maxOpenMessages, tenants);
     }
 
     public RelaySettings withRelays(int count) {
         return new RelaySettings(name, seed, count, cores, memoryMb, sockets, diskMb, zones, kinds, profiles,
-            slots, open, tenants);
+            callSlots, maxOpenMessages, tenants);
     }
 
     public RelaySettings withProfiles(List<Profile> classes) {
         return new RelaySettings(name, seed, relays, cores, memoryMb, sockets, diskMb, zones, kinds, classes,
-            slots, open, tenants);
+            callSlots, maxOpenMessages, tenants);
     }
 
     public RelaySettings withDisk(double megabytes) {
         return new RelaySettings(name, seed, relays, cores, memoryMb, sockets, megabytes, zones, kinds,
-            profiles, slots, open, tenants);
+            profiles, callSlots, maxOpenMessages, tenants);
     }
 
     public RelaySettings withCalls(int slotCount, int openMost) {
@@ -57,6 +57,6 @@
 
     RelaySettings withTenants(List<Tenant> clients) {
         return new RelaySettings(name, seed, relays, cores, memoryMb, sockets, diskMb, zones, kinds, profiles,
-            slots, open, clients);
+            callSlots, maxOpenMessages, clients);
     }
 }
--- a/src/main/java/wrenkeel/scale/RelaysExperiment.java
+++ b/src/main/java/wrenkeel/scale/RelaysExperiment.java
@@ -41,26 +41,26 @@
 
     private Map<String, Double> play(int size, long seed) throws IOException, InterruptedException {
         Map<String, Double> values = new LinkedHashMap<>();
-        try (Fleet fleet = new Fleet(size, seed, fleetOptions, Fleet::spread)) {
+        try (Fleet fleet = new Fleet(size, seed, fleetOptions, Fleet::roundRobinZone)) {
             fleet.start();
             // What runs for the first time is compiled before it is measured.
-            fleet.changes(changes, gap / 4);
-            fleet.awaitRelays();
+            fleet.publishChanges(changes, gap / 4);
+            fleet.awaitAllRelays();
             // All watches began with the last change. Between two ends of their waits: whole ones count.
             Thread.sleep(WAIT / 2);
-            Fleet.Spent before = fleet.spent();
+            Fleet.ResourceUsage before = fleet.usage();
             Thread.sleep(WAIT * idleWaits);
-            Fleet.Spent idle = fleet.spent();
-            idle.minus(before).rates("idle_", values);
-            fleet.changes(changes, gap);
-            fleet.awaitRelays();
-            aChange(fleet.spent().minus(idle), idle.minus(before), values);
-            HollowFleet.Memory memory = fleet.relays().memory();
+            Fleet.ResourceUsage idle = fleet.usage();
+            idle.minus(before).putRates("idle_", values);
+            fleet.publishChanges(changes, gap);
+            fleet.awaitAllRelays();
+            aChange(fleet.usage().minus(idle), idle.minus(before), values);
+            ListOnlyFleet.Memory memory = fleet.relays().measureMemory();
             values.put("relays_heap_mb", memory.heapBytes() / 1e6);
             values.put("relays_rss_mb", memory.rssBytes() / 1e6);
             values.put("relays_descriptors", (double) memory.descriptors());
-            values.put("tool_descriptors", (double) Descriptors.open());
-            values.put("relay_processes", (double) fleet.relays().processes());
+            values.put("tool_descriptors", (double) Descriptors.openCount());
+            values.put("relay_processes", (double) fleet.relays().processCount());
         }
         return values;
     }
@@ -69,14 +69,14 @@
      * What one change moves on each hop: no watch ends by itself where changes follow this quickly. Processor
      * time is less that of the idle fleet.
      */
-    private void aChange(Fleet.Spent trickle, Fleet.Spent idle, Map<String, Double> values) {
-        double share = (double) trickle.at() / idle.at();
-        values.put("change_source_bytes", (double) trickle.source().bytes() / changes);
-        values.put("change_machine_bytes", (double) trickle.machine().bytes() / changes);
-        values.put("change_agent_bytes", (double) trickle.agent().bytes() / changes);
+    private void aChange(Fleet.ResourceUsage trickle, Fleet.ResourceUsage idle, Map<String, Double> values) {
+        double share = (double) trickle.atMicros() / idle.atMicros();
+        values.put("change_source_bytes", (double) trickle.source().totalBytes() / changes);
+        values.put("change_machine_bytes", (double) trickle.machine().totalBytes() / changes);
+        values.put("change_agent_bytes", (double) trickle.agent().totalBytes() / changes);
         values.put("change_machines_cpu_ms",
-            (trickle.machinesCpu() - share * idle.machinesCpu()) / changes / 1e3);
-        values.put("change_agents_cpu_ms", (trickle.agentsCpu() - share * idle.agentsCpu()) / changes / 1e3);
-        values.put("change_relays_cpu_ms", (trickle.relaysCpu() - share * idle.relaysCpu()) / changes / 1e3);
+            (trickle.machinesCpuMicros() - share * idle.machinesCpuMicros()) / changes / 1e3);
+        values.put("change_agents_cpu_ms", (trickle.agentsCpuMicros() - share * idle.agentsCpuMicros()) / changes / 1e3);
+        values.put("change_relays_cpu_ms", (trickle.relaysCpuMicros() - share * idle.relaysCpuMicros()) / changes / 1e3);
     }
 }
--- a/src/main/java/wrenkeel/scale/RestartExperiment.java
+++ b/src/main/java/wrenkeel/scale/RestartExperiment.java
@@ -38,9 +38,9 @@
         Map<String, Double> values = new LinkedHashMap<>();
         try (Fleet fleet = new Fleet(size, seed, fleetOptions, relay -> 0)) {
             fleet.start();
-            Fleet.Spent before = fleet.spent();
+            Fleet.ResourceUsage before = fleet.usage();
             Thread.sleep(IDLE);
-            Fleet.Spent idle = fleet.spent().minus(before);
+            Fleet.ResourceUsage idle = fleet.usage().minus(before);
             singles(fleet, false, idle, "relay_", values);
             singles(fleet, true, idle, "replaced_", values);
             zone(fleet, size, values);
@@ -49,44 +49,44 @@
     }
 
     /** One after the other; {@code replaced}: each with its agent. */
-    private void singles(Fleet fleet, boolean replaced, Fleet.Spent idle, String prefix,
+    private void singles(Fleet fleet, boolean replaced, Fleet.ResourceUsage idle, String prefix,
                          Map<String, Double> values) throws IOException {
-        Histogram starts = new Histogram(HollowFleet.DIGITS);
-        Fleet.Spent before = fleet.spent();
+        Histogram starts = new Histogram(ListOnlyFleet.HISTOGRAM_DIGITS);
+        Fleet.ResourceUsage before = fleet.usage();
         for (int relay = 0; relay < single; relay++) {
             fleet.relays().stop(relay, relay + 1);
             if (replaced) {
                 fleet.agents().restart(relay).syncUninterruptibly();
             }
             fleet.relays().start(relay, relay + 1);
-            fleet.awaitRelays();
-            starts.add(fleet.relays().starts(relay, relay + 1));
+            fleet.awaitAllRelays();
+            starts.add(fleet.relays().startTimes(relay, relay + 1));
         }
-        Fleet.Spent spent = fleet.spent().minus(before);
-        double share = (double) spent.at() / idle.at();
+        Fleet.ResourceUsage spent = fleet.usage().minus(before);
+        double share = (double) spent.atMicros() / idle.atMicros();
         values.put(prefix + "held_p50_ms", starts.getValueAtPercentile(50) / 1e3);
         values.put(prefix + "held_most_ms", starts.getMaxValue() / 1e3);
         values.put(prefix + "machine_whole_lists", (double) spent.machine().wholeLists() / single);
         values.put(prefix + "agent_whole_lists", (double) spent.agent().wholeLists() / single);
         values.put(prefix + "machine_bytes",
-            (spent.machine().bytes() - share * idle.machine().bytes()) / single);
-        values.put(prefix + "agent_bytes", (spent.agent().bytes() - share * idle.agent().bytes()) / single);
+            (spent.machine().totalBytes() - share * idle.machine().totalBytes()) / single);
+        values.put(prefix + "agent_bytes", (spent.agent().totalBytes() - share * idle.agent().totalBytes()) / single);
     }
 
     /** The zone's control machine, its agents and its relays lose power, and are back at one moment. */
     private static void zone(Fleet fleet, int size, Map<String, Double> values) throws IOException {
         fleet.relays().stop(0, size);
-        Fleet.Spent before = fleet.spent();
+        Fleet.ResourceUsage before = fleet.usage();
         try (PeakRates peaks = new PeakRates(fleet)) {
             fleet.machines().restartZone(0);
             for (int agent = 0; agent < size; agent++) {
                 fleet.agents().restart(agent);
             }
             fleet.relays().start(0, size);
-            fleet.awaitRelays();
-            Fleet.Spent spent = fleet.spent().minus(before);
-            Histogram starts = fleet.relays().starts(0, size);
-            values.put("zone_all_held_ms", spent.at() / 1e3);
+            fleet.awaitAllRelays();
+            Fleet.ResourceUsage spent = fleet.usage().minus(before);
+            Histogram starts = fleet.relays().startTimes(0, size);
+            values.put("zone_all_held_ms", spent.atMicros() / 1e3);
             values.put("zone_held_p50_ms", starts.getValueAtPercentile(50) / 1e3);
             values.put("zone_held_p99_ms", starts.getValueAtPercentile(99) / 1e3);
             values.put("zone_held_last_ms", starts.getMaxValue() / 1e3);
@@ -94,14 +94,14 @@
             values.put("zone_machine_whole_lists", (double) spent.machine().wholeLists());
             values.put("zone_agent_whole_lists", (double) spent.agent().wholeLists());
             values.put("zone_agent_calls", (double) spent.agent().calls());
-            values.put("zone_source_mb", spent.source().bytes() / 1e6);
-            values.put("zone_machine_mb", spent.machine().bytes() / 1e6);
-            values.put("zone_agent_mb", spent.agent().bytes() / 1e6);
+            values.put("zone_source_mb", spent.source().totalBytes() / 1e6);
+            values.put("zone_machine_mb", spent.machine().totalBytes() / 1e6);
+            values.put("zone_agent_mb", spent.agent().totalBytes() / 1e6);
             values.put("zone_machine_peak_mb_per_s", peaks.machine() / 1e6);
             values.put("zone_agent_peak_mb_per_s", peaks.agent() / 1e6);
-            values.put("zone_machines_cpu_ms", spent.machinesCpu() / 1e3);
-            values.put("zone_agents_cpu_ms", spent.agentsCpu() / 1e3);
-            values.put("zone_relays_cpu_ms", spent.relaysCpu() / 1e3);
+            values.put("zone_machines_cpu_ms", spent.machinesCpuMicros() / 1e3);
+            values.put("zone_agents_cpu_ms", spent.agentsCpuMicros() / 1e3);
+            values.put("zone_relays_cpu_ms", spent.relaysCpuMicros() / 1e3);
         }
     }
 }
--- a/src/main/java/wrenkeel/scale/StandInAgent.java
+++ b/src/main/java/wrenkeel/scale/StandInAgent.java
@@ -60,7 +60,7 @@
     private static final int TIMES_MOST = 8_192;
 
     /** When a version was made, first sent to a watch, and first named by a call as held; 0 for not yet. */
-    record Times(long madeNanos, long sentNanos, long heldNanos) { }
+    record VersionTimes(long publishedNanos, long sentNanos, long heldNanos) { }
 
     /** A call that waits for something newer than a version. */
     private record Waiting(ChannelHandlerContext context, long after) { }
@@ -73,11 +73,11 @@
     private final Channel listener;
     /** By connection, each with its timer; only the agent's thread touches it. */
     private final Map<Waiting, Future<?>> waiting = new LinkedHashMap<>();
-    private final Map<Long, Times> times = new LinkedHashMap<>() {
+    private final Map<Long, VersionTimes> times = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<Long, Times> eldest) {
+        protected boolean removeEldestEntry(Map.Entry<Long, VersionTimes> eldest) {
             return size() > TIMES_MOST;
         }
     };
@@ -124,26 +124,26 @@
     }
 
     /** Changes the standing of one host and answers the watches that wait; the list's new version. */
-    public long change(int host, HostCatalog.Health health) {
-        return made(catalog.change(host, health));
+    public long changeHealth(int host, HostCatalog.Health health) {
+        return made(catalog.changeHealth(host, health));
     }
 
     /** Gives one host another address and answers the watches that wait; the list's new version. */
-    long move(int host, String dial) {
-        return made(catalog.move(host, dial));
+    long changeAddress(int host, String dial) {
+        return made(catalog.changeAddress(host, dial));
     }
 
     private long made(long version) {
         long now = System.nanoTime();
         synchronized (times) {
-            times.put(version, new Times(now, 0, 0));
+            times.put(version, new VersionTimes(now, 0, 0));
         }
         thread.execute(this::answerAll);
         return version;
     }
 
     /** The times of one change; null for one that is not, or no longer, known. */
-    Times times(long version) {
+    VersionTimes timesOf(long version) {
         synchronized (times) {
             return times.get(version);
         }
@@ -214,13 +214,13 @@
     }
 
     private void sendChanges(ChannelHandlerContext context, long after) {
-        boolean whole = !catalog.remembers(after);
-        send(context, catalog.since(after), whole);
+        boolean whole = !catalog.hasChangesSince(after);
+        send(context, catalog.changesSince(after), whole);
         long now = System.nanoTime();
         synchronized (times) {
             for (long version = catalog.version(); version > after && times.containsKey(version); version--) {
                 times.computeIfPresent(version, (v, t) -> t.sentNanos == 0
-                    ? new Times(t.madeNanos, now, t.heldNanos) : t);
+                    ? new VersionTimes(t.publishedNanos, now, t.heldNanos) : t);
             }
         }
     }
@@ -230,7 +230,7 @@
         synchronized (times) {
             if (version > held) {
                 for (long v = version; v > held && times.containsKey(v); v--) {
-                    times.computeIfPresent(v, (same, t) -> new Times(t.madeNanos, t.sentNanos, now));
+                    times.computeIfPresent(v, (same, t) -> new VersionTimes(t.publishedNanos, t.sentNanos, now));
                 }
                 held = version;
                 times.notifyAll();
@@ -281,7 +281,7 @@
 
         private void list(ChannelHandlerContext context, long after, long wait) {
             if (after < 0) {
-                send(context, catalog.whole(), true);
+                send(context, catalog.wholeList(), true);
                 return;
             }
             heard(after);
--- a/src/main/java/wrenkeel/scale/ThreadTimes.java
+++ b/src/main/java/wrenkeel/scale/ThreadTimes.java
@@ -16,7 +16,7 @@
     }
 
     /** us of processor time so far. */
-    long micros() {
+    long cpuMicros() {
         return ids.stream().mapToLong(id -> threads.getThreadCpuTime(id) / 1_000).sum();
     }
 }
--- a/src/main/java/wrenkeel/scale/TimedRelay.java
+++ b/src/main/java/wrenkeel/scale/TimedRelay.java
@@ -65,7 +65,7 @@
     }
 
     /** Notes from now on when each of so many versions after this one comes into force; it must be held. */
-    void note(long version, int count) {
+    void recordVersions(long version, int count) {
         inForceAt = new long[count];
         base = version;
     }
@@ -78,27 +78,27 @@
         }
     }
 
-    boolean started() {
+    boolean isStarted() {
         return relay != null;
     }
 
     /** The version in force; -1 before the first. */
-    long held() {
+    long appliedVersion() {
         return held;
     }
 
     /** When it was last started, epoch us. */
-    long startedAt() {
+    long startedAtMicros() {
         return startedAt;
     }
 
     /** When its first list since then was in force, epoch us; 0 before that. */
-    long heldAt() {
+    long firstAppliedAtMicros() {
         return heldAt;
     }
 
     /** When a version came into force, epoch us; 0 if it has not, or was not to be noted. */
-    long inForceAt(long version) {
+    long appliedAtMicros(long version) {
         long index = version - base - 1;
         return index < 0 || index >= inForceAt.length ? 0 : inForceAt[(int) index];
     }
--- a/src/main/java/wrenkeel/scale/TrafficExperiment.java
+++ b/src/main/java/wrenkeel/scale/TrafficExperiment.java
@@ -173,7 +173,7 @@
                     lists.remove(count);
                     loaded.remove(relay);
                     report.add(new Measurement("traffic", vary == Vary.RATE ? sizes.get(0) : count, play,
-                        options.seed(play), relay.unheld()));
+                        options.seed(play), relay.valuesWithoutList()));
                     relay.close();
                 }
             }
@@ -189,9 +189,9 @@
 
     private void playAll(LoadedRelay relay, List<Long> sizes, StandInDestinations standIns, Report report)
         throws IOException, InterruptedException {
-        Traffic traffic = new Traffic(relay.destinations(), exponent, bodyBytes, CLASSES, TENANTS,
+        Traffic traffic = new Traffic(relay.destinationCount(), exponent, bodyBytes, CLASSES, TENANTS,
             CONNECTIONS_MOST);
-        try (StandInClients clients = new StandInClients(relay.process().clients(), traffic, relay.seed)) {
+        try (StandInClients clients = new StandInClients(relay.process().clientAddress(), traffic, relay.seed)) {
             boolean first = true;
             for (long size : sizes) {
                 clients.rate(vary == Vary.RATE ? size : rate);
@@ -284,7 +284,7 @@
             long toPeers = clients.bytesIn() + standIns.bytesIn() + relay.agent().bytesIn();
             return new Reading(System.nanoTime(), process.cpuMicros(), process.threadNanos(),
                 process.writtenBytes() - toPeers, standIns.calls(), standIns.connected(),
-                standIns.turnedAway(), relay.givenUp(), relay.handedBack());
+                standIns.turnedAway(), relay.failedMessages(), relay.returnedMessages());
         }
     }
 }
--- a/src/main/java/wrenkeel/scale/UpstreamWatch.java
+++ b/src/main/java/wrenkeel/scale/UpstreamWatch.java
@@ -65,7 +65,7 @@
             });
     }
 
-    void begin() {
+    void connect() {
         bootstrap.connect(above).addListener(done -> {
             if (!done.isSuccess()) {
                 beginAgain();
@@ -75,7 +75,7 @@
 
     private void beginAgain() {
         if (!closed) {
-            loop.schedule(this::begin, AGAIN, TimeUnit.MILLISECONDS);
+            loop.schedule(this::connect, AGAIN, TimeUnit.MILLISECONDS);
         }
     }
 
--- a/src/main/java/wrenkeel/soak/OutageRun.java
+++ b/src/main/java/wrenkeel/soak/OutageRun.java
@@ -110,7 +110,7 @@
             List.of(new Traffic.ClassShare(CLASS, 1, LIFE_MILLIS, false)), List.of(), CONNECTIONS_MOST);
         for (int i = 0; i < plan.relays; i++) {
             InetSocketAddress address = Ports.free();
-            RelayProcess process = new RelayProcess(root, settings.named("n" + i), agent.address(), null,
+            RelayProcess process = new RelayProcess(root, settings.withName("n" + i), agent.address(), null,
                 Map.of("EDGE_LISTEN", address.getAddress().getHostAddress() + ":" + address.getPort()));
             members.add(new Member(process, new StandInClients(address, traffic, plan.seed + i,
                 CLIENT_PATIENCE, (long) i << RELAY_SHIFT, new Clients())));
@@ -163,7 +163,7 @@
         onAll(struck.subList(0, (int) Math.round(plan.killShare * members.size())), member -> {
             member.process.kill();
             if (!plan.keepsFolder) {
-                empty(member.process.state());
+                empty(member.process.stateFolder());
             }
             TimeUnit.MILLISECONDS.sleep(DOWN_MILLIS);
             start(member.process);
@@ -202,7 +202,7 @@
     List<String> logs() throws IOException {
         List<String> all = new ArrayList<>();
         for (Member member : members) {
-            all.add(member.process.logs());
+            all.add(member.process.allLogs());
         }
         return all;
     }
--- a/src/main/java/wrenkeel/soak/RelayHandle.java
+++ b/src/main/java/wrenkeel/soak/RelayHandle.java
@@ -60,7 +60,7 @@
     }
 
     String logs() throws IOException {
-        return process.logs();
+        return process.allLogs();
     }
 
     /** Starts the process and waits until it serves; false, and told, where it does not. */
@@ -90,7 +90,7 @@
 
     /** Tells of a process that has ended though nobody told it to. */
     void look() {
-        if (!changing.get() && readyAt > 0 && !process.alive() && changing.compareAndSet(false, true)) {
+        if (!changing.get() && readyAt > 0 && !process.isAlive() && changing.compareAndSet(false, true)) {
             found("crashed", "the process is gone");
         }
     }
@@ -103,18 +103,18 @@
         long from = clock.getAsLong();
         switch (how) {
             case TERMINATE -> {
-                process.beginEnd();
-                process.awaitEnd(Duration.ofMillis(KILL_AFTER_TERM));
+                process.requestTermination();
+                process.awaitExit(Duration.ofMillis(KILL_AFTER_TERM));
             }
             case TERMINATE_TWICE, SIGNAL_SERIES -> {
-                process.beginEnd();
+                process.requestTermination();
                 TimeUnit.MILLISECONDS.sleep(START_AFTER_END / 2);
                 process.signal("HUP");
-                process.beginEnd();
-                process.awaitEnd(Duration.ofMillis(KILL_AFTER_TERM - START_AFTER_END / 2));
+                process.requestTermination();
+                process.awaitExit(Duration.ofMillis(KILL_AFTER_TERM - START_AFTER_END / 2));
             }
             case KILL_WHILE_LEAVING -> {
-                process.beginEnd();
+                process.requestTermination();
                 TimeUnit.MILLISECONDS.sleep(START_AFTER_END);
             }
             default -> { }
@@ -160,7 +160,7 @@
 
     /** Stops the process for a moment, if it runs. */
     void pause(long millis) throws IOException, InterruptedException {
-        if (process.alive()) {
+        if (process.isAlive()) {
             process.signal("STOP");
             TimeUnit.MILLISECONDS.sleep(millis);
             process.signal("CONT");
--- a/src/main/java/wrenkeel/soak/SoakRun.java
+++ b/src/main/java/wrenkeel/soak/SoakRun.java
@@ -94,22 +94,22 @@
         HostCatalog catalog = new HostCatalog(ENDPOINTS, seed,
             host -> "127.0.0.1:" + links.get(host).address().getPort());
         agent = new StandInAgent(catalog, this::noticed);
-        traffic = new Traffic(catalog.destinations(), 0.5, BODY_BYTES, CLASSES, List.of(), CONNECTIONS_MOST);
+        traffic = new Traffic(catalog.destinationCount(), 0.5, BODY_BYTES, CLASSES, List.of(), CONNECTIONS_MOST);
         for (int endpoint = 0; endpoint < ENDPOINTS; endpoint++) {
             limit(endpoint, relayCount);
         }
         RelaySettings settings = RelaySettings.typical("n").withRelays(relayCount).withProfiles(PROFILES);
         for (int i = 0; i < relayCount; i++) {
-            relays.add(new RelayHandle(i, root, folder, library, settings.named("n" + i), trace,
+            relays.add(new RelayHandle(i, root, folder, library, settings.withName("n" + i), trace,
                 agent.address(), loops, this::now, history));
         }
     }
 
     /** Gives an endpoint its limit, from which it falls in an outage and comes back to in its cold time. */
     private void limit(int endpoint, int relayCount) {
-        int destination = HostCatalog.destination(endpoint);
+        int destination = HostCatalog.destinationOf(endpoint);
         long siblings = IntStream.range(0, ENDPOINTS)
-            .filter(other -> HostCatalog.destination(other) == destination).count();
+            .filter(other -> HostCatalog.destinationOf(other) == destination).count();
         double mean = traffic.share(destination) * EVENTS_PER_SECOND * relayCount / siblings;
         double capacity = CAPACITY_OVER_TRAFFIC * mean;
         history.capacity(endpoint, capacity);
@@ -348,10 +348,10 @@
                 if (!draining.add(endpoint)) {
                     return;
                 }
-                agent.change(endpoint, HostCatalog.Health.DRAINING);
+                agent.changeHealth(endpoint, HostCatalog.Health.DRAINING);
                 TimeUnit.MILLISECONDS.sleep(t.lengthMillis());
                 history.draining(endpoint, new History.Span(from, now()));
-                agent.change(endpoint, HostCatalog.Health.READY);
+                agent.changeHealth(endpoint, HostCatalog.Health.READY);
                 draining.remove(endpoint);
                 return;
             }
@@ -395,7 +395,7 @@
                 case "query" -> History.Effect.SAFE;
                 default -> History.Effect.UNSAFE;
             };
-            long window = PROFILES.get(0).window();
+            long window = PROFILES.get(0).windowMs();
             history.handedIn(new History.Message(id.text(), relay(id), destination, effect, window,
                 at(id.dueNanos()), kind.lifeMillis()));
         }
@@ -414,10 +414,10 @@
                 return;
             }
             boolean runs = verdict.status() == 200 || verdict.status() == 0;
-            history.called(new History.Call(relay(id), endpoint, HostCatalog.destination(endpoint), id.text(),
+            history.called(new History.Call(relay(id), endpoint, HostCatalog.destinationOf(endpoint), id.text(),
                 at(nowNanos), verdict.waitMillis()), runs);
             History.Message message = history.message(id.text());
-            if (message == null || message.destination != HostCatalog.destination(endpoint)) {
+            if (message == null || message.destination != HostCatalog.destinationOf(endpoint)) {
                 history.found(new Finding("made up", at(nowNanos), "message " + id.text() + " at endpoint "
                     + endpoint));
             }
--- a/src/test/java/wrenkeel/scale/ChangeLogTest.java
+++ b/src/test/java/wrenkeel/scale/ChangeLogTest.java
@@ -11,7 +11,7 @@
 class ChangeLogTest {
     private final HostCatalog catalog = new HostCatalog(20, 1);
     private final ChangeLog log = new ChangeLog(catalog, 3);
-    private final long first = log.latest();
+    private final long first = log.latestVersion();
 
     private static Wire.Fields read(byte[] list) throws Wire.Malformed {
         return Wire.decode(new String(list, StandardCharsets.UTF_8));
@@ -30,12 +30,12 @@
         long second = log.publish(4, HostCatalog.Health.DRAINING);
         log.publish(4, HostCatalog.Health.GONE);
         long last = log.publish(5, HostCatalog.Health.DRAINING);
-        assertEquals(List.of(catalog.name(4) + " draining"), hosts(log.changes(first, second)));
-        assertEquals(second, read(log.changes(first, second)).whole("seq"));
-        assertEquals(List.of(catalog.name(4) + " gone", catalog.name(5) + " draining"),
-            hosts(log.changes(second, last)));
-        assertFalse(read(log.changes(second, last)).flag("whole"));
-        assertEquals(List.of(), hosts(log.changes(last, last)));
+        assertEquals(List.of(catalog.hostName(4) + " draining"), hosts(log.changesBetween(first, second)));
+        assertEquals(second, read(log.changesBetween(first, second)).whole("seq"));
+        assertEquals(List.of(catalog.hostName(4) + " gone", catalog.hostName(5) + " draining"),
+            hosts(log.changesBetween(second, last)));
+        assertFalse(read(log.changesBetween(second, last)).flag("whole"));
+        assertEquals(List.of(), hosts(log.changesBetween(last, last)));
     }
 
     @Test
@@ -43,21 +43,21 @@
         for (int i = 0; i < 4; i++) {
             log.publish(i, HostCatalog.Health.DRAINING);
         }
-        assertNull(log.changes(first, log.latest()));
-        assertNotNull(log.changes(first + 1, log.latest()));
-        assertNull(log.changes(first - 1, first), "nobody holds what was before the first list");
-        assertNull(log.changes(log.latest() + 1, log.latest()));
+        assertNull(log.changesBetween(first, log.latestVersion()));
+        assertNotNull(log.changesBetween(first + 1, log.latestVersion()));
+        assertNull(log.changesBetween(first - 1, first), "nobody holds what was before the first list");
+        assertNull(log.changesBetween(log.latestVersion() + 1, log.latestVersion()));
     }
 
     @Test
     void aWholeListIsNeverNewerThanItsAnswererHolds() throws Exception {
         long second = log.publish(0, HostCatalog.Health.GONE);
-        assertEquals(first, read(log.whole(first)).whole("seq"));
-        assertEquals(second, read(log.whole(second)).whole("seq"));
-        assertEquals(19, read(log.whole(second)).objects("hosts").size());
+        assertEquals(first, read(log.wholeList(first)).whole("seq"));
+        assertEquals(second, read(log.wholeList(second)).whole("seq"));
+        assertEquals(19, read(log.wholeList(second)).objects("hosts").size());
         for (int i = 1; i < 6; i++) {
-            log.whole(log.publish(i, HostCatalog.Health.DRAINING));
+            log.wholeList(log.publish(i, HostCatalog.Health.DRAINING));
         }
-        assertNull(log.whole(second), "only the latest are kept");
+        assertNull(log.wholeList(second), "only the latest are kept");
     }
 }
--- a/src/test/java/wrenkeel/scale/FleetTest.java
+++ b/src/test/java/wrenkeel/scale/FleetTest.java
@@ -28,18 +28,18 @@
 
     @Test
     void everyChangeIsNotedAtEveryRelay() throws Exception {
-        try (Fleet fleet = new Fleet(5, 1, options("--hosts", "30", "--relays-a-process", "3"), Fleet::spread)) {
+        try (Fleet fleet = new Fleet(5, 1, options("--hosts", "30", "--relays-a-process", "3"), Fleet::roundRobinZone)) {
             fleet.start();
-            assertEquals(2, fleet.relays().processes());
-            fleet.relays().note(fleet.version(), 4);
-            List<Long> publishedAt = fleet.changes(4, 1);
-            fleet.awaitRelays();
-            HollowFleet.InForce inForce = fleet.relays().inForce(publishedAt);
-            assertEquals(5 * 4, inForce.spans().getTotalCount());
-            assertEquals(4, inForce.last().size());
-            assertTrue(fleet.agents().hop().wholeLists() >= 5, "more if a relay's patience ends on a busy machine");
-            assertEquals(5, fleet.machines().machineHop().wholeLists());
-            assertEquals(6, fleet.machines().sourceHop().wholeLists(), "the second head and five zones");
+            assertEquals(2, fleet.relays().processCount());
+            fleet.relays().recordVersions(fleet.latestVersion(), 4);
+            List<Long> publishedAt = fleet.publishChanges(4, 1);
+            fleet.awaitAllRelays();
+            ListOnlyFleet.PropagationTimes inForce = fleet.relays().propagationTimes(publishedAt);
+            assertEquals(5 * 4, inForce.delays().getTotalCount());
+            assertEquals(4, inForce.lastRelayDelays().size());
+            assertTrue(fleet.agents().hopCounts().wholeLists() >= 5, "more if a relay's patience ends on a busy machine");
+            assertEquals(5, fleet.machines().machineHopCounts().wholeLists());
+            assertEquals(6, fleet.machines().sourceHopCounts().wholeLists(), "the second head and five zones");
         }
     }
 
@@ -47,16 +47,16 @@
     void aZoneThatIsBackAsksForEachListOnce() throws Exception {
         try (Fleet fleet = new Fleet(4, 1, options("--hosts", "30", "--relays-a-process", "2"), relay -> 0)) {
             fleet.start();
-            HopCounters.Counts before = fleet.machines().machineHop();
+            HopCounters.Counts before = fleet.machines().machineHopCounts();
             fleet.relays().stop(0, 4);
             fleet.machines().restartZone(0);
             for (int agent = 0; agent < 4; agent++) {
                 fleet.agents().restart(agent).syncUninterruptibly();
             }
             fleet.relays().start(0, 4);
-            fleet.awaitRelays();
-            assertEquals(4, fleet.relays().starts(0, 4).getTotalCount());
-            assertTrue(fleet.machines().machineHop().minus(before).wholeLists() >= 4);
+            fleet.awaitAllRelays();
+            assertEquals(4, fleet.relays().startTimes(0, 4).getTotalCount());
+            assertTrue(fleet.machines().machineHopCounts().minus(before).wholeLists() >= 4);
         }
     }
 
@@ -76,9 +76,9 @@
 
     @Test
     void aHistogramCrossesBetweenProcesses() throws Exception {
-        Histogram spans = new Histogram(HollowFleet.DIGITS);
+        Histogram spans = new Histogram(ListOnlyFleet.HISTOGRAM_DIGITS);
         spans.recordValue(1_234);
         spans.recordValue(56_000_000);
-        assertEquals(spans, HollowFleet.decode(HollowFleet.encode(spans)));
+        assertEquals(spans, ListOnlyFleet.decode(ListOnlyFleet.encode(spans)));
     }
 }
--- a/src/test/java/wrenkeel/scale/HostCatalogTest.java
+++ b/src/test/java/wrenkeel/scale/HostCatalogTest.java
@@ -23,12 +23,12 @@
     @Test
     void theWholeListIsThatOfTheProtocol() throws Wire.Malformed {
         HostCatalog catalog = new HostCatalog(1_700, 1);
-        Wire.Fields list = read(catalog.whole());
+        Wire.Fields list = read(catalog.wholeList());
         assertEquals(catalog.version(), list.whole("seq"));
         assertTrue(list.flag("whole"));
         List<Wire.Fields> hosts = list.objects("hosts");
         assertEquals(1_700, hosts.size());
-        assertEquals(1_000, catalog.destinations());
+        assertEquals(1_000, catalog.destinationCount());
         Set<String> names = new HashSet<>();
         Set<String> dials = new HashSet<>();
         int[] hostsOf = new int[1_000];
@@ -45,54 +45,54 @@
         assertEquals(1_700, dials.size());
         assertEquals(1, Arrays.stream(hostsOf).min().orElseThrow());
         assertEquals(2, Arrays.stream(hostsOf).max().orElseThrow());
-        assertEquals(128, catalog.whole().length / 1_700.0, 8);
+        assertEquals(128, catalog.wholeList().length / 1_700.0, 8);
     }
 
     @Test
     void theSameSeedGivesTheSameListAndItIsEncodedOnce() {
         HostCatalog catalog = new HostCatalog(100, 7);
-        assertArrayEquals(catalog.whole(), new HostCatalog(100, 7).whole());
-        assertFalse(Arrays.equals(catalog.whole(), new HostCatalog(100, 8).whole()));
-        assertSame(catalog.whole(), catalog.whole());
+        assertArrayEquals(catalog.wholeList(), new HostCatalog(100, 7).wholeList());
+        assertFalse(Arrays.equals(catalog.wholeList(), new HostCatalog(100, 8).wholeList()));
+        assertSame(catalog.wholeList(), catalog.wholeList());
     }
 
     @Test
     void whatChangedAfterAVersionIsTold() throws Wire.Malformed {
         HostCatalog catalog = new HostCatalog(10, 1, host -> "127.0.0.1:" + (5_000 + host));
         long first = catalog.version();
-        catalog.change(3, HostCatalog.Health.DRAINING);
+        catalog.changeHealth(3, HostCatalog.Health.DRAINING);
         long drained = catalog.version();
-        catalog.move(4, "127.0.0.1:9");
-        catalog.change(3, HostCatalog.Health.GONE);
-        Wire.Fields all = read(catalog.since(first));
+        catalog.changeAddress(4, "127.0.0.1:9");
+        catalog.changeHealth(3, HostCatalog.Health.GONE);
+        Wire.Fields all = read(catalog.changesSince(first));
         assertEquals(first + 3, all.whole("seq"));
         assertFalse(all.flag("whole"));
         assertEquals(2, all.objects("hosts").size());
-        assertEquals(catalog.name(3), all.objects("hosts").get(0).text("host"));
+        assertEquals(catalog.hostName(3), all.objects("hosts").get(0).text("host"));
         assertEquals("gone", all.objects("hosts").get(0).text("health"));
-        Wire.Fields last = read(catalog.since(drained));
+        Wire.Fields last = read(catalog.changesSince(drained));
         assertEquals("127.0.0.1:9", last.objects("hosts").get(0).text("dial"));
-        assertEquals(0, read(catalog.since(catalog.version())).objects("hosts").size());
-        assertEquals(9, catalog.listed());
-        assertEquals(9, read(catalog.whole()).objects("hosts").size());
-        catalog.change(3, HostCatalog.Health.READY);
-        assertEquals(10, catalog.listed());
-        assertTrue(read(catalog.since(first + 3)).objects("hosts").get(0).whole("born_ms") > 0);
-        assertThrows(IndexOutOfBoundsException.class, () -> catalog.change(10, HostCatalog.Health.GONE));
+        assertEquals(0, read(catalog.changesSince(catalog.version())).objects("hosts").size());
+        assertEquals(9, catalog.listedCount());
+        assertEquals(9, read(catalog.wholeList()).objects("hosts").size());
+        catalog.changeHealth(3, HostCatalog.Health.READY);
+        assertEquals(10, catalog.listedCount());
+        assertTrue(read(catalog.changesSince(first + 3)).objects("hosts").get(0).whole("born_ms") > 0);
+        assertThrows(IndexOutOfBoundsException.class, () -> catalog.changeHealth(10, HostCatalog.Health.GONE));
     }
 
     @Test
     void whoAsksForWhatIsForgottenGetsTheWholeList() throws Wire.Malformed {
         HostCatalog catalog = new HostCatalog(10, 1);
         long first = catalog.version();
-        assertTrue(read(catalog.since(first - 1)).flag("whole"));
-        assertTrue(read(catalog.since(first + 1)).flag("whole"));
-        for (int i = 0; i < HostCatalog.CHANGES_MOST; i++) {
-            catalog.change(i % 10, HostCatalog.Health.DRAINING);
+        assertTrue(read(catalog.changesSince(first - 1)).flag("whole"));
+        assertTrue(read(catalog.changesSince(first + 1)).flag("whole"));
+        for (int i = 0; i < HostCatalog.MAX_CHANGES; i++) {
+            catalog.changeHealth(i % 10, HostCatalog.Health.DRAINING);
         }
-        assertFalse(read(catalog.since(first)).flag("whole"));
-        catalog.change(0, HostCatalog.Health.READY);
-        assertTrue(read(catalog.since(first)).flag("whole"));
-        assertFalse(read(catalog.since(first + 1)).flag("whole"));
+        assertFalse(read(catalog.changesSince(first)).flag("whole"));
+        catalog.changeHealth(0, HostCatalog.Health.READY);
+        assertTrue(read(catalog.changesSince(first)).flag("whole"));
+        assertFalse(read(catalog.changesSince(first + 1)).flag("whole"));
     }
 }
--- a/src/test/java/wrenkeel/scale/ListNodeTest.java
+++ b/src/test/java/wrenkeel/scale/ListNodeTest.java
@@ -26,7 +26,7 @@
     private final ChangeLog log = new ChangeLog(new HostCatalog(20, 1), 2);
     private final HopCounters sourceHop = new HopCounters();
     private final HopCounters agentHop = new HopCounters();
-    private final long first = log.latest();
+    private final long first = log.latestVersion();
     private ListNode source;
     private ListNode agent;
 
@@ -57,12 +57,12 @@
     }
 
     private void publish(int host) {
-        source.advance(log.publish(host, HostCatalog.Health.DRAINING));
+        source.advanceTo(log.publish(host, HostCatalog.Health.DRAINING));
     }
 
     /** Until a call with this number in all has come in. */
     private static void awaitCalls(HopCounters hop, long calls) throws InterruptedException {
-        await(() -> hop.read().calls() >= calls);
+        await(() -> hop.snapshot().calls() >= calls);
     }
 
     private static void await(BooleanSupplier done) throws InterruptedException {
@@ -77,21 +77,21 @@
         CompletableFuture<Wire.Fields> whole = ask("");
         awaitCalls(agentHop, 1);
         assertFalse(whole.isDone());
-        agent.follow(source.address(), WAIT);
+        agent.watch(source.address(), WAIT);
         awaitCalls(sourceHop, 1);
         assertEquals(-1, agent.version());
-        source.advance(first);
+        source.advanceTo(first);
         assertTrue(whole.get().flag("whole"));
         assertEquals(20, whole.get().objects("hosts").size());
-        assertEquals(1, sourceHop.read().wholeLists());
-        assertEquals(1, agentHop.read().wholeLists());
-        assertTrue(sourceHop.read().bytesOut() > 20 * 100);
+        assertEquals(1, sourceHop.snapshot().wholeLists());
+        assertEquals(1, agentHop.snapshot().wholeLists());
+        assertTrue(sourceHop.snapshot().bytesOut() > 20 * 100);
     }
 
     @Test
     void aWatchIsAnsweredByTheNextChangeOfWhatItsNodeWasSent() throws Exception {
-        source.advance(first);
-        agent.follow(source.address(), WAIT);
+        source.advanceTo(first);
+        agent.watch(source.address(), WAIT);
         ask("").get();
         CompletableFuture<Wire.Fields> watch = ask("?after=" + first + "&wait_ms=" + WAIT);
         awaitCalls(agentHop, 2);
@@ -99,31 +99,31 @@
         long second = log.publish(3, HostCatalog.Health.DRAINING);
         assertEquals(0, ask("?after=" + first + "&wait_ms=1").get().objects("hosts").size());
         assertFalse(watch.isDone());
-        source.advance(second);
+        source.advanceTo(second);
         assertEquals(second, watch.get().whole("seq"));
         assertEquals("draining", watch.get().objects("hosts").get(0).text("health"));
-        assertEquals(1, agentHop.read().wholeLists());
+        assertEquals(1, agentHop.snapshot().wholeLists());
     }
 
     @Test
     void whoIsFurtherBehindThanTheLogGetsTheWholeList() throws Exception {
-        source.advance(first);
-        agent.follow(source.address(), WAIT);
+        source.advanceTo(first);
+        agent.watch(source.address(), WAIT);
         for (int host = 0; host < 3; host++) {
             publish(host);
         }
-        await(() -> agent.version() == log.latest());
+        await(() -> agent.version() == log.latestVersion());
         assertTrue(ask("?after=" + first + "&wait_ms=1").get().flag("whole"));
     }
 
     @Test
     void aRestartedNodeAsksForTheWholeListAnew() throws Exception {
-        source.advance(first);
-        agent.follow(source.address(), WAIT);
+        source.advanceTo(first);
+        agent.watch(source.address(), WAIT);
         ask("").get();
         agent.restart(source.address(), WAIT).get();
         assertEquals(first, ask("").get().whole("seq"));
-        assertEquals(2, sourceHop.read().wholeLists());
-        assertEquals(2, sourceHop.read().connections());
+        assertEquals(2, sourceHop.snapshot().wholeLists());
+        assertEquals(2, sourceHop.snapshot().connections());
     }
 }
--- a/src/test/java/wrenkeel/scale/RelayConfigTest.java
+++ b/src/test/java/wrenkeel/scale/RelayConfigTest.java
@@ -18,7 +18,7 @@
     @Test
     void aRelayReadsWhatIsWritten() throws IOException {
         Path file = folder.resolve("config.json");
-        byte[] known = new HostCatalog(30, 1).whole();
+        byte[] known = new HostCatalog(30, 1).wholeList();
         RelayConfig.write(file, RelaySettings.typical("n7").withRelays(100),
             new InetSocketAddress("127.0.0.1", 8_500), known);
         Wire.Fields config = Wire.decode(Files.readString(file));
--- a/src/test/java/wrenkeel/scale/RelayProcessTest.java
+++ b/src/test/java/wrenkeel/scale/RelayProcessTest.java
@@ -40,13 +40,13 @@
             + "echo \\\"$EDGE_DISCOVERY\\\"; echo serving on /127.0.0.1:8, 0 messages; exec sleep 50")) {
             relay.start();
             assertTrue(relay.awaitServing(PATIENCE));
-            assertEquals(new InetSocketAddress("127.0.0.1", 7), relay.console());
-            assertEquals(new InetSocketAddress("127.0.0.1", 8), relay.clients());
+            assertEquals(new InetSocketAddress("127.0.0.1", 7), relay.consoleAddress());
+            assertEquals(new InetSocketAddress("127.0.0.1", 8), relay.clientAddress());
             assertTrue(relay.log().contains("of n1\n127.0.0.1:9"), relay.log());
             assertTrue(relay.rssBytes() > 0 && relay.peakRssBytes() >= relay.rssBytes());
             assertTrue(relay.cpuMicros() > 0);
             assertThrows(IllegalStateException.class, relay::start);
-            state = relay.state();
+            state = relay.stateFolder();
             assertTrue(Files.isDirectory(state));
         }
         assertFalse(Files.exists(state));
@@ -60,13 +60,13 @@
             assertTrue(relay.awaitServing(PATIENCE));
             long first = relay.pid();
             relay.kill();
-            assertFalse(relay.alive());
+            assertFalse(relay.isAlive());
             relay.start();
             assertTrue(relay.awaitServing(PATIENCE));
             assertNotEquals(first, relay.pid());
-            assertEquals(List.of("x", "x"), Files.readAllLines(relay.state().resolve("starts")));
+            assertEquals(List.of("x", "x"), Files.readAllLines(relay.stateFolder().resolve("starts")));
             relay.terminate(PATIENCE);
-            assertFalse(relay.alive());
+            assertFalse(relay.isAlive());
         }
     }
 
@@ -76,7 +76,7 @@
             relay.start();
             String fault = assertThrows(IOException.class, () -> relay.awaitServing(PATIENCE)).getMessage();
             assertTrue(fault.contains("code 2") && fault.contains("no such thing"), fault);
-            assertFalse(relay.awaitMembers(20, PATIENCE, Duration.ofMillis(1)));
+            assertFalse(relay.awaitMemberCount(20, PATIENCE, Duration.ofMillis(1)));
         }
     }
 
@@ -85,7 +85,7 @@
         try (RelayProcess relay = relay("exec sleep 50")) {
             relay.start();
             assertFalse(relay.awaitServing(Duration.ZERO));
-            assertFalse(relay.awaitMembers(20, Duration.ofMillis(1), Duration.ofMillis(1)));
+            assertFalse(relay.awaitMemberCount(20, Duration.ofMillis(1), Duration.ofMillis(1)));
         }
     }
 
--- a/src/test/java/wrenkeel/scale/StandInAgentTest.java
+++ b/src/test/java/wrenkeel/scale/StandInAgentTest.java
@@ -43,7 +43,7 @@
     }
 
     private HttpRequest.Builder call(String path) {
-        return HttpRequest.newBuilder(URI.create("http://" + RelayConfig.text(agent.address()) + path));
+        return HttpRequest.newBuilder(URI.create("http://" + RelayConfig.hostAndPort(agent.address()) + path));
     }
 
     private CompletableFuture<Wire.Fields> list(String query) {
@@ -64,7 +64,7 @@
         assertEquals(50, list.objects("hosts").size());
         assertEquals(1, agent.calls());
         assertEquals(1, agent.wholeLists());
-        assertTrue(agent.bytesOut() > catalog.whole().length, "" + agent.bytesOut());
+        assertTrue(agent.bytesOut() > catalog.wholeList().length, "" + agent.bytesOut());
         assertTrue(agent.bytesIn() > 0);
     }
 
@@ -75,18 +75,18 @@
         // Heard, and so waiting: the agent's one thread answers a change after it.
         assertTrue(agent.awaitHeld(version, PATIENCE));
         CompletableFuture<Wire.Fields> other = list("?after=" + version + "&wait_ms=60000");
-        long changed = agent.change(7, HostCatalog.Health.DRAINING);
+        long changed = agent.changeHealth(7, HostCatalog.Health.DRAINING);
         for (Wire.Fields told : List.of(watch.join(), other.join())) {
             assertEquals(changed, told.whole("seq"));
             assertFalse(told.flag("whole"));
-            assertEquals(catalog.name(7), told.objects("hosts").get(0).text("host"));
+            assertEquals(catalog.hostName(7), told.objects("hosts").get(0).text("host"));
             assertEquals("draining", told.objects("hosts").get(0).text("health"));
         }
         assertEquals(0, agent.wholeLists());
-        assertEquals(0, agent.times(changed).heldNanos());
+        assertEquals(0, agent.timesOf(changed).heldNanos());
         list("?after=" + changed + "&wait_ms=1").join();
-        StandInAgent.Times times = agent.times(changed);
-        assertTrue(times.madeNanos() <= times.sentNanos(), "" + times);
+        StandInAgent.VersionTimes times = agent.timesOf(changed);
+        assertTrue(times.publishedNanos() <= times.sentNanos(), "" + times);
         assertTrue(times.sentNanos() <= times.heldNanos(), "" + times);
         assertFalse(agent.awaitHeld(changed + 1, Duration.ZERO));
     }
@@ -102,7 +102,7 @@
     @Test
     void whoIsBehindIsAnsweredAtOnceAndWhoIsTooFarBehindWithTheWholeList() throws Exception {
         long version = catalog.version();
-        agent.move(3, "127.0.0.1:9");
+        agent.changeAddress(3, "127.0.0.1:9");
         Wire.Fields told = list("?after=" + version + "&wait_ms=60000").join();
         assertEquals("127.0.0.1:9", told.objects("hosts").get(0).text("dial"));
         assertTrue(list("?after=" + (version - 1) + "&wait_ms=60000").join().flag("whole"));
@@ -118,7 +118,7 @@
             assertTrue(agent.awaitHeld(version, PATIENCE));
         }
         CompletableFuture<Wire.Fields> watch = list("?after=" + version + "&wait_ms=60000");
-        long changed = agent.change(1, HostCatalog.Health.GONE);
+        long changed = agent.changeHealth(1, HostCatalog.Health.GONE);
         assertEquals(changed, watch.join().whole("seq"));
         assertEquals(49, list("").join().objects("hosts").size());
     }
@@ -140,7 +140,7 @@
             caller.getOutputStream().write(("GET /v1/servers HTTP/1.1\r\nHost: agent\r\n"
                 + "Connection: close\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
             String answer = new String(caller.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            assertTrue(answer.endsWith(new String(catalog.whole(), StandardCharsets.UTF_8)));
+            assertTrue(answer.endsWith(new String(catalog.wholeList(), StandardCharsets.UTF_8)));
         }
     }
 
