--- a/src/main/java/wrenkeel/scale/ByteCounter.java
+++ b/src/main/java/wrenkeel/scale/ByteCounter.java
@@ -10,18 +10,18 @@
  * Counts the bytes of a connection: those read, and those that the system has taken. First in its pipeline.
  */
 final class ByteCounter extends ChannelDuplexHandler {
-    private final LongAdder in;
-    private final LongAdder out;
+    private final LongAdder bytesIn;
+    private final LongAdder bytesOut;
 
     ByteCounter(LongAdder in, LongAdder out) {
-        this.in = in;
-        this.out = out;
+        this.bytesIn = in;
+        this.bytesOut = out;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         if (message instanceof ByteBuf bytes) {
-            in.add(bytes.readableBytes());
+            bytesIn.add(bytes.readableBytes());
         }
         context.fireChannelRead(message);
     }
@@ -33,7 +33,7 @@
             int length = bytes.readableBytes();
             done.addListener(written -> {
                 if (written.isSuccess()) {
-                    out.add(length);
+                    bytesOut.add(length);
                 }
             });
         }
--- a/src/main/java/wrenkeel/scale/ChangeExperiment.java
+++ b/src/main/java/wrenkeel/scale/ChangeExperiment.java
@@ -16,9 +16,9 @@
         + " at a day's pace (a sample, with shorter gaps) and at 1,000 a minute.")
 final class ChangeExperiment implements Callable<Integer> {
     private static final List<Long> SIZES = List.of(100L, 300L, 1_000L, 2_300L);
-    private static final long TARGET = 2_300;
+    private static final long TARGET_RELAYS = 2_300;
     /** ms between changes where 1,000 come in a minute. */
-    private static final double BURST_GAP = 60;
+    private static final double BURST_GAP_MS = 60;
 
     @Mixin
     private CommonOptions options;
@@ -29,14 +29,14 @@
     private int dayChanges;
     @Option(names = "--day-gap-ms", defaultValue = "300", paramLabel = "N",
         description = "Mean gap between them; 3,100 a day are one in 27,900 ms (default: ${DEFAULT-VALUE}).")
-    private double dayGap;
+    private double dayGapMs;
     @Option(names = "--burst-changes", defaultValue = "200", paramLabel = "N",
         description = "Changes of the burst, one in 60 ms on the mean (default: ${DEFAULT-VALUE}).")
     private int burstChanges;
 
     @Override
     public Integer call() throws Exception {
-        return FleetPlays.run("change", options, SIZES, TARGET, this::play);
+        return FleetPlays.run("change", options, SIZES, TARGET_RELAYS, this::play);
     }
 
     private Map<String, Double> play(int size, long seed) throws IOException, InterruptedException {
@@ -44,10 +44,10 @@
         try (Fleet fleet = new Fleet(size, seed, fleetOptions, Fleet::roundRobinZone)) {
             fleet.start();
             // What runs for the first time is compiled before it is measured.
-            fleet.publishChanges(dayChanges, BURST_GAP);
+            fleet.publishChanges(dayChanges, BURST_GAP_MS);
             fleet.awaitAllRelays();
-            measure(fleet, size, "day_", dayChanges, dayGap, values);
-            measure(fleet, size, "burst_", burstChanges, BURST_GAP, values);
+            measure(fleet, size, "day_", dayChanges, dayGapMs, values);
+            measure(fleet, size, "burst_", burstChanges, BURST_GAP_MS, values);
         }
         return values;
     }
--- a/src/main/java/wrenkeel/scale/ChangeLog.java
+++ b/src/main/java/wrenkeel/scale/ChangeLog.java
@@ -13,43 +13,43 @@
  */
 final class ChangeLog {
     /** Encoded whole lists kept: nodes that are some changes behind are served from an older one. */
-    private static final int WHOLES_MOST = 4;
-    private static final byte[] HOSTS = "\"hosts\":[".getBytes(StandardCharsets.US_ASCII);
-    private static final byte[] END = "]}".getBytes(StandardCharsets.US_ASCII);
+    private static final int MAX_WHOLE_LISTS = 4;
+    private static final byte[] HOSTS_FIELD = "\"hosts\":[".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] LIST_END = "]}".getBytes(StandardCharsets.US_ASCII);
 
     private final HostCatalog catalog;
-    private final byte[][] entries;
-    private final long first;
-    private final TreeMap<Long, byte[]> wholes = new TreeMap<>();
-    private long builtAfter = -1;
-    private long builtUpTo = -1;
-    private byte[] built;
+    private final byte[][] encodedChanges;
+    private final long firstVersion;
+    private final TreeMap<Long, byte[]> wholeLists = new TreeMap<>();
+    private long cachedAfter = -1;
+    private long cachedUpTo = -1;
+    private byte[] cachedAnswer;
 
     /** {@code most}: changes kept. From now on only this log changes the catalog. */
     ChangeLog(HostCatalog catalog, int most) {
         this.catalog = catalog;
-        this.entries = new byte[most][];
-        this.first = catalog.version();
-        wholes.put(first, catalog.wholeList());
+        this.encodedChanges = new byte[most][];
+        this.firstVersion = catalog.version();
+        wholeLists.put(firstVersion, catalog.wholeList());
     }
 
     /** Gives one host another standing, and returns the list's version. */
     synchronized long publish(int host, HostCatalog.Health health) {
         long before = catalog.version();
         long version = catalog.changeHealth(host, health);
-        entries[slot(version)] = entry(catalog.changesSince(before));
+        encodedChanges[slot(version)] = extractEntry(catalog.changesSince(before));
         return version;
     }
 
     /** The one entry of an answer. */
-    private static byte[] entry(byte[] answer) {
+    private static byte[] extractEntry(byte[] answer) {
         int from = new String(answer, StandardCharsets.US_ASCII)
-            .indexOf(new String(HOSTS, StandardCharsets.US_ASCII)) + HOSTS.length;
-        return Arrays.copyOfRange(answer, from, answer.length - END.length);
+            .indexOf(new String(HOSTS_FIELD, StandardCharsets.US_ASCII)) + HOSTS_FIELD.length;
+        return Arrays.copyOfRange(answer, from, answer.length - LIST_END.length);
     }
 
     private int slot(long version) {
-        return (int) (version % entries.length);
+        return (int) (version % encodedChanges.length);
     }
 
     synchronized long latestVersion() {
@@ -58,28 +58,28 @@
 
     /** The answer to a watch: what came after one version up to another; null if the log begins later. */
     synchronized byte[] changesBetween(long after, long upTo) {
-        if (after < first || after > upTo || after < latestVersion() - entries.length) {
+        if (after < firstVersion || after > upTo || after < latestVersion() - encodedChanges.length) {
             return null;
         }
-        if (after != builtAfter || upTo != builtUpTo) {
-            built = build(after, upTo);
-            builtAfter = after;
-            builtUpTo = upTo;
+        if (after != cachedAfter || upTo != cachedUpTo) {
+            cachedAnswer = buildAnswer(after, upTo);
+            cachedAfter = after;
+            cachedUpTo = upTo;
         }
-        return built;
+        return cachedAnswer;
     }
 
-    private byte[] build(long after, long upTo) {
+    private byte[] buildAnswer(long after, long upTo) {
         ByteArrayOutputStream text = new ByteArrayOutputStream();
         text.writeBytes(("{\"seq\":" + upTo + ",\"whole\":false,").getBytes(StandardCharsets.US_ASCII));
-        text.writeBytes(HOSTS);
+        text.writeBytes(HOSTS_FIELD);
         for (long version = after + 1; version <= upTo; version++) {
             if (version > after + 1) {
                 text.write(',');
             }
-            text.writeBytes(entries[slot(version)]);
+            text.writeBytes(encodedChanges[slot(version)]);
         }
-        text.writeBytes(END);
+        text.writeBytes(LIST_END);
         return text.toByteArray();
     }
 
@@ -89,13 +89,13 @@
      */
     synchronized byte[] wholeList(long upTo) {
         long latest = latestVersion();
-        if (upTo >= latest && !wholes.containsKey(latest)) {
-            wholes.put(latest, catalog.wholeList());
-            if (wholes.size() > WHOLES_MOST) {
-                wholes.pollFirstEntry();
+        if (upTo >= latest && !wholeLists.containsKey(latest)) {
+            wholeLists.put(latest, catalog.wholeList());
+            if (wholeLists.size() > MAX_WHOLE_LISTS) {
+                wholeLists.pollFirstEntry();
             }
         }
-        Map.Entry<Long, byte[]> newest = wholes.floorEntry(upTo);
+        Map.Entry<Long, byte[]> newest = wholeLists.floorEntry(upTo);
         return newest == null ? null : newest.getValue();
     }
 }
--- a/src/main/java/wrenkeel/scale/ControlMachines.java
+++ b/src/main/java/wrenkeel/scale/ControlMachines.java
@@ -18,47 +18,47 @@
 final class ControlMachines implements AutoCloseable {
     static final int MACHINE_COUNT = 7, ZONE_COUNT = 5;
     /** Zones of the first region; the others are in the second. */
-    private static final int ZONES_OF_SOURCE = 3;
+    private static final int FIRST_REGION_ZONES = 3;
 
-    private final ChangeLog log;
-    private final long wait;
+    private final ChangeLog changeLog;
+    private final long waitMs;
     private final HopCounters sourceHop = new HopCounters();
     private final HopCounters machineHop = new HopCounters();
-    private final ThreadTimes times = new ThreadTimes();
-    private final MultiThreadIoEventLoopGroup threads = new MultiThreadIoEventLoopGroup(MACHINE_COUNT,
+    private final ThreadTimes threadTimes = new ThreadTimes();
+    private final MultiThreadIoEventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(MACHINE_COUNT,
         new DefaultThreadFactory("control-machine", true), NioIoHandler.newFactory());
     private final ListNode source;
-    private final ListNode secondHead;
-    private final List<ListNode> zones = new ArrayList<>();
+    private final ListNode secondRegionHead;
+    private final List<ListNode> zoneMachines = new ArrayList<>();
 
-    /** {@code wait}: ms that each watch between machines waits. */
+    /** {@code waitMs}: ms that each watch between machines waits. */
     ControlMachines(ChangeLog log, long wait) throws IOException {
-        this.log = log;
-        this.wait = wait;
-        source = machine(sourceHop);
+        this.changeLog = log;
+        this.waitMs = wait;
+        source = newMachine(sourceHop);
         source.advanceTo(log.latestVersion());
-        secondHead = machine(sourceHop);
-        secondHead.watch(source.address(), wait);
+        secondRegionHead = newMachine(sourceHop);
+        secondRegionHead.watch(source.address(), wait);
         for (int zone = 0; zone < ZONE_COUNT; zone++) {
-            ListNode machine = machine(machineHop);
-            machine.watch(above(zone), wait);
-            zones.add(machine);
+            ListNode machine = newMachine(machineHop);
+            machine.watch(upstreamOf(zone), wait);
+            zoneMachines.add(machine);
         }
     }
 
-    private ListNode machine(HopCounters hop) throws IOException {
-        EventLoop loop = threads.next();
-        times.add(loop);
-        return new ListNode(loop, log, hop);
+    private ListNode newMachine(HopCounters hop) throws IOException {
+        EventLoop loop = eventLoops.next();
+        threadTimes.add(loop);
+        return new ListNode(loop, changeLog, hop);
     }
 
-    private InetSocketAddress above(int zone) {
-        return (zone < ZONES_OF_SOURCE ? source : secondHead).address();
+    private InetSocketAddress upstreamOf(int zone) {
+        return (zone < FIRST_REGION_ZONES ? source : secondRegionHead).address();
     }
 
     /** Where the agents of a zone watch. */
     InetSocketAddress zoneAddress(int zone) {
-        return zones.get(zone).address();
+        return zoneMachines.get(zone).address();
     }
 
     /** Tells the source of what has been published. */
@@ -68,13 +68,13 @@
 
     /** A zone's machine is lost and back. */
     void restartZone(int zone) {
-        zones.get(zone).restart(above(zone), wait).syncUninterruptibly();
+        zoneMachines.get(zone).restart(upstreamOf(zone), waitMs).syncUninterruptibly();
     }
 
     /** The lowest version that any machine holds. */
     long minVersion() {
-        return Math.min(secondHead.version(),
-            zones.stream().mapToLong(ListNode::version).min().orElseThrow());
+        return Math.min(secondRegionHead.version(),
+            zoneMachines.stream().mapToLong(ListNode::version).min().orElseThrow());
     }
 
     /** Between the machines. */
@@ -89,14 +89,14 @@
 
     /** us of processor time of all machines so far. */
     long cpuMicros() {
-        return times.cpuMicros();
+        return threadTimes.cpuMicros();
     }
 
     @Override
     public void close() {
-        zones.forEach(ListNode::close);
-        secondHead.close();
+        zoneMachines.forEach(ListNode::close);
+        secondRegionHead.close();
         source.close();
-        Shutdown.now(threads);
+        Shutdown.now(eventLoops);
     }
 }
--- a/src/main/java/wrenkeel/scale/Fleet.java
+++ b/src/main/java/wrenkeel/scale/Fleet.java
@@ -11,7 +11,7 @@
 
 /** Control machines, agents and hollow relays of one play, with a list that changes at the source. */
 final class Fleet implements AutoCloseable {
-    private static final long LOOK = 2;
+    private static final long POLL_INTERVAL_MS = 2;
     /** s; what has not come by then will not. */
     static final long TIMEOUT_SECONDS = 60;
 
@@ -46,21 +46,21 @@
     }
 
     private final HostCatalog catalog;
-    private final ChangeLog log;
+    private final ChangeLog changeLog;
     private final ControlMachines machines;
     private final FleetAgents agents;
     private final ListOnlyFleet relays;
     private final Random random;
-    private boolean draining;
-    private int next;
+    private boolean hostIsDraining;
+    private int currentHost;
 
     /** The relays are not started yet; {@code zones} gives the zone of each. */
     Fleet(int size, long seed, FleetOptions options, IntUnaryOperator zones) throws IOException {
         random = new Random(seed);
         catalog = new HostCatalog(options.hosts, seed);
-        log = new ChangeLog(catalog, options.changeLogSize);
-        machines = new ControlMachines(log, options.waitMs);
-        agents = new FleetAgents(log, machines, size, options.waitMs, zones);
+        changeLog = new ChangeLog(catalog, options.changeLogSize);
+        machines = new ControlMachines(changeLog, options.waitMs);
+        agents = new FleetAgents(changeLog, machines, size, options.waitMs, zones);
         relays = new ListOnlyFleet(agents, options.relaysPerProcess, options.heapMb);
     }
 
@@ -71,39 +71,39 @@
 
     /** Starts all relays and waits until each holds the list. */
     void start() throws IOException, InterruptedException {
-        await("the machines hold no list", machines::minVersion);
-        await("the agents hold no list", agents::minVersion);
+        awaitVersion("the machines hold no list", machines::minVersion);
+        awaitVersion("the agents hold no list", agents::minVersion);
         relays.start(0, agents.size());
         awaitAllRelays();
     }
 
     /** Waits until all relays hold the latest version. */
     void awaitAllRelays() throws IOException {
-        long held = relays.awaitVersion(log.latestVersion(), TIMEOUT_SECONDS);
+        long held = relays.awaitVersion(changeLog.latestVersion(), TIMEOUT_SECONDS);
         if (held < agents.size()) {
-            throw new IOException(held + " of " + agents.size() + " relays hold version " + log.latestVersion()
+            throw new IOException(held + " of " + agents.size() + " relays hold version " + changeLog.latestVersion()
                 + " after " + TIMEOUT_SECONDS + " s");
         }
     }
 
     /** Waits until the latest version is held. */
-    private void await(String fault, LongSupplier version) throws IOException, InterruptedException {
+    private void awaitVersion(String fault, LongSupplier version) throws IOException, InterruptedException {
         long by = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
-        while (version.getAsLong() < log.latestVersion()) {
+        while (version.getAsLong() < changeLog.latestVersion()) {
             if (System.nanoTime() > by) {
                 throw new IOException(fault);
             }
-            Thread.sleep(LOOK);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 
     /** A host is told to drain, or is ready again; when that was published (epoch us). */
     long publishChange() {
-        next = draining ? next : random.nextInt(catalog.hostCount());
-        draining = !draining;
+        currentHost = hostIsDraining ? currentHost : random.nextInt(catalog.hostCount());
+        hostIsDraining = !hostIsDraining;
         long at = EpochClock.micros();
-        machines.advanceSource(log.publish(next,
-            draining ? HostCatalog.Health.DRAINING : HostCatalog.Health.READY));
+        machines.advanceSource(changeLog.publish(currentHost,
+            hostIsDraining ? HostCatalog.Health.DRAINING : HostCatalog.Health.READY));
         return at;
     }
 
@@ -125,7 +125,7 @@
     }
 
     long latestVersion() {
-        return log.latestVersion();
+        return changeLog.latestVersion();
     }
 
     ControlMachines machines() {
--- a/src/main/java/wrenkeel/scale/FleetAgents.java
+++ b/src/main/java/wrenkeel/scale/FleetAgents.java
@@ -15,26 +15,26 @@
     private static final int THREADS = 3;
 
     private final ControlMachines machines;
-    private final long wait;
-    private final IntUnaryOperator zones;
-    private final HopCounters hop = new HopCounters();
-    private final ThreadTimes times = new ThreadTimes();
-    private final MultiThreadIoEventLoopGroup threads = new MultiThreadIoEventLoopGroup(THREADS,
+    private final long waitMs;
+    private final IntUnaryOperator zoneOfAgent;
+    private final HopCounters hopCounters = new HopCounters();
+    private final ThreadTimes threadTimes = new ThreadTimes();
+    private final MultiThreadIoEventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(THREADS,
         new DefaultThreadFactory("agents", true), NioIoHandler.newFactory());
     private final List<ListNode> agents = new ArrayList<>();
 
-    /** {@code wait}: ms that each agent's watch waits; {@code zones}: the zone of each agent. */
+    /** {@code waitMs}: ms that each agent's watch waits; {@code zoneOfAgent}: the zone of each agent. */
     FleetAgents(ChangeLog log, ControlMachines machines, int count, long wait, IntUnaryOperator zones)
         throws IOException {
         this.machines = machines;
-        this.wait = wait;
-        this.zones = zones;
+        this.waitMs = wait;
+        this.zoneOfAgent = zones;
         for (int i = 0; i < THREADS; i++) {
-            times.add(threads.next());
+            threadTimes.add(eventLoops.next());
         }
         for (int i = 0; i < count; i++) {
-            EventLoop loop = threads.next();
-            ListNode agent = new ListNode(loop, log, hop);
+            EventLoop loop = eventLoops.next();
+            ListNode agent = new ListNode(loop, log, hopCounters);
             agent.watch(machines.zoneAddress(zones.applyAsInt(i)), wait);
             agents.add(agent);
         }
@@ -50,7 +50,7 @@
 
     /** The agent's machine is lost and back: it holds nothing. */
     Future<?> restart(int agent) {
-        return agents.get(agent).restart(machines.zoneAddress(zones.applyAsInt(agent)), wait);
+        return agents.get(agent).restart(machines.zoneAddress(zoneOfAgent.applyAsInt(agent)), waitMs);
     }
 
     /** The lowest version that any agent holds; -1 while one has no list. */
@@ -60,17 +60,17 @@
 
     /** Between the agents and their relays. */
     HopCounters.Counts hopCounts() {
-        return hop.snapshot();
+        return hopCounters.snapshot();
     }
 
     /** us of processor time of all agents so far. */
     long cpuMicros() {
-        return times.cpuMicros();
+        return threadTimes.cpuMicros();
     }
 
     @Override
     public void close() {
         agents.forEach(ListNode::close);
-        Shutdown.now(threads);
+        Shutdown.now(eventLoops);
     }
 }
--- a/src/main/java/wrenkeel/scale/HostCatalog.java
+++ b/src/main/java/wrenkeel/scale/HostCatalog.java
@@ -29,7 +29,7 @@
     private static final JsonFactory JSON = new JsonFactory();
     private static final long FIRST_VERSION = 41;
     /** Odd, so that no two numbers below 2^32 have the same product in 32 bits. */
-    private static final int SPREAD = 0x9E3779B1;
+    private static final int HASH_MULTIPLIER = 0x9E3779B1;
 
     /** The standing of one host. */
     public enum Health {
@@ -43,46 +43,46 @@
     /**
      * What is no longer as it was at first: its standing, where it is dialled, and when it began (Unix ms).
      */
-    private record Changed(Health health, String dial, long bornMillis) { }
+    private record HostState(Health health, String address, long bornMillis) { }
 
     /** One change: the host that it is about, by its number. */
     private record Change(long version, int host) { }
 
-    private final int hosts;
+    private final int hostCount;
     private final int salt;
-    private final IntFunction<String> dials;
-    private final Map<Integer, Changed> changed = new HashMap<>();
+    private final IntFunction<String> initialAddresses;
+    private final Map<Integer, HostState> changedHosts = new HashMap<>();
     private final Deque<Change> changes = new ArrayDeque<>();
     private long version = FIRST_VERSION;
-    private int gone;
+    private int goneCount;
     /** The list as it stands, encoded; null after a change until somebody asks. */
-    private byte[] whole;
+    private byte[] encodedList;
 
     /** Hosts with addresses that nobody answers; they are for relays that make no calls. */
     HostCatalog(int hosts, long seed) {
-        this(hosts, seed, HostCatalog::unanswered);
+        this(hosts, seed, HostCatalog::unansweredAddress);
     }
 
     /**
      * @param dials the address and port of each host
      */
     public HostCatalog(int hosts, long seed, IntFunction<String> dials) {
-        this.hosts = hosts;
-        this.dials = dials;
+        this.hostCount = hosts;
+        this.initialAddresses = dials;
         salt = new Random(seed).nextInt();
     }
 
-    private static String unanswered(int host) {
+    private static String unansweredAddress(int host) {
         return "10." + (1 + (host >> 16 & 0x7f)) + "." + (host >> 8 & 0xff) + "." + (host & 0xff) + ":8081";
     }
 
     /** How many hosts there are, those that are gone included. */
     public int hostCount() {
-        return hosts;
+        return hostCount;
     }
 
     public int destinationCount() {
-        return hosts == 0 ? 0 : destinationOf(hosts - 1) + 1;
+        return hostCount == 0 ? 0 : destinationOf(hostCount - 1) + 1;
     }
 
     /** The number of a host's destination. */
@@ -91,7 +91,7 @@
     }
 
     public String hostName(int host) {
-        return String.format(Locale.ROOT, "s-%08x", host * SPREAD + salt);
+        return String.format(Locale.ROOT, "s-%08x", host * HASH_MULTIPLIER + salt);
     }
 
     public synchronized long version() {
@@ -100,36 +100,36 @@
 
     /** How many hosts the list names, ready or draining. */
     synchronized int listedCount() {
-        return hosts - gone;
+        return hostCount - goneCount;
     }
 
     /** Changes the standing of one host; the list's new version. */
     public synchronized long changeHealth(int host, Health health) {
-        Changed before = standing(host);
+        HostState before = stateOf(host);
         // One that comes back has started anew.
         long born = before.health == Health.GONE && health != Health.GONE ? System.currentTimeMillis()
             : before.bornMillis;
-        return put(host, new Changed(health, before.dial, born));
+        return recordChange(host, new HostState(health, before.address, born));
     }
 
     /** Gives one host another address; the list's new version. */
     synchronized long changeAddress(int host, String dial) {
-        Changed before = standing(host);
-        return put(host, new Changed(before.health, dial, before.bornMillis));
+        HostState before = stateOf(host);
+        return recordChange(host, new HostState(before.health, dial, before.bornMillis));
     }
 
-    private Changed standing(int host) {
-        if (host < 0 || host >= hosts) {
-            throw new IndexOutOfBoundsException("host " + host + " of " + hosts);
+    private HostState stateOf(int host) {
+        if (host < 0 || host >= hostCount) {
+            throw new IndexOutOfBoundsException("host " + host + " of " + hostCount);
         }
-        Changed now = changed.get(host);
-        return now == null ? new Changed(Health.READY, dials.apply(host), 0) : now;
+        HostState now = changedHosts.get(host);
+        return now == null ? new HostState(Health.READY, initialAddresses.apply(host), 0) : now;
     }
 
-    private long put(int host, Changed next) {
-        gone += (next.health == Health.GONE ? 1 : 0) - (standing(host).health == Health.GONE ? 1 : 0);
-        changed.put(host, next);
-        whole = null;
+    private long recordChange(int host, HostState next) {
+        goneCount += (next.health == Health.GONE ? 1 : 0) - (stateOf(host).health == Health.GONE ? 1 : 0);
+        changedHosts.put(host, next);
+        encodedList = null;
         changes.add(new Change(++version, host));
         if (changes.size() > MAX_CHANGES) {
             changes.remove();
@@ -139,10 +139,10 @@
 
     /** The whole list in discovery's form. Shared by all who ask: not to be written to. */
     synchronized byte[] wholeList() {
-        if (whole == null) {
-            whole = encode(true, null);
+        if (encodedList == null) {
+            encodedList = encode(true, null);
         }
-        return whole;
+        return encodedList;
     }
 
     /** What changed after a version, perhaps nothing; the whole list where that is no longer known. */
@@ -165,21 +165,21 @@
     }
 
     private byte[] encode(boolean all, Set<Integer> named) {
-        ByteArrayOutputStream text = new ByteArrayOutputStream(all ? 64 + hosts * 132 : 256);
+        ByteArrayOutputStream text = new ByteArrayOutputStream(all ? 64 + hostCount * 132 : 256);
         try (JsonGenerator out = JSON.createGenerator(text)) {
             out.writeStartObject();
             out.writeNumberField("seq", version);
             out.writeBooleanField("whole", all);
             out.writeArrayFieldStart("hosts");
             if (all) {
-                for (int host = 0; host < hosts; host++) {
-                    if (standing(host).health != Health.GONE) {
-                        entry(out, host);
+                for (int host = 0; host < hostCount; host++) {
+                    if (stateOf(host).health != Health.GONE) {
+                        writeHost(out, host);
                     }
                 }
             } else {
                 for (int host : named) {
-                    entry(out, host);
+                    writeHost(out, host);
                 }
             }
             out.writeEndArray();
@@ -190,11 +190,11 @@
         return text.toByteArray();
     }
 
-    private void entry(JsonGenerator out, int host) throws IOException {
-        Changed now = standing(host);
+    private void writeHost(JsonGenerator out, int host) throws IOException {
+        HostState now = stateOf(host);
         out.writeStartObject();
         out.writeStringField("host", hostName(host));
-        out.writeStringField("dial", now.dial);
+        out.writeStringField("dial", now.address);
         out.writeStringField("site", ZONES.get(host % ZONES.size()));
         out.writeStringField("class", KINDS.get(host % KINDS.size()));
         out.writeNumberField("block", destinationOf(host));
--- a/src/main/java/wrenkeel/scale/ListExperiment.java
+++ b/src/main/java/wrenkeel/scale/ListExperiment.java
@@ -20,13 +20,13 @@
 @Command(name = "list", mixinStandardHelpOptions = true,
     description = "One relay and a list of so many hosts: memory, processor time, bytes, start and restart.")
 final class ListExperiment implements Callable<Integer> {
-    private static final Duration HELD_WITHIN = Duration.ofSeconds(15), LOOK = Duration.ofMillis(20),
-        CHANGE_WITHIN = Duration.ofSeconds(10);
+    private static final Duration LIST_TIMEOUT = Duration.ofSeconds(15), POLL_INTERVAL = Duration.ofMillis(20),
+        CHANGE_TIMEOUT = Duration.ofSeconds(10);
     /** ms: from the list held until the idle time is measured, that time, and from one change to the next. */
-    private static final long SETTLE = 1_500, IDLE = 8_000, CHANGE_GAP = 100;
+    private static final long SETTLE_MS = 1_500, IDLE_MS = 8_000, CHANGE_GAP_MS = 100;
     /** Changes measured one by one, and one right after another. */
     private static final int CHANGES = 20, RAPID_CHANGES = 200;
-    private static final double MB = 1e6;
+    private static final double BYTES_PER_MB = 1e6;
 
     @Mixin
     private CommonOptions options;
@@ -59,63 +59,63 @@
         Map<String, Double> values = new LinkedHashMap<>();
         HostCatalog catalog = new HostCatalog(hosts, seed);
         byte[] list = catalog.wholeList();
-        values.put("list_mb", list.length / MB);
+        values.put("list_mb", list.length / BYTES_PER_MB);
         try (StandInAgent agent = new StandInAgent(catalog);
              RelayProcess relay = new RelayProcess(options.root(), RelaySettings.typical("n1"),
                  agent.address(), known ? list : null)) {
-            if (start(relay, agent, values)) {
-                double idle = idle(relay, agent, values);
+            if (measureStart(relay, agent, values)) {
+                double idle = measureIdle(relay, agent, values);
                 Random random = new Random(seed);
-                changes("first_change", CHANGES, CHANGE_GAP, relay, agent, random, idle, values);
-                changes("rapid_change", RAPID_CHANGES, 0, relay, agent, random, idle, values);
+                measureChanges("first_change", CHANGES, CHANGE_GAP_MS, relay, agent, random, idle, values);
+                measureChanges("rapid_change", RAPID_CHANGES, 0, relay, agent, random, idle, values);
                 // Here its code is compiled as after an hour or two of the target's 3,100 changes a day.
-                changes("change", CHANGES, CHANGE_GAP, relay, agent, random, idle, values);
-                values.put("peak_rss_mb", relay.peakRssBytes() / MB);
-                restart(relay, agent, values);
+                measureChanges("change", CHANGES, CHANGE_GAP_MS, relay, agent, random, idle, values);
+                values.put("peak_rss_mb", relay.peakRssBytes() / BYTES_PER_MB);
+                measureRestart(relay, agent, values);
             }
         }
         return values;
     }
 
     /** From the command until the console tells of all hosts; false where that takes too long. */
-    private boolean start(RelayProcess relay, StandInAgent agent, Map<String, Double> values)
+    private boolean measureStart(RelayProcess relay, StandInAgent agent, Map<String, Double> values)
         throws IOException, InterruptedException {
         long begun = System.nanoTime();
         relay.start();
-        boolean held = relay.awaitMemberCount(agent.catalog().listedCount(), HELD_WITHIN, LOOK);
+        boolean held = relay.awaitMemberCount(agent.catalog().listedCount(), LIST_TIMEOUT, POLL_INTERVAL);
         double seconds = (System.nanoTime() - begun) / 1e9;
         values.put("held", held ? 1.0 : 0.0);
         if (held) {
             values.put("list_held_ms", seconds * 1e3);
             values.put("start_cpu_ms", relay.cpuMicros() / 1e3);
             values.put("start_whole_lists", (double) agent.wholeLists());
-            values.put("start_mb", agent.bytesOut() / MB);
+            values.put("start_mb", agent.bytesOut() / BYTES_PER_MB);
         } else {
             values.put("unheld_whole_lists_per_s", agent.wholeLists() / seconds);
-            values.put("unheld_mb_per_s", agent.bytesOut() / MB / seconds);
+            values.put("unheld_mb_per_s", agent.bytesOut() / BYTES_PER_MB / seconds);
             values.put("unheld_alive", relay.isAlive() ? 1.0 : 0.0);
             if (relay.isAlive()) {
                 values.put("unheld_ready", relay.isReady() ? 1.0 : 0.0);
                 values.put("unheld_cpu_percent", relay.cpuMicros() / 1e4 / seconds);
-                values.put("unheld_peak_rss_mb", relay.peakRssBytes() / MB);
+                values.put("unheld_peak_rss_mb", relay.peakRssBytes() / BYTES_PER_MB);
             }
         }
         return held;
     }
 
     /** Nothing happens; the processor time, us a second. */
-    private static double idle(RelayProcess relay, StandInAgent agent, Map<String, Double> values)
+    private static double measureIdle(RelayProcess relay, StandInAgent agent, Map<String, Double> values)
         throws IOException, InterruptedException {
-        TimeUnit.MILLISECONDS.sleep(SETTLE);
+        TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
         long begun = System.nanoTime();
         long cpu = relay.cpuMicros();
         long bytes = agent.bytesIn() + agent.bytesOut();
-        TimeUnit.MILLISECONDS.sleep(IDLE);
+        TimeUnit.MILLISECONDS.sleep(IDLE_MS);
         double seconds = (System.nanoTime() - begun) / 1e9;
         double idle = (relay.cpuMicros() - cpu) / seconds;
         values.put("idle_cpu_percent", idle / 1e4);
         values.put("idle_bytes_per_s", (agent.bytesIn() + agent.bytesOut() - bytes) / seconds);
-        values.put("rss_mb", relay.rssBytes() / MB);
+        values.put("rss_mb", relay.rssBytes() / BYTES_PER_MB);
         return idle;
     }
 
@@ -126,7 +126,7 @@
      * @param gap ms besides, from one to the next
      * @param idle processor time, us a second
      */
-    private static void changes(String name, int count, long gap, RelayProcess relay, StandInAgent agent,
+    private static void measureChanges(String name, int count, long gap, RelayProcess relay, StandInAgent agent,
                                 Random random, double idle, Map<String, Double> values)
         throws IOException, InterruptedException {
         long begun = System.nanoTime();
@@ -143,7 +143,7 @@
                 case 2 -> agent.changeHealth(host, HostCatalog.Health.READY);
                 default -> agent.changeAddress(host, "10.200.0." + i + ":8081");
             };
-            if (!agent.awaitHeld(version, CHANGE_WITHIN)) {
+            if (!agent.awaitHeld(version, CHANGE_TIMEOUT)) {
                 return;
             }
             TimeUnit.MILLISECONDS.sleep(gap);
@@ -154,7 +154,7 @@
     }
 
     /** SIGKILL, and a start with the folder that lasts. */
-    private static void restart(RelayProcess relay, StandInAgent agent, Map<String, Double> values)
+    private static void measureRestart(RelayProcess relay, StandInAgent agent, Map<String, Double> values)
         throws IOException, InterruptedException {
         // Encoded before, so that no relay waits for it.
         agent.catalog().wholeList();
@@ -163,10 +163,10 @@
         long bytes = agent.bytesOut();
         long begun = System.nanoTime();
         relay.start();
-        if (relay.awaitMemberCount(agent.catalog().listedCount(), HELD_WITHIN, LOOK)) {
+        if (relay.awaitMemberCount(agent.catalog().listedCount(), LIST_TIMEOUT, POLL_INTERVAL)) {
             values.put("restart_held_ms", (System.nanoTime() - begun) / 1e6);
         }
         values.put("restart_whole_lists", (double) agent.wholeLists() - lists);
-        values.put("restart_mb", (agent.bytesOut() - bytes) / MB);
+        values.put("restart_mb", (agent.bytesOut() - bytes) / BYTES_PER_MB);
     }
 }
--- a/src/main/java/wrenkeel/scale/ListNode.java
+++ b/src/main/java/wrenkeel/scale/ListNode.java
@@ -36,41 +36,41 @@
  */
 final class ListNode implements AutoCloseable {
     /** ms; the longest wait that the protocol allows. */
-    private static final long WAIT_MOST = 60_000;
-    private static final int REQUEST_MOST = 64 * 1024, CALLERS_MOST = 4_096;
+    private static final long MAX_WAIT_MS = 60_000;
+    private static final int MAX_REQUEST_BYTES = 64 * 1024, ACCEPT_BACKLOG = 4_096;
 
     private final EventLoop loop;
-    private final ChangeLog log;
-    private final HopCounters below;
-    private final Channel door;
-    private final ChannelGroup callers;
+    private final ChangeLog changeLog;
+    private final HopCounters hopCounters;
+    private final Channel listener;
+    private final ChannelGroup clientChannels;
     /** Those whose call is not answered yet, in the order in which they came. */
-    private final Set<Caller> waiting = new LinkedHashSet<>();
+    private final Set<ClientConnection> waitingClients = new LinkedHashSet<>();
     private UpstreamWatch upstream;
     private volatile long version = -1;
 
-    /** Opens its door on any free port of loopback; {@code below} counts what goes over it. */
+    /** Opens its door on any free port of loopback; {@code hopCounters} counts what goes over it. */
     ListNode(EventLoop loop, ChangeLog log, HopCounters below) throws IOException {
         this.loop = loop;
-        this.log = log;
-        this.below = below;
-        this.callers = new DefaultChannelGroup(loop);
-        this.door = new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, CALLERS_MOST)
+        this.changeLog = log;
+        this.hopCounters = below;
+        this.clientChannels = new DefaultChannelGroup(loop);
+        this.listener = new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
+            .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
             .childOption(ChannelOption.TCP_NODELAY, true)
             .childHandler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel channel) {
-                    callers.add(channel);
+                    clientChannels.add(channel);
                     below.countConnection();
                     channel.pipeline().addLast(below.byteCounter(), new HttpServerCodec(),
-                        new HttpObjectAggregator(REQUEST_MOST), new Caller());
+                        new HttpObjectAggregator(MAX_REQUEST_BYTES), new ClientConnection());
                 }
             }).bind(InetAddress.getLoopbackAddress(), 0).syncUninterruptibly().channel();
     }
 
     InetSocketAddress address() {
-        return (InetSocketAddress) door.localAddress();
+        return (InetSocketAddress) listener.localAddress();
     }
 
     /** The version it has been sent; -1 while it has no list. Any thread may ask. */
@@ -81,7 +81,7 @@
     /** Watches the place above from now on, with calls that wait for so many milliseconds. */
     void watch(InetSocketAddress above, long wait) {
         loop.execute(() -> {
-            upstream = new UpstreamWatch(loop, above, wait, version, this::arrived);
+            upstream = new UpstreamWatch(loop, above, wait, version, this::versionReceived);
             upstream.connect();
         });
     }
@@ -89,22 +89,22 @@
     /** It holds the list up to this version now: at the source as published, elsewhere as sent. */
     void advanceTo(long next) {
         if (loop.inEventLoop()) {
-            arrived(next);
+            versionReceived(next);
         } else {
-            loop.execute(() -> arrived(next));
+            loop.execute(() -> versionReceived(next));
         }
     }
 
-    private void arrived(long next) {
+    private void versionReceived(long next) {
         version = Math.max(version, next);
-        List.copyOf(waiting).forEach(Caller::answerIfDue);
+        List.copyOf(waitingClients).forEach(ClientConnection::answerIfNewer);
     }
 
     /** Its machine is lost and back: connections are closed; it holds nothing until it is sent the list. */
     Future<?> restart(InetSocketAddress above, long wait) {
         return loop.submit(() -> {
             upstream.close();
-            List.copyOf(callers).forEach(Channel::close);
+            List.copyOf(clientChannels).forEach(Channel::close);
             version = -1;
             watch(above, wait);
         });
@@ -116,60 +116,60 @@
             if (upstream != null) {
                 upstream.close();
             }
-            List.copyOf(callers).forEach(Channel::close);
+            List.copyOf(clientChannels).forEach(Channel::close);
         }).syncUninterruptibly();
-        door.close().syncUninterruptibly();
+        listener.close().syncUninterruptibly();
     }
 
     /** One connection from below. */
-    private final class Caller extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class ClientConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
         private ChannelHandlerContext context;
         /** The version that its call asks to go on from; -1 for a whole list. */
-        private long after;
+        private long afterVersion;
         private Future<?> timer;
 
         @Override
         protected void channelRead0(ChannelHandlerContext from, FullHttpRequest request) {
             context = from;
-            below.countCall();
+            hopCounters.countCall();
             QueryStringDecoder uri = new QueryStringDecoder(request.uri());
             if (uri.path().equals("/reports")) {
                 answer(HttpResponseStatus.NO_CONTENT, Unpooled.EMPTY_BUFFER);
             } else if (!uri.path().equals("/v1/servers")) {
                 answer(HttpResponseStatus.NOT_FOUND, Unpooled.EMPTY_BUFFER);
             } else {
-                after = number(uri.parameters(), "after", -1);
-                waiting.add(this);
-                answerIfDue();
-                if (after >= 0 && waiting.contains(this)) {
-                    long wait = Math.min(WAIT_MOST, number(uri.parameters(), "wait_ms", 0));
+                afterVersion = longParameter(uri.parameters(), "after", -1);
+                waitingClients.add(this);
+                answerIfNewer();
+                if (afterVersion >= 0 && waitingClients.contains(this)) {
+                    long wait = Math.min(MAX_WAIT_MS, longParameter(uri.parameters(), "wait_ms", 0));
                     timer = loop.schedule(this::answerUnchanged, wait, TimeUnit.MILLISECONDS);
                 }
             }
         }
 
-        private static long number(Map<String, List<String>> parameters, String name, long otherwise) {
+        private static long longParameter(Map<String, List<String>> parameters, String name, long otherwise) {
             List<String> values = parameters.get(name);
             return values == null ? otherwise : Long.parseLong(values.get(0));
         }
 
         /** Silent while it has no list; a watch waits for something newer. */
-        private void answerIfDue() {
-            if (version >= 0 && after < version) {
-                byte[] changes = after < 0 ? null : log.changesBetween(after, version);
-                byte[] whole = changes == null ? log.wholeList(version) : null;
+        private void answerIfNewer() {
+            if (version >= 0 && afterVersion < version) {
+                byte[] changes = afterVersion < 0 ? null : changeLog.changesBetween(afterVersion, version);
+                byte[] whole = changes == null ? changeLog.wholeList(version) : null;
                 if (changes != null) {
                     answerWaiting(changes);
                 } else if (whole != null) {
-                    below.countWholeList();
+                    hopCounters.countWholeList();
                     answerWaiting(whole);
                 }
             }
         }
 
         private void answerUnchanged() {
-            byte[] none = version < 0 ? null : log.changesBetween(version, version);
-            if (waiting.contains(this) && none != null) {
+            byte[] none = version < 0 ? null : changeLog.changesBetween(version, version);
+            if (waitingClients.contains(this) && none != null) {
                 answerWaiting(none);
             }
         }
@@ -180,7 +180,7 @@
         }
 
         private void stopWaiting() {
-            waiting.remove(this);
+            waitingClients.remove(this);
             if (timer != null) {
                 timer.cancel(false);
                 timer = null;
--- a/src/main/java/wrenkeel/scale/ListOnlyFleet.java
+++ b/src/main/java/wrenkeel/scale/ListOnlyFleet.java
@@ -28,9 +28,9 @@
 final class ListOnlyFleet implements AutoCloseable {
     /** Digits of a histogram that count. */
     static final int HISTOGRAM_DIGITS = 3;
-    private static final long END_MOST_S = 5;
+    private static final long EXIT_TIMEOUT_SECONDS = 5;
     /** The flags of a real relay that shape its speed. */
-    private static final List<String> FLAGS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
+    private static final List<String> JVM_FLAGS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
         "-XX:-UsePerfData", "-Xss512k", "-Dorg.slf4j.simpleLogger.defaultLogLevel=error");
 
     /** How long some versions took to be in force: at all relays, and at the last one of each, us. */
@@ -39,12 +39,12 @@
     /** After a collection, over all processes. */
     record Memory(long heapBytes, long rssBytes, long descriptors) { }
 
-    private final int each;
-    private final int count;
+    private final int relaysPerProcess;
+    private final int relayCount;
     private final Path folder;
-    private final List<Child> children = new ArrayList<>();
+    private final List<ChildProcess> children = new ArrayList<>();
     /** Where the run is ended before its time, the processes and their files go with it. */
-    private final Thread atExit = new Thread(this::remove, "end of the hollow relays");
+    private final Thread shutdownHook = new Thread(this::endAndDelete, "end of the hollow relays");
 
     /**
      * Starts the processes; their relays are not started yet.
@@ -53,16 +53,16 @@
      * @param heapMb most heap of a process
      */
     ListOnlyFleet(FleetAgents agents, int each, int heapMb) throws IOException {
-        this.each = each;
-        this.count = agents.size();
+        this.relaysPerProcess = each;
+        this.relayCount = agents.size();
         this.folder = Files.createTempDirectory("wrenkeel-fleet");
-        Runtime.getRuntime().addShutdownHook(atExit);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
         try {
-            for (int from = 0; from < count; from += each) {
-                children.add(new Child(Files.createDirectory(folder.resolve("p" + from)), heapMb));
+            for (int from = 0; from < relayCount; from += each) {
+                children.add(new ChildProcess(Files.createDirectory(folder.resolve("p" + from)), heapMb));
             }
-            tell(child -> "add " + IntStream.range(0, child.size).mapToObj(i ->
-                String.valueOf(agents.port(child.from + i))).collect(Collectors.joining(" ")));
+            sendToAll(child -> "add " + IntStream.range(0, child.size).mapToObj(i ->
+                String.valueOf(agents.port(child.firstRelay + i))).collect(Collectors.joining(" ")));
         } catch (IOException | RuntimeException e) {
             close();
             throw e;
@@ -71,31 +71,31 @@
 
     /** Starts the relays from one number up to another, exclusive. */
     void start(int from, int to) throws IOException {
-        range("start", from, to);
+        sendRange("start", from, to);
     }
 
     /** Ends them as by SIGKILL; they can be started anew. */
     void stop(int from, int to) throws IOException {
-        range("stop", from, to);
+        sendRange("stop", from, to);
     }
 
-    private List<String> range(String command, int from, int to) throws IOException {
-        return tell(child -> command + " " + clip(from - child.from, child.size) + " "
-            + clip(to - child.from, child.size));
+    private List<String> sendRange(String command, int from, int to) throws IOException {
+        return sendToAll(child -> command + " " + clamp(from - child.firstRelay, child.size) + " "
+            + clamp(to - child.firstRelay, child.size));
     }
 
-    private static int clip(int number, int size) {
+    private static int clamp(int number, int size) {
         return Math.max(0, Math.min(number, size));
     }
 
     /** Waits until all that run hold this version; how many do after so many seconds. */
     long awaitVersion(long version, long seconds) throws IOException {
-        return tell(child -> "await " + version + " " + seconds).stream().mapToLong(Long::parseLong).sum();
+        return sendToAll(child -> "await " + version + " " + seconds).stream().mapToLong(Long::parseLong).sum();
     }
 
     /** Notes from now on when each of so many versions after this one, which all hold, is in force. */
     void recordVersions(long version, int versions) throws IOException {
-        tell(child -> "note " + version + " " + versions);
+        sendToAll(child -> "note " + version + " " + versions);
     }
 
     /** Given when each of the noted versions was published (epoch us): how long they took to be in force. */
@@ -104,7 +104,7 @@
             + publishedAt.stream().map(String::valueOf).collect(Collectors.joining(" "));
         Histogram spans = new Histogram(HISTOGRAM_DIGITS);
         Map<Integer, Long> last = new TreeMap<>();
-        for (String answer : tell(child -> command)) {
+        for (String answer : sendToAll(child -> command)) {
             String[] words = answer.split(" ");
             spans.add(decode(words[0]));
             for (int i = 1; i < words.length; i++) {
@@ -117,7 +117,7 @@
     /** us from the latest start of each of these relays until its list was in force; others are left out. */
     Histogram startTimes(int from, int to) throws IOException {
         Histogram spans = new Histogram(HISTOGRAM_DIGITS);
-        for (String answer : range("starts", from, to)) {
+        for (String answer : sendRange("starts", from, to)) {
             spans.add(decode(answer));
         }
         return spans;
@@ -126,12 +126,12 @@
     Memory measureMemory() throws IOException {
         long heap = 0;
         long descriptors = 0;
-        for (String answer : tell(child -> "memory")) {
+        for (String answer : sendToAll(child -> "memory")) {
             heap += Long.parseLong(answer.split(" ")[0]);
             descriptors += Long.parseLong(answer.split(" ")[1]);
         }
         long rss = 0;
-        for (Child child : children) {
+        for (ChildProcess child : children) {
             rss += child.stats.rssBytes();
         }
         return new Memory(heap, rss, descriptors);
@@ -140,7 +140,7 @@
     /** us of processor time of all processes so far. */
     long cpuMicros() throws IOException {
         long all = 0;
-        for (Child child : children) {
+        for (ChildProcess child : children) {
             all += child.stats.cpuMicros();
         }
         return all;
@@ -151,13 +151,13 @@
     }
 
     /** All are told before the first is waited for. */
-    private List<String> tell(Function<Child, String> command) throws IOException {
-        for (Child child : children) {
+    private List<String> sendToAll(Function<ChildProcess, String> command) throws IOException {
+        for (ChildProcess child : children) {
             child.commands.println(command.apply(child));
         }
         List<String> answers = new ArrayList<>();
-        for (Child child : children) {
-            answers.add(child.answer());
+        for (ChildProcess child : children) {
+            answers.add(child.readAnswer());
         }
         return answers;
     }
@@ -180,13 +180,13 @@
     /** Ends the processes by their numbers, and removes the relays' files. */
     @Override
     public void close() {
-        Runtime.getRuntime().removeShutdownHook(atExit);
-        remove();
+        Runtime.getRuntime().removeShutdownHook(shutdownHook);
+        endAndDelete();
     }
 
-    private void remove() {
+    private void endAndDelete() {
         children.forEach(child -> child.commands.close());
-        children.forEach(Child::end);
+        children.forEach(ChildProcess::awaitExit);
         try (Stream<Path> files = Files.walk(folder)) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.deleteIfExists(file);
@@ -196,43 +196,43 @@
         }
     }
 
-    /** One process with the relays from {@code from} on. */
-    private final class Child {
-        private final int from = children.size() * each;
-        private final int size = Math.min(each, count - from);
+    /** One process with the relays from {@code firstRelay} on. */
+    private final class ChildProcess {
+        private final int firstRelay = children.size() * relaysPerProcess;
+        private final int size = Math.min(relaysPerProcess, relayCount - firstRelay);
         private final Process process;
         private final PrintStream commands;
         private final BufferedReader answers;
         private final ProcessStats stats;
-        private final Path errors;
+        private final Path errorLog;
 
-        Child(Path home, int heapMb) throws IOException {
-            errors = home.resolve("errors");
+        ChildProcess(Path home, int heapMb) throws IOException {
+            errorLog = home.resolve("errors");
             List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xmx" + heapMb + "m"));
-            command.addAll(FLAGS);
+            command.addAll(JVM_FLAGS);
             command.addAll(List.of("-cp", System.getProperty("java.class.path"),
                 ListOnlyProcess.class.getName(), home.toString()));
-            process = new ProcessBuilder(command).redirectError(errors.toFile()).start();
+            process = new ProcessBuilder(command).redirectError(errorLog.toFile()).start();
             commands = new PrintStream(process.getOutputStream(), true, StandardCharsets.US_ASCII);
             answers = new BufferedReader(new InputStreamReader(process.getInputStream(),
                 StandardCharsets.US_ASCII));
             stats = new ProcessStats(process.pid());
         }
 
-        String answer() throws IOException {
+        String readAnswer() throws IOException {
             String line = answers.readLine();
             if (line == null || !line.startsWith("ok")) {
-                String log = Files.readString(errors);
-                throw new IOException("hollow relays from " + from + " on: "
+                String log = Files.readString(errorLog);
+                throw new IOException("hollow relays from " + firstRelay + " on: "
                     + (line == null ? "the process has ended" : line) + (log.isEmpty() ? "" : "\n" + log));
             }
             return line.substring(Math.min(line.length(), 3));
         }
 
-        void end() {
+        void awaitExit() {
             try {
-                if (!process.waitFor(END_MOST_S, TimeUnit.SECONDS)) {
+                if (!process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                     process.destroyForcibly().waitFor();
                 }
             } catch (InterruptedException e) {
--- a/src/main/java/wrenkeel/scale/ListOnlyProcess.java
+++ b/src/main/java/wrenkeel/scale/ListOnlyProcess.java
@@ -30,11 +30,11 @@
  * </pre>
  */
 final class ListOnlyProcess {
-    private static final long LOOK = 2;
+    private static final long POLL_INTERVAL_MS = 2;
 
     private final Path folder;
     private final List<TimedRelay> relays = new ArrayList<>();
-    private long notedFrom;
+    private long baseVersion;
 
     private ListOnlyProcess(Path folder) {
         this.folder = folder;
@@ -50,7 +50,7 @@
             StandardCharsets.US_ASCII));
         for (String line = lines.readLine(); line != null; line = lines.readLine()) {
             try {
-                answers.println(("ok " + process.carryOut(line.split(" "))).strip());
+                answers.println(("ok " + process.execute(line.split(" "))).strip());
             } catch (IOException | InterruptedException | RuntimeException e) {
                 answers.println("fault " + line.split(" ")[0] + ": " + e);
             }
@@ -58,7 +58,7 @@
         System.exit(0);
     }
 
-    private String carryOut(String[] words) throws IOException, InterruptedException {
+    private String execute(String[] words) throws IOException, InterruptedException {
         return switch (words[0]) {
             case "add" -> {
                 for (int i = 1; i < words.length; i++) {
@@ -67,49 +67,49 @@
                 yield "";
             }
             case "start" -> {
-                range(words).forEach(TimedRelay::start);
+                relayRange(words).forEach(TimedRelay::start);
                 yield "";
             }
             case "stop" -> {
-                range(words).forEach(TimedRelay::stop);
+                relayRange(words).forEach(TimedRelay::stop);
                 yield "";
             }
-            case "await" -> String.valueOf(await(Long.parseLong(words[1]), Long.parseLong(words[2])));
+            case "await" -> String.valueOf(awaitVersion(Long.parseLong(words[1]), Long.parseLong(words[2])));
             case "note" -> {
-                notedFrom = Long.parseLong(words[1]);
-                relays.forEach(relay -> relay.recordVersions(notedFrom, Integer.parseInt(words[2])));
+                baseVersion = Long.parseLong(words[1]);
+                relays.forEach(relay -> relay.recordVersions(baseVersion, Integer.parseInt(words[2])));
                 yield "";
             }
-            case "inforce" -> inForce(words);
-            case "starts" -> starts(range(words));
-            case "memory" -> memory();
+            case "inforce" -> propagationTimes(words);
+            case "starts" -> startTimes(relayRange(words));
+            case "memory" -> measureMemory();
             default -> throw new IllegalArgumentException("unknown command");
         };
     }
 
-    private List<TimedRelay> range(String[] words) {
+    private List<TimedRelay> relayRange(String[] words) {
         return relays.subList(Integer.parseInt(words[1]), Integer.parseInt(words[2]));
     }
 
-    private long await(long version, long seconds) throws InterruptedException {
+    private long awaitVersion(long version, long seconds) throws InterruptedException {
         long by = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
         long running = relays.stream().filter(TimedRelay::isStarted).count();
         long held = 0;
         while (held < running && System.nanoTime() < by) {
-            Thread.sleep(LOOK);
+            Thread.sleep(POLL_INTERVAL_MS);
             held = relays.stream().filter(r -> r.isStarted() && r.appliedVersion() >= version).count();
         }
         return held;
     }
 
-    private String inForce(String[] published) {
+    private String propagationTimes(String[] published) {
         Histogram spans = new Histogram(ListOnlyFleet.HISTOGRAM_DIGITS);
         StringJoiner last = new StringJoiner(" ");
         for (int i = 1; i < published.length; i++) {
             long at = Long.parseLong(published[i]);
             long most = -1;
             for (TimedRelay relay : relays) {
-                long inForceAt = relay.appliedAtMicros(notedFrom + i);
+                long inForceAt = relay.appliedAtMicros(baseVersion + i);
                 if (relay.isStarted() && inForceAt > 0) {
                     spans.recordValue(Math.max(0, inForceAt - at));
                     most = Math.max(most, inForceAt - at);
@@ -120,14 +120,14 @@
         return ListOnlyFleet.encode(spans) + " " + last;
     }
 
-    private static String starts(List<TimedRelay> some) {
+    private static String startTimes(List<TimedRelay> some) {
         Histogram spans = new Histogram(ListOnlyFleet.HISTOGRAM_DIGITS);
         some.stream().filter(relay -> relay.firstAppliedAtMicros() > 0)
             .forEach(relay -> spans.recordValue(Math.max(0, relay.firstAppliedAtMicros() - relay.startedAtMicros())));
         return ListOnlyFleet.encode(spans);
     }
 
-    private static String memory() {
+    private static String measureMemory() {
         System.gc();
         long heap = ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
         return heap + " " + Descriptors.openCount();
--- a/src/main/java/wrenkeel/scale/LoadedRelay.java
+++ b/src/main/java/wrenkeel/scale/LoadedRelay.java
@@ -10,7 +10,7 @@
 
 /** One real relay with an agent of its own, whose list leads to shared ports. */
 final class LoadedRelay implements AutoCloseable {
-    private static final Duration HELD_WITHIN = Duration.ofSeconds(15), LOOK = Duration.ofMillis(50);
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(15), POLL_INTERVAL = Duration.ofMillis(50);
     private static final double HOSTS_PER_DESTINATION = 1.7;
 
     /** What its plays are of, besides the rate: destinations, play and seed. */
@@ -18,10 +18,10 @@
     final int play;
     final long seed;
     private final HostCatalog catalog;
-    private final LongAdder givenUp = new LongAdder(), handedBack = new LongAdder();
+    private final LongAdder failedMessages = new LongAdder(), returnedMessages = new LongAdder();
     private final StandInAgent agent;
     private final RelayProcess process;
-    private double seconds;
+    private double startSeconds;
 
     /**
      * @param destinations how many the list is to have, at 1.7 hosts each
@@ -35,15 +35,15 @@
         this.seed = seed;
         catalog = new HostCatalog((int) Math.round(destinations * HOSTS_PER_DESTINATION), seed,
             host -> "127.0.0.1:" + ports.get(host % ports.size()));
-        agent = new StandInAgent(catalog, this::noticed);
+        agent = new StandInAgent(catalog, this::countNotice);
         process = new RelayProcess(root, settings, agent.address(), null);
     }
 
-    private void noticed(String line) {
+    private void countNotice(String line) {
         if (line.contains("\"given_up\"")) {
-            givenUp.increment();
+            failedMessages.increment();
         } else if (line.contains("\"handed_back\"")) {
-            handedBack.increment();
+            returnedMessages.increment();
         }
     }
 
@@ -51,9 +51,9 @@
     boolean start() throws IOException, InterruptedException {
         long begun = System.nanoTime();
         process.start();
-        boolean held = process.awaitMemberCount(catalog.listedCount(), HELD_WITHIN, LOOK)
-            && process.awaitServing(HELD_WITHIN);
-        seconds = (System.nanoTime() - begun) / 1e9;
+        boolean held = process.awaitMemberCount(catalog.listedCount(), START_TIMEOUT, POLL_INTERVAL)
+            && process.awaitServing(START_TIMEOUT);
+        startSeconds = (System.nanoTime() - begun) / 1e9;
         return held;
     }
 
@@ -61,9 +61,9 @@
     Map<String, Double> valuesWithoutList() throws IOException {
         Map<String, Double> values = new LinkedHashMap<>();
         values.put("held", 0.0);
-        values.put("unheld_cpu_percent", process.cpuMicros() / 1e4 / seconds);
+        values.put("unheld_cpu_percent", process.cpuMicros() / 1e4 / startSeconds);
         values.put("unheld_peak_rss_mb", process.peakRssBytes() / 1e6);
-        values.put("unheld_whole_lists_per_s", agent.wholeLists() / seconds);
+        values.put("unheld_whole_lists_per_s", agent.wholeLists() / startSeconds);
         return values;
     }
 
@@ -81,12 +81,12 @@
 
     /** Notices of messages given up so far. */
     long failedMessages() {
-        return givenUp.sum();
+        return failedMessages.sum();
     }
 
     /** Notices of messages handed back so far. */
     long returnedMessages() {
-        return handedBack.sum();
+        return returnedMessages.sum();
     }
 
     @Override
--- a/src/main/java/wrenkeel/scale/ProcessStats.java
+++ b/src/main/java/wrenkeel/scale/ProcessStats.java
@@ -10,12 +10,12 @@
 
 /** What Linux tells of one process, by {@code /proc}. Not for several threads. */
 final class ProcessStats {
-    private final Path proc;
+    private final Path procFolder;
     /** Processor time of each thread as last seen, ns: one that has ended is told of no more. */
-    private final Map<String, Long> threads = new HashMap<>();
+    private final Map<String, Long> nanosByThread = new HashMap<>();
 
     ProcessStats(long pid) {
-        proc = Path.of("/proc", Long.toString(pid));
+        procFolder = Path.of("/proc", Long.toString(pid));
     }
 
     /**
@@ -29,46 +29,46 @@
     /** The same by thread, ns, named by the system's number for it; those that have ended included. */
     Map<String, Long> threadNanos() throws IOException {
         List<Path> tasks;
-        try (Stream<Path> all = Files.list(proc.resolve("task"))) {
+        try (Stream<Path> all = Files.list(procFolder.resolve("task"))) {
             tasks = all.toList();
         }
         for (Path task : tasks) {
             try {
                 String[] words = Files.readString(task.resolve("schedstat")).split(" ");
-                threads.put(task.getFileName().toString(), Long.parseLong(words[0]));
+                nanosByThread.put(task.getFileName().toString(), Long.parseLong(words[0]));
             } catch (IOException e) {
                 // It has ended since the folder was read.
                 continue;
             }
         }
-        return Map.copyOf(threads);
+        return Map.copyOf(nanosByThread);
     }
 
     /** Resident memory, bytes. */
     long rssBytes() throws IOException {
-        return status("VmRSS");
+        return statusBytes("VmRSS");
     }
 
     /** The most resident memory so far, bytes. */
     long peakRssBytes() throws IOException {
-        return status("VmHWM");
+        return statusBytes("VmHWM");
     }
 
     /** Bytes handed to the system by all writes so far, to sockets and pipes too. */
     long writtenBytes() throws IOException {
-        return number("io", "wchar");
+        return readNumber("io", "wchar");
     }
 
-    private long status(String name) throws IOException {
-        return 1_024 * number("status", name);
+    private long statusBytes(String name) throws IOException {
+        return 1_024 * readNumber("status", name);
     }
 
-    private long number(String file, String name) throws IOException {
-        for (String line : Files.readAllLines(proc.resolve(file))) {
+    private long readNumber(String file, String name) throws IOException {
+        for (String line : Files.readAllLines(procFolder.resolve(file))) {
             if (line.startsWith(name + ":")) {
                 return Long.parseLong(line.replaceAll("[^0-9]", ""));
             }
         }
-        throw new IOException("no " + name + " in " + proc.resolve(file));
+        throw new IOException("no " + name + " in " + procFolder.resolve(file));
     }
 }
--- a/src/main/java/wrenkeel/scale/RelayConfig.java
+++ b/src/main/java/wrenkeel/scale/RelayConfig.java
@@ -39,7 +39,7 @@
                 out.writeFieldName("known");
                 out.writeRawValue(new String(known, StandardCharsets.UTF_8));
             }
-            settings(out, settings);
+            writeSettings(out, settings);
             out.writeEndObject();
         }
     }
@@ -48,13 +48,13 @@
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    private static void settings(JsonGenerator out, RelaySettings settings) throws IOException {
+    private static void writeSettings(JsonGenerator out, RelaySettings settings) throws IOException {
         out.writeObjectFieldStart("settings");
         out.writeNumberField("rank", 0);
         out.writeNumberField("balancers", settings.relays());
         out.writeNumberField("zone", 0);
-        texts(out, "localities", settings.zones());
-        texts(out, "kinds", settings.kinds());
+        writeStrings(out, "localities", settings.zones());
+        writeStrings(out, "kinds", settings.kinds());
         out.writeStringField("weights", "none");
         out.writeObjectFieldStart("allowed");
         out.writeBooleanField("cancel", true);
@@ -104,7 +104,7 @@
         out.writeEndObject();
     }
 
-    private static void texts(JsonGenerator out, String name, List<String> texts) throws IOException {
+    private static void writeStrings(JsonGenerator out, String name, List<String> texts) throws IOException {
         out.writeArrayFieldStart(name);
         for (String text : texts) {
             out.writeString(text);
--- a/src/main/java/wrenkeel/scale/RelayProcess.java
+++ b/src/main/java/wrenkeel/scale/RelayProcess.java
@@ -25,24 +25,24 @@
  * JVM. Not for several threads.
  */
 public final class RelayProcess implements AutoCloseable {
-    private static final Pattern RUN = Pattern.compile("(?m)^run\\s*=\\s*\"((?:[^\"\\\\]|\\\\.)*)\"");
+    private static final Pattern RUN_SETTING = Pattern.compile("(?m)^run\\s*=\\s*\"((?:[^\"\\\\]|\\\\.)*)\"");
     /** With what follows the port: a line may be half written. */
-    private static final Pattern SERVING = Pattern.compile("serving on \\S*?:(\\d+)\\D"),
-        CONSOLE = Pattern.compile("operators at \\S*?:(\\d+)\\D");
-    private static final Duration LOOK = Duration.ofMillis(5);
-    private static final int CALL_PATIENCE = 2_000;
+    private static final Pattern SERVING_LINE = Pattern.compile("serving on \\S*?:(\\d+)\\D"),
+        CONSOLE_LINE = Pattern.compile("operators at \\S*?:(\\d+)\\D");
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(5);
+    private static final int CALL_TIMEOUT_MS = 2_000;
 
     private final Path root;
     private final Path folder;
     private final RelaySettings settings;
     private InetSocketAddress agent;
     private final Map<String, String> environment;
-    private final Thread atExit = new Thread(this::remove, "end of a relay");
+    private final Thread shutdownHook = new Thread(this::killAndDelete, "end of a relay");
     private Process process;
     private ProcessStats stats;
-    private int starts;
-    private InetSocketAddress clients;
-    private InetSocketAddress console;
+    private int startCount;
+    private InetSocketAddress clientAddress;
+    private InetSocketAddress consoleAddress;
 
     /**
      * Writes the configuration; {@link #start} starts the process.
@@ -66,7 +66,7 @@
         Files.createDirectory(folder.resolve("state"));
         Files.createDirectory(folder.resolve("tmp"));
         RelayConfig.write(folder.resolve("config.json"), settings, agent, known);
-        Runtime.getRuntime().addShutdownHook(atExit);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
     /**
@@ -76,10 +76,10 @@
         if (process != null && process.isAlive()) {
             throw new IllegalStateException("process " + process.pid() + " runs");
         }
-        clients = null;
-        console = null;
-        ProcessBuilder run = new ProcessBuilder("/bin/sh", "-c", command(root)).directory(root.toFile())
-            .redirectErrorStream(true).redirectOutput(log(++starts).toFile());
+        clientAddress = null;
+        consoleAddress = null;
+        ProcessBuilder run = new ProcessBuilder("/bin/sh", "-c", readRunCommand(root)).directory(root.toFile())
+            .redirectErrorStream(true).redirectOutput(log(++startCount).toFile());
         run.environment().putAll(Map.of("EDGE_NAME", settings.name(), "EDGE_LISTEN", "127.0.0.1:0",
             "EDGE_CONSOLE", "127.0.0.1:0", "EDGE_DISCOVERY", RelayConfig.hostAndPort(agent),
             "EDGE_STATE", stateFolder().toString(), "EDGE_CONFIG", folder.resolve("config.json").toString(),
@@ -89,9 +89,9 @@
         stats = new ProcessStats(process.pid());
     }
 
-    private static String command(Path root) throws IOException {
+    private static String readRunCommand(Path root) throws IOException {
         Path file = root.resolve("deploy/balancer.toml");
-        Matcher run = RUN.matcher(Files.readString(file));
+        Matcher run = RUN_SETTING.matcher(Files.readString(file));
         if (!run.find()) {
             throw new IOException("no run = \"...\" in " + file);
         }
@@ -104,13 +104,13 @@
 
     /** What the latest process has written so far. */
     public String log() throws IOException {
-        return starts == 0 ? "" : Files.readString(log(starts));
+        return startCount == 0 ? "" : Files.readString(log(startCount));
     }
 
     /** What all processes have written so far, the latest last. */
     public String allLogs() throws IOException {
         StringBuilder all = new StringBuilder();
-        for (int start = 1; start <= starts; start++) {
+        for (int start = 1; start <= startCount; start++) {
             all.append("---- start ").append(start).append('\n').append(Files.readString(log(start)));
         }
         return all.toString();
@@ -139,16 +139,16 @@
         if (!awaitConsole(atMost)) {
             return false;
         }
-        clients = awaitAddress(SERVING, atMost);
-        return clients != null;
+        clientAddress = awaitAddress(SERVING_LINE, atMost);
+        return clientAddress != null;
     }
 
     /** Waits until the process answers operators; false where it does not in time. */
     boolean awaitConsole(Duration atMost) throws IOException, InterruptedException {
-        if (console == null) {
-            console = awaitAddress(CONSOLE, atMost);
+        if (consoleAddress == null) {
+            consoleAddress = awaitAddress(CONSOLE_LINE, atMost);
         }
-        return console != null;
+        return consoleAddress != null;
     }
 
     private InetSocketAddress awaitAddress(Pattern pattern, Duration atMost)
@@ -167,23 +167,23 @@
             if (System.nanoTime() > by) {
                 return null;
             }
-            Thread.sleep(LOOK.toMillis());
+            Thread.sleep(POLL_INTERVAL.toMillis());
         }
     }
 
     /** Where clients connect, once it serves. */
     public InetSocketAddress clientAddress() {
-        return clients;
+        return clientAddress;
     }
 
     /** Where operators connect, once it answers them. */
     InetSocketAddress consoleAddress() {
-        return console;
+        return consoleAddress;
     }
 
     /** The figures of the console. */
     public Wire.Fields telemetry() throws IOException {
-        HttpURLConnection call = call("telemetry");
+        HttpURLConnection call = openConnection("telemetry");
         try (InputStream answer = call.getInputStream()) {
             return Wire.decode(new String(answer.readAllBytes(), StandardCharsets.UTF_8));
         } finally {
@@ -193,7 +193,7 @@
 
     /** True if the console says that it serves. */
     boolean isReady() throws IOException {
-        HttpURLConnection call = call("ready");
+        HttpURLConnection call = openConnection("ready");
         try {
             return call.getResponseCode() == HttpURLConnection.HTTP_OK;
         } finally {
@@ -201,11 +201,11 @@
         }
     }
 
-    private HttpURLConnection call(String name) throws IOException {
-        URI uri = URI.create("http://" + RelayConfig.hostAndPort(console) + "/api/" + name);
+    private HttpURLConnection openConnection(String name) throws IOException {
+        URI uri = URI.create("http://" + RelayConfig.hostAndPort(consoleAddress) + "/api/" + name);
         HttpURLConnection call = (HttpURLConnection) uri.toURL().openConnection();
-        call.setConnectTimeout(CALL_PATIENCE);
-        call.setReadTimeout(CALL_PATIENCE);
+        call.setConnectTimeout(CALL_TIMEOUT_MS);
+        call.setReadTimeout(CALL_TIMEOUT_MS);
         return call;
     }
 
@@ -302,11 +302,11 @@
     /** Ends the process and deletes its folder. */
     @Override
     public void close() {
-        Runtime.getRuntime().removeShutdownHook(atExit);
-        remove();
+        Runtime.getRuntime().removeShutdownHook(shutdownHook);
+        killAndDelete();
     }
 
-    private void remove() {
+    private void killAndDelete() {
         try {
             if (process != null) {
                 kill();
--- a/src/main/java/wrenkeel/scale/RelaysExperiment.java
+++ b/src/main/java/wrenkeel/scale/RelaysExperiment.java
@@ -15,10 +15,10 @@
         + " the control machines; memory of a relay.")
 final class RelaysExperiment implements Callable<Integer> {
     private static final List<Long> SIZES = List.of(100L, 300L, 1_000L, 2_300L);
-    private static final long TARGET = 2_300;
+    private static final long TARGET_RELAYS = 2_300;
 
     /** ms; how long a relay's watch waits. */
-    private static final long WAIT = 4_000;
+    private static final long WATCH_WAIT_MS = 4_000;
 
     @Mixin
     private CommonOptions options;
@@ -32,11 +32,11 @@
     private int changes;
     @Option(names = "--gap-ms", defaultValue = "500", paramLabel = "N",
         description = "Mean gap between them; 3,100 a day are one in 27,900 ms (default: ${DEFAULT-VALUE}).")
-    private double gap;
+    private double gapMs;
 
     @Override
     public Integer call() throws Exception {
-        return FleetPlays.run("relays", options, SIZES, TARGET, this::play);
+        return FleetPlays.run("relays", options, SIZES, TARGET_RELAYS, this::play);
     }
 
     private Map<String, Double> play(int size, long seed) throws IOException, InterruptedException {
@@ -44,17 +44,17 @@
         try (Fleet fleet = new Fleet(size, seed, fleetOptions, Fleet::roundRobinZone)) {
             fleet.start();
             // What runs for the first time is compiled before it is measured.
-            fleet.publishChanges(changes, gap / 4);
+            fleet.publishChanges(changes, gapMs / 4);
             fleet.awaitAllRelays();
             // All watches began with the last change. Between two ends of their waits: whole ones count.
-            Thread.sleep(WAIT / 2);
+            Thread.sleep(WATCH_WAIT_MS / 2);
             Fleet.ResourceUsage before = fleet.usage();
-            Thread.sleep(WAIT * idleWaits);
+            Thread.sleep(WATCH_WAIT_MS * idleWaits);
             Fleet.ResourceUsage idle = fleet.usage();
             idle.minus(before).putRates("idle_", values);
-            fleet.publishChanges(changes, gap);
+            fleet.publishChanges(changes, gapMs);
             fleet.awaitAllRelays();
-            aChange(fleet.usage().minus(idle), idle.minus(before), values);
+            putCostPerChange(fleet.usage().minus(idle), idle.minus(before), values);
             ListOnlyFleet.Memory memory = fleet.relays().measureMemory();
             values.put("relays_heap_mb", memory.heapBytes() / 1e6);
             values.put("relays_rss_mb", memory.rssBytes() / 1e6);
@@ -69,7 +69,7 @@
      * What one change moves on each hop: no watch ends by itself where changes follow this quickly. Processor
      * time is less that of the idle fleet.
      */
-    private void aChange(Fleet.ResourceUsage trickle, Fleet.ResourceUsage idle, Map<String, Double> values) {
+    private void putCostPerChange(Fleet.ResourceUsage trickle, Fleet.ResourceUsage idle, Map<String, Double> values) {
         double share = (double) trickle.atMicros() / idle.atMicros();
         values.put("change_source_bytes", (double) trickle.source().totalBytes() / changes);
         values.put("change_machine_bytes", (double) trickle.machine().totalBytes() / changes);
--- a/src/main/java/wrenkeel/scale/RestartExperiment.java
+++ b/src/main/java/wrenkeel/scale/RestartExperiment.java
@@ -17,9 +17,9 @@
         + " bytes, time.")
 final class RestartExperiment implements Callable<Integer> {
     private static final List<Long> SIZES = List.of(50L, 150L, 300L, 460L);
-    private static final long TARGET = 460;
+    private static final long TARGET_RELAYS = 460;
     /** ms; one wait of a relay: its watches without a restart, which are taken off. */
-    private static final long IDLE = 4_000;
+    private static final long IDLE_MS = 4_000;
 
     @Mixin
     private CommonOptions options;
@@ -27,11 +27,11 @@
     private FleetOptions fleetOptions;
     @Option(names = "--single", defaultValue = "10", paramLabel = "N",
         description = "Single restarts of each sort (default: ${DEFAULT-VALUE}).")
-    private int single;
+    private int singleRestarts;
 
     @Override
     public Integer call() throws Exception {
-        return FleetPlays.run("restart", options, SIZES, TARGET, this::play);
+        return FleetPlays.run("restart", options, SIZES, TARGET_RELAYS, this::play);
     }
 
     private Map<String, Double> play(int size, long seed) throws IOException, InterruptedException {
@@ -39,21 +39,21 @@
         try (Fleet fleet = new Fleet(size, seed, fleetOptions, relay -> 0)) {
             fleet.start();
             Fleet.ResourceUsage before = fleet.usage();
-            Thread.sleep(IDLE);
+            Thread.sleep(IDLE_MS);
             Fleet.ResourceUsage idle = fleet.usage().minus(before);
-            singles(fleet, false, idle, "relay_", values);
-            singles(fleet, true, idle, "replaced_", values);
-            zone(fleet, size, values);
+            restartSingles(fleet, false, idle, "relay_", values);
+            restartSingles(fleet, true, idle, "replaced_", values);
+            restartZone(fleet, size, values);
         }
         return values;
     }
 
     /** One after the other; {@code replaced}: each with its agent. */
-    private void singles(Fleet fleet, boolean replaced, Fleet.ResourceUsage idle, String prefix,
+    private void restartSingles(Fleet fleet, boolean replaced, Fleet.ResourceUsage idle, String prefix,
                          Map<String, Double> values) throws IOException {
         Histogram starts = new Histogram(ListOnlyFleet.HISTOGRAM_DIGITS);
         Fleet.ResourceUsage before = fleet.usage();
-        for (int relay = 0; relay < single; relay++) {
+        for (int relay = 0; relay < singleRestarts; relay++) {
             fleet.relays().stop(relay, relay + 1);
             if (replaced) {
                 fleet.agents().restart(relay).syncUninterruptibly();
@@ -66,15 +66,15 @@
         double share = (double) spent.atMicros() / idle.atMicros();
         values.put(prefix + "held_p50_ms", starts.getValueAtPercentile(50) / 1e3);
         values.put(prefix + "held_most_ms", starts.getMaxValue() / 1e3);
-        values.put(prefix + "machine_whole_lists", (double) spent.machine().wholeLists() / single);
-        values.put(prefix + "agent_whole_lists", (double) spent.agent().wholeLists() / single);
+        values.put(prefix + "machine_whole_lists", (double) spent.machine().wholeLists() / singleRestarts);
+        values.put(prefix + "agent_whole_lists", (double) spent.agent().wholeLists() / singleRestarts);
         values.put(prefix + "machine_bytes",
-            (spent.machine().totalBytes() - share * idle.machine().totalBytes()) / single);
-        values.put(prefix + "agent_bytes", (spent.agent().totalBytes() - share * idle.agent().totalBytes()) / single);
+            (spent.machine().totalBytes() - share * idle.machine().totalBytes()) / singleRestarts);
+        values.put(prefix + "agent_bytes", (spent.agent().totalBytes() - share * idle.agent().totalBytes()) / singleRestarts);
     }
 
     /** The zone's control machine, its agents and its relays lose power, and are back at one moment. */
-    private static void zone(Fleet fleet, int size, Map<String, Double> values) throws IOException {
+    private static void restartZone(Fleet fleet, int size, Map<String, Double> values) throws IOException {
         fleet.relays().stop(0, size);
         Fleet.ResourceUsage before = fleet.usage();
         try (PeakRates peaks = new PeakRates(fleet)) {
--- a/src/main/java/wrenkeel/scale/Shutdown.java
+++ b/src/main/java/wrenkeel/scale/Shutdown.java
@@ -5,18 +5,18 @@
 
 /** Ends event loops without the quiet time that Netty keeps by default. */
 public final class Shutdown {
-    private static final long MOST = 2_000;
+    private static final long TIMEOUT_MS = 2_000;
 
     private Shutdown() { }
 
     /** Closes what the loops hold and waits for their ends, for 2 s at most. */
     public static void now(EventLoopGroup loops) {
         begin(loops);
-        loops.terminationFuture().awaitUninterruptibly(MOST);
+        loops.terminationFuture().awaitUninterruptibly(TIMEOUT_MS);
     }
 
     /** The same without waiting. */
     public static void begin(EventLoopGroup loops) {
-        loops.shutdownGracefully(0, MOST, TimeUnit.MILLISECONDS);
+        loops.shutdownGracefully(0, TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/wrenkeel/scale/StandInAgent.java
+++ b/src/main/java/wrenkeel/scale/StandInAgent.java
@@ -54,35 +54,35 @@
     /**
      * Connections at once, those of a fleet behind one agent; bytes of one call; ms that a watch may wait.
      */
-    private static final int CONNECTIONS_MOST = 4_096, CALL_MOST = 1 << 20, WAIT_MOST = 60_000;
-    private static final int CHUNK = 1 << 16;
+    private static final int MAX_CONNECTIONS = 4_096, MAX_CALL_BYTES = 1 << 20, MAX_WAIT_MS = 60_000;
+    private static final int CHUNK_BYTES = 1 << 16;
     /** Versions whose times are kept. */
-    private static final int TIMES_MOST = 8_192;
+    private static final int MAX_TIMES = 8_192;
 
     /** When a version was made, first sent to a watch, and first named by a call as held; 0 for not yet. */
     record VersionTimes(long publishedNanos, long sentNanos, long heldNanos) { }
 
     /** A call that waits for something newer than a version. */
-    private record Waiting(ChannelHandlerContext context, long after) { }
+    private record WaitingWatch(ChannelHandlerContext context, long after) { }
 
     private final MultiThreadIoEventLoopGroup group =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final EventLoop thread = group.next();
+    private final EventLoop eventLoop = group.next();
     private final HostCatalog catalog;
-    private final Consumer<String> whenNoticed;
+    private final Consumer<String> noticeListener;
     private final Channel listener;
     /** By connection, each with its timer; only the agent's thread touches it. */
-    private final Map<Waiting, Future<?>> waiting = new LinkedHashMap<>();
-    private final Map<Long, VersionTimes> times = new LinkedHashMap<>() {
+    private final Map<WaitingWatch, Future<?>> waitingWatches = new LinkedHashMap<>();
+    private final Map<Long, VersionTimes> timesByVersion = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<Long, VersionTimes> eldest) {
-            return size() > TIMES_MOST;
+            return size() > MAX_TIMES;
         }
     };
-    /** The latest version that a call has named as held; -1 for none. Guarded by {@code times}. */
-    private long held = -1;
+    /** The latest version that a call has named as held; -1 for none. Guarded by {@code timesByVersion}. */
+    private long heldVersion = -1;
     private final AtomicInteger connections = new AtomicInteger();
     private final LongAdder calls = new LongAdder();
     private final LongAdder wholeLists = new LongAdder();
@@ -94,23 +94,23 @@
         this(catalog, notice -> { });
     }
 
-    /** {@code whenNoticed} gets each line of a notice, on the agent's thread. */
+    /** {@code noticeListener} gets each line of a notice, on the agent's thread. */
     public StandInAgent(HostCatalog catalog, Consumer<String> whenNoticed) throws InterruptedException {
         this.catalog = catalog;
-        this.whenNoticed = whenNoticed;
+        this.noticeListener = whenNoticed;
         listener = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, CONNECTIONS_MOST)
+            .option(ChannelOption.SO_BACKLOG, MAX_CONNECTIONS)
             .childOption(ChannelOption.TCP_NODELAY, true)
             .childHandler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel channel) {
-                    if (connections.incrementAndGet() > CONNECTIONS_MOST) {
+                    if (connections.incrementAndGet() > MAX_CONNECTIONS) {
                         channel.close();
                     }
                     channel.closeFuture().addListener(closed -> connections.decrementAndGet());
                     channel.pipeline().addLast(new ByteCounter(bytesIn, bytesOut), new HttpServerCodec(),
-                        new HttpServerKeepAliveHandler(), new HttpObjectAggregator(CALL_MOST),
-                        new ChunkedWriteHandler(), new Calls());
+                        new HttpServerKeepAliveHandler(), new HttpObjectAggregator(MAX_CALL_BYTES),
+                        new ChunkedWriteHandler(), new CallHandler());
                 }
             }).bind(InetAddress.getLoopbackAddress(), 0).sync().channel();
     }
@@ -125,40 +125,40 @@
 
     /** Changes the standing of one host and answers the watches that wait; the list's new version. */
     public long changeHealth(int host, HostCatalog.Health health) {
-        return made(catalog.changeHealth(host, health));
+        return recordPublished(catalog.changeHealth(host, health));
     }
 
     /** Gives one host another address and answers the watches that wait; the list's new version. */
     long changeAddress(int host, String dial) {
-        return made(catalog.changeAddress(host, dial));
+        return recordPublished(catalog.changeAddress(host, dial));
     }
 
-    private long made(long version) {
+    private long recordPublished(long version) {
         long now = System.nanoTime();
-        synchronized (times) {
-            times.put(version, new VersionTimes(now, 0, 0));
+        synchronized (timesByVersion) {
+            timesByVersion.put(version, new VersionTimes(now, 0, 0));
         }
-        thread.execute(this::answerAll);
+        eventLoop.execute(this::answerAllWatches);
         return version;
     }
 
     /** The times of one change; null for one that is not, or no longer, known. */
     VersionTimes timesOf(long version) {
-        synchronized (times) {
-            return times.get(version);
+        synchronized (timesByVersion) {
+            return timesByVersion.get(version);
         }
     }
 
     /** Waits until a call names this version, or a later one, as held; false where none did in time. */
     boolean awaitHeld(long version, Duration atMost) throws InterruptedException {
         long by = System.nanoTime() + atMost.toNanos();
-        synchronized (times) {
-            while (held < version) {
+        synchronized (timesByVersion) {
+            while (heldVersion < version) {
                 long left = by - System.nanoTime();
                 if (left <= 0) {
                     return false;
                 }
-                TimeUnit.NANOSECONDS.timedWait(times, left);
+                TimeUnit.NANOSECONDS.timedWait(timesByVersion, left);
             }
             return true;
         }
@@ -199,14 +199,14 @@
         group.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS).awaitUninterruptibly();
     }
 
-    private void answerAll() {
-        for (Waiting call : List.copyOf(waiting.keySet())) {
+    private void answerAllWatches() {
+        for (WaitingWatch call : List.copyOf(waitingWatches.keySet())) {
             answer(call);
         }
     }
 
-    private void answer(Waiting call) {
-        Future<?> timer = waiting.remove(call);
+    private void answer(WaitingWatch call) {
+        Future<?> timer = waitingWatches.remove(call);
         if (timer != null) {
             timer.cancel(false);
             sendChanges(call.context, call.after);
@@ -217,23 +217,23 @@
         boolean whole = !catalog.hasChangesSince(after);
         send(context, catalog.changesSince(after), whole);
         long now = System.nanoTime();
-        synchronized (times) {
-            for (long version = catalog.version(); version > after && times.containsKey(version); version--) {
-                times.computeIfPresent(version, (v, t) -> t.sentNanos == 0
+        synchronized (timesByVersion) {
+            for (long version = catalog.version(); version > after && timesByVersion.containsKey(version); version--) {
+                timesByVersion.computeIfPresent(version, (v, t) -> t.sentNanos == 0
                     ? new VersionTimes(t.publishedNanos, now, t.heldNanos) : t);
             }
         }
     }
 
-    private void heard(long version) {
+    private void recordHeld(long version) {
         long now = System.nanoTime();
-        synchronized (times) {
-            if (version > held) {
-                for (long v = version; v > held && times.containsKey(v); v--) {
-                    times.computeIfPresent(v, (same, t) -> new VersionTimes(t.publishedNanos, t.sentNanos, now));
+        synchronized (timesByVersion) {
+            if (version > heldVersion) {
+                for (long v = version; v > heldVersion && timesByVersion.containsKey(v); v--) {
+                    timesByVersion.computeIfPresent(v, (same, t) -> new VersionTimes(t.publishedNanos, t.sentNanos, now));
                 }
-                held = version;
-                times.notifyAll();
+                heldVersion = version;
+                timesByVersion.notifyAll();
             }
         }
     }
@@ -246,10 +246,10 @@
         head.headers().set(HttpHeaderNames.CONTENT_LENGTH, list.length);
         context.write(head);
         // In chunks, for the system takes a copy of each: many relays may be sent a long list at once.
-        context.writeAndFlush(new HttpChunkedInput(new ChunkedStream(new ByteArrayInputStream(list), CHUNK)));
+        context.writeAndFlush(new HttpChunkedInput(new ChunkedStream(new ByteArrayInputStream(list), CHUNK_BYTES)));
     }
 
-    private static void status(ChannelHandlerContext context, HttpResponseStatus status) {
+    private static void sendStatus(ChannelHandlerContext context, HttpResponseStatus status) {
         FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
             Unpooled.EMPTY_BUFFER);
         if (!status.equals(HttpResponseStatus.NO_CONTENT)) {
@@ -258,52 +258,52 @@
         context.writeAndFlush(answer);
     }
 
-    private final class Calls extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class CallHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             QueryStringDecoder uri = new QueryStringDecoder(request.uri());
             if (request.method().equals(HttpMethod.GET) && uri.path().equals("/v1/servers")) {
                 calls.increment();
                 try {
-                    list(context, number(uri, "after", -1), number(uri, "wait_ms", 0));
+                    handleListRequest(context, longParameter(uri, "after", -1), longParameter(uri, "wait_ms", 0));
                 } catch (NumberFormatException e) {
-                    status(context, HttpResponseStatus.BAD_REQUEST);
+                    sendStatus(context, HttpResponseStatus.BAD_REQUEST);
                 }
             } else if (request.method().equals(HttpMethod.POST) && uri.path().equals("/reports")) {
                 List<String> lines = request.content().toString(StandardCharsets.UTF_8).lines().toList();
                 notices.add(lines.size());
-                lines.forEach(whenNoticed);
-                status(context, HttpResponseStatus.NO_CONTENT);
+                lines.forEach(noticeListener);
+                sendStatus(context, HttpResponseStatus.NO_CONTENT);
             } else {
-                status(context, HttpResponseStatus.NOT_FOUND);
+                sendStatus(context, HttpResponseStatus.NOT_FOUND);
             }
         }
 
-        private void list(ChannelHandlerContext context, long after, long wait) {
+        private void handleListRequest(ChannelHandlerContext context, long after, long wait) {
             if (after < 0) {
                 send(context, catalog.wholeList(), true);
                 return;
             }
-            heard(after);
+            recordHeld(after);
             if (after != catalog.version() || wait <= 0) {
                 sendChanges(context, after);
                 return;
             }
-            Waiting call = new Waiting(context, after);
-            waiting.put(call, thread.schedule(() -> answer(call), Math.min(wait, WAIT_MOST),
+            WaitingWatch call = new WaitingWatch(context, after);
+            waitingWatches.put(call, eventLoop.schedule(() -> answer(call), Math.min(wait, MAX_WAIT_MS),
                 TimeUnit.MILLISECONDS));
         }
 
-        private static long number(QueryStringDecoder uri, String name, long absent) {
+        private static long longParameter(QueryStringDecoder uri, String name, long absent) {
             List<String> values = uri.parameters().getOrDefault(name, List.of());
             return values.isEmpty() ? absent : Long.parseLong(values.get(0));
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            for (Waiting call : new ArrayList<>(waiting.keySet())) {
+            for (WaitingWatch call : new ArrayList<>(waitingWatches.keySet())) {
                 if (call.context == context) {
-                    waiting.remove(call).cancel(false);
+                    waitingWatches.remove(call).cancel(false);
                 }
             }
         }
--- a/src/main/java/wrenkeel/scale/ThreadTimes.java
+++ b/src/main/java/wrenkeel/scale/ThreadTimes.java
@@ -8,15 +8,15 @@
 
 /** The processor time of some event loops' threads together. */
 final class ThreadTimes {
-    private final ThreadMXBean threads = ManagementFactory.getThreadMXBean();
-    private final List<Long> ids = new ArrayList<>();
+    private final ThreadMXBean threadMxBean = ManagementFactory.getThreadMXBean();
+    private final List<Long> threadIds = new ArrayList<>();
 
     void add(EventLoop loop) {
-        ids.add(loop.submit(() -> Thread.currentThread().getId()).syncUninterruptibly().getNow());
+        threadIds.add(loop.submit(() -> Thread.currentThread().getId()).syncUninterruptibly().getNow());
     }
 
     /** us of processor time so far. */
     long cpuMicros() {
-        return ids.stream().mapToLong(id -> threads.getThreadCpuTime(id) / 1_000).sum();
+        return threadIds.stream().mapToLong(id -> threadMxBean.getThreadCpuTime(id) / 1_000).sum();
     }
 }
--- a/src/main/java/wrenkeel/scale/TimedRelay.java
+++ b/src/main/java/wrenkeel/scale/TimedRelay.java
@@ -14,15 +14,15 @@
 
 /** One hollow relay with a folder and a thread of its own, and when each version came into force there. */
 final class TimedRelay {
-    private final Map<String, String> env;
-    private MultiThreadIoEventLoopGroup thread;
+    private final Map<String, String> environment;
+    private MultiThreadIoEventLoopGroup eventLoops;
     private HollowRelay relay;
-    private volatile long startedAt;
-    private volatile long heldAt;
-    private volatile long held = -1;
-    /** When the versions after {@code base} came into force (epoch us), by their distance from it. */
-    private volatile long[] inForceAt = new long[0];
-    private volatile long base;
+    private volatile long startedAtMicros;
+    private volatile long firstAppliedAtMicros;
+    private volatile long appliedVersion = -1;
+    /** When the versions after {@code baseVersion} came into force (epoch us), by their distance from it. */
+    private volatile long[] appliedAtMicros = new long[0];
+    private volatile long baseVersion;
 
     /** Writes its configuration; {@code port}: its agent's, on loopback. */
     TimedRelay(Path folder, String name, int port) throws IOException {
@@ -31,18 +31,18 @@
         Path config = home.resolve("config.json");
         RelayConfig.write(config, RelaySettings.typical(name),
             new InetSocketAddress(InetAddress.getLoopbackAddress(), port), null);
-        env = Map.of("EDGE_CONFIG", config.toString(), "EDGE_STATE", state.toString());
+        environment = Map.of("EDGE_CONFIG", config.toString(), "EDGE_STATE", state.toString());
     }
 
     /** Holds no list yet; its times begin anew. */
     void start() {
-        thread = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("relay", true),
+        eventLoops = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("relay", true),
             NioIoHandler.newFactory());
-        EventLoop loop = thread.next();
-        held = -1;
-        heldAt = 0;
-        startedAt = EpochClock.micros();
-        relay = new HollowRelay(loop, env, this::inForce);
+        EventLoop loop = eventLoops.next();
+        appliedVersion = -1;
+        firstAppliedAtMicros = 0;
+        startedAtMicros = EpochClock.micros();
+        relay = new HollowRelay(loop, environment, this::onApplied);
         relay.start().addListener(done -> {
             if (!done.isSuccess()) {
                 System.err.println("relay not started: " + done.cause());
@@ -51,29 +51,29 @@
     }
 
     /** On the relay's thread. */
-    private void inForce(long version) {
+    private void onApplied(long version) {
         long now = EpochClock.micros();
-        long[] times = inForceAt;
+        long[] times = appliedAtMicros;
         // A whole list brings all before it into force as well.
-        for (long v = Math.max(held, base) + 1; v <= version && v - base <= times.length; v++) {
-            times[(int) (v - base) - 1] = now;
+        for (long v = Math.max(appliedVersion, baseVersion) + 1; v <= version && v - baseVersion <= times.length; v++) {
+            times[(int) (v - baseVersion) - 1] = now;
         }
-        if (held < 0) {
-            heldAt = now;
+        if (appliedVersion < 0) {
+            firstAppliedAtMicros = now;
         }
-        held = version;
+        appliedVersion = version;
     }
 
     /** Notes from now on when each of so many versions after this one comes into force; it must be held. */
     void recordVersions(long version, int count) {
-        inForceAt = new long[count];
-        base = version;
+        appliedAtMicros = new long[count];
+        baseVersion = version;
     }
 
     void stop() {
         if (relay != null) {
             relay.stop().syncUninterruptibly();
-            Shutdown.begin(thread);
+            Shutdown.begin(eventLoops);
             relay = null;
         }
     }
@@ -84,22 +84,22 @@
 
     /** The version in force; -1 before the first. */
     long appliedVersion() {
-        return held;
+        return appliedVersion;
     }
 
     /** When it was last started, epoch us. */
     long startedAtMicros() {
-        return startedAt;
+        return startedAtMicros;
     }
 
     /** When its first list since then was in force, epoch us; 0 before that. */
     long firstAppliedAtMicros() {
-        return heldAt;
+        return firstAppliedAtMicros;
     }
 
     /** When a version came into force, epoch us; 0 if it has not, or was not to be noted. */
     long appliedAtMicros(long version) {
-        long index = version - base - 1;
-        return index < 0 || index >= inForceAt.length ? 0 : inForceAt[(int) index];
+        long index = version - baseVersion - 1;
+        return index < 0 || index >= appliedAtMicros.length ? 0 : appliedAtMicros[(int) index];
     }
 }
--- a/src/main/java/wrenkeel/scale/UpstreamWatch.java
+++ b/src/main/java/wrenkeel/scale/UpstreamWatch.java
@@ -33,58 +33,58 @@
  */
 final class UpstreamWatch implements AutoCloseable {
     /** ms; gap before a call is made again, and silence beyond the wait that ends a connection. */
-    private static final long AGAIN = 100, SLACK = 2_000;
-    private static final Pattern SEQ = Pattern.compile("^\\{\"seq\":(\\d+),");
-    private static final int HEAD_MOST = 32;
+    private static final long RETRY_DELAY_MS = 100, READ_TIMEOUT_MARGIN_MS = 2_000;
+    private static final Pattern VERSION_PATTERN = Pattern.compile("^\\{\"seq\":(\\d+),");
+    private static final int MAX_PREFIX_BYTES = 32;
 
     private final EventLoop loop;
-    private final InetSocketAddress above;
-    private final long wait;
-    private final LongConsumer whenArrived;
+    private final InetSocketAddress upstream;
+    private final long waitMs;
+    private final LongConsumer versionListener;
     private final Bootstrap bootstrap;
     private long version;
     private Channel channel;
     private boolean closed;
 
-    /** Goes on from {@code version}, -1 for nothing; {@code wait}: ms that each call may wait. */
+    /** Goes on from {@code version}, -1 for nothing; {@code waitMs}: ms that each call may wait. */
     UpstreamWatch(EventLoop loop, InetSocketAddress above, long wait, long version,
                   LongConsumer whenArrived) {
         this.loop = loop;
-        this.above = above;
-        this.wait = wait;
+        this.upstream = above;
+        this.waitMs = wait;
         this.version = version;
-        this.whenArrived = whenArrived;
+        this.versionListener = whenArrived;
         this.bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true)
             .handler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel fresh) {
-                    fresh.pipeline().addLast(new ReadTimeoutHandler(wait + SLACK, TimeUnit.MILLISECONDS),
-                        new HttpClientCodec(), new Reader());
+                    fresh.pipeline().addLast(new ReadTimeoutHandler(wait + READ_TIMEOUT_MARGIN_MS, TimeUnit.MILLISECONDS),
+                        new HttpClientCodec(), new ResponseReader());
                 }
             });
     }
 
     void connect() {
-        bootstrap.connect(above).addListener(done -> {
+        bootstrap.connect(upstream).addListener(done -> {
             if (!done.isSuccess()) {
-                beginAgain();
+                connectLater();
             }
         });
     }
 
-    private void beginAgain() {
+    private void connectLater() {
         if (!closed) {
-            loop.schedule(this::connect, AGAIN, TimeUnit.MILLISECONDS);
+            loop.schedule(this::connect, RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void ask() {
-        String query = version < 0 ? "" : "?after=" + version + "&wait_ms=" + wait;
+    private void sendRequest() {
+        String query = version < 0 ? "" : "?after=" + version + "&wait_ms=" + waitMs;
         DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
             "/v1/servers" + query, Unpooled.EMPTY_BUFFER);
         request.headers().set(HttpHeaderNames.HOST,
-            above.getAddress().getHostAddress() + ":" + above.getPort());
+            upstream.getAddress().getHostAddress() + ":" + upstream.getPort());
         channel.writeAndFlush(request);
     }
 
@@ -96,9 +96,9 @@
         }
     }
 
-    private final class Reader extends SimpleChannelInboundHandler<HttpObject> {
+    private final class ResponseReader extends SimpleChannelInboundHandler<HttpObject> {
         /** How the body begins. */
-        private final StringBuilder head = new StringBuilder();
+        private final StringBuilder bodyPrefix = new StringBuilder();
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
@@ -106,7 +106,7 @@
             if (closed) {
                 channel.close();
             } else {
-                ask();
+                sendRequest();
             }
         }
 
@@ -116,27 +116,27 @@
                 context.close();
                 return;
             }
-            if (part instanceof HttpContent content && head.length() < HEAD_MOST) {
+            if (part instanceof HttpContent content && bodyPrefix.length() < MAX_PREFIX_BYTES) {
                 ByteBuf bytes = content.content();
-                int length = Math.min(HEAD_MOST - head.length(), bytes.readableBytes());
-                head.append(bytes.toString(bytes.readerIndex(), length, StandardCharsets.US_ASCII));
+                int length = Math.min(MAX_PREFIX_BYTES - bodyPrefix.length(), bytes.readableBytes());
+                bodyPrefix.append(bytes.toString(bytes.readerIndex(), length, StandardCharsets.US_ASCII));
             }
             if (part instanceof LastHttpContent) {
-                Matcher seq = SEQ.matcher(head.toString());
-                head.setLength(0);
+                Matcher seq = VERSION_PATTERN.matcher(bodyPrefix.toString());
+                bodyPrefix.setLength(0);
                 if (!seq.find()) {
                     context.close();
                     return;
                 }
                 version = Long.parseLong(seq.group(1));
-                whenArrived.accept(version);
-                ask();
+                versionListener.accept(version);
+                sendRequest();
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            beginAgain();
+            connectLater();
         }
 
         @Override
