--- a/src/main/java/wrenkeel/scale/ByteCounter.java
+++ b/src/main/java/wrenkeel/scale/ByteCounter.java
@@ -13,9 +13,9 @@
     private final LongAdder bytesIn;
     private final LongAdder bytesOut;
 
-    ByteCounter(LongAdder in, LongAdder out) {
-        this.bytesIn = in;
-        this.bytesOut = out;
+    ByteCounter(LongAdder bytesIn, LongAdder bytesOut) {
+        this.bytesIn = bytesIn;
+        this.bytesOut = bytesOut;
     }
 
     @Override
--- a/src/main/java/wrenkeel/scale/ChangeExperiment.java
+++ b/src/main/java/wrenkeel/scale/ChangeExperiment.java
@@ -52,30 +52,30 @@
         return values;
     }
 
-    private static void measure(Fleet fleet, int size, String prefix, int changes, double gap,
+    private static void measure(Fleet fleet, int size, String prefix, int changes, double gapMs,
                                 Map<String, Double> values) throws IOException, InterruptedException {
         fleet.relays().recordVersions(fleet.latestVersion(), changes);
-        Fleet.ResourceUsage before = fleet.usage();
-        List<Long> publishedAt = fleet.publishChanges(changes, gap);
+        Fleet.ResourceUsage usageBefore = fleet.usage();
+        List<Long> publishedAt = fleet.publishChanges(changes, gapMs);
         fleet.awaitAllRelays();
-        Fleet.ResourceUsage spent = fleet.usage().minus(before);
-        ListOnlyFleet.PropagationTimes inForce = fleet.relays().propagationTimes(publishedAt);
-        Histogram spans = inForce.delays();
-        long owed = (long) size * changes;
-        if (spans.getTotalCount() != owed) {
-            throw new IllegalStateException(spans.getTotalCount() + " times noted of " + owed);
+        Fleet.ResourceUsage usage = fleet.usage().minus(usageBefore);
+        ListOnlyFleet.PropagationTimes propagation = fleet.relays().propagationTimes(publishedAt);
+        Histogram delays = propagation.delays();
+        long expectedCount = (long) size * changes;
+        if (delays.getTotalCount() != expectedCount) {
+            throw new IllegalStateException(delays.getTotalCount() + " times noted of " + expectedCount);
         }
-        values.put(prefix + "p50_ms", spans.getValueAtPercentile(50) / 1e3);
-        values.put(prefix + "p99_ms", spans.getValueAtPercentile(99) / 1e3);
+        values.put(prefix + "p50_ms", delays.getValueAtPercentile(50) / 1e3);
+        values.put(prefix + "p99_ms", delays.getValueAtPercentile(99) / 1e3);
         values.put(prefix + "last_relay_mean_ms",
-            inForce.lastRelayDelays().stream().mapToLong(us -> us).average().orElseThrow() / 1e3);
+            propagation.lastRelayDelays().stream().mapToLong(us -> us).average().orElseThrow() / 1e3);
         values.put(prefix + "last_relay_most_ms",
-            inForce.lastRelayDelays().stream().mapToLong(us -> us).max().orElseThrow() / 1e3);
+            propagation.lastRelayDelays().stream().mapToLong(us -> us).max().orElseThrow() / 1e3);
         // With the watches that end by themselves meanwhile.
-        values.put(prefix + "source_bytes_a_change", (double) spent.source().totalBytes() / changes);
-        values.put(prefix + "machine_bytes_a_change", (double) spent.machine().totalBytes() / changes);
-        values.put(prefix + "agent_bytes_a_change", (double) spent.agent().totalBytes() / changes);
-        values.put(prefix + "agent_calls_a_change", (double) spent.agent().calls() / changes);
-        spent.putCpuPercent(prefix, values);
+        values.put(prefix + "source_bytes_a_change", (double) usage.source().totalBytes() / changes);
+        values.put(prefix + "machine_bytes_a_change", (double) usage.machine().totalBytes() / changes);
+        values.put(prefix + "agent_bytes_a_change", (double) usage.agent().totalBytes() / changes);
+        values.put(prefix + "agent_calls_a_change", (double) usage.agent().calls() / changes);
+        usage.putCpuPercent(prefix, values);
     }
 }
--- a/src/main/java/wrenkeel/scale/ChangeLog.java
+++ b/src/main/java/wrenkeel/scale/ChangeLog.java
@@ -26,26 +26,26 @@
     private byte[] cachedAnswer;
 
     /** {@code most}: changes kept. From now on only this log changes the catalog. */
-    ChangeLog(HostCatalog catalog, int most) {
+    ChangeLog(HostCatalog catalog, int capacity) {
         this.catalog = catalog;
-        this.encodedChanges = new byte[most][];
+        this.encodedChanges = new byte[capacity][];
         this.firstVersion = catalog.version();
         wholeLists.put(firstVersion, catalog.wholeList());
     }
 
     /** Gives one host another standing, and returns the list's version. */
     synchronized long publish(int host, HostCatalog.Health health) {
-        long before = catalog.version();
+        long versionBefore = catalog.version();
         long version = catalog.changeHealth(host, health);
-        encodedChanges[slot(version)] = extractEntry(catalog.changesSince(before));
+        encodedChanges[slot(version)] = extractEntry(catalog.changesSince(versionBefore));
         return version;
     }
 
     /** The one entry of an answer. */
     private static byte[] extractEntry(byte[] answer) {
-        int from = new String(answer, StandardCharsets.US_ASCII)
+        int start = new String(answer, StandardCharsets.US_ASCII)
             .indexOf(new String(HOSTS_FIELD, StandardCharsets.US_ASCII)) + HOSTS_FIELD.length;
-        return Arrays.copyOfRange(answer, from, answer.length - LIST_END.length);
+        return Arrays.copyOfRange(answer, start, answer.length - LIST_END.length);
     }
 
     private int slot(long version) {
@@ -95,7 +95,7 @@
                 wholeLists.pollFirstEntry();
             }
         }
-        Map.Entry<Long, byte[]> newest = wholeLists.floorEntry(upTo);
-        return newest == null ? null : newest.getValue();
+        Map.Entry<Long, byte[]> newestWholeList = wholeLists.floorEntry(upTo);
+        return newestWholeList == null ? null : newestWholeList.getValue();
     }
 }
--- a/src/main/java/wrenkeel/scale/ControlMachines.java
+++ b/src/main/java/wrenkeel/scale/ControlMachines.java
@@ -32,16 +32,16 @@
     private final List<ListNode> zoneMachines = new ArrayList<>();
 
     /** {@code waitMs}: ms that each watch between machines waits. */
-    ControlMachines(ChangeLog log, long wait) throws IOException {
-        this.changeLog = log;
-        this.waitMs = wait;
+    ControlMachines(ChangeLog changeLog, long waitMs) throws IOException {
+        this.changeLog = changeLog;
+        this.waitMs = waitMs;
         source = newMachine(sourceHop);
-        source.advanceTo(log.latestVersion());
+        source.advanceTo(changeLog.latestVersion());
         secondRegionHead = newMachine(sourceHop);
-        secondRegionHead.watch(source.address(), wait);
+        secondRegionHead.watch(source.address(), waitMs);
         for (int zone = 0; zone < ZONE_COUNT; zone++) {
             ListNode machine = newMachine(machineHop);
-            machine.watch(upstreamOf(zone), wait);
+            machine.watch(upstreamOf(zone), waitMs);
             zoneMachines.add(machine);
         }
     }
--- a/src/main/java/wrenkeel/scale/Fleet.java
+++ b/src/main/java/wrenkeel/scale/Fleet.java
@@ -18,10 +18,10 @@
     /** What has been spent up to one moment: by hop and by role; times in us. */
     record ResourceUsage(long atMicros, HopCounters.Counts source, HopCounters.Counts machine, HopCounters.Counts agent,
                  long machinesCpuMicros, long agentsCpuMicros, long relaysCpuMicros) {
-        ResourceUsage minus(ResourceUsage before) {
-            return new ResourceUsage(atMicros - before.atMicros, source.minus(before.source), machine.minus(before.machine),
-                agent.minus(before.agent), machinesCpuMicros - before.machinesCpuMicros, agentsCpuMicros - before.agentsCpuMicros,
-                relaysCpuMicros - before.relaysCpuMicros);
+        ResourceUsage minus(ResourceUsage earlier) {
+            return new ResourceUsage(atMicros - earlier.atMicros, source.minus(earlier.source), machine.minus(earlier.machine),
+                agent.minus(earlier.agent), machinesCpuMicros - earlier.machinesCpuMicros, agentsCpuMicros - earlier.agentsCpuMicros,
+                relaysCpuMicros - earlier.relaysCpuMicros);
         }
 
         /** Calls and bytes a second on each hop, and processor time as percent of a core. */
@@ -55,12 +55,12 @@
     private int currentHost;
 
     /** The relays are not started yet; {@code zones} gives the zone of each. */
-    Fleet(int size, long seed, FleetOptions options, IntUnaryOperator zones) throws IOException {
+    Fleet(int size, long seed, FleetOptions options, IntUnaryOperator zoneOfRelay) throws IOException {
         random = new Random(seed);
         catalog = new HostCatalog(options.hosts, seed);
         changeLog = new ChangeLog(catalog, options.changeLogSize);
         machines = new ControlMachines(changeLog, options.waitMs);
-        agents = new FleetAgents(changeLog, machines, size, options.waitMs, zones);
+        agents = new FleetAgents(changeLog, machines, size, options.waitMs, zoneOfRelay);
         relays = new ListOnlyFleet(agents, options.relaysPerProcess, options.heapMb);
     }
 
@@ -79,19 +79,19 @@
 
     /** Waits until all relays hold the latest version. */
     void awaitAllRelays() throws IOException {
-        long held = relays.awaitVersion(changeLog.latestVersion(), TIMEOUT_SECONDS);
-        if (held < agents.size()) {
-            throw new IOException(held + " of " + agents.size() + " relays hold version " + changeLog.latestVersion()
+        long relaysHolding = relays.awaitVersion(changeLog.latestVersion(), TIMEOUT_SECONDS);
+        if (relaysHolding < agents.size()) {
+            throw new IOException(relaysHolding + " of " + agents.size() + " relays hold version " + changeLog.latestVersion()
                 + " after " + TIMEOUT_SECONDS + " s");
         }
     }
 
     /** Waits until the latest version is held. */
-    private void awaitVersion(String fault, LongSupplier version) throws IOException, InterruptedException {
-        long by = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
+    private void awaitVersion(String faultMessage, LongSupplier version) throws IOException, InterruptedException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (version.getAsLong() < changeLog.latestVersion()) {
-            if (System.nanoTime() > by) {
-                throw new IOException(fault);
+            if (System.nanoTime() > deadlineNanos) {
+                throw new IOException(faultMessage);
             }
             Thread.sleep(POLL_INTERVAL_MS);
         }
@@ -101,19 +101,19 @@
     long publishChange() {
         currentHost = hostIsDraining ? currentHost : random.nextInt(catalog.hostCount());
         hostIsDraining = !hostIsDraining;
-        long at = EpochClock.micros();
+        long atMicros = EpochClock.micros();
         machines.advanceSource(changeLog.publish(currentHost,
             hostIsDraining ? HostCatalog.Health.DRAINING : HostCatalog.Health.READY));
-        return at;
+        return atMicros;
     }
 
     /** Publishes so many changes with random gaps of this mean (exponential, ms); when each was published. */
-    List<Long> publishChanges(int count, double meanGap) throws InterruptedException {
+    List<Long> publishChanges(int count, double meanGapMs) throws InterruptedException {
         List<Long> publishedAt = new ArrayList<>();
-        double due = EpochClock.micros();
+        double dueMicros = EpochClock.micros();
         for (int i = 0; i < count; i++) {
-            due += -Math.log(1 - random.nextDouble()) * meanGap * 1_000;
-            TimeUnit.MICROSECONDS.sleep((long) Math.max(0, due - EpochClock.micros()));
+            dueMicros += -Math.log(1 - random.nextDouble()) * meanGapMs * 1_000;
+            TimeUnit.MICROSECONDS.sleep((long) Math.max(0, dueMicros - EpochClock.micros()));
             publishedAt.add(publishChange());
         }
         return publishedAt;
--- a/src/main/java/wrenkeel/scale/FleetAgents.java
+++ b/src/main/java/wrenkeel/scale/FleetAgents.java
@@ -24,18 +24,18 @@
     private final List<ListNode> agents = new ArrayList<>();
 
     /** {@code waitMs}: ms that each agent's watch waits; {@code zoneOfAgent}: the zone of each agent. */
-    FleetAgents(ChangeLog log, ControlMachines machines, int count, long wait, IntUnaryOperator zones)
+    FleetAgents(ChangeLog log, ControlMachines machines, int count, long waitMs, IntUnaryOperator zoneOfAgent)
         throws IOException {
         this.machines = machines;
-        this.waitMs = wait;
-        this.zoneOfAgent = zones;
+        this.waitMs = waitMs;
+        this.zoneOfAgent = zoneOfAgent;
         for (int i = 0; i < THREADS; i++) {
             threadTimes.add(eventLoops.next());
         }
         for (int i = 0; i < count; i++) {
             EventLoop loop = eventLoops.next();
             ListNode agent = new ListNode(loop, log, hopCounters);
-            agent.watch(machines.zoneAddress(zones.applyAsInt(i)), wait);
+            agent.watch(machines.zoneAddress(zoneOfAgent.applyAsInt(i)), waitMs);
             agents.add(agent);
         }
     }
--- a/src/main/java/wrenkeel/scale/FleetPlays.java
+++ b/src/main/java/wrenkeel/scale/FleetPlays.java
@@ -14,7 +14,7 @@
     private FleetPlays() { }
 
     /** {@code sizes} and {@code target}, in relays, where the options name none. */
-    static int run(String experiment, CommonOptions options, List<Long> sizes, long target, Play play)
+    static int run(String experiment, CommonOptions options, List<Long> sizes, long targetRelays, Play play)
         throws Exception {
         return TimeLimit.within(options.mostSeconds(), () -> {
             try (Report report = new Report(experiment, options)) {
@@ -25,7 +25,7 @@
                             play.play(Math.toIntExact(size), options.seed(i))));
                     }
                 }
-                report.finish(options.target(target));
+                report.finish(options.target(targetRelays));
             }
             return 0;
         });
--- a/src/main/java/wrenkeel/scale/HostCatalog.java
+++ b/src/main/java/wrenkeel/scale/HostCatalog.java
@@ -59,16 +59,16 @@
     private byte[] encodedList;
 
     /** Hosts with addresses that nobody answers; they are for relays that make no calls. */
-    HostCatalog(int hosts, long seed) {
-        this(hosts, seed, HostCatalog::unansweredAddress);
+    HostCatalog(int hostCount, long seed) {
+        this(hostCount, seed, HostCatalog::unansweredAddress);
     }
 
     /**
      * @param dials the address and port of each host
      */
-    public HostCatalog(int hosts, long seed, IntFunction<String> dials) {
-        this.hostCount = hosts;
-        this.initialAddresses = dials;
+    public HostCatalog(int hostCount, long seed, IntFunction<String> initialAddresses) {
+        this.hostCount = hostCount;
+        this.initialAddresses = initialAddresses;
         salt = new Random(seed).nextInt();
     }
 
@@ -105,30 +105,30 @@
 
     /** Changes the standing of one host; the list's new version. */
     public synchronized long changeHealth(int host, Health health) {
-        HostState before = stateOf(host);
+        HostState previous = stateOf(host);
         // One that comes back has started anew.
-        long born = before.health == Health.GONE && health != Health.GONE ? System.currentTimeMillis()
-            : before.bornMillis;
-        return recordChange(host, new HostState(health, before.address, born));
+        long bornMillis = previous.health == Health.GONE && health != Health.GONE ? System.currentTimeMillis()
+            : previous.bornMillis;
+        return recordChange(host, new HostState(health, previous.address, bornMillis));
     }
 
     /** Gives one host another address; the list's new version. */
-    synchronized long changeAddress(int host, String dial) {
-        HostState before = stateOf(host);
-        return recordChange(host, new HostState(before.health, dial, before.bornMillis));
+    synchronized long changeAddress(int host, String address) {
+        HostState previous = stateOf(host);
+        return recordChange(host, new HostState(previous.health, address, previous.bornMillis));
     }
 
     private HostState stateOf(int host) {
         if (host < 0 || host >= hostCount) {
             throw new IndexOutOfBoundsException("host " + host + " of " + hostCount);
         }
-        HostState now = changedHosts.get(host);
-        return now == null ? new HostState(Health.READY, initialAddresses.apply(host), 0) : now;
+        HostState state = changedHosts.get(host);
+        return state == null ? new HostState(Health.READY, initialAddresses.apply(host), 0) : state;
     }
 
-    private long recordChange(int host, HostState next) {
-        goneCount += (next.health == Health.GONE ? 1 : 0) - (stateOf(host).health == Health.GONE ? 1 : 0);
-        changedHosts.put(host, next);
+    private long recordChange(int host, HostState newState) {
+        goneCount += (newState.health == Health.GONE ? 1 : 0) - (stateOf(host).health == Health.GONE ? 1 : 0);
+        changedHosts.put(host, newState);
         encodedList = null;
         changes.add(new Change(++version, host));
         if (changes.size() > MAX_CHANGES) {
@@ -150,13 +150,13 @@
         if (!hasChangesSince(after)) {
             return wholeList();
         }
-        Set<Integer> named = new LinkedHashSet<>();
+        Set<Integer> hostNumbers = new LinkedHashSet<>();
         for (Change change : changes) {
             if (change.version > after) {
-                named.add(change.host);
+                hostNumbers.add(change.host);
             }
         }
-        return encode(false, named);
+        return encode(false, hostNumbers);
     }
 
     /** True where the answer to a watch after this version is made of changes. */
@@ -164,43 +164,43 @@
         return after <= version && after >= version - changes.size();
     }
 
-    private byte[] encode(boolean all, Set<Integer> named) {
-        ByteArrayOutputStream text = new ByteArrayOutputStream(all ? 64 + hostCount * 132 : 256);
-        try (JsonGenerator out = JSON.createGenerator(text)) {
-            out.writeStartObject();
-            out.writeNumberField("seq", version);
-            out.writeBooleanField("whole", all);
-            out.writeArrayFieldStart("hosts");
-            if (all) {
+    private byte[] encode(boolean whole, Set<Integer> hostNumbers) {
+        ByteArrayOutputStream buffer = new ByteArrayOutputStream(whole ? 64 + hostCount * 132 : 256);
+        try (JsonGenerator json = JSON.createGenerator(buffer)) {
+            json.writeStartObject();
+            json.writeNumberField("seq", version);
+            json.writeBooleanField("whole", whole);
+            json.writeArrayFieldStart("hosts");
+            if (whole) {
                 for (int host = 0; host < hostCount; host++) {
                     if (stateOf(host).health != Health.GONE) {
-                        writeHost(out, host);
+                        writeHost(json, host);
                     }
                 }
             } else {
-                for (int host : named) {
-                    writeHost(out, host);
+                for (int host : hostNumbers) {
+                    writeHost(json, host);
                 }
             }
-            out.writeEndArray();
-            out.writeEndObject();
+            json.writeEndArray();
+            json.writeEndObject();
         } catch (IOException e) {
             throw new IllegalStateException("an array of bytes cannot fail to be written", e);
         }
-        return text.toByteArray();
-    }
-
-    private void writeHost(JsonGenerator out, int host) throws IOException {
-        HostState now = stateOf(host);
-        out.writeStartObject();
-        out.writeStringField("host", hostName(host));
-        out.writeStringField("dial", now.address);
-        out.writeStringField("site", ZONES.get(host % ZONES.size()));
-        out.writeStringField("class", KINDS.get(host % KINDS.size()));
-        out.writeNumberField("block", destinationOf(host));
-        out.writeStringField("health", now.health.wireName());
-        out.writeNumberField("share", 1.0);
-        out.writeNumberField("born_ms", now.bornMillis);
-        out.writeEndObject();
+        return buffer.toByteArray();
+    }
+
+    private void writeHost(JsonGenerator json, int host) throws IOException {
+        HostState state = stateOf(host);
+        json.writeStartObject();
+        json.writeStringField("host", hostName(host));
+        json.writeStringField("dial", state.address);
+        json.writeStringField("site", ZONES.get(host % ZONES.size()));
+        json.writeStringField("class", KINDS.get(host % KINDS.size()));
+        json.writeNumberField("block", destinationOf(host));
+        json.writeStringField("health", state.health.wireName());
+        json.writeNumberField("share", 1.0);
+        json.writeNumberField("born_ms", state.bornMillis);
+        json.writeEndObject();
     }
 }
--- a/src/main/java/wrenkeel/scale/ListExperiment.java
+++ b/src/main/java/wrenkeel/scale/ListExperiment.java
@@ -64,12 +64,12 @@
              RelayProcess relay = new RelayProcess(options.root(), RelaySettings.typical("n1"),
                  agent.address(), known ? list : null)) {
             if (measureStart(relay, agent, values)) {
-                double idle = measureIdle(relay, agent, values);
+                double idleMicrosPerSecond = measureIdle(relay, agent, values);
                 Random random = new Random(seed);
-                measureChanges("first_change", CHANGES, CHANGE_GAP_MS, relay, agent, random, idle, values);
-                measureChanges("rapid_change", RAPID_CHANGES, 0, relay, agent, random, idle, values);
+                measureChanges("first_change", CHANGES, CHANGE_GAP_MS, relay, agent, random, idleMicrosPerSecond, values);
+                measureChanges("rapid_change", RAPID_CHANGES, 0, relay, agent, random, idleMicrosPerSecond, values);
                 // Here its code is compiled as after an hour or two of the target's 3,100 changes a day.
-                measureChanges("change", CHANGES, CHANGE_GAP_MS, relay, agent, random, idle, values);
+                measureChanges("change", CHANGES, CHANGE_GAP_MS, relay, agent, random, idleMicrosPerSecond, values);
                 values.put("peak_rss_mb", relay.peakRssBytes() / BYTES_PER_MB);
                 measureRestart(relay, agent, values);
             }
@@ -80,12 +80,12 @@
     /** From the command until the console tells of all hosts; false where that takes too long. */
     private boolean measureStart(RelayProcess relay, StandInAgent agent, Map<String, Double> values)
         throws IOException, InterruptedException {
-        long begun = System.nanoTime();
+        long startedNanos = System.nanoTime();
         relay.start();
-        boolean held = relay.awaitMemberCount(agent.catalog().listedCount(), LIST_TIMEOUT, POLL_INTERVAL);
-        double seconds = (System.nanoTime() - begun) / 1e9;
-        values.put("held", held ? 1.0 : 0.0);
-        if (held) {
+        boolean listHeld = relay.awaitMemberCount(agent.catalog().listedCount(), LIST_TIMEOUT, POLL_INTERVAL);
+        double seconds = (System.nanoTime() - startedNanos) / 1e9;
+        values.put("held", listHeld ? 1.0 : 0.0);
+        if (listHeld) {
             values.put("list_held_ms", seconds * 1e3);
             values.put("start_cpu_ms", relay.cpuMicros() / 1e3);
             values.put("start_whole_lists", (double) agent.wholeLists());
@@ -100,23 +100,23 @@
                 values.put("unheld_peak_rss_mb", relay.peakRssBytes() / BYTES_PER_MB);
             }
         }
-        return held;
+        return listHeld;
     }
 
     /** Nothing happens; the processor time, us a second. */
     private static double measureIdle(RelayProcess relay, StandInAgent agent, Map<String, Double> values)
         throws IOException, InterruptedException {
         TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
-        long begun = System.nanoTime();
-        long cpu = relay.cpuMicros();
-        long bytes = agent.bytesIn() + agent.bytesOut();
+        long startedNanos = System.nanoTime();
+        long cpuBefore = relay.cpuMicros();
+        long bytesBefore = agent.bytesIn() + agent.bytesOut();
         TimeUnit.MILLISECONDS.sleep(IDLE_MS);
-        double seconds = (System.nanoTime() - begun) / 1e9;
-        double idle = (relay.cpuMicros() - cpu) / seconds;
-        values.put("idle_cpu_percent", idle / 1e4);
-        values.put("idle_bytes_per_s", (agent.bytesIn() + agent.bytesOut() - bytes) / seconds);
+        double seconds = (System.nanoTime() - startedNanos) / 1e9;
+        double idleMicrosPerSecond = (relay.cpuMicros() - cpuBefore) / seconds;
+        values.put("idle_cpu_percent", idleMicrosPerSecond / 1e4);
+        values.put("idle_bytes_per_s", (agent.bytesIn() + agent.bytesOut() - bytesBefore) / seconds);
         values.put("rss_mb", relay.rssBytes() / BYTES_PER_MB);
-        return idle;
+        return idleMicrosPerSecond;
     }
 
     /**
@@ -126,12 +126,12 @@
      * @param gap ms besides, from one to the next
      * @param idle processor time, us a second
      */
-    private static void measureChanges(String name, int count, long gap, RelayProcess relay, StandInAgent agent,
-                                Random random, double idle, Map<String, Double> values)
+    private static void measureChanges(String name, int count, long gapMs, RelayProcess relay, StandInAgent agent,
+                                Random random, double idleMicrosPerSecond, Map<String, Double> values)
         throws IOException, InterruptedException {
-        long begun = System.nanoTime();
-        long cpu = relay.cpuMicros();
-        long bytes = agent.bytesIn() + agent.bytesOut();
+        long startedNanos = System.nanoTime();
+        long cpuBefore = relay.cpuMicros();
+        long bytesBefore = agent.bytesIn() + agent.bytesOut();
         int host = 0;
         for (int i = 0; i < count; i++) {
             if (i % 4 == 0) {
@@ -146,11 +146,11 @@
             if (!agent.awaitHeld(version, CHANGE_TIMEOUT)) {
                 return;
             }
-            TimeUnit.MILLISECONDS.sleep(gap);
+            TimeUnit.MILLISECONDS.sleep(gapMs);
         }
-        double seconds = (System.nanoTime() - begun) / 1e9;
-        values.put(name + "_cpu_ms", (relay.cpuMicros() - cpu - idle * seconds) / 1e3 / count);
-        values.put(name + "_bytes", (agent.bytesIn() + agent.bytesOut() - bytes) / (double) count);
+        double seconds = (System.nanoTime() - startedNanos) / 1e9;
+        values.put(name + "_cpu_ms", (relay.cpuMicros() - cpuBefore - idleMicrosPerSecond * seconds) / 1e3 / count);
+        values.put(name + "_bytes", (agent.bytesIn() + agent.bytesOut() - bytesBefore) / (double) count);
     }
 
     /** SIGKILL, and a start with the folder that lasts. */
@@ -159,14 +159,14 @@
         // Encoded before, so that no relay waits for it.
         agent.catalog().wholeList();
         relay.kill();
-        long lists = agent.wholeLists();
-        long bytes = agent.bytesOut();
-        long begun = System.nanoTime();
+        long wholeListsBefore = agent.wholeLists();
+        long bytesBefore = agent.bytesOut();
+        long startedNanos = System.nanoTime();
         relay.start();
         if (relay.awaitMemberCount(agent.catalog().listedCount(), LIST_TIMEOUT, POLL_INTERVAL)) {
-            values.put("restart_held_ms", (System.nanoTime() - begun) / 1e6);
+            values.put("restart_held_ms", (System.nanoTime() - startedNanos) / 1e6);
         }
-        values.put("restart_whole_lists", (double) agent.wholeLists() - lists);
-        values.put("restart_mb", (agent.bytesOut() - bytes) / BYTES_PER_MB);
+        values.put("restart_whole_lists", (double) agent.wholeLists() - wholeListsBefore);
+        values.put("restart_mb", (agent.bytesOut() - bytesBefore) / BYTES_PER_MB);
     }
 }
--- a/src/main/java/wrenkeel/scale/ListNode.java
+++ b/src/main/java/wrenkeel/scale/ListNode.java
@@ -50,10 +50,10 @@
     private volatile long version = -1;
 
     /** Opens its door on any free port of loopback; {@code hopCounters} counts what goes over it. */
-    ListNode(EventLoop loop, ChangeLog log, HopCounters below) throws IOException {
+    ListNode(EventLoop loop, ChangeLog changeLog, HopCounters hopCounters) throws IOException {
         this.loop = loop;
-        this.changeLog = log;
-        this.hopCounters = below;
+        this.changeLog = changeLog;
+        this.hopCounters = hopCounters;
         this.clientChannels = new DefaultChannelGroup(loop);
         this.listener = new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
             .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
@@ -62,8 +62,8 @@
                 @Override
                 protected void initChannel(Channel channel) {
                     clientChannels.add(channel);
-                    below.countConnection();
-                    channel.pipeline().addLast(below.byteCounter(), new HttpServerCodec(),
+                    hopCounters.countConnection();
+                    channel.pipeline().addLast(hopCounters.byteCounter(), new HttpServerCodec(),
                         new HttpObjectAggregator(MAX_REQUEST_BYTES), new ClientConnection());
                 }
             }).bind(InetAddress.getLoopbackAddress(), 0).syncUninterruptibly().channel();
@@ -79,34 +79,34 @@
     }
 
     /** Watches the place above from now on, with calls that wait for so many milliseconds. */
-    void watch(InetSocketAddress above, long wait) {
+    void watch(InetSocketAddress upstreamAddress, long waitMs) {
         loop.execute(() -> {
-            upstream = new UpstreamWatch(loop, above, wait, version, this::versionReceived);
+            upstream = new UpstreamWatch(loop, upstreamAddress, waitMs, version, this::versionReceived);
             upstream.connect();
         });
     }
 
     /** It holds the list up to this version now: at the source as published, elsewhere as sent. */
-    void advanceTo(long next) {
+    void advanceTo(long newVersion) {
         if (loop.inEventLoop()) {
-            versionReceived(next);
+            versionReceived(newVersion);
         } else {
-            loop.execute(() -> versionReceived(next));
+            loop.execute(() -> versionReceived(newVersion));
         }
     }
 
-    private void versionReceived(long next) {
-        version = Math.max(version, next);
+    private void versionReceived(long newVersion) {
+        version = Math.max(version, newVersion);
         List.copyOf(waitingClients).forEach(ClientConnection::answerIfNewer);
     }
 
     /** Its machine is lost and back: connections are closed; it holds nothing until it is sent the list. */
-    Future<?> restart(InetSocketAddress above, long wait) {
+    Future<?> restart(InetSocketAddress upstreamAddress, long waitMs) {
         return loop.submit(() -> {
             upstream.close();
             List.copyOf(clientChannels).forEach(Channel::close);
             version = -1;
-            watch(above, wait);
+            watch(upstreamAddress, waitMs);
         });
     }
 
@@ -129,8 +129,8 @@
         private Future<?> timer;
 
         @Override
-        protected void channelRead0(ChannelHandlerContext from, FullHttpRequest request) {
-            context = from;
+        protected void channelRead0(ChannelHandlerContext channelContext, FullHttpRequest request) {
+            context = channelContext;
             hopCounters.countCall();
             QueryStringDecoder uri = new QueryStringDecoder(request.uri());
             if (uri.path().equals("/reports")) {
@@ -142,35 +142,35 @@
                 waitingClients.add(this);
                 answerIfNewer();
                 if (afterVersion >= 0 && waitingClients.contains(this)) {
-                    long wait = Math.min(MAX_WAIT_MS, longParameter(uri.parameters(), "wait_ms", 0));
-                    timer = loop.schedule(this::answerUnchanged, wait, TimeUnit.MILLISECONDS);
+                    long waitMs = Math.min(MAX_WAIT_MS, longParameter(uri.parameters(), "wait_ms", 0));
+                    timer = loop.schedule(this::answerUnchanged, waitMs, TimeUnit.MILLISECONDS);
                 }
             }
         }
 
-        private static long longParameter(Map<String, List<String>> parameters, String name, long otherwise) {
+        private static long longParameter(Map<String, List<String>> parameters, String name, long defaultValue) {
             List<String> values = parameters.get(name);
-            return values == null ? otherwise : Long.parseLong(values.get(0));
+            return values == null ? defaultValue : Long.parseLong(values.get(0));
         }
 
         /** Silent while it has no list; a watch waits for something newer. */
         private void answerIfNewer() {
             if (version >= 0 && afterVersion < version) {
                 byte[] changes = afterVersion < 0 ? null : changeLog.changesBetween(afterVersion, version);
-                byte[] whole = changes == null ? changeLog.wholeList(version) : null;
+                byte[] wholeList = changes == null ? changeLog.wholeList(version) : null;
                 if (changes != null) {
                     answerWaiting(changes);
-                } else if (whole != null) {
+                } else if (wholeList != null) {
                     hopCounters.countWholeList();
-                    answerWaiting(whole);
+                    answerWaiting(wholeList);
                 }
             }
         }
 
         private void answerUnchanged() {
-            byte[] none = version < 0 ? null : changeLog.changesBetween(version, version);
-            if (waitingClients.contains(this) && none != null) {
-                answerWaiting(none);
+            byte[] unchanged = version < 0 ? null : changeLog.changesBetween(version, version);
+            if (waitingClients.contains(this) && unchanged != null) {
+                answerWaiting(unchanged);
             }
         }
 
@@ -197,13 +197,13 @@
         }
 
         @Override
-        public void channelInactive(ChannelHandlerContext from) {
+        public void channelInactive(ChannelHandlerContext channelContext) {
             stopWaiting();
         }
 
         @Override
-        public void exceptionCaught(ChannelHandlerContext from, Throwable cause) {
-            from.close();
+        public void exceptionCaught(ChannelHandlerContext channelContext, Throwable cause) {
+            channelContext.close();
         }
     }
 }
--- a/src/main/java/wrenkeel/scale/ListOnlyFleet.java
+++ b/src/main/java/wrenkeel/scale/ListOnlyFleet.java
@@ -52,13 +52,13 @@
      * @param each relays a process
      * @param heapMb most heap of a process
      */
-    ListOnlyFleet(FleetAgents agents, int each, int heapMb) throws IOException {
-        this.relaysPerProcess = each;
+    ListOnlyFleet(FleetAgents agents, int relaysPerProcess, int heapMb) throws IOException {
+        this.relaysPerProcess = relaysPerProcess;
         this.relayCount = agents.size();
         this.folder = Files.createTempDirectory("wrenkeel-fleet");
         Runtime.getRuntime().addShutdownHook(shutdownHook);
         try {
-            for (int from = 0; from < relayCount; from += each) {
+            for (int from = 0; from < relayCount; from += relaysPerProcess) {
                 children.add(new ChildProcess(Files.createDirectory(folder.resolve("p" + from)), heapMb));
             }
             sendToAll(child -> "add " + IntStream.range(0, child.size).mapToObj(i ->
@@ -99,28 +99,28 @@
     }
 
     /** Given when each of the noted versions was published (epoch us): how long they took to be in force. */
-    PropagationTimes propagationTimes(List<Long> publishedAt) throws IOException {
+    PropagationTimes propagationTimes(List<Long> publishedAtMicros) throws IOException {
         String command = "inforce "
-            + publishedAt.stream().map(String::valueOf).collect(Collectors.joining(" "));
-        Histogram spans = new Histogram(HISTOGRAM_DIGITS);
-        Map<Integer, Long> last = new TreeMap<>();
+            + publishedAtMicros.stream().map(String::valueOf).collect(Collectors.joining(" "));
+        Histogram delays = new Histogram(HISTOGRAM_DIGITS);
+        Map<Integer, Long> lastRelayDelays = new TreeMap<>();
         for (String answer : sendToAll(child -> command)) {
             String[] words = answer.split(" ");
-            spans.add(decode(words[0]));
+            delays.add(decode(words[0]));
             for (int i = 1; i < words.length; i++) {
-                last.merge(i, Long.parseLong(words[i]), Math::max);
+                lastRelayDelays.merge(i, Long.parseLong(words[i]), Math::max);
             }
         }
-        return new PropagationTimes(spans, List.copyOf(last.values()));
+        return new PropagationTimes(delays, List.copyOf(lastRelayDelays.values()));
     }
 
     /** us from the latest start of each of these relays until its list was in force; others are left out. */
     Histogram startTimes(int from, int to) throws IOException {
-        Histogram spans = new Histogram(HISTOGRAM_DIGITS);
+        Histogram delays = new Histogram(HISTOGRAM_DIGITS);
         for (String answer : sendRange("starts", from, to)) {
-            spans.add(decode(answer));
+            delays.add(decode(answer));
         }
-        return spans;
+        return delays;
     }
 
     Memory measureMemory() throws IOException {
--- a/src/main/java/wrenkeel/scale/ListOnlyProcess.java
+++ b/src/main/java/wrenkeel/scale/ListOnlyProcess.java
@@ -92,39 +92,39 @@
     }
 
     private long awaitVersion(long version, long seconds) throws InterruptedException {
-        long by = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
         long running = relays.stream().filter(TimedRelay::isStarted).count();
-        long held = 0;
-        while (held < running && System.nanoTime() < by) {
+        long holding = 0;
+        while (holding < running && System.nanoTime() < deadlineNanos) {
             Thread.sleep(POLL_INTERVAL_MS);
-            held = relays.stream().filter(r -> r.isStarted() && r.appliedVersion() >= version).count();
+            holding = relays.stream().filter(relay -> relay.isStarted() && relay.appliedVersion() >= version).count();
         }
-        return held;
+        return holding;
     }
 
-    private String propagationTimes(String[] published) {
-        Histogram spans = new Histogram(ListOnlyFleet.HISTOGRAM_DIGITS);
-        StringJoiner last = new StringJoiner(" ");
-        for (int i = 1; i < published.length; i++) {
-            long at = Long.parseLong(published[i]);
-            long most = -1;
+    private String propagationTimes(String[] words) {
+        Histogram delays = new Histogram(ListOnlyFleet.HISTOGRAM_DIGITS);
+        StringJoiner lastRelayDelays = new StringJoiner(" ");
+        for (int i = 1; i < words.length; i++) {
+            long publishedAtMicros = Long.parseLong(words[i]);
+            long maxDelay = -1;
             for (TimedRelay relay : relays) {
-                long inForceAt = relay.appliedAtMicros(baseVersion + i);
-                if (relay.isStarted() && inForceAt > 0) {
-                    spans.recordValue(Math.max(0, inForceAt - at));
-                    most = Math.max(most, inForceAt - at);
+                long appliedAtMicros = relay.appliedAtMicros(baseVersion + i);
+                if (relay.isStarted() && appliedAtMicros > 0) {
+                    delays.recordValue(Math.max(0, appliedAtMicros - publishedAtMicros));
+                    maxDelay = Math.max(maxDelay, appliedAtMicros - publishedAtMicros);
                 }
             }
-            last.add(String.valueOf(most));
+            lastRelayDelays.add(String.valueOf(maxDelay));
         }
-        return ListOnlyFleet.encode(spans) + " " + last;
+        return ListOnlyFleet.encode(delays) + " " + lastRelayDelays;
     }
 
-    private static String startTimes(List<TimedRelay> some) {
-        Histogram spans = new Histogram(ListOnlyFleet.HISTOGRAM_DIGITS);
-        some.stream().filter(relay -> relay.firstAppliedAtMicros() > 0)
-            .forEach(relay -> spans.recordValue(Math.max(0, relay.firstAppliedAtMicros() - relay.startedAtMicros())));
-        return ListOnlyFleet.encode(spans);
+    private static String startTimes(List<TimedRelay> range) {
+        Histogram delays = new Histogram(ListOnlyFleet.HISTOGRAM_DIGITS);
+        range.stream().filter(relay -> relay.firstAppliedAtMicros() > 0)
+            .forEach(relay -> delays.recordValue(Math.max(0, relay.firstAppliedAtMicros() - relay.startedAtMicros())));
+        return ListOnlyFleet.encode(delays);
     }
 
     private static String measureMemory() {
--- a/src/main/java/wrenkeel/scale/LoadedRelay.java
+++ b/src/main/java/wrenkeel/scale/LoadedRelay.java
@@ -49,12 +49,12 @@
 
     /** Starts it; false where it does not hold its list and serve clients in time. */
     boolean start() throws IOException, InterruptedException {
-        long begun = System.nanoTime();
+        long startedNanos = System.nanoTime();
         process.start();
-        boolean held = process.awaitMemberCount(catalog.listedCount(), START_TIMEOUT, POLL_INTERVAL)
+        boolean listHeld = process.awaitMemberCount(catalog.listedCount(), START_TIMEOUT, POLL_INTERVAL)
             && process.awaitServing(START_TIMEOUT);
-        startSeconds = (System.nanoTime() - begun) / 1e9;
-        return held;
+        startSeconds = (System.nanoTime() - startedNanos) / 1e9;
+        return listHeld;
     }
 
     /** What a relay did that does not hold its list. */
--- a/src/main/java/wrenkeel/scale/RelayConfig.java
+++ b/src/main/java/wrenkeel/scale/RelayConfig.java
@@ -20,27 +20,27 @@
      *
      * @param known the list as this relay last had it, in discovery's form; null if it never had one
      */
-    static void write(Path file, RelaySettings settings, InetSocketAddress agent, byte[] known)
+    static void write(Path file, RelaySettings settings, InetSocketAddress agent, byte[] knownList)
         throws IOException {
-        try (JsonGenerator out = JSON.createGenerator(Files.newOutputStream(file))) {
-            out.writeStartObject();
-            out.writeStringField("name", settings.name());
-            out.writeStringField("listen", "127.0.0.1:0");
-            out.writeStringField("console", "127.0.0.1:0");
-            out.writeStringField("discovery", hostAndPort(agent));
-            out.writeStringField("seed", settings.seed());
-            out.writeObjectFieldStart("limits");
-            out.writeNumberField("cores", settings.cores());
-            out.writeNumberField("memory_mb", settings.memoryMb());
-            out.writeNumberField("sockets", settings.sockets());
-            out.writeNumberField("disk_mb", settings.diskMb());
-            out.writeEndObject();
-            if (known != null) {
-                out.writeFieldName("known");
-                out.writeRawValue(new String(known, StandardCharsets.UTF_8));
+        try (JsonGenerator json = JSON.createGenerator(Files.newOutputStream(file))) {
+            json.writeStartObject();
+            json.writeStringField("name", settings.name());
+            json.writeStringField("listen", "127.0.0.1:0");
+            json.writeStringField("console", "127.0.0.1:0");
+            json.writeStringField("discovery", hostAndPort(agent));
+            json.writeStringField("seed", settings.seed());
+            json.writeObjectFieldStart("limits");
+            json.writeNumberField("cores", settings.cores());
+            json.writeNumberField("memory_mb", settings.memoryMb());
+            json.writeNumberField("sockets", settings.sockets());
+            json.writeNumberField("disk_mb", settings.diskMb());
+            json.writeEndObject();
+            if (knownList != null) {
+                json.writeFieldName("known");
+                json.writeRawValue(new String(knownList, StandardCharsets.UTF_8));
             }
-            writeSettings(out, settings);
-            out.writeEndObject();
+            writeSettings(json, settings);
+            json.writeEndObject();
         }
     }
 
@@ -48,67 +48,67 @@
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    private static void writeSettings(JsonGenerator out, RelaySettings settings) throws IOException {
-        out.writeObjectFieldStart("settings");
-        out.writeNumberField("rank", 0);
-        out.writeNumberField("balancers", settings.relays());
-        out.writeNumberField("zone", 0);
-        writeStrings(out, "localities", settings.zones());
-        writeStrings(out, "kinds", settings.kinds());
-        out.writeStringField("weights", "none");
-        out.writeObjectFieldStart("allowed");
-        out.writeBooleanField("cancel", true);
-        out.writeBooleanField("second-copies", true);
-        out.writeNumberField("connect-timeout", 1_000);
-        out.writeNumberField("keepalive", 15_000);
-        out.writeNumberField("most-tries", 8);
-        out.writeNumberField("open-cap", settings.maxOpenMessages());
-        out.writeBooleanField("retry-after", true);
-        out.writeNumberField("max-retry-after", 2_000);
-        out.writeEndObject();
-        out.writeObjectFieldStart("family-info");
-        out.writeNumberField("call-slots", settings.callSlots());
-        out.writeArrayFieldStart("kind-apart");
+    private static void writeSettings(JsonGenerator json, RelaySettings settings) throws IOException {
+        json.writeObjectFieldStart("settings");
+        json.writeNumberField("rank", 0);
+        json.writeNumberField("balancers", settings.relays());
+        json.writeNumberField("zone", 0);
+        writeStrings(json, "localities", settings.zones());
+        writeStrings(json, "kinds", settings.kinds());
+        json.writeStringField("weights", "none");
+        json.writeObjectFieldStart("allowed");
+        json.writeBooleanField("cancel", true);
+        json.writeBooleanField("second-copies", true);
+        json.writeNumberField("connect-timeout", 1_000);
+        json.writeNumberField("keepalive", 15_000);
+        json.writeNumberField("most-tries", 8);
+        json.writeNumberField("open-cap", settings.maxOpenMessages());
+        json.writeBooleanField("retry-after", true);
+        json.writeNumberField("max-retry-after", 2_000);
+        json.writeEndObject();
+        json.writeObjectFieldStart("family-info");
+        json.writeNumberField("call-slots", settings.callSlots());
+        json.writeArrayFieldStart("kind-apart");
         for (int i = 0; i < settings.kinds().size(); i++) {
-            out.writeBoolean(false);
+            json.writeBoolean(false);
         }
-        out.writeEndArray();
-        out.writeEndObject();
-        out.writeObjectFieldStart("rules");
-        out.writeNumberField("stop-sending-within", 250);
-        out.writeNumberField("fall-multiple", 2);
-        out.writeNumberField("tip-after", 2_000);
-        out.writeNumberField("cold-from", 0.2);
-        out.writeNumberField("cold", 10_000);
-        out.writeEndObject();
-        out.writeArrayFieldStart("tenants");
+        json.writeEndArray();
+        json.writeEndObject();
+        json.writeObjectFieldStart("rules");
+        json.writeNumberField("stop-sending-within", 250);
+        json.writeNumberField("fall-multiple", 2);
+        json.writeNumberField("tip-after", 2_000);
+        json.writeNumberField("cold-from", 0.2);
+        json.writeNumberField("cold", 10_000);
+        json.writeEndObject();
+        json.writeArrayFieldStart("tenants");
         for (RelaySettings.Tenant tenant : settings.tenants()) {
-            out.writeStartObject();
-            out.writeStringField("name", tenant.name());
-            out.writeNumberField("quota-per-s", tenant.quotaPerSecond());
-            out.writeEndObject();
+            json.writeStartObject();
+            json.writeStringField("name", tenant.name());
+            json.writeNumberField("quota-per-s", tenant.quotaPerSecond());
+            json.writeEndObject();
         }
-        out.writeEndArray();
-        out.writeArrayFieldStart("profiles");
+        json.writeEndArray();
+        json.writeArrayFieldStart("profiles");
         for (RelaySettings.Profile profile : settings.profiles()) {
-            out.writeStartObject();
-            out.writeStringField("name", profile.name());
-            out.writeNumberField("aim", profile.aimMs());
-            out.writeNumberField("hard-limit", profile.hardLimitMs());
-            out.writeStringField("semantics", profile.semantics());
-            out.writeNumberField("window", profile.windowMs());
-            out.writeNumberField("late-worth", 0.5);
-            out.writeEndObject();
+            json.writeStartObject();
+            json.writeStringField("name", profile.name());
+            json.writeNumberField("aim", profile.aimMs());
+            json.writeNumberField("hard-limit", profile.hardLimitMs());
+            json.writeStringField("semantics", profile.semantics());
+            json.writeNumberField("window", profile.windowMs());
+            json.writeNumberField("late-worth", 0.5);
+            json.writeEndObject();
         }
-        out.writeEndArray();
-        out.writeEndObject();
+        json.writeEndArray();
+        json.writeEndObject();
     }
 
-    private static void writeStrings(JsonGenerator out, String name, List<String> texts) throws IOException {
-        out.writeArrayFieldStart(name);
-        for (String text : texts) {
-            out.writeString(text);
+    private static void writeStrings(JsonGenerator json, String name, List<String> strings) throws IOException {
+        json.writeArrayFieldStart(name);
+        for (String text : strings) {
+            json.writeString(text);
         }
-        out.writeEndArray();
+        json.writeEndArray();
     }
 }
--- a/src/main/java/wrenkeel/scale/RelayProcess.java
+++ b/src/main/java/wrenkeel/scale/RelayProcess.java
@@ -50,13 +50,13 @@
      * @param root the repository's root, built
      * @param known the list that the configuration holds, in discovery's form; null for none
      */
-    RelayProcess(Path root, RelaySettings settings, InetSocketAddress agent, byte[] known)
+    RelayProcess(Path root, RelaySettings settings, InetSocketAddress agent, byte[] knownList)
         throws IOException {
-        this(root, settings, agent, known, Map.of());
+        this(root, settings, agent, knownList, Map.of());
     }
 
     /** {@code environment}: further variables that the process is started with. */
-    public RelayProcess(Path root, RelaySettings settings, InetSocketAddress agent, byte[] known,
+    public RelayProcess(Path root, RelaySettings settings, InetSocketAddress agent, byte[] knownList,
                         Map<String, String> environment) throws IOException {
         this.root = root;
         this.settings = settings;
@@ -65,7 +65,7 @@
         folder = Files.createTempDirectory("scale-relay");
         Files.createDirectory(folder.resolve("state"));
         Files.createDirectory(folder.resolve("tmp"));
-        RelayConfig.write(folder.resolve("config.json"), settings, agent, known);
+        RelayConfig.write(folder.resolve("config.json"), settings, agent, knownList);
         Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
@@ -78,24 +78,24 @@
         }
         clientAddress = null;
         consoleAddress = null;
-        ProcessBuilder run = new ProcessBuilder("/bin/sh", "-c", readRunCommand(root)).directory(root.toFile())
+        ProcessBuilder processBuilder = new ProcessBuilder("/bin/sh", "-c", readRunCommand(root)).directory(root.toFile())
             .redirectErrorStream(true).redirectOutput(log(++startCount).toFile());
-        run.environment().putAll(Map.of("EDGE_NAME", settings.name(), "EDGE_LISTEN", "127.0.0.1:0",
+        processBuilder.environment().putAll(Map.of("EDGE_NAME", settings.name(), "EDGE_LISTEN", "127.0.0.1:0",
             "EDGE_CONSOLE", "127.0.0.1:0", "EDGE_DISCOVERY", RelayConfig.hostAndPort(agent),
             "EDGE_STATE", stateFolder().toString(), "EDGE_CONFIG", folder.resolve("config.json").toString(),
             "TMPDIR", folder.resolve("tmp").toString()));
-        run.environment().putAll(environment);
-        process = run.start();
+        processBuilder.environment().putAll(environment);
+        process = processBuilder.start();
         stats = new ProcessStats(process.pid());
     }
 
     private static String readRunCommand(Path root) throws IOException {
         Path file = root.resolve("deploy/balancer.toml");
-        Matcher run = RUN_SETTING.matcher(Files.readString(file));
-        if (!run.find()) {
+        Matcher processBuilder = RUN_SETTING.matcher(Files.readString(file));
+        if (!processBuilder.find()) {
             throw new IOException("no run = \"...\" in " + file);
         }
-        return run.group(1).replaceAll("\\\\(.)", "$1");
+        return processBuilder.group(1).replaceAll("\\\\(.)", "$1");
     }
 
     private Path log(int start) {
@@ -109,16 +109,16 @@
 
     /** What all processes have written so far, the latest last. */
     public String allLogs() throws IOException {
-        StringBuilder all = new StringBuilder();
+        StringBuilder walk = new StringBuilder();
         for (int start = 1; start <= startCount; start++) {
-            all.append("---- start ").append(start).append('\n').append(Files.readString(log(start)));
+            walk.append("---- start ").append(start).append('\n').append(Files.readString(log(start)));
         }
-        return all.toString();
+        return walk.toString();
     }
 
     /** Waits until the process has ended; false where it has not in time. */
-    public boolean awaitExit(Duration atMost) throws InterruptedException {
-        return process.waitFor(atMost.toMillis(), TimeUnit.MILLISECONDS);
+    public boolean awaitExit(Duration timeout) throws InterruptedException {
+        return process.waitFor(timeout.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     /** The folder that lasts. */
@@ -135,25 +135,25 @@
     }
 
     /** Waits until the process serves clients; false where it does not in time. */
-    public boolean awaitServing(Duration atMost) throws IOException, InterruptedException {
-        if (!awaitConsole(atMost)) {
+    public boolean awaitServing(Duration timeout) throws IOException, InterruptedException {
+        if (!awaitConsole(timeout)) {
             return false;
         }
-        clientAddress = awaitAddress(SERVING_LINE, atMost);
+        clientAddress = awaitAddress(SERVING_LINE, timeout);
         return clientAddress != null;
     }
 
     /** Waits until the process answers operators; false where it does not in time. */
-    boolean awaitConsole(Duration atMost) throws IOException, InterruptedException {
+    boolean awaitConsole(Duration timeout) throws IOException, InterruptedException {
         if (consoleAddress == null) {
-            consoleAddress = awaitAddress(CONSOLE_LINE, atMost);
+            consoleAddress = awaitAddress(CONSOLE_LINE, timeout);
         }
         return consoleAddress != null;
     }
 
-    private InetSocketAddress awaitAddress(Pattern pattern, Duration atMost)
+    private InetSocketAddress awaitAddress(Pattern pattern, Duration timeout)
         throws IOException, InterruptedException {
-        long by = System.nanoTime() + atMost.toNanos();
+        long deadlineNanos = System.nanoTime() + timeout.toNanos();
         while (true) {
             boolean ended = !process.isAlive();
             Matcher line = pattern.matcher(log());
@@ -164,7 +164,7 @@
                 throw new IOException("the relay ended with code " + process.exitValue() + ": "
                     + log().lines().limit(3).toList());
             }
-            if (System.nanoTime() > by) {
+            if (System.nanoTime() > deadlineNanos) {
                 return null;
             }
             Thread.sleep(POLL_INTERVAL.toMillis());
@@ -218,12 +218,12 @@
      * Waits until the list that it holds names so many hosts; false where it does not in time, or ends. One
      * that is too busy to answer its operators is asked again.
      */
-    boolean awaitMemberCount(long hosts, Duration atMost, Duration look)
+    boolean awaitMemberCount(long hosts, Duration timeout, Duration pollInterval)
         throws IOException, InterruptedException {
-        long by = System.nanoTime() + atMost.toNanos();
-        while (isAlive() && System.nanoTime() < by) {
+        long deadlineNanos = System.nanoTime() + timeout.toNanos();
+        while (isAlive() && System.nanoTime() < deadlineNanos) {
             try {
-                if (awaitConsole(Duration.ofNanos(by - System.nanoTime())) && memberCount() == hosts) {
+                if (awaitConsole(Duration.ofNanos(deadlineNanos - System.nanoTime())) && memberCount() == hosts) {
                     return true;
                 }
             } catch (IOException e) {
@@ -231,7 +231,7 @@
                     System.err.println(settings.name() + ": " + e.getMessage());
                 }
             }
-            Thread.sleep(look.toMillis());
+            Thread.sleep(pollInterval.toMillis());
         }
         return false;
     }
@@ -268,9 +268,9 @@
     }
 
     /** SIGTERM; returns once the process has ended, by SIGKILL where it takes longer. */
-    void terminate(Duration atMost) throws InterruptedException {
+    void terminate(Duration timeout) throws InterruptedException {
         process.destroy();
-        if (!process.waitFor(atMost.toMillis(), TimeUnit.MILLISECONDS)) {
+        if (!process.waitFor(timeout.toMillis(), TimeUnit.MILLISECONDS)) {
             kill();
         }
     }
@@ -311,11 +311,11 @@
             if (process != null) {
                 kill();
             }
-            List<Path> left;
-            try (Stream<Path> all = Files.walk(folder)) {
-                left = all.sorted(Comparator.reverseOrder()).toList();
+            List<Path> paths;
+            try (Stream<Path> walk = Files.walk(folder)) {
+                paths = walk.sorted(Comparator.reverseOrder()).toList();
             }
-            for (Path path : left) {
+            for (Path path : paths) {
                 Files.delete(path);
             }
         } catch (IOException e) {
--- a/src/main/java/wrenkeel/scale/RelaySettings.java
+++ b/src/main/java/wrenkeel/scale/RelaySettings.java
@@ -30,18 +30,18 @@
     }
 
     /** The same under another name. */
-    public RelaySettings withName(String other) {
-        return new RelaySettings(other, seed, relays, cores, memoryMb, sockets, diskMb, zones, kinds,
+    public RelaySettings withName(String newName) {
+        return new RelaySettings(newName, seed, relays, cores, memoryMb, sockets, diskMb, zones, kinds,
             profiles, callSlots, maxOpenMessages, tenants);
     }
 
-    public RelaySettings withRelays(int count) {
-        return new RelaySettings(name, seed, count, cores, memoryMb, sockets, diskMb, zones, kinds, profiles,
+    public RelaySettings withRelays(int relayCount) {
+        return new RelaySettings(name, seed, relayCount, cores, memoryMb, sockets, diskMb, zones, kinds, profiles,
             callSlots, maxOpenMessages, tenants);
     }
 
-    public RelaySettings withProfiles(List<Profile> classes) {
-        return new RelaySettings(name, seed, relays, cores, memoryMb, sockets, diskMb, zones, kinds, classes,
+    public RelaySettings withProfiles(List<Profile> newProfiles) {
+        return new RelaySettings(name, seed, relays, cores, memoryMb, sockets, diskMb, zones, kinds, newProfiles,
             callSlots, maxOpenMessages, tenants);
     }
 
@@ -50,13 +50,13 @@
             profiles, callSlots, maxOpenMessages, tenants);
     }
 
-    public RelaySettings withCalls(int slotCount, int openMost) {
+    public RelaySettings withCalls(int newCallSlots, int newMaxOpenMessages) {
         return new RelaySettings(name, seed, relays, cores, memoryMb, sockets, diskMb, zones, kinds, profiles,
-            slotCount, openMost, tenants);
+            newCallSlots, newMaxOpenMessages, tenants);
     }
 
-    RelaySettings withTenants(List<Tenant> clients) {
+    RelaySettings withTenants(List<Tenant> newTenants) {
         return new RelaySettings(name, seed, relays, cores, memoryMb, sockets, diskMb, zones, kinds, profiles,
-            callSlots, maxOpenMessages, clients);
+            callSlots, maxOpenMessages, newTenants);
     }
 }
--- a/src/main/java/wrenkeel/scale/RelaysExperiment.java
+++ b/src/main/java/wrenkeel/scale/RelaysExperiment.java
@@ -48,13 +48,13 @@
             fleet.awaitAllRelays();
             // All watches began with the last change. Between two ends of their waits: whole ones count.
             Thread.sleep(WATCH_WAIT_MS / 2);
-            Fleet.ResourceUsage before = fleet.usage();
+            Fleet.ResourceUsage usageBefore = fleet.usage();
             Thread.sleep(WATCH_WAIT_MS * idleWaits);
-            Fleet.ResourceUsage idle = fleet.usage();
-            idle.minus(before).putRates("idle_", values);
+            Fleet.ResourceUsage usageAfterIdle = fleet.usage();
+            usageAfterIdle.minus(usageBefore).putRates("idle_", values);
             fleet.publishChanges(changes, gapMs);
             fleet.awaitAllRelays();
-            putCostPerChange(fleet.usage().minus(idle), idle.minus(before), values);
+            putCostPerChange(fleet.usage().minus(usageAfterIdle), usageAfterIdle.minus(usageBefore), values);
             ListOnlyFleet.Memory memory = fleet.relays().measureMemory();
             values.put("relays_heap_mb", memory.heapBytes() / 1e6);
             values.put("relays_rss_mb", memory.rssBytes() / 1e6);
@@ -69,14 +69,14 @@
      * What one change moves on each hop: no watch ends by itself where changes follow this quickly. Processor
      * time is less that of the idle fleet.
      */
-    private void putCostPerChange(Fleet.ResourceUsage trickle, Fleet.ResourceUsage idle, Map<String, Double> values) {
-        double share = (double) trickle.atMicros() / idle.atMicros();
-        values.put("change_source_bytes", (double) trickle.source().totalBytes() / changes);
-        values.put("change_machine_bytes", (double) trickle.machine().totalBytes() / changes);
-        values.put("change_agent_bytes", (double) trickle.agent().totalBytes() / changes);
+    private void putCostPerChange(Fleet.ResourceUsage changesUsage, Fleet.ResourceUsage usageAfterIdle, Map<String, Double> values) {
+        double durationRatio = (double) changesUsage.atMicros() / usageAfterIdle.atMicros();
+        values.put("change_source_bytes", (double) changesUsage.source().totalBytes() / changes);
+        values.put("change_machine_bytes", (double) changesUsage.machine().totalBytes() / changes);
+        values.put("change_agent_bytes", (double) changesUsage.agent().totalBytes() / changes);
         values.put("change_machines_cpu_ms",
-            (trickle.machinesCpuMicros() - share * idle.machinesCpuMicros()) / changes / 1e3);
-        values.put("change_agents_cpu_ms", (trickle.agentsCpuMicros() - share * idle.agentsCpuMicros()) / changes / 1e3);
-        values.put("change_relays_cpu_ms", (trickle.relaysCpuMicros() - share * idle.relaysCpuMicros()) / changes / 1e3);
+            (changesUsage.machinesCpuMicros() - durationRatio * usageAfterIdle.machinesCpuMicros()) / changes / 1e3);
+        values.put("change_agents_cpu_ms", (changesUsage.agentsCpuMicros() - durationRatio * usageAfterIdle.agentsCpuMicros()) / changes / 1e3);
+        values.put("change_relays_cpu_ms", (changesUsage.relaysCpuMicros() - durationRatio * usageAfterIdle.relaysCpuMicros()) / changes / 1e3);
     }
 }
--- a/src/main/java/wrenkeel/scale/RestartExperiment.java
+++ b/src/main/java/wrenkeel/scale/RestartExperiment.java
@@ -38,45 +38,45 @@
         Map<String, Double> values = new LinkedHashMap<>();
         try (Fleet fleet = new Fleet(size, seed, fleetOptions, relay -> 0)) {
             fleet.start();
-            Fleet.ResourceUsage before = fleet.usage();
+            Fleet.ResourceUsage usageBefore = fleet.usage();
             Thread.sleep(IDLE_MS);
-            Fleet.ResourceUsage idle = fleet.usage().minus(before);
-            restartSingles(fleet, false, idle, "relay_", values);
-            restartSingles(fleet, true, idle, "replaced_", values);
+            Fleet.ResourceUsage idleUsage = fleet.usage().minus(usageBefore);
+            restartSingles(fleet, false, idleUsage, "relay_", values);
+            restartSingles(fleet, true, idleUsage, "replaced_", values);
             restartZone(fleet, size, values);
         }
         return values;
     }
 
     /** One after the other; {@code replaced}: each with its agent. */
-    private void restartSingles(Fleet fleet, boolean replaced, Fleet.ResourceUsage idle, String prefix,
+    private void restartSingles(Fleet fleet, boolean withAgent, Fleet.ResourceUsage idleUsage, String prefix,
                          Map<String, Double> values) throws IOException {
-        Histogram starts = new Histogram(ListOnlyFleet.HISTOGRAM_DIGITS);
-        Fleet.ResourceUsage before = fleet.usage();
+        Histogram startDelays = new Histogram(ListOnlyFleet.HISTOGRAM_DIGITS);
+        Fleet.ResourceUsage usageBefore = fleet.usage();
         for (int relay = 0; relay < singleRestarts; relay++) {
             fleet.relays().stop(relay, relay + 1);
-            if (replaced) {
+            if (withAgent) {
                 fleet.agents().restart(relay).syncUninterruptibly();
             }
             fleet.relays().start(relay, relay + 1);
             fleet.awaitAllRelays();
-            starts.add(fleet.relays().startTimes(relay, relay + 1));
+            startDelays.add(fleet.relays().startTimes(relay, relay + 1));
         }
-        Fleet.ResourceUsage spent = fleet.usage().minus(before);
-        double share = (double) spent.atMicros() / idle.atMicros();
-        values.put(prefix + "held_p50_ms", starts.getValueAtPercentile(50) / 1e3);
-        values.put(prefix + "held_most_ms", starts.getMaxValue() / 1e3);
-        values.put(prefix + "machine_whole_lists", (double) spent.machine().wholeLists() / singleRestarts);
-        values.put(prefix + "agent_whole_lists", (double) spent.agent().wholeLists() / singleRestarts);
+        Fleet.ResourceUsage usage = fleet.usage().minus(usageBefore);
+        double durationRatio = (double) usage.atMicros() / idleUsage.atMicros();
+        values.put(prefix + "held_p50_ms", startDelays.getValueAtPercentile(50) / 1e3);
+        values.put(prefix + "held_most_ms", startDelays.getMaxValue() / 1e3);
+        values.put(prefix + "machine_whole_lists", (double) usage.machine().wholeLists() / singleRestarts);
+        values.put(prefix + "agent_whole_lists", (double) usage.agent().wholeLists() / singleRestarts);
         values.put(prefix + "machine_bytes",
-            (spent.machine().totalBytes() - share * idle.machine().totalBytes()) / singleRestarts);
-        values.put(prefix + "agent_bytes", (spent.agent().totalBytes() - share * idle.agent().totalBytes()) / singleRestarts);
+            (usage.machine().totalBytes() - durationRatio * idleUsage.machine().totalBytes()) / singleRestarts);
+        values.put(prefix + "agent_bytes", (usage.agent().totalBytes() - durationRatio * idleUsage.agent().totalBytes()) / singleRestarts);
     }
 
     /** The zone's control machine, its agents and its relays lose power, and are back at one moment. */
     private static void restartZone(Fleet fleet, int size, Map<String, Double> values) throws IOException {
         fleet.relays().stop(0, size);
-        Fleet.ResourceUsage before = fleet.usage();
+        Fleet.ResourceUsage usageBefore = fleet.usage();
         try (PeakRates peaks = new PeakRates(fleet)) {
             fleet.machines().restartZone(0);
             for (int agent = 0; agent < size; agent++) {
@@ -84,24 +84,24 @@
             }
             fleet.relays().start(0, size);
             fleet.awaitAllRelays();
-            Fleet.ResourceUsage spent = fleet.usage().minus(before);
-            Histogram starts = fleet.relays().startTimes(0, size);
-            values.put("zone_all_held_ms", spent.atMicros() / 1e3);
-            values.put("zone_held_p50_ms", starts.getValueAtPercentile(50) / 1e3);
-            values.put("zone_held_p99_ms", starts.getValueAtPercentile(99) / 1e3);
-            values.put("zone_held_last_ms", starts.getMaxValue() / 1e3);
-            values.put("zone_source_whole_lists", (double) spent.source().wholeLists());
-            values.put("zone_machine_whole_lists", (double) spent.machine().wholeLists());
-            values.put("zone_agent_whole_lists", (double) spent.agent().wholeLists());
-            values.put("zone_agent_calls", (double) spent.agent().calls());
-            values.put("zone_source_mb", spent.source().totalBytes() / 1e6);
-            values.put("zone_machine_mb", spent.machine().totalBytes() / 1e6);
-            values.put("zone_agent_mb", spent.agent().totalBytes() / 1e6);
+            Fleet.ResourceUsage usage = fleet.usage().minus(usageBefore);
+            Histogram startDelays = fleet.relays().startTimes(0, size);
+            values.put("zone_all_held_ms", usage.atMicros() / 1e3);
+            values.put("zone_held_p50_ms", startDelays.getValueAtPercentile(50) / 1e3);
+            values.put("zone_held_p99_ms", startDelays.getValueAtPercentile(99) / 1e3);
+            values.put("zone_held_last_ms", startDelays.getMaxValue() / 1e3);
+            values.put("zone_source_whole_lists", (double) usage.source().wholeLists());
+            values.put("zone_machine_whole_lists", (double) usage.machine().wholeLists());
+            values.put("zone_agent_whole_lists", (double) usage.agent().wholeLists());
+            values.put("zone_agent_calls", (double) usage.agent().calls());
+            values.put("zone_source_mb", usage.source().totalBytes() / 1e6);
+            values.put("zone_machine_mb", usage.machine().totalBytes() / 1e6);
+            values.put("zone_agent_mb", usage.agent().totalBytes() / 1e6);
             values.put("zone_machine_peak_mb_per_s", peaks.machine() / 1e6);
             values.put("zone_agent_peak_mb_per_s", peaks.agent() / 1e6);
-            values.put("zone_machines_cpu_ms", spent.machinesCpuMicros() / 1e3);
-            values.put("zone_agents_cpu_ms", spent.agentsCpuMicros() / 1e3);
-            values.put("zone_relays_cpu_ms", spent.relaysCpuMicros() / 1e3);
+            values.put("zone_machines_cpu_ms", usage.machinesCpuMicros() / 1e3);
+            values.put("zone_agents_cpu_ms", usage.agentsCpuMicros() / 1e3);
+            values.put("zone_relays_cpu_ms", usage.relaysCpuMicros() / 1e3);
         }
     }
 }
--- a/src/main/java/wrenkeel/scale/Shutdown.java
+++ b/src/main/java/wrenkeel/scale/Shutdown.java
@@ -10,13 +10,13 @@
     private Shutdown() { }
 
     /** Closes what the loops hold and waits for their ends, for 2 s at most. */
-    public static void now(EventLoopGroup loops) {
-        begin(loops);
-        loops.terminationFuture().awaitUninterruptibly(TIMEOUT_MS);
+    public static void now(EventLoopGroup eventLoops) {
+        begin(eventLoops);
+        eventLoops.terminationFuture().awaitUninterruptibly(TIMEOUT_MS);
     }
 
     /** The same without waiting. */
-    public static void begin(EventLoopGroup loops) {
-        loops.shutdownGracefully(0, TIMEOUT_MS, TimeUnit.MILLISECONDS);
+    public static void begin(EventLoopGroup eventLoops) {
+        eventLoops.shutdownGracefully(0, TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/wrenkeel/scale/StandInAgent.java
+++ b/src/main/java/wrenkeel/scale/StandInAgent.java
@@ -95,9 +95,9 @@
     }
 
     /** {@code noticeListener} gets each line of a notice, on the agent's thread. */
-    public StandInAgent(HostCatalog catalog, Consumer<String> whenNoticed) throws InterruptedException {
+    public StandInAgent(HostCatalog catalog, Consumer<String> noticeListener) throws InterruptedException {
         this.catalog = catalog;
-        this.noticeListener = whenNoticed;
+        this.noticeListener = noticeListener;
         listener = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
             .option(ChannelOption.SO_BACKLOG, MAX_CONNECTIONS)
             .childOption(ChannelOption.TCP_NODELAY, true)
@@ -107,7 +107,7 @@
                     if (connections.incrementAndGet() > MAX_CONNECTIONS) {
                         channel.close();
                     }
-                    channel.closeFuture().addListener(closed -> connections.decrementAndGet());
+                    channel.closeFuture().addListener(future -> connections.decrementAndGet());
                     channel.pipeline().addLast(new ByteCounter(bytesIn, bytesOut), new HttpServerCodec(),
                         new HttpServerKeepAliveHandler(), new HttpObjectAggregator(MAX_CALL_BYTES),
                         new ChunkedWriteHandler(), new CallHandler());
@@ -134,9 +134,9 @@
     }
 
     private long recordPublished(long version) {
-        long now = System.nanoTime();
+        long nowNanos = System.nanoTime();
         synchronized (timesByVersion) {
-            timesByVersion.put(version, new VersionTimes(now, 0, 0));
+            timesByVersion.put(version, new VersionTimes(nowNanos, 0, 0));
         }
         eventLoop.execute(this::answerAllWatches);
         return version;
@@ -150,15 +150,15 @@
     }
 
     /** Waits until a call names this version, or a later one, as held; false where none did in time. */
-    boolean awaitHeld(long version, Duration atMost) throws InterruptedException {
-        long by = System.nanoTime() + atMost.toNanos();
+    boolean awaitHeld(long version, Duration timeout) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + timeout.toNanos();
         synchronized (timesByVersion) {
             while (heldVersion < version) {
-                long left = by - System.nanoTime();
-                if (left <= 0) {
+                long remainingNanos = deadlineNanos - System.nanoTime();
+                if (remainingNanos <= 0) {
                     return false;
                 }
-                TimeUnit.NANOSECONDS.timedWait(timesByVersion, left);
+                TimeUnit.NANOSECONDS.timedWait(timesByVersion, remainingNanos);
             }
             return true;
         }
@@ -200,37 +200,37 @@
     }
 
     private void answerAllWatches() {
-        for (WaitingWatch call : List.copyOf(waitingWatches.keySet())) {
-            answer(call);
+        for (WaitingWatch watch : List.copyOf(waitingWatches.keySet())) {
+            answer(watch);
         }
     }
 
-    private void answer(WaitingWatch call) {
-        Future<?> timer = waitingWatches.remove(call);
+    private void answer(WaitingWatch watch) {
+        Future<?> timer = waitingWatches.remove(watch);
         if (timer != null) {
             timer.cancel(false);
-            sendChanges(call.context, call.after);
+            sendChanges(watch.context, watch.after);
         }
     }
 
     private void sendChanges(ChannelHandlerContext context, long after) {
         boolean whole = !catalog.hasChangesSince(after);
         send(context, catalog.changesSince(after), whole);
-        long now = System.nanoTime();
+        long nowNanos = System.nanoTime();
         synchronized (timesByVersion) {
             for (long version = catalog.version(); version > after && timesByVersion.containsKey(version); version--) {
-                timesByVersion.computeIfPresent(version, (v, t) -> t.sentNanos == 0
-                    ? new VersionTimes(t.publishedNanos, now, t.heldNanos) : t);
+                timesByVersion.computeIfPresent(version, (olderVersion, times) -> times.sentNanos == 0
+                    ? new VersionTimes(times.publishedNanos, nowNanos, times.heldNanos) : times);
             }
         }
     }
 
     private void recordHeld(long version) {
-        long now = System.nanoTime();
+        long nowNanos = System.nanoTime();
         synchronized (timesByVersion) {
             if (version > heldVersion) {
-                for (long v = version; v > heldVersion && timesByVersion.containsKey(v); v--) {
-                    timesByVersion.computeIfPresent(v, (same, t) -> new VersionTimes(t.publishedNanos, t.sentNanos, now));
+                for (long olderVersion = version; olderVersion > heldVersion && timesByVersion.containsKey(olderVersion); olderVersion--) {
+                    timesByVersion.computeIfPresent(olderVersion, (key, times) -> new VersionTimes(times.publishedNanos, times.sentNanos, nowNanos));
                 }
                 heldVersion = version;
                 timesByVersion.notifyAll();
@@ -279,31 +279,31 @@
             }
         }
 
-        private void handleListRequest(ChannelHandlerContext context, long after, long wait) {
+        private void handleListRequest(ChannelHandlerContext context, long after, long waitMs) {
             if (after < 0) {
                 send(context, catalog.wholeList(), true);
                 return;
             }
             recordHeld(after);
-            if (after != catalog.version() || wait <= 0) {
+            if (after != catalog.version() || waitMs <= 0) {
                 sendChanges(context, after);
                 return;
             }
-            WaitingWatch call = new WaitingWatch(context, after);
-            waitingWatches.put(call, eventLoop.schedule(() -> answer(call), Math.min(wait, MAX_WAIT_MS),
+            WaitingWatch watch = new WaitingWatch(context, after);
+            waitingWatches.put(watch, eventLoop.schedule(() -> answer(watch), Math.min(waitMs, MAX_WAIT_MS),
                 TimeUnit.MILLISECONDS));
         }
 
-        private static long longParameter(QueryStringDecoder uri, String name, long absent) {
+        private static long longParameter(QueryStringDecoder uri, String name, long defaultValue) {
             List<String> values = uri.parameters().getOrDefault(name, List.of());
-            return values.isEmpty() ? absent : Long.parseLong(values.get(0));
+            return values.isEmpty() ? defaultValue : Long.parseLong(values.get(0));
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            for (WaitingWatch call : new ArrayList<>(waitingWatches.keySet())) {
-                if (call.context == context) {
-                    waitingWatches.remove(call).cancel(false);
+            for (WaitingWatch watch : new ArrayList<>(waitingWatches.keySet())) {
+                if (watch.context == context) {
+                    waitingWatches.remove(watch).cancel(false);
                 }
             }
         }
--- a/src/main/java/wrenkeel/scale/TimedRelay.java
+++ b/src/main/java/wrenkeel/scale/TimedRelay.java
@@ -52,14 +52,14 @@
 
     /** On the relay's thread. */
     private void onApplied(long version) {
-        long now = EpochClock.micros();
-        long[] times = appliedAtMicros;
+        long nowMicros = EpochClock.micros();
+        long[] appliedTimes = appliedAtMicros;
         // A whole list brings all before it into force as well.
-        for (long v = Math.max(appliedVersion, baseVersion) + 1; v <= version && v - baseVersion <= times.length; v++) {
-            times[(int) (v - baseVersion) - 1] = now;
+        for (long v = Math.max(appliedVersion, baseVersion) + 1; v <= version && v - baseVersion <= appliedTimes.length; v++) {
+            appliedTimes[(int) (v - baseVersion) - 1] = nowMicros;
         }
         if (appliedVersion < 0) {
-            firstAppliedAtMicros = now;
+            firstAppliedAtMicros = nowMicros;
         }
         appliedVersion = version;
     }
--- a/src/main/java/wrenkeel/scale/UpstreamWatch.java
+++ b/src/main/java/wrenkeel/scale/UpstreamWatch.java
@@ -47,27 +47,27 @@
     private boolean closed;
 
     /** Goes on from {@code version}, -1 for nothing; {@code waitMs}: ms that each call may wait. */
-    UpstreamWatch(EventLoop loop, InetSocketAddress above, long wait, long version,
-                  LongConsumer whenArrived) {
+    UpstreamWatch(EventLoop loop, InetSocketAddress upstream, long waitMs, long version,
+                  LongConsumer versionListener) {
         this.loop = loop;
-        this.upstream = above;
-        this.waitMs = wait;
+        this.upstream = upstream;
+        this.waitMs = waitMs;
         this.version = version;
-        this.versionListener = whenArrived;
+        this.versionListener = versionListener;
         this.bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true)
             .handler(new ChannelInitializer<Channel>() {
                 @Override
-                protected void initChannel(Channel fresh) {
-                    fresh.pipeline().addLast(new ReadTimeoutHandler(wait + READ_TIMEOUT_MARGIN_MS, TimeUnit.MILLISECONDS),
+                protected void initChannel(Channel newChannel) {
+                    newChannel.pipeline().addLast(new ReadTimeoutHandler(waitMs + READ_TIMEOUT_MARGIN_MS, TimeUnit.MILLISECONDS),
                         new HttpClientCodec(), new ResponseReader());
                 }
             });
     }
 
     void connect() {
-        bootstrap.connect(upstream).addListener(done -> {
-            if (!done.isSuccess()) {
+        bootstrap.connect(upstream).addListener(connected -> {
+            if (!connected.isSuccess()) {
                 connectLater();
             }
         });
@@ -122,13 +122,13 @@
                 bodyPrefix.append(bytes.toString(bytes.readerIndex(), length, StandardCharsets.US_ASCII));
             }
             if (part instanceof LastHttpContent) {
-                Matcher seq = VERSION_PATTERN.matcher(bodyPrefix.toString());
+                Matcher matcher = VERSION_PATTERN.matcher(bodyPrefix.toString());
                 bodyPrefix.setLength(0);
-                if (!seq.find()) {
+                if (!matcher.find()) {
                     context.close();
                     return;
                 }
-                version = Long.parseLong(seq.group(1));
+                version = Long.parseLong(matcher.group(1));
                 versionListener.accept(version);
                 sendRequest();
             }
--- a/src/test/java/wrenkeel/scale/ChangeLogTest.java
+++ b/src/test/java/wrenkeel/scale/ChangeLogTest.java
@@ -11,7 +11,7 @@
 class ChangeLogTest {
     private final HostCatalog catalog = new HostCatalog(20, 1);
     private final ChangeLog log = new ChangeLog(catalog, 3);
-    private final long first = log.latestVersion();
+    private final long firstVersion = log.latestVersion();
 
     private static Wire.Fields read(byte[] list) throws Wire.Malformed {
         return Wire.decode(new String(list, StandardCharsets.UTF_8));
@@ -26,12 +26,12 @@
     }
 
     @Test
-    void changesEndAtTheVersionThatTheAnswererHolds() throws Exception {
+    void changesEndAtTheRequestedVersion() throws Exception {
         long second = log.publish(4, HostCatalog.Health.DRAINING);
         log.publish(4, HostCatalog.Health.GONE);
         long last = log.publish(5, HostCatalog.Health.DRAINING);
-        assertEquals(List.of(catalog.hostName(4) + " draining"), hosts(log.changesBetween(first, second)));
-        assertEquals(second, read(log.changesBetween(first, second)).whole("seq"));
+        assertEquals(List.of(catalog.hostName(4) + " draining"), hosts(log.changesBetween(firstVersion, second)));
+        assertEquals(second, read(log.changesBetween(firstVersion, second)).whole("seq"));
         assertEquals(List.of(catalog.hostName(4) + " gone", catalog.hostName(5) + " draining"),
             hosts(log.changesBetween(second, last)));
         assertFalse(read(log.changesBetween(second, last)).flag("whole"));
@@ -39,20 +39,20 @@
     }
 
     @Test
-    void whatIsOlderThanTheLogIsNotToldAsChanges() {
+    void changesOlderThanTheLogAreUnavailable() {
         for (int i = 0; i < 4; i++) {
             log.publish(i, HostCatalog.Health.DRAINING);
         }
-        assertNull(log.changesBetween(first, log.latestVersion()));
-        assertNotNull(log.changesBetween(first + 1, log.latestVersion()));
-        assertNull(log.changesBetween(first - 1, first), "nobody holds what was before the first list");
+        assertNull(log.changesBetween(firstVersion, log.latestVersion()));
+        assertNotNull(log.changesBetween(firstVersion + 1, log.latestVersion()));
+        assertNull(log.changesBetween(firstVersion - 1, firstVersion), "nobody holds what was before the first list");
         assertNull(log.changesBetween(log.latestVersion() + 1, log.latestVersion()));
     }
 
     @Test
-    void aWholeListIsNeverNewerThanItsAnswererHolds() throws Exception {
+    void wholeListIsNeverNewerThanTheRequestedVersion() throws Exception {
         long second = log.publish(0, HostCatalog.Health.GONE);
-        assertEquals(first, read(log.wholeList(first)).whole("seq"));
+        assertEquals(firstVersion, read(log.wholeList(firstVersion)).whole("seq"));
         assertEquals(second, read(log.wholeList(second)).whole("seq"));
         assertEquals(19, read(log.wholeList(second)).objects("hosts").size());
         for (int i = 1; i < 6; i++) {
--- a/src/test/java/wrenkeel/scale/FleetTest.java
+++ b/src/test/java/wrenkeel/scale/FleetTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void everyChangeIsNotedAtEveryRelay() throws Exception {
+    void everyRelayRecordsEveryChange() throws Exception {
         try (Fleet fleet = new Fleet(5, 1, options("--hosts", "30", "--relays-a-process", "3"), Fleet::roundRobinZone)) {
             fleet.start();
             assertEquals(2, fleet.relays().processCount());
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void aZoneThatIsBackAsksForEachListOnce() throws Exception {
+    void everyAgentOfARestartedZoneFetchesTheWholeList() throws Exception {
         try (Fleet fleet = new Fleet(4, 1, options("--hosts", "30", "--relays-a-process", "2"), relay -> 0)) {
             fleet.start();
             HopCounters.Counts before = fleet.machines().machineHopCounts();
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void theChangeExperimentGivesOneLineAPlayAndOneAValue() throws Exception {
+    void changeExperimentReportsEachPlayAndEachValue() throws Exception {
         Path out = folder.resolve("change.jsonl");
         assertEquals(0, ScaleCommand.run(new String[] {"change", "--sizes", "1,2,3,4", "--plays", "1", "--hosts", "20",
             "--day-changes", "2", "--day-gap-ms", "1", "--burst-changes", "2", "--out", out.toString()}));
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void aHistogramCrossesBetweenProcesses() throws Exception {
+    void histogramSurvivesEncodingAndDecoding() throws Exception {
         Histogram spans = new Histogram(ListOnlyFleet.HISTOGRAM_DIGITS);
         spans.recordValue(1_234);
         spans.recordValue(56_000_000);
--- a/src/test/java/wrenkeel/scale/HostCatalogTest.java
+++ b/src/test/java/wrenkeel/scale/HostCatalogTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void theWholeListIsThatOfTheProtocol() throws Wire.Malformed {
+    void wholeListFollowsTheDiscoveryProtocol() throws Wire.Malformed {
         HostCatalog catalog = new HostCatalog(1_700, 1);
         Wire.Fields list = read(catalog.wholeList());
         assertEquals(catalog.version(), list.whole("seq"));
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void theSameSeedGivesTheSameListAndItIsEncodedOnce() {
+    void sameSeedGivesTheSameListAndItIsEncodedOnce() {
         HostCatalog catalog = new HostCatalog(100, 7);
         assertArrayEquals(catalog.wholeList(), new HostCatalog(100, 7).wholeList());
         assertFalse(Arrays.equals(catalog.wholeList(), new HostCatalog(100, 8).wholeList()));
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void whatChangedAfterAVersionIsTold() throws Wire.Malformed {
+    void changesSinceAVersionAreListed() throws Wire.Malformed {
         HostCatalog catalog = new HostCatalog(10, 1, host -> "127.0.0.1:" + (5_000 + host));
         long first = catalog.version();
         catalog.changeHealth(3, HostCatalog.Health.DRAINING);
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void whoAsksForWhatIsForgottenGetsTheWholeList() throws Wire.Malformed {
+    void requestForForgottenChangesGetsTheWholeList() throws Wire.Malformed {
         HostCatalog catalog = new HostCatalog(10, 1);
         long first = catalog.version();
         assertTrue(read(catalog.changesSince(first - 1)).flag("whole"));
--- a/src/test/java/wrenkeel/scale/ListNodeTest.java
+++ b/src/test/java/wrenkeel/scale/ListNodeTest.java
@@ -20,30 +20,30 @@
 
 @Timeout(value = 20, unit = TimeUnit.SECONDS)
 class ListNodeTest {
-    private static final long WAIT = 60_000;
-    private final MultiThreadIoEventLoopGroup threads = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+    private static final long WAIT_MS = 60_000;
+    private final MultiThreadIoEventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     private final HttpClient client = HttpClient.newHttpClient();
     private final ChangeLog log = new ChangeLog(new HostCatalog(20, 1), 2);
     private final HopCounters sourceHop = new HopCounters();
     private final HopCounters agentHop = new HopCounters();
-    private final long first = log.latestVersion();
+    private final long firstVersion = log.latestVersion();
     private ListNode source;
     private ListNode agent;
 
     @BeforeEach
     void begin() throws IOException {
-        source = new ListNode(threads.next(), log, sourceHop);
-        agent = new ListNode(threads.next(), log, agentHop);
+        source = new ListNode(eventLoops.next(), log, sourceHop);
+        agent = new ListNode(eventLoops.next(), log, agentHop);
     }
 
     @AfterEach
     void end() {
         agent.close();
         source.close();
-        Shutdown.now(threads);
+        Shutdown.now(eventLoops);
     }
 
-    private CompletableFuture<Wire.Fields> ask(String query) {
+    private CompletableFuture<Wire.Fields> requestList(String query) {
         URI uri = URI.create("http://127.0.0.1:" + agent.address().getPort() + "/v1/servers" + query);
         return client.sendAsync(HttpRequest.newBuilder(uri).build(), HttpResponse.BodyHandlers.ofString())
             .thenApply(answer -> {
@@ -73,14 +73,14 @@
     }
 
     @Test
-    void whoHasNoListIsSilentUntilItIsSentOne() throws Exception {
-        CompletableFuture<Wire.Fields> whole = ask("");
+    void nodeWithoutAListAnswersOnceItReceivesOne() throws Exception {
+        CompletableFuture<Wire.Fields> whole = requestList("");
         awaitCalls(agentHop, 1);
         assertFalse(whole.isDone());
-        agent.watch(source.address(), WAIT);
+        agent.watch(source.address(), WAIT_MS);
         awaitCalls(sourceHop, 1);
         assertEquals(-1, agent.version());
-        source.advanceTo(first);
+        source.advanceTo(firstVersion);
         assertTrue(whole.get().flag("whole"));
         assertEquals(20, whole.get().objects("hosts").size());
         assertEquals(1, sourceHop.snapshot().wholeLists());
@@ -89,15 +89,15 @@
     }
 
     @Test
-    void aWatchIsAnsweredByTheNextChangeOfWhatItsNodeWasSent() throws Exception {
-        source.advanceTo(first);
-        agent.watch(source.address(), WAIT);
-        ask("").get();
-        CompletableFuture<Wire.Fields> watch = ask("?after=" + first + "&wait_ms=" + WAIT);
+    void watchIsAnsweredWhenItsNodeReceivesANewVersion() throws Exception {
+        source.advanceTo(firstVersion);
+        agent.watch(source.address(), WAIT_MS);
+        requestList("").get();
+        CompletableFuture<Wire.Fields> watch = requestList("?after=" + firstVersion + "&wait_ms=" + WAIT_MS);
         awaitCalls(agentHop, 2);
         // Published, but not yet told to the source: nobody has been sent it.
         long second = log.publish(3, HostCatalog.Health.DRAINING);
-        assertEquals(0, ask("?after=" + first + "&wait_ms=1").get().objects("hosts").size());
+        assertEquals(0, requestList("?after=" + firstVersion + "&wait_ms=1").get().objects("hosts").size());
         assertFalse(watch.isDone());
         source.advanceTo(second);
         assertEquals(second, watch.get().whole("seq"));
@@ -106,23 +106,23 @@
     }
 
     @Test
-    void whoIsFurtherBehindThanTheLogGetsTheWholeList() throws Exception {
-        source.advanceTo(first);
-        agent.watch(source.address(), WAIT);
+    void clientFurtherBehindThanTheLogGetsTheWholeList() throws Exception {
+        source.advanceTo(firstVersion);
+        agent.watch(source.address(), WAIT_MS);
         for (int host = 0; host < 3; host++) {
             publish(host);
         }
         await(() -> agent.version() == log.latestVersion());
-        assertTrue(ask("?after=" + first + "&wait_ms=1").get().flag("whole"));
+        assertTrue(requestList("?after=" + firstVersion + "&wait_ms=1").get().flag("whole"));
     }
 
     @Test
-    void aRestartedNodeAsksForTheWholeListAnew() throws Exception {
-        source.advanceTo(first);
-        agent.watch(source.address(), WAIT);
-        ask("").get();
-        agent.restart(source.address(), WAIT).get();
-        assertEquals(first, ask("").get().whole("seq"));
+    void restartedNodeRequestsTheWholeListAgain() throws Exception {
+        source.advanceTo(firstVersion);
+        agent.watch(source.address(), WAIT_MS);
+        requestList("").get();
+        agent.restart(source.address(), WAIT_MS).get();
+        assertEquals(firstVersion, requestList("").get().whole("seq"));
         assertEquals(2, sourceHop.snapshot().wholeLists());
         assertEquals(2, sourceHop.snapshot().connections());
     }
--- a/src/test/java/wrenkeel/scale/RelayConfigTest.java
+++ b/src/test/java/wrenkeel/scale/RelayConfigTest.java
@@ -16,7 +16,7 @@
     private Path folder;
 
     @Test
-    void aRelayReadsWhatIsWritten() throws IOException {
+    void writtenConfigurationIsReadBackUnchanged() throws IOException {
         Path file = folder.resolve("config.json");
         byte[] known = new HostCatalog(30, 1).wholeList();
         RelayConfig.write(file, RelaySettings.typical("n7").withRelays(100),
--- a/src/test/java/wrenkeel/scale/RelayProcessTest.java
+++ b/src/test/java/wrenkeel/scale/RelayProcessTest.java
@@ -20,7 +20,7 @@
 /** A shell stands for the relay: it says what a relay says, and waits. */
 @Timeout(60)
 final class RelayProcessTest {
-    private static final Duration PATIENCE = Duration.ofSeconds(30);
+    private static final Duration TIMEOUT = Duration.ofSeconds(30);
 
     @TempDir
     private Path root;
@@ -34,12 +34,12 @@
     }
 
     @Test
-    void itIsStartedWithItsEnvironmentAndFoundByItsLog() throws Exception {
+    void processGetsItsEnvironmentAndAddressesAreReadFromItsLog() throws Exception {
         Path state;
         try (RelayProcess relay = relay("echo \\\"operators at /127.0.0.1:7 of $EDGE_NAME\\\"; "
             + "echo \\\"$EDGE_DISCOVERY\\\"; echo serving on /127.0.0.1:8, 0 messages; exec sleep 50")) {
             relay.start();
-            assertTrue(relay.awaitServing(PATIENCE));
+            assertTrue(relay.awaitServing(TIMEOUT));
             assertEquals(new InetSocketAddress("127.0.0.1", 7), relay.consoleAddress());
             assertEquals(new InetSocketAddress("127.0.0.1", 8), relay.clientAddress());
             assertTrue(relay.log().contains("of n1\n127.0.0.1:9"), relay.log());
@@ -53,35 +53,35 @@
     }
 
     @Test
-    void itsFolderOutlivesAProcessThatIsKilled() throws Exception {
+    void stateFolderSurvivesAKilledProcess() throws Exception {
         try (RelayProcess relay = relay("echo x >> $EDGE_STATE/starts; echo operators at /127.0.0.1:7;"
             + " echo serving on /127.0.0.1:8; exec sleep 50")) {
             relay.start();
-            assertTrue(relay.awaitServing(PATIENCE));
+            assertTrue(relay.awaitServing(TIMEOUT));
             long first = relay.pid();
             relay.kill();
             assertFalse(relay.isAlive());
             relay.start();
-            assertTrue(relay.awaitServing(PATIENCE));
+            assertTrue(relay.awaitServing(TIMEOUT));
             assertNotEquals(first, relay.pid());
             assertEquals(List.of("x", "x"), Files.readAllLines(relay.stateFolder().resolve("starts")));
-            relay.terminate(PATIENCE);
+            relay.terminate(TIMEOUT);
             assertFalse(relay.isAlive());
         }
     }
 
     @Test
-    void oneThatEndsByItselfIsAFaultThatNamesWhatItSaid() throws Exception {
+    void earlyExitRaisesAnErrorWithExitCodeAndOutput() throws Exception {
         try (RelayProcess relay = relay("echo no such thing; exit 2")) {
             relay.start();
-            String fault = assertThrows(IOException.class, () -> relay.awaitServing(PATIENCE)).getMessage();
+            String fault = assertThrows(IOException.class, () -> relay.awaitServing(TIMEOUT)).getMessage();
             assertTrue(fault.contains("code 2") && fault.contains("no such thing"), fault);
-            assertFalse(relay.awaitMemberCount(20, PATIENCE, Duration.ofMillis(1)));
+            assertFalse(relay.awaitMemberCount(20, TIMEOUT, Duration.ofMillis(1)));
         }
     }
 
     @Test
-    void oneThatSaysNothingIsNotAwaitedForEver() throws Exception {
+    void waitingForASilentProcessTimesOut() throws Exception {
         try (RelayProcess relay = relay("exec sleep 50")) {
             relay.start();
             assertFalse(relay.awaitServing(Duration.ZERO));
@@ -91,7 +91,7 @@
 
     /** What a relay loads costs its start and its memory. */
     @Test
-    void nothingThatARelayIsMadeOfNamesTheScaleRunsOrTheSoak() throws IOException {
+    void relaySourcesDoNotReferToScaleOrSoakTools() throws IOException {
         Path sources = Path.of("src/main/java/wrenkeel");
         List<Path> tools = List.of(sources.resolve("scale"), sources.resolve("soak"));
         try (Stream<Path> files = Files.walk(sources)) {
--- a/src/test/java/wrenkeel/scale/StandInAgentTest.java
+++ b/src/test/java/wrenkeel/scale/StandInAgentTest.java
@@ -25,7 +25,7 @@
 
 @Timeout(60)
 final class StandInAgentTest {
-    private static final Duration PATIENCE = Duration.ofSeconds(30);
+    private static final Duration TIMEOUT = Duration.ofSeconds(30);
 
     private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     private final HostCatalog catalog = new HostCatalog(50, 1);
@@ -42,12 +42,12 @@
         agent.close();
     }
 
-    private HttpRequest.Builder call(String path) {
+    private HttpRequest.Builder request(String path) {
         return HttpRequest.newBuilder(URI.create("http://" + RelayConfig.hostAndPort(agent.address()) + path));
     }
 
     private CompletableFuture<Wire.Fields> list(String query) {
-        return client.sendAsync(call("/v1/servers" + query).build(), HttpResponse.BodyHandlers.ofString())
+        return client.sendAsync(request("/v1/servers" + query).build(), HttpResponse.BodyHandlers.ofString())
             .thenApply(answer -> {
                 try {
                     return Wire.decode(answer.body());
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void theWholeListIsGivenAtOnceAndCounted() throws Exception {
+    void wholeListIsServedAtOnceAndCounted() throws Exception {
         Wire.Fields list = list("").join();
         assertTrue(list.flag("whole"));
         assertEquals(50, list.objects("hosts").size());
@@ -69,18 +69,18 @@
     }
 
     @Test
-    void watchesWaitForAChangeAndAllAreTold() throws Exception {
+    void everyWaitingWatchIsAnsweredByAChange() throws Exception {
         long version = catalog.version();
         CompletableFuture<Wire.Fields> watch = list("?after=" + version + "&wait_ms=60000");
         // Heard, and so waiting: the agent's one thread answers a change after it.
-        assertTrue(agent.awaitHeld(version, PATIENCE));
+        assertTrue(agent.awaitHeld(version, TIMEOUT));
         CompletableFuture<Wire.Fields> other = list("?after=" + version + "&wait_ms=60000");
         long changed = agent.changeHealth(7, HostCatalog.Health.DRAINING);
-        for (Wire.Fields told : List.of(watch.join(), other.join())) {
-            assertEquals(changed, told.whole("seq"));
-            assertFalse(told.flag("whole"));
-            assertEquals(catalog.hostName(7), told.objects("hosts").get(0).text("host"));
-            assertEquals("draining", told.objects("hosts").get(0).text("health"));
+        for (Wire.Fields answer : List.of(watch.join(), other.join())) {
+            assertEquals(changed, answer.whole("seq"));
+            assertFalse(answer.flag("whole"));
+            assertEquals(catalog.hostName(7), answer.objects("hosts").get(0).text("host"));
+            assertEquals("draining", answer.objects("hosts").get(0).text("health"));
         }
         assertEquals(0, agent.wholeLists());
         assertEquals(0, agent.timesOf(changed).heldNanos());
@@ -92,30 +92,30 @@
     }
 
     @Test
-    void aWatchWhoseTimeIsUpIsToldThatNothingChanged() throws Exception {
-        Wire.Fields told = list("?after=" + catalog.version() + "&wait_ms=1").join();
-        assertEquals(catalog.version(), told.whole("seq"));
-        assertFalse(told.flag("whole"));
-        assertEquals(0, told.objects("hosts").size());
+    void expiredWatchIsAnsweredWithNoChanges() throws Exception {
+        Wire.Fields answer = list("?after=" + catalog.version() + "&wait_ms=1").join();
+        assertEquals(catalog.version(), answer.whole("seq"));
+        assertFalse(answer.flag("whole"));
+        assertEquals(0, answer.objects("hosts").size());
     }
 
     @Test
-    void whoIsBehindIsAnsweredAtOnceAndWhoIsTooFarBehindWithTheWholeList() throws Exception {
+    void outdatedWatchIsAnsweredAtOnceAndAnUnknownVersionWithTheWholeList() throws Exception {
         long version = catalog.version();
         agent.changeAddress(3, "127.0.0.1:9");
-        Wire.Fields told = list("?after=" + version + "&wait_ms=60000").join();
-        assertEquals("127.0.0.1:9", told.objects("hosts").get(0).text("dial"));
+        Wire.Fields answer = list("?after=" + version + "&wait_ms=60000").join();
+        assertEquals("127.0.0.1:9", answer.objects("hosts").get(0).text("dial"));
         assertTrue(list("?after=" + (version - 1) + "&wait_ms=60000").join().flag("whole"));
         assertEquals(1, agent.wholeLists());
     }
 
     @Test
-    void aCallerThatLeavesWhileItWaitsIsForgotten() throws Exception {
+    void watchOfAClosedConnectionIsDropped() throws Exception {
         long version = catalog.version();
         try (Socket caller = new Socket(agent.address().getAddress(), agent.address().getPort())) {
             caller.getOutputStream().write(("GET /v1/servers?after=" + version
                 + "&wait_ms=60000 HTTP/1.1\r\nHost: agent\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
-            assertTrue(agent.awaitHeld(version, PATIENCE));
+            assertTrue(agent.awaitHeld(version, TIMEOUT));
         }
         CompletableFuture<Wire.Fields> watch = list("?after=" + version + "&wait_ms=60000");
         long changed = agent.changeHealth(1, HostCatalog.Health.GONE);
@@ -124,8 +124,8 @@
     }
 
     @Test
-    void noticesAreTakenLineByLine() throws Exception {
-        HttpRequest post = call("/reports")
+    void noticesAreReceivedLineByLine() throws Exception {
+        HttpRequest post = request("/reports")
             .POST(HttpRequest.BodyPublishers.ofString("{\"a\":1}\n{\"b\":2}\n")).build();
         assertEquals(204, client.send(post, HttpResponse.BodyHandlers.discarding()).statusCode());
         assertEquals("{\"a\":1}", notices.poll(30, TimeUnit.SECONDS));
@@ -135,7 +135,7 @@
     }
 
     @Test
-    void aConnectionIsClosedBehindTheAnswerWhereTheCallerAsksForIt() throws IOException {
+    void connectionIsClosedAfterTheAnswerWhenRequested() throws IOException {
         try (Socket caller = new Socket(agent.address().getAddress(), agent.address().getPort())) {
             caller.getOutputStream().write(("GET /v1/servers HTTP/1.1\r\nHost: agent\r\n"
                 + "Connection: close\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
@@ -145,11 +145,11 @@
     }
 
     private int status(String path) throws IOException, InterruptedException {
-        return client.send(call(path).build(), HttpResponse.BodyHandlers.discarding()).statusCode();
+        return client.send(request(path).build(), HttpResponse.BodyHandlers.discarding()).statusCode();
     }
 
     @Test
-    void whatItDoesNotKnowIsTurnedDown() throws IOException, InterruptedException {
+    void malformedAndUnknownRequestsAreRejected() throws IOException, InterruptedException {
         assertEquals(400, status("/v1/servers?after=x"));
         assertEquals(400, status("/v1/servers?after=1&wait_ms=soon"));
         assertEquals(404, status("/v2"));
