--- a/src/main/java/wrenkeel/scale/ByteCounter.java
+++ b/src/main/java/wrenkeel/scale/ByteCounter.java
@@ -7,7 +7,8 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Counts the bytes of a connection: those read, and those that the system has taken. First in its pipeline.
+ * Counts the bytes read from a connection and the bytes that the operating system has accepted for sending.
+ * Must be the first handler of the connection's pipeline, so that it sees encoded bytes.
  */
 final class ByteCounter extends ChannelDuplexHandler {
     private final LongAdder bytesIn;
--- a/src/main/java/wrenkeel/scale/ChangeExperiment.java
+++ b/src/main/java/wrenkeel/scale/ChangeExperiment.java
@@ -10,14 +10,14 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** How long a change takes from the source until it is in force at each relay of a fleet. */
+/** Measures how long a change takes from the source until each relay of a fleet has applied it. */
 @Command(name = "change", mixinStandardHelpOptions = true,
-    description = "A fleet of so many hollow relays: time from a change at the source until it is in force,"
-        + " at a day's pace (a sample, with shorter gaps) and at 1,000 a minute.")
+    description = "A fleet of list-only relays: time from a change at the source until relays have applied"
+        + " it, at the daily rate (a sample, with shorter gaps) and at 1,000 changes a minute.")
 final class ChangeExperiment implements Callable<Integer> {
     private static final List<Long> SIZES = List.of(100L, 300L, 1_000L, 2_300L);
     private static final long TARGET_RELAYS = 2_300;
-    /** ms between changes where 1,000 come in a minute. */
+    /** Mean time between changes at 1,000 changes a minute. */
     private static final double BURST_GAP_MS = 60;
 
     @Mixin
@@ -25,13 +25,14 @@
     @Mixin
     private FleetOptions fleetOptions;
     @Option(names = "--day-changes", defaultValue = "30", paramLabel = "N",
-        description = "Changes of the day's sample (default: ${DEFAULT-VALUE}).")
+        description = "Number of changes in the sample of a day (default: ${DEFAULT-VALUE}).")
     private int dayChanges;
     @Option(names = "--day-gap-ms", defaultValue = "300", paramLabel = "N",
-        description = "Mean gap between them; 3,100 a day are one in 27,900 ms (default: ${DEFAULT-VALUE}).")
+        description = "Mean gap between them, in ms; 3,100 a day are one in 27,900 ms"
+            + " (default: ${DEFAULT-VALUE}).")
     private double dayGapMs;
     @Option(names = "--burst-changes", defaultValue = "200", paramLabel = "N",
-        description = "Changes of the burst, one in 60 ms on the mean (default: ${DEFAULT-VALUE}).")
+        description = "Number of changes in the burst, on average one in 60 ms (default: ${DEFAULT-VALUE}).")
     private int burstChanges;
 
     @Override
@@ -43,7 +44,7 @@
         Map<String, Double> values = new LinkedHashMap<>();
         try (Fleet fleet = new Fleet(size, seed, fleetOptions, Fleet::roundRobinZone)) {
             fleet.start();
-            // What runs for the first time is compiled before it is measured.
+            // Warm-up: lets the JIT compile the code before it is measured.
             fleet.publishChanges(dayChanges, BURST_GAP_MS);
             fleet.awaitAllRelays();
             measure(fleet, size, "day_", dayChanges, dayGapMs, values);
@@ -63,7 +64,8 @@
         Histogram delays = propagation.delays();
         long expectedCount = (long) size * changes;
         if (delays.getTotalCount() != expectedCount) {
-            throw new IllegalStateException(delays.getTotalCount() + " times noted of " + expectedCount);
+            throw new IllegalStateException(delays.getTotalCount()
+                + " propagation times recorded, expected " + expectedCount);
         }
         values.put(prefix + "p50_ms", delays.getValueAtPercentile(50) / 1e3);
         values.put(prefix + "p99_ms", delays.getValueAtPercentile(99) / 1e3);
@@ -71,7 +73,7 @@
             propagation.lastRelayDelays().stream().mapToLong(us -> us).average().orElseThrow() / 1e3);
         values.put(prefix + "last_relay_most_ms",
             propagation.lastRelayDelays().stream().mapToLong(us -> us).max().orElseThrow() / 1e3);
-        // With the watches that end by themselves meanwhile.
+        // These figures include the watches that time out during the measurement.
         values.put(prefix + "source_bytes_a_change", (double) usage.source().totalBytes() / changes);
         values.put(prefix + "machine_bytes_a_change", (double) usage.machine().totalBytes() / changes);
         values.put(prefix + "agent_bytes_a_change", (double) usage.agent().totalBytes() / changes);
--- a/src/main/java/wrenkeel/scale/ChangeLog.java
+++ b/src/main/java/wrenkeel/scale/ChangeLog.java
@@ -7,12 +7,14 @@
 import java.util.TreeMap;
 
 /**
- * The list as its source has published it: a bounded log of changes and the latest whole lists as encoded.
- * All control machines and agents of a run share one, so that thousands of them fit into a process; how much
- * of it each has been sent is its own affair. Any thread.
+ * The host list as its source has published it: a bounded log of encoded changes and the latest encoded whole
+ * lists. All control machines and agents of a run share one log, so that thousands of them fit into a
+ * process; each keeps track of the version that it has received. Thread-safe.
  */
 final class ChangeLog {
-    /** Encoded whole lists kept: nodes that are some changes behind are served from an older one. */
+    /**
+     * Number of encoded whole lists kept; nodes that are some changes behind are served from an older one.
+     */
     private static final int MAX_WHOLE_LISTS = 4;
     private static final byte[] HOSTS_FIELD = "\"hosts\":[".getBytes(StandardCharsets.US_ASCII);
     private static final byte[] LIST_END = "]}".getBytes(StandardCharsets.US_ASCII);
@@ -25,7 +27,7 @@
     private long cachedUpTo = -1;
     private byte[] cachedAnswer;
 
-    /** {@code most}: changes kept. From now on only this log changes the catalog. */
+    /** {@code capacity} is the number of changes kept. From now on, only this log may change the catalog. */
     ChangeLog(HostCatalog catalog, int capacity) {
         this.catalog = catalog;
         this.encodedChanges = new byte[capacity][];
@@ -33,7 +35,7 @@
         wholeLists.put(firstVersion, catalog.wholeList());
     }
 
-    /** Gives one host another standing, and returns the list's version. */
+    /** Changes the health of one host, and returns the list's new version. */
     synchronized long publish(int host, HostCatalog.Health health) {
         long versionBefore = catalog.version();
         long version = catalog.changeHealth(host, health);
@@ -41,7 +43,7 @@
         return version;
     }
 
-    /** The one entry of an answer. */
+    /** Returns the encoded entry of an answer that holds exactly one. */
     private static byte[] extractEntry(byte[] answer) {
         int start = new String(answer, StandardCharsets.US_ASCII)
             .indexOf(new String(HOSTS_FIELD, StandardCharsets.US_ASCII)) + HOSTS_FIELD.length;
@@ -52,11 +54,16 @@
         return (int) (version % encodedChanges.length);
     }
 
+    /** Returns the latest published version. */
     synchronized long latestVersion() {
         return catalog.version();
     }
 
-    /** The answer to a watch: what came after one version up to another; null if the log begins later. */
+    /**
+     * Returns the encoded answer to a watch: the changes after version {@code after} up to and including
+     * {@code upTo}; null if the log no longer holds all of them or does not know the version. Callers must
+     * not modify the array.
+     */
     synchronized byte[] changesBetween(long after, long upTo) {
         if (after < firstVersion || after > upTo || after < latestVersion() - encodedChanges.length) {
             return null;
@@ -84,8 +91,9 @@
     }
 
     /**
-     * The latest encoded whole list that is no newer than this version; whoever gets it asks for the rest
-     * next. Null if all that are kept are newer.
+     * Returns the latest encoded whole list that is no newer than {@code upTo}; its receiver requests the
+     * remaining changes with its next call. Null if all whole lists that are kept are newer. Callers must not
+     * modify the array.
      */
     synchronized byte[] wholeList(long upTo) {
         long latest = latestVersion();
--- a/src/main/java/wrenkeel/scale/ControlMachines.java
+++ b/src/main/java/wrenkeel/scale/ControlMachines.java
@@ -10,14 +10,15 @@
 import java.util.List;
 
 /**
- * The seven control machines as a tree of watches over two regions and five zones: one head a region, of
- * which the first is the source, and one machine a zone. So a change crosses between the regions once, enters
- * each zone once, and no machine sends it to more than a fifth of the fleet's agents; what a zone's return
- * costs stays with that zone's machine. Each machine is one thread here.
+ * The seven control machines as a tree of watches over two regions and five zones: one head per region, of
+ * which the first is the source, and one machine per zone. A change thus crosses between the regions once and
+ * enters each zone once, and no machine sends it to more than a fifth of the fleet's agents. The load of a
+ * zone that returns from an outage stays with that zone's machine. Here, each machine is one thread.
  */
 final class ControlMachines implements AutoCloseable {
-    static final int MACHINE_COUNT = 7, ZONE_COUNT = 5;
-    /** Zones of the first region; the others are in the second. */
+    static final int MACHINE_COUNT = 7;
+    static final int ZONE_COUNT = 5;
+    /** Number of zones in the first region; the others are in the second. */
     private static final int FIRST_REGION_ZONES = 3;
 
     private final ChangeLog changeLog;
@@ -31,7 +32,7 @@
     private final ListNode secondRegionHead;
     private final List<ListNode> zoneMachines = new ArrayList<>();
 
-    /** {@code waitMs}: ms that each watch between machines waits. */
+    /** Starts the machines; {@code waitMs} is how long each watch between machines waits for a change. */
     ControlMachines(ChangeLog changeLog, long waitMs) throws IOException {
         this.changeLog = changeLog;
         this.waitMs = waitMs;
@@ -52,42 +53,43 @@
         return new ListNode(loop, changeLog, hop);
     }
 
+    /** Returns the address of the region head that a zone's machine watches. */
     private InetSocketAddress upstreamOf(int zone) {
         return (zone < FIRST_REGION_ZONES ? source : secondRegionHead).address();
     }
 
-    /** Where the agents of a zone watch. */
+    /** Returns the address that the agents of a zone watch. */
     InetSocketAddress zoneAddress(int zone) {
         return zoneMachines.get(zone).address();
     }
 
-    /** Tells the source of what has been published. */
+    /** Makes the source serve the list up to this published version. */
     void advanceSource(long version) {
         source.advanceTo(version);
     }
 
-    /** A zone's machine is lost and back. */
+    /** Simulates the loss and return of a zone's machine: it restarts without a list. */
     void restartZone(int zone) {
         zoneMachines.get(zone).restart(upstreamOf(zone), waitMs).syncUninterruptibly();
     }
 
-    /** The lowest version that any machine holds. */
+    /** Returns the lowest version that any machine holds; -1 while any has no list. */
     long minVersion() {
         return Math.min(secondRegionHead.version(),
             zoneMachines.stream().mapToLong(ListNode::version).min().orElseThrow());
     }
 
-    /** Between the machines. */
+    /** Returns the traffic between the control machines so far. */
     HopCounters.Counts sourceHopCounts() {
         return sourceHop.snapshot();
     }
 
-    /** Between the zones' machines and the agents. */
+    /** Returns the traffic between the zones' machines and the agents so far. */
     HopCounters.Counts machineHopCounts() {
         return machineHop.snapshot();
     }
 
-    /** us of processor time of all machines so far. */
+    /** Returns the processor time of all machines so far, in microseconds. */
     long cpuMicros() {
         return threadTimes.cpuMicros();
     }
--- a/src/main/java/wrenkeel/scale/EpochClock.java
+++ b/src/main/java/wrenkeel/scale/EpochClock.java
@@ -3,11 +3,11 @@
 import java.time.Instant;
 import java.time.temporal.ChronoUnit;
 
-/** The one clock that all processes of a machine read. */
+/** The system's wall clock, which gives comparable times in all processes of a machine. */
 final class EpochClock {
     private EpochClock() { }
 
-    /** us since the Unix epoch. */
+    /** Returns the microseconds since the Unix epoch. */
     static long micros() {
         return ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
     }
--- a/src/main/java/wrenkeel/scale/Fleet.java
+++ b/src/main/java/wrenkeel/scale/Fleet.java
@@ -9,22 +9,41 @@
 import java.util.function.IntUnaryOperator;
 import java.util.function.LongSupplier;
 
-/** Control machines, agents and hollow relays of one play, with a list that changes at the source. */
+/**
+ * The processes of one measured run (a "play"): control machines, one agent per relay, and list-only relays,
+ * which maintain the host list but accept no clients and make no calls. The list changes at the source, the
+ * first control machine, and propagates over three hops: between control machines, from a zone's control
+ * machine to the agents, and from each agent to its relay. Not thread-safe.
+ */
 final class Fleet implements AutoCloseable {
     private static final long POLL_INTERVAL_MS = 2;
-    /** s; what has not come by then will not. */
+    /** A list that has not arrived after this time is treated as lost, and the run fails. */
     static final long TIMEOUT_SECONDS = 60;
 
-    /** What has been spent up to one moment: by hop and by role; times in us. */
-    record ResourceUsage(long atMicros, HopCounters.Counts source, HopCounters.Counts machine, HopCounters.Counts agent,
-                 long machinesCpuMicros, long agentsCpuMicros, long relaysCpuMicros) {
+    /**
+     * Cumulative network traffic by hop and processor time by role at one moment, or the difference between
+     * two moments.
+     *
+     * @param atMicros time since the Unix epoch, or the length of the interval
+     * @param source traffic between the control machines
+     * @param machine traffic between the zones' control machines and the agents
+     * @param agent traffic between the agents and their relays
+     */
+    record ResourceUsage(long atMicros, HopCounters.Counts source, HopCounters.Counts machine,
+                         HopCounters.Counts agent, long machinesCpuMicros, long agentsCpuMicros,
+                         long relaysCpuMicros) {
+        /** Returns the usage of the interval between the earlier moment and this one. */
         ResourceUsage minus(ResourceUsage earlier) {
-            return new ResourceUsage(atMicros - earlier.atMicros, source.minus(earlier.source), machine.minus(earlier.machine),
-                agent.minus(earlier.agent), machinesCpuMicros - earlier.machinesCpuMicros, agentsCpuMicros - earlier.agentsCpuMicros,
+            return new ResourceUsage(atMicros - earlier.atMicros, source.minus(earlier.source),
+                machine.minus(earlier.machine), agent.minus(earlier.agent),
+                machinesCpuMicros - earlier.machinesCpuMicros, agentsCpuMicros - earlier.agentsCpuMicros,
                 relaysCpuMicros - earlier.relaysCpuMicros);
         }
 
-        /** Calls and bytes a second on each hop, and processor time as percent of a core. */
+        /**
+         * Adds, for an interval, calls and bytes per second on each hop and processor time as a percentage of
+         * one core. The keys start with {@code prefix}.
+         */
         void putRates(String prefix, Map<String, Double> values) {
             double seconds = atMicros / 1e6;
             values.put(prefix + "source_calls_per_s", source.calls() / seconds);
@@ -36,7 +55,7 @@
             putCpuPercent(prefix, values);
         }
 
-        /** Processor time of each role as percent of a core. */
+        /** Adds, for an interval, the processor time of each role as a percentage of one core. */
         void putCpuPercent(String prefix, Map<String, Double> values) {
             double seconds = atMicros / 1e6;
             values.put(prefix + "machines_cpu_percent", machinesCpuMicros / seconds / 1e4);
@@ -54,7 +73,14 @@
     private boolean hostIsDraining;
     private int currentHost;
 
-    /** The relays are not started yet; {@code zones} gives the zone of each. */
+    /**
+     * Starts the control machines, the agents and the processes that will run the relays; {@link #start}
+     * starts the relays.
+     *
+     * @param size number of relays
+     * @param seed determines the host list, the changed hosts and the gaps between changes
+     * @param zoneOfRelay the zone of each relay, by the relay's number
+     */
     Fleet(int size, long seed, FleetOptions options, IntUnaryOperator zoneOfRelay) throws IOException {
         random = new Random(seed);
         catalog = new HostCatalog(options.hosts, seed);
@@ -64,30 +90,39 @@
         relays = new ListOnlyFleet(agents, options.relaysPerProcess, options.heapMb);
     }
 
-    /** One relay after the other over the five zones. */
+    /** Distributes relays evenly over the zones, by the relay's number. */
     static int roundRobinZone(int relay) {
         return relay % ControlMachines.ZONE_COUNT;
     }
 
-    /** Starts all relays and waits until each holds the list. */
+    /**
+     * Starts all relays and waits until each has applied the list.
+     *
+     * @throws IOException if the list does not reach every machine, agent and relay in time
+     */
     void start() throws IOException, InterruptedException {
-        awaitVersion("the machines hold no list", machines::minVersion);
-        awaitVersion("the agents hold no list", agents::minVersion);
+        awaitVersion("the control machines did not receive the list in time", machines::minVersion);
+        awaitVersion("the agents did not receive the list in time", agents::minVersion);
         relays.start(0, agents.size());
         awaitAllRelays();
     }
 
-    /** Waits until all relays hold the latest version. */
+    /**
+     * Waits until all relays have applied the latest version of the list.
+     *
+     * @throws IOException if some have not after {@link #TIMEOUT_SECONDS}
+     */
     void awaitAllRelays() throws IOException {
         long relaysHolding = relays.awaitVersion(changeLog.latestVersion(), TIMEOUT_SECONDS);
         if (relaysHolding < agents.size()) {
-            throw new IOException(relaysHolding + " of " + agents.size() + " relays hold version " + changeLog.latestVersion()
-                + " after " + TIMEOUT_SECONDS + " s");
+            throw new IOException(relaysHolding + " of " + agents.size() + " relays hold version "
+                + changeLog.latestVersion() + " after " + TIMEOUT_SECONDS + " s");
         }
     }
 
-    /** Waits until the latest version is held. */
-    private void awaitVersion(String faultMessage, LongSupplier version) throws IOException, InterruptedException {
+    /** Waits until {@code version} returns the latest version of the list; fails with the given message. */
+    private void awaitVersion(String faultMessage, LongSupplier version)
+        throws IOException, InterruptedException {
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (version.getAsLong() < changeLog.latestVersion()) {
             if (System.nanoTime() > deadlineNanos) {
@@ -97,7 +132,10 @@
         }
     }
 
-    /** A host is told to drain, or is ready again; when that was published (epoch us). */
+    /**
+     * Publishes one change at the source: alternately sets a random host to draining, and that host back to
+     * ready. Returns the time of publication in microseconds since the Unix epoch.
+     */
     long publishChange() {
         currentHost = hostIsDraining ? currentHost : random.nextInt(catalog.hostCount());
         hostIsDraining = !hostIsDraining;
@@ -107,7 +145,10 @@
         return atMicros;
     }
 
-    /** Publishes so many changes with random gaps of this mean (exponential, ms); when each was published. */
+    /**
+     * Publishes {@code count} changes with exponentially distributed gaps. Returns the time of each
+     * publication in microseconds since the Unix epoch.
+     */
     List<Long> publishChanges(int count, double meanGapMs) throws InterruptedException {
         List<Long> publishedAt = new ArrayList<>();
         double dueMicros = EpochClock.micros();
@@ -119,11 +160,14 @@
         return publishedAt;
     }
 
+    /** Returns what the fleet has used since its start. */
     ResourceUsage usage() throws IOException {
-        return new ResourceUsage(EpochClock.micros(), machines.sourceHopCounts(), machines.machineHopCounts(), agents.hopCounts(),
-            machines.cpuMicros(), agents.cpuMicros(), relays.cpuMicros());
+        return new ResourceUsage(EpochClock.micros(), machines.sourceHopCounts(),
+            machines.machineHopCounts(), agents.hopCounts(), machines.cpuMicros(), agents.cpuMicros(),
+            relays.cpuMicros());
     }
 
+    /** Returns the latest version of the list at the source. */
     long latestVersion() {
         return changeLog.latestVersion();
     }
--- a/src/main/java/wrenkeel/scale/FleetAgents.java
+++ b/src/main/java/wrenkeel/scale/FleetAgents.java
@@ -10,7 +10,10 @@
 import java.util.List;
 import java.util.function.IntUnaryOperator;
 
-/** One agent a relay, each with its own door and watch of its zone's machine; a few threads carry all. */
+/**
+ * One discovery agent per relay. Each agent listens on its own port and watches the control machine of its
+ * zone. All agents share a few event loops.
+ */
 final class FleetAgents implements AutoCloseable {
     private static final int THREADS = 3;
 
@@ -23,7 +26,12 @@
         new DefaultThreadFactory("agents", true), NioIoHandler.newFactory());
     private final List<ListNode> agents = new ArrayList<>();
 
-    /** {@code waitMs}: ms that each agent's watch waits; {@code zoneOfAgent}: the zone of each agent. */
+    /**
+     * Opens the agents' ports and starts their watches.
+     *
+     * @param waitMs how long each watch of an agent asks its control machine to wait for a change
+     * @param zoneOfAgent the zone of each agent, by the agent's number
+     */
     FleetAgents(ChangeLog log, ControlMachines machines, int count, long waitMs, IntUnaryOperator zoneOfAgent)
         throws IOException {
         this.machines = machines;
@@ -40,30 +48,32 @@
         }
     }
 
+    /** Returns the loopback port of an agent. */
     int port(int agent) {
         return agents.get(agent).address().getPort();
     }
 
+    /** Returns the number of agents. */
     int size() {
         return agents.size();
     }
 
-    /** The agent's machine is lost and back: it holds nothing. */
+    /** Simulates the loss and return of the agent's machine: the agent restarts without a list. */
     Future<?> restart(int agent) {
         return agents.get(agent).restart(machines.zoneAddress(zoneOfAgent.applyAsInt(agent)), waitMs);
     }
 
-    /** The lowest version that any agent holds; -1 while one has no list. */
+    /** Returns the lowest list version that any agent holds; -1 while any has no list. */
     long minVersion() {
         return agents.stream().mapToLong(ListNode::version).min().orElseThrow();
     }
 
-    /** Between the agents and their relays. */
+    /** Returns the traffic between the agents and their relays so far. */
     HopCounters.Counts hopCounts() {
         return hopCounters.snapshot();
     }
 
-    /** us of processor time of all agents so far. */
+    /** Returns the processor time of all agents so far, in microseconds. */
     long cpuMicros() {
         return threadTimes.cpuMicros();
     }
--- a/src/main/java/wrenkeel/scale/HopCounters.java
+++ b/src/main/java/wrenkeel/scale/HopCounters.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * What has gone over one hop of the list's way, counted at its serving side: HTTP with its heads, without
- * what TCP and IP add. Any thread may count and read.
+ * Counts the traffic on one hop between the source of the host list and the relays, at the serving side.
+ * Bytes include HTTP headers, but not the overhead of TCP and IP. Thread-safe.
  */
 final class HopCounters {
     private final LongAdder calls = new LongAdder();
@@ -14,7 +14,13 @@
     private final LongAdder bytesIn = new LongAdder();
     private final LongAdder bytesOut = new LongAdder();
 
-    /** Counts so far, or between two moments; {@code bytesIn} are requests, {@code bytesOut} answers. */
+    /**
+     * Traffic since the start, or between two moments.
+     *
+     * @param wholeLists answers that held the whole list instead of changes
+     * @param bytesIn bytes of requests
+     * @param bytesOut bytes of answers
+     */
     record Counts(long calls, long wholeLists, long connections, long bytesIn, long bytesOut) {
         Counts minus(Counts before) {
             return new Counts(calls - before.calls, wholeLists - before.wholeLists,
@@ -42,7 +48,7 @@
         wholeLists.increment();
     }
 
-    /** Stands first in a connection's pipeline. */
+    /** Returns a new handler that counts bytes; it must be the first of a connection's pipeline. */
     ChannelHandler byteCounter() {
         return new ByteCounter(bytesIn, bytesOut);
     }
--- a/src/main/java/wrenkeel/scale/HostCatalog.java
+++ b/src/main/java/wrenkeel/scale/HostCatalog.java
@@ -16,36 +16,41 @@
 import java.util.function.IntFunction;
 
 /**
- * Discovery's list: hosts numbered from 0, 1.7 a destination, the same for the same seed, and what has
- * changed since. Only what changed is held by the entry; all else is worked out from the number. Any thread
- * may call.
+ * A generated host list as discovery serves it, with a log of its changes. Hosts are numbered from 0, with
+ * 1.7 hosts per destination; the same seed gives the same list. Only hosts that have changed are stored; all
+ * others are computed from their number. Thread-safe.
  */
 public final class HostCatalog {
-    /** Two regions with five zones. */
+    /** The five zones; the letter stands for one of two regions. */
     static final List<String> ZONES = List.of("a1", "a2", "a3", "b1", "b2");
+    /** The kinds of hosts. */
     static final List<String> KINDS = List.of("m1", "m2");
-    /** Changes remembered; who asks for older ones gets the whole list. */
+    /** Number of changes kept; a request for older ones is answered with the whole list. */
     static final int MAX_CHANGES = 4_096;
     private static final JsonFactory JSON = new JsonFactory();
     private static final long FIRST_VERSION = 41;
-    /** Odd, so that no two numbers below 2^32 have the same product in 32 bits. */
+    /** Odd, so that no two host numbers have the same 32-bit product, which would give equal names. */
     private static final int HASH_MULTIPLIER = 0x9E3779B1;
 
-    /** The standing of one host. */
+    /** The health of one host. {@code GONE} hosts are not part of the whole list. */
     public enum Health {
         READY, DRAINING, GONE;
 
+        /** Returns the value of the {@code health} field in discovery's list. */
         String wireName() {
             return name().toLowerCase(Locale.ROOT);
         }
     }
 
     /**
-     * What is no longer as it was at first: its standing, where it is dialled, and when it began (Unix ms).
+     * The variable part of a host's entry.
+     *
+     * @param address address and port
+     * @param bornMillis when the host started, in milliseconds since the Unix epoch; 0 for the initial start
      */
     private record HostState(Health health, String address, long bornMillis) { }
 
-    /** One change: the host that it is about, by its number. */
+    /** One change: the list's version after it, and the number of the changed host. */
     private record Change(long version, int host) { }
 
     private final int hostCount;
@@ -55,16 +60,18 @@
     private final Deque<Change> changes = new ArrayDeque<>();
     private long version = FIRST_VERSION;
     private int goneCount;
-    /** The list as it stands, encoded; null after a change until somebody asks. */
+    /** The current whole list, encoded; null after a change until it is requested. */
     private byte[] encodedList;
 
-    /** Hosts with addresses that nobody answers; they are for relays that make no calls. */
+    /** Creates a list whose addresses do not answer, for relays that make no calls. */
     HostCatalog(int hostCount, long seed) {
         this(hostCount, seed, HostCatalog::unansweredAddress);
     }
 
     /**
-     * @param dials the address and port of each host
+     * Creates a list of ready hosts.
+     *
+     * @param initialAddresses the address and port of each host, by the host's number
      */
     public HostCatalog(int hostCount, long seed, IntFunction<String> initialAddresses) {
         this.hostCount = hostCount;
@@ -76,43 +83,46 @@
         return "10." + (1 + (host >> 16 & 0x7f)) + "." + (host >> 8 & 0xff) + "." + (host & 0xff) + ":8081";
     }
 
-    /** How many hosts there are, those that are gone included. */
+    /** Returns the number of hosts, including those that are gone. */
     public int hostCount() {
         return hostCount;
     }
 
+    /** Returns the number of destinations. */
     public int destinationCount() {
         return hostCount == 0 ? 0 : destinationOf(hostCount - 1) + 1;
     }
 
-    /** The number of a host's destination. */
+    /** Returns the number of the destination that a host belongs to. */
     public static int destinationOf(int host) {
         return (int) (host * 10L / 17);
     }
 
+    /** Returns the name of a host in the list. */
     public String hostName(int host) {
         return String.format(Locale.ROOT, "s-%08x", host * HASH_MULTIPLIER + salt);
     }
 
+    /** Returns the current version of the list. */
     public synchronized long version() {
         return version;
     }
 
-    /** How many hosts the list names, ready or draining. */
+    /** Returns the number of hosts in the whole list, ready or draining. */
     synchronized int listedCount() {
         return hostCount - goneCount;
     }
 
-    /** Changes the standing of one host; the list's new version. */
+    /** Changes the health of one host, and returns the list's new version. */
     public synchronized long changeHealth(int host, Health health) {
         HostState previous = stateOf(host);
-        // One that comes back has started anew.
+        // A host that returns has a new start time.
         long bornMillis = previous.health == Health.GONE && health != Health.GONE ? System.currentTimeMillis()
             : previous.bornMillis;
         return recordChange(host, new HostState(health, previous.address, bornMillis));
     }
 
-    /** Gives one host another address; the list's new version. */
+    /** Changes the address of one host, and returns the list's new version. */
     synchronized long changeAddress(int host, String address) {
         HostState previous = stateOf(host);
         return recordChange(host, new HostState(previous.health, address, previous.bornMillis));
@@ -120,7 +130,8 @@
 
     private HostState stateOf(int host) {
         if (host < 0 || host >= hostCount) {
-            throw new IndexOutOfBoundsException("host " + host + " of " + hostCount);
+            throw new IndexOutOfBoundsException(
+                "host " + host + " does not exist; number of hosts: " + hostCount);
         }
         HostState state = changedHosts.get(host);
         return state == null ? new HostState(Health.READY, initialAddresses.apply(host), 0) : state;
@@ -137,7 +148,7 @@
         return version;
     }
 
-    /** The whole list in discovery's form. Shared by all who ask: not to be written to. */
+    /** Returns the whole list in discovery's JSON form. Callers share the array and must not modify it. */
     synchronized byte[] wholeList() {
         if (encodedList == null) {
             encodedList = encode(true, null);
@@ -145,7 +156,10 @@
         return encodedList;
     }
 
-    /** What changed after a version, perhaps nothing; the whole list where that is no longer known. */
+    /**
+     * Returns the hosts that changed after a version, perhaps none, in discovery's JSON form; the whole list
+     * if the changes are no longer known.
+     */
     synchronized byte[] changesSince(long after) {
         if (!hasChangesSince(after)) {
             return wholeList();
@@ -159,7 +173,7 @@
         return encode(false, hostNumbers);
     }
 
-    /** True where the answer to a watch after this version is made of changes. */
+    /** Returns whether {@link #changesSince} answers with changes rather than with the whole list. */
     synchronized boolean hasChangesSince(long after) {
         return after <= version && after >= version - changes.size();
     }
@@ -185,7 +199,7 @@
             json.writeEndArray();
             json.writeEndObject();
         } catch (IOException e) {
-            throw new IllegalStateException("an array of bytes cannot fail to be written", e);
+            throw new IllegalStateException("could not encode the host list in memory", e);
         }
         return buffer.toByteArray();
     }
--- a/src/main/java/wrenkeel/scale/ListExperiment.java
+++ b/src/main/java/wrenkeel/scale/ListExperiment.java
@@ -13,26 +13,34 @@
 import picocli.CommandLine.Option;
 
 /**
- * One real relay beside an agent whose list holds so many hosts, and nothing else on the wire. A relay that
- * never holds its list is a result, not a fault: its plays have {@code held} 0, what it did meanwhile, and no
- * other value.
+ * Measures what a host list of a given size costs one real relay, with an agent and no other traffic. A relay
+ * that never holds its list counts as a result, not as an error: such a play reports {@code held} as 0 and
+ * the values that start with {@code unheld_}, and no values that need a list.
  */
 @Command(name = "list", mixinStandardHelpOptions = true,
-    description = "One relay and a list of so many hosts: memory, processor time, bytes, start and restart.")
+    description = "One relay and a host list of a given size: memory, processor time, bytes, start and"
+        + " restart.")
 final class ListExperiment implements Callable<Integer> {
-    private static final Duration LIST_TIMEOUT = Duration.ofSeconds(15), POLL_INTERVAL = Duration.ofMillis(20),
-        CHANGE_TIMEOUT = Duration.ofSeconds(10);
-    /** ms: from the list held until the idle time is measured, that time, and from one change to the next. */
-    private static final long SETTLE_MS = 1_500, IDLE_MS = 8_000, CHANGE_GAP_MS = 100;
-    /** Changes measured one by one, and one right after another. */
-    private static final int CHANGES = 20, RAPID_CHANGES = 200;
+    private static final Duration LIST_TIMEOUT = Duration.ofSeconds(15);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(20);
+    private static final Duration CHANGE_TIMEOUT = Duration.ofSeconds(10);
+    /** Time from when the relay holds its list until the idle measurement starts. */
+    private static final long SETTLE_MS = 1_500;
+    /** Length of the idle measurement. */
+    private static final long IDLE_MS = 8_000;
+    /** Pause after each change that is measured on its own. */
+    private static final long CHANGE_GAP_MS = 100;
+    /** Number of changes measured with pauses. */
+    private static final int CHANGES = 20;
+    /** Number of changes measured without pauses. */
+    private static final int RAPID_CHANGES = 200;
     private static final double BYTES_PER_MB = 1e6;
 
     @Mixin
     private CommonOptions options;
 
     @Option(names = "--known",
-        description = "The configuration holds the list already, and nothing has changed since.")
+        description = "The relay's configuration already holds the current list.")
     private boolean known;
 
     @Override
@@ -43,7 +51,8 @@
     private int run() throws IOException, InterruptedException {
         List<Long> sizes = options.sizes(20L, 1_000L, 10_000L, 40_000L, 100_000L, 323_000L);
         try (Report report = new Report("list", options)) {
-            // Plays outside, sizes inside: what drifts on the machine shows as spread, not as a slope.
+            // The sizes are the inner loop: a drift of the machine's speed then shows as variance among the
+            // plays of a size, not as a trend over the sizes.
             for (int play = 0; play < options.plays(); play++) {
                 for (long size : sizes) {
                     report.add(new Measurement("list", size, play, options.seed(play),
@@ -66,10 +75,14 @@
             if (measureStart(relay, agent, values)) {
                 double idleMicrosPerSecond = measureIdle(relay, agent, values);
                 Random random = new Random(seed);
-                measureChanges("first_change", CHANGES, CHANGE_GAP_MS, relay, agent, random, idleMicrosPerSecond, values);
-                measureChanges("rapid_change", RAPID_CHANGES, 0, relay, agent, random, idleMicrosPerSecond, values);
-                // Here its code is compiled as after an hour or two of the target's 3,100 changes a day.
-                measureChanges("change", CHANGES, CHANGE_GAP_MS, relay, agent, random, idleMicrosPerSecond, values);
+                measureChanges("first_change", CHANGES, CHANGE_GAP_MS, relay, agent, random,
+                    idleMicrosPerSecond, values);
+                measureChanges("rapid_change", RAPID_CHANGES, 0, relay, agent, random,
+                    idleMicrosPerSecond, values);
+                // By now the JIT has compiled the relay's code as after an hour or two at the target rate of
+                // 3,100 changes a day.
+                measureChanges("change", CHANGES, CHANGE_GAP_MS, relay, agent, random,
+                    idleMicrosPerSecond, values);
                 values.put("peak_rss_mb", relay.peakRssBytes() / BYTES_PER_MB);
                 measureRestart(relay, agent, values);
             }
@@ -77,7 +90,10 @@
         return values;
     }
 
-    /** From the command until the console tells of all hosts; false where that takes too long. */
+    /**
+     * Measures the time from the start command until the relay's telemetry reports all hosts. Returns false,
+     * and adds the {@code unheld_} values, if that takes longer than {@link #LIST_TIMEOUT}.
+     */
     private boolean measureStart(RelayProcess relay, StandInAgent agent, Map<String, Double> values)
         throws IOException, InterruptedException {
         long startedNanos = System.nanoTime();
@@ -103,7 +119,7 @@
         return listHeld;
     }
 
-    /** Nothing happens; the processor time, us a second. */
+    /** Measures the idle relay, and returns its processor time in microseconds per second. */
     private static double measureIdle(RelayProcess relay, StandInAgent agent, Map<String, Double> values)
         throws IOException, InterruptedException {
         TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
@@ -120,14 +136,17 @@
     }
 
     /**
-     * One host after another drains, goes, comes back and moves, each change not before the relay holds the
-     * last one: the processor time of each beyond that of idling.
+     * Makes one host after another drain, disappear, return and change its address, and measures the
+     * processor time per change beyond that of the idle relay. Each change waits until the relay holds the
+     * one before. Adds no values if a change does not arrive in time.
      *
-     * @param gap ms besides, from one to the next
-     * @param idle processor time, us a second
+     * @param name prefix of the values' names
+     * @param gapMs additional pause after each change
+     * @param idleMicrosPerSecond processor time of the idle relay
      */
-    private static void measureChanges(String name, int count, long gapMs, RelayProcess relay, StandInAgent agent,
-                                Random random, double idleMicrosPerSecond, Map<String, Double> values)
+    private static void measureChanges(String name, int count, long gapMs, RelayProcess relay,
+                                       StandInAgent agent, Random random, double idleMicrosPerSecond,
+                                       Map<String, Double> values)
         throws IOException, InterruptedException {
         long startedNanos = System.nanoTime();
         long cpuBefore = relay.cpuMicros();
@@ -149,14 +168,15 @@
             TimeUnit.MILLISECONDS.sleep(gapMs);
         }
         double seconds = (System.nanoTime() - startedNanos) / 1e9;
-        values.put(name + "_cpu_ms", (relay.cpuMicros() - cpuBefore - idleMicrosPerSecond * seconds) / 1e3 / count);
+        values.put(name + "_cpu_ms",
+            (relay.cpuMicros() - cpuBefore - idleMicrosPerSecond * seconds) / 1e3 / count);
         values.put(name + "_bytes", (agent.bytesIn() + agent.bytesOut() - bytesBefore) / (double) count);
     }
 
-    /** SIGKILL, and a start with the folder that lasts. */
+    /** Measures a restart after SIGKILL, with the state folder kept. */
     private static void measureRestart(RelayProcess relay, StandInAgent agent, Map<String, Double> values)
         throws IOException, InterruptedException {
-        // Encoded before, so that no relay waits for it.
+        // Encodes the list now, so that the restarted relay does not wait for it.
         agent.catalog().wholeList();
         relay.kill();
         long wholeListsBefore = agent.wholeLists();
--- a/src/main/java/wrenkeel/scale/ListNode.java
+++ b/src/main/java/wrenkeel/scale/ListNode.java
@@ -31,25 +31,27 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One place on the list's way from its source to the relays: a control machine or an agent. It serves watches
- * of what it has been sent, and, unless it is the source, watches the place above it. All on one event loop.
+ * A server of the host list between its source and the relays: a control machine or an agent. It serves the
+ * list and watches, up to the version that it has received, and, unless it is the source, watches its
+ * upstream node. All work runs on one event loop; other threads may call all methods.
  */
 final class ListNode implements AutoCloseable {
-    /** ms; the longest wait that the protocol allows. */
+    /** The longest wait of a watch that the protocol allows. */
     private static final long MAX_WAIT_MS = 60_000;
-    private static final int MAX_REQUEST_BYTES = 64 * 1024, ACCEPT_BACKLOG = 4_096;
+    private static final int MAX_REQUEST_BYTES = 64 * 1024;
+    private static final int ACCEPT_BACKLOG = 4_096;
 
     private final EventLoop loop;
     private final ChangeLog changeLog;
     private final HopCounters hopCounters;
     private final Channel listener;
     private final ChannelGroup clientChannels;
-    /** Those whose call is not answered yet, in the order in which they came. */
+    /** Connections whose call is not answered yet, in the order of arrival. */
     private final Set<ClientConnection> waitingClients = new LinkedHashSet<>();
     private UpstreamWatch upstream;
     private volatile long version = -1;
 
-    /** Opens its door on any free port of loopback; {@code hopCounters} counts what goes over it. */
+    /** Listens on a free loopback port; {@code hopCounters} counts the traffic there. */
     ListNode(EventLoop loop, ChangeLog changeLog, HopCounters hopCounters) throws IOException {
         this.loop = loop;
         this.changeLog = changeLog;
@@ -69,16 +71,17 @@
             }).bind(InetAddress.getLoopbackAddress(), 0).syncUninterruptibly().channel();
     }
 
+    /** Returns the address that it listens at. */
     InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
 
-    /** The version it has been sent; -1 while it has no list. Any thread may ask. */
+    /** Returns the version that it has received; -1 while it has no list. */
     long version() {
         return version;
     }
 
-    /** Watches the place above from now on, with calls that wait for so many milliseconds. */
+    /** Starts to watch the upstream node; each call waits up to {@code waitMs} for a change. */
     void watch(InetSocketAddress upstreamAddress, long waitMs) {
         loop.execute(() -> {
             upstream = new UpstreamWatch(loop, upstreamAddress, waitMs, version, this::versionReceived);
@@ -86,7 +89,7 @@
         });
     }
 
-    /** It holds the list up to this version now: at the source as published, elsewhere as sent. */
+    /** Makes the list up to this version available to clients, and answers their watches. */
     void advanceTo(long newVersion) {
         if (loop.inEventLoop()) {
             versionReceived(newVersion);
@@ -100,7 +103,10 @@
         List.copyOf(waitingClients).forEach(ClientConnection::answerIfNewer);
     }
 
-    /** Its machine is lost and back: connections are closed; it holds nothing until it is sent the list. */
+    /**
+     * Simulates the loss and return of its machine: closes all connections, and starts to watch again without
+     * a list.
+     */
     Future<?> restart(InetSocketAddress upstreamAddress, long waitMs) {
         return loop.submit(() -> {
             upstream.close();
@@ -121,10 +127,10 @@
         listener.close().syncUninterruptibly();
     }
 
-    /** One connection from below. */
+    /** One connection of a downstream node or a relay. */
     private final class ClientConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
         private ChannelHandlerContext context;
-        /** The version that its call asks to go on from; -1 for a whole list. */
+        /** The version after which its call requests changes; -1 for the whole list. */
         private long afterVersion;
         private Future<?> timer;
 
@@ -148,12 +154,13 @@
             }
         }
 
-        private static long longParameter(Map<String, List<String>> parameters, String name, long defaultValue) {
+        private static long longParameter(Map<String, List<String>> parameters, String name,
+                                          long defaultValue) {
             List<String> values = parameters.get(name);
             return values == null ? defaultValue : Long.parseLong(values.get(0));
         }
 
-        /** Silent while it has no list; a watch waits for something newer. */
+        /** Answers the call if the node holds a list, and a newer version than the call names. */
         private void answerIfNewer() {
             if (version >= 0 && afterVersion < version) {
                 byte[] changes = afterVersion < 0 ? null : changeLog.changesBetween(afterVersion, version);
@@ -167,6 +174,7 @@
             }
         }
 
+        /** Answers a watch whose wait has ended, with no changes. */
         private void answerUnchanged() {
             byte[] unchanged = version < 0 ? null : changeLog.changesBetween(version, version);
             if (waitingClients.contains(this) && unchanged != null) {
--- a/src/main/java/wrenkeel/scale/ListOnlyFleet.java
+++ b/src/main/java/wrenkeel/scale/ListOnlyFleet.java
@@ -24,33 +24,43 @@
 import java.util.zip.DataFormatException;
 import org.HdrHistogram.Histogram;
 
-/** Hollow relays in processes of some hundreds each, told what to do by {@link ListOnlyProcess}'s commands. */
+/**
+ * List-only relays in child processes of some hundreds of relays each. The relays are numbered from 0 over
+ * all processes. The methods send a command to all processes (see {@link ListOnlyProcess}) and wait for their
+ * answers. Not thread-safe.
+ */
 final class ListOnlyFleet implements AutoCloseable {
-    /** Digits of a histogram that count. */
+    /** Significant decimal digits of the histograms. */
     static final int HISTOGRAM_DIGITS = 3;
+    /** After this time a process that was told to end is killed. */
     private static final long EXIT_TIMEOUT_SECONDS = 5;
-    /** The flags of a real relay that shape its speed. */
+    /** Flags of a real relay that affect its speed. */
     private static final List<String> JVM_FLAGS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
         "-XX:-UsePerfData", "-Xss512k", "-Dorg.slf4j.simpleLogger.defaultLogLevel=error");
 
-    /** How long some versions took to be in force: at all relays, and at the last one of each, us. */
+    /**
+     * How long some versions of the list took from their publication until relays applied them.
+     *
+     * @param delays microseconds, one value for each version and relay
+     * @param lastRelayDelays microseconds until the last relay applied each version, in order of versions
+     */
     record PropagationTimes(Histogram delays, List<Long> lastRelayDelays) { }
 
-    /** After a collection, over all processes. */
+    /** Memory and open file descriptors of all processes, measured after a garbage collection. */
     record Memory(long heapBytes, long rssBytes, long descriptors) { }
 
     private final int relaysPerProcess;
     private final int relayCount;
     private final Path folder;
     private final List<ChildProcess> children = new ArrayList<>();
-    /** Where the run is ended before its time, the processes and their files go with it. */
-    private final Thread shutdownHook = new Thread(this::endAndDelete, "end of the hollow relays");
+    /** Ends the processes and deletes their files if this JVM exits before {@link #close} is called. */
+    private final Thread shutdownHook = new Thread(this::endAndDelete, "end of the list-only relays");
 
     /**
-     * Starts the processes; their relays are not started yet.
+     * Starts the processes and configures one relay for each agent; {@link #start} starts the relays.
      *
-     * @param each relays a process
-     * @param heapMb most heap of a process
+     * @param relaysPerProcess number of relays in each process; the last may have fewer
+     * @param heapMb maximum heap of a process, in MB
      */
     ListOnlyFleet(FleetAgents agents, int relaysPerProcess, int heapMb) throws IOException {
         this.relaysPerProcess = relaysPerProcess;
@@ -69,16 +79,20 @@
         }
     }
 
-    /** Starts the relays from one number up to another, exclusive. */
+    /** Starts the relays with numbers from {@code from} to {@code to}, exclusive. */
     void start(int from, int to) throws IOException {
         sendRange("start", from, to);
     }
 
-    /** Ends them as by SIGKILL; they can be started anew. */
+    /**
+     * Stops the relays with numbers from {@code from} to {@code to}, exclusive, without a clean shutdown, as
+     * SIGKILL would. They can be started again.
+     */
     void stop(int from, int to) throws IOException {
         sendRange("stop", from, to);
     }
 
+    /** Sends a command with a range of relays, clipped to the relays of each process. */
     private List<String> sendRange(String command, int from, int to) throws IOException {
         return sendToAll(child -> command + " " + clamp(from - child.firstRelay, child.size) + " "
             + clamp(to - child.firstRelay, child.size));
@@ -88,17 +102,28 @@
         return Math.max(0, Math.min(number, size));
     }
 
-    /** Waits until all that run hold this version; how many do after so many seconds. */
+    /**
+     * Waits until all running relays have applied this version, at most for the given time, and returns how
+     * many have.
+     */
     long awaitVersion(long version, long seconds) throws IOException {
-        return sendToAll(child -> "await " + version + " " + seconds).stream().mapToLong(Long::parseLong).sum();
+        return sendToAll(child -> "await " + version + " " + seconds).stream()
+            .mapToLong(Long::parseLong).sum();
     }
 
-    /** Notes from now on when each of so many versions after this one, which all hold, is in force. */
+    /**
+     * Makes the relays record when they apply each of the {@code versions} versions after {@code version},
+     * which all relays must have applied.
+     */
     void recordVersions(long version, int versions) throws IOException {
         sendToAll(child -> "note " + version + " " + versions);
     }
 
-    /** Given when each of the noted versions was published (epoch us): how long they took to be in force. */
+    /**
+     * Returns how long the recorded versions took to reach the relays.
+     *
+     * @param publishedAt when each recorded version was published, in microseconds since the Unix epoch
+     */
     PropagationTimes propagationTimes(List<Long> publishedAtMicros) throws IOException {
         String command = "inforce "
             + publishedAtMicros.stream().map(String::valueOf).collect(Collectors.joining(" "));
@@ -114,7 +139,10 @@
         return new PropagationTimes(delays, List.copyOf(lastRelayDelays.values()));
     }
 
-    /** us from the latest start of each of these relays until its list was in force; others are left out. */
+    /**
+     * Returns the microseconds from the latest start of each relay in the range (with {@code to} exclusive)
+     * until it applied its first list. Relays that have not applied one are left out.
+     */
     Histogram startTimes(int from, int to) throws IOException {
         Histogram delays = new Histogram(HISTOGRAM_DIGITS);
         for (String answer : sendRange("starts", from, to)) {
@@ -123,6 +151,7 @@
         return delays;
     }
 
+    /** Collects garbage in all processes and measures them. */
     Memory measureMemory() throws IOException {
         long heap = 0;
         long descriptors = 0;
@@ -137,7 +166,7 @@
         return new Memory(heap, rss, descriptors);
     }
 
-    /** us of processor time of all processes so far. */
+    /** Returns the processor time of all processes so far, in microseconds. */
     long cpuMicros() throws IOException {
         long all = 0;
         for (ChildProcess child : children) {
@@ -146,11 +175,12 @@
         return all;
     }
 
+    /** Returns the number of processes. */
     int processCount() {
         return children.size();
     }
 
-    /** All are told before the first is waited for. */
+    /** Sends a command to every process before it waits for the first answer; returns the answers. */
     private List<String> sendToAll(Function<ChildProcess, String> command) throws IOException {
         for (ChildProcess child : children) {
             child.commands.println(command.apply(child));
@@ -162,22 +192,24 @@
         return answers;
     }
 
+    /** Encodes a histogram as one word of text. */
     static String encode(Histogram histogram) {
         ByteBuffer bytes = ByteBuffer.allocate(histogram.getNeededByteBufferCapacity());
         int length = histogram.encodeIntoCompressedByteBuffer(bytes);
         return Base64.getEncoder().encodeToString(Arrays.copyOf(bytes.array(), length));
     }
 
+    /** Decodes the output of {@link #encode}. */
     static Histogram decode(String text) throws IOException {
         try {
             ByteBuffer bytes = ByteBuffer.wrap(Base64.getDecoder().decode(text));
             return Histogram.decodeFromCompressedByteBuffer(bytes, 0);
         } catch (DataFormatException e) {
-            throw new IOException("a process answered with no histogram", e);
+            throw new IOException("answer of a process is not a valid histogram", e);
         }
     }
 
-    /** Ends the processes by their numbers, and removes the relays' files. */
+    /** Ends the processes and deletes the relays' files. */
     @Override
     public void close() {
         Runtime.getRuntime().removeShutdownHook(shutdownHook);
@@ -192,7 +224,7 @@
                 Files.deleteIfExists(file);
             }
         } catch (IOException | UncheckedIOException e) {
-            System.err.println("left behind: " + folder + ": " + e);
+            System.err.println("could not delete " + folder + ": " + e);
         }
     }
 
@@ -220,16 +252,19 @@
             stats = new ProcessStats(process.pid());
         }
 
+        /** Reads the answer to the latest command; fails if the command failed or the process has ended. */
         String readAnswer() throws IOException {
             String line = answers.readLine();
             if (line == null || !line.startsWith("ok")) {
                 String log = Files.readString(errorLog);
-                throw new IOException("hollow relays from " + firstRelay + " on: "
-                    + (line == null ? "the process has ended" : line) + (log.isEmpty() ? "" : "\n" + log));
+                throw new IOException("process of the relays from number " + firstRelay + " on: "
+                    + (line == null ? "the process ended without an answer" : line)
+                    + (log.isEmpty() ? "" : "\n" + log));
             }
             return line.substring(Math.min(line.length(), 3));
         }
 
+        /** Waits until the process has ended; kills it after a timeout. */
         void awaitExit() {
             try {
                 if (!process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
--- a/src/main/java/wrenkeel/scale/ListOnlyProcess.java
+++ b/src/main/java/wrenkeel/scale/ListOnlyProcess.java
@@ -14,19 +14,24 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * A process that holds many hollow relays. It is told what to do in lines on its standard input and answers
- * each with one line; it ends when that input does, so that it never outlives the run. Relays are numbered
- * from 0 in each process.
+ * Main class of a process that runs many list-only relays. It reads commands from its standard input, one per
+ * line, and answers each with one line on its standard output: {@code ok} and the result, or {@code fault}
+ * and the error. It exits when its standard input is closed, so that it never outlives the scale run. Relays
+ * are numbered from 0 in each process.
  *
  * <pre>
- *   add PORT...               relays with their agents' ports           ok
+ *   add PORT...               adds a relay for each agent's port         ok
  *   start FROM TO             starts relays FROM up to TO exclusive      ok
- *   stop FROM TO              ends them as by SIGKILL                    ok
- *   await VERSION SECONDS     until all that run hold that version       ok HOW-MANY-DO
- *   note VERSION COUNT        notes when the COUNT versions after it come into force: ok
- *   inforce AT...             given when each was published (epoch us):  ok HISTOGRAM LAST-US...
- *   starts FROM TO            from start to list held:                   ok HISTOGRAM
- *   memory                    after a collection:                        ok HEAP-BYTES DESCRIPTORS
+ *   stop FROM TO              stops them without cleanup, like SIGKILL   ok
+ *   await VERSION SECONDS     waits until all running relays have
+ *                             applied VERSION                            ok HOW-MANY-HAVE
+ *   note VERSION COUNT        records when the COUNT versions after
+ *                             VERSION are applied                        ok
+ *   inforce AT...             delays until the recorded versions were
+ *                             applied; AT: when each was published
+ *                             (microseconds since the Unix epoch)        ok HISTOGRAM LAST-US...
+ *   starts FROM TO            delays from start to first applied list    ok HISTOGRAM
+ *   memory                    collects garbage, then measures            ok HEAP-BYTES DESCRIPTORS
  * </pre>
  */
 final class ListOnlyProcess {
@@ -40,11 +45,11 @@
         this.folder = folder;
     }
 
-    /** The argument: an empty folder for its relays' files. */
+    /** Takes one argument: an empty folder for the relays' files. */
     public static void main(String[] args) throws IOException {
         ListOnlyProcess process = new ListOnlyProcess(Path.of(args[0]));
         PrintStream answers = System.out;
-        // Only answers go to the standard output.
+        // Other output goes to standard error, so that standard output carries only answers.
         System.setOut(System.err);
         BufferedReader lines = new BufferedReader(new InputStreamReader(System.in,
             StandardCharsets.US_ASCII));
@@ -97,7 +102,8 @@
         long holding = 0;
         while (holding < running && System.nanoTime() < deadlineNanos) {
             Thread.sleep(POLL_INTERVAL_MS);
-            holding = relays.stream().filter(relay -> relay.isStarted() && relay.appliedVersion() >= version).count();
+            holding = relays.stream()
+                .filter(relay -> relay.isStarted() && relay.appliedVersion() >= version).count();
         }
         return holding;
     }
@@ -123,7 +129,8 @@
     private static String startTimes(List<TimedRelay> range) {
         Histogram delays = new Histogram(ListOnlyFleet.HISTOGRAM_DIGITS);
         range.stream().filter(relay -> relay.firstAppliedAtMicros() > 0)
-            .forEach(relay -> delays.recordValue(Math.max(0, relay.firstAppliedAtMicros() - relay.startedAtMicros())));
+            .forEach(relay -> delays.recordValue(
+                Math.max(0, relay.firstAppliedAtMicros() - relay.startedAtMicros())));
         return ListOnlyFleet.encode(delays);
     }
 
--- a/src/main/java/wrenkeel/scale/LoadedRelay.java
+++ b/src/main/java/wrenkeel/scale/LoadedRelay.java
@@ -8,24 +8,33 @@
 import java.util.Map;
 import java.util.concurrent.atomic.LongAdder;
 
-/** One real relay with an agent of its own, whose list leads to shared ports. */
+/**
+ * One real relay with its own agent, for experiments with traffic. The hosts of the agent's list share a few
+ * ports, where stand-in destinations listen.
+ */
 final class LoadedRelay implements AutoCloseable {
-    private static final Duration START_TIMEOUT = Duration.ofSeconds(15), POLL_INTERVAL = Duration.ofMillis(50);
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(15);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(50);
     private static final double HOSTS_PER_DESTINATION = 1.7;
 
-    /** What its plays are of, besides the rate: destinations, play and seed. */
+    /** Number of destinations that was asked for; the size of the experiment's play. */
     final long size;
+    /** Number of the play. */
     final int play;
+    /** Seed of the play. */
     final long seed;
     private final HostCatalog catalog;
-    private final LongAdder failedMessages = new LongAdder(), returnedMessages = new LongAdder();
+    private final LongAdder failedMessages = new LongAdder();
+    private final LongAdder returnedMessages = new LongAdder();
     private final StandInAgent agent;
     private final RelayProcess process;
     private double startSeconds;
 
     /**
-     * @param destinations how many the list is to have, at 1.7 hosts each
-     * @param ports the dials, which the hosts share by turns
+     * Starts the agent and writes the relay's configuration; {@link #start} starts the relay.
+     *
+     * @param destinations number of destinations in the list, at 1.7 hosts each
+     * @param ports loopback ports, assigned to the hosts in turn
      */
     LoadedRelay(Path root, RelaySettings settings, long destinations, int play, long seed,
                 List<Integer> ports)
@@ -47,7 +56,7 @@
         }
     }
 
-    /** Starts it; false where it does not hold its list and serve clients in time. */
+    /** Starts the relay; returns false if it does not hold its list and serve clients in time. */
     boolean start() throws IOException, InterruptedException {
         long startedNanos = System.nanoTime();
         process.start();
@@ -57,7 +66,7 @@
         return listHeld;
     }
 
-    /** What a relay did that does not hold its list. */
+    /** Returns the values to report if {@link #start} returned false. */
     Map<String, Double> valuesWithoutList() throws IOException {
         Map<String, Double> values = new LinkedHashMap<>();
         values.put("held", 0.0);
@@ -67,6 +76,7 @@
         return values;
     }
 
+    /** Returns the number of destinations in the list. */
     int destinationCount() {
         return catalog.destinationCount();
     }
@@ -79,12 +89,12 @@
         return agent;
     }
 
-    /** Notices of messages given up so far. */
+    /** Returns the number of notices of failed messages so far. */
     long failedMessages() {
         return failedMessages.sum();
     }
 
-    /** Notices of messages handed back so far. */
+    /** Returns the number of notices of returned messages so far. */
     long returnedMessages() {
         return returnedMessages.sum();
     }
--- a/src/main/java/wrenkeel/scale/RelayConfig.java
+++ b/src/main/java/wrenkeel/scale/RelayConfig.java
@@ -9,16 +9,16 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Writes a relay's configuration file, in the form of the deployment. */
+/** Writes a relay's configuration file, in the format of the deployment. */
 final class RelayConfig {
     private static final JsonFactory JSON = new JsonFactory();
 
     private RelayConfig() { }
 
     /**
-     * The relay gets any free ports of loopback for its clients and its operators.
+     * Writes the file. The relay will listen for clients and operators on free loopback ports.
      *
-     * @param known the list as this relay last had it, in discovery's form; null if it never had one
+     * @param knownList the host list that this relay last held, in discovery's JSON form; null for none
      */
     static void write(Path file, RelaySettings settings, InetSocketAddress agent, byte[] knownList)
         throws IOException {
@@ -44,6 +44,7 @@
         }
     }
 
+    /** Returns the address as numeric host and port, separated by a colon. */
     static String hostAndPort(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
@@ -104,7 +105,8 @@
         json.writeEndObject();
     }
 
-    private static void writeStrings(JsonGenerator json, String name, List<String> strings) throws IOException {
+    private static void writeStrings(JsonGenerator json, String name, List<String> strings)
+        throws IOException {
         json.writeArrayFieldStart(name);
         for (String text : strings) {
             json.writeString(text);
--- a/src/main/java/wrenkeel/scale/RelayProcess.java
+++ b/src/main/java/wrenkeel/scale/RelayProcess.java
@@ -20,15 +20,17 @@
 import wrenkeel.Wire;
 
 /**
- * One real relay, started by {@code run} of the deploy file under the limits that stand there, with a
- * temporary folder of its own that is deleted at the end. At most one process at a time; it dies with this
- * JVM. Not for several threads.
+ * One real relay, started with the {@code run} command and the limits of {@code deploy/balancer.toml}, with
+ * its own temporary folder, which {@link #close} deletes. It has at most one process at a time, and may be
+ * restarted; the process is killed when this JVM exits. Not thread-safe.
  */
 public final class RelayProcess implements AutoCloseable {
+    /** The {@code run} setting of the deploy file. */
     private static final Pattern RUN_SETTING = Pattern.compile("(?m)^run\\s*=\\s*\"((?:[^\"\\\\]|\\\\.)*)\"");
-    /** With what follows the port: a line may be half written. */
-    private static final Pattern SERVING_LINE = Pattern.compile("serving on \\S*?:(\\d+)\\D"),
-        CONSOLE_LINE = Pattern.compile("operators at \\S*?:(\\d+)\\D");
+    /** Requires a character after the port, because the line may be only partly written. */
+    private static final Pattern SERVING_LINE = Pattern.compile("serving on \\S*?:(\\d+)\\D");
+    /** Like {@link #SERVING_LINE}. */
+    private static final Pattern CONSOLE_LINE = Pattern.compile("operators at \\S*?:(\\d+)\\D");
     private static final Duration POLL_INTERVAL = Duration.ofMillis(5);
     private static final int CALL_TIMEOUT_MS = 2_000;
 
@@ -37,7 +39,7 @@
     private final RelaySettings settings;
     private InetSocketAddress agent;
     private final Map<String, String> environment;
-    private final Thread shutdownHook = new Thread(this::killAndDelete, "end of a relay");
+    private final Thread shutdownHook = new Thread(this::killAndDelete, "relay cleanup");
     private Process process;
     private ProcessStats stats;
     private int startCount;
@@ -47,15 +49,15 @@
     /**
      * Writes the configuration; {@link #start} starts the process.
      *
-     * @param root the repository's root, built
-     * @param known the list that the configuration holds, in discovery's form; null for none
+     * @param root root folder of the repository, which must be built
+     * @param knownList the host list that the configuration holds, in discovery's JSON form; null for none
      */
     RelayProcess(Path root, RelaySettings settings, InetSocketAddress agent, byte[] knownList)
         throws IOException {
         this(root, settings, agent, knownList, Map.of());
     }
 
-    /** {@code environment}: further variables that the process is started with. */
+    /** As above; {@code environment} holds further environment variables for the process. */
     public RelayProcess(Path root, RelaySettings settings, InetSocketAddress agent, byte[] knownList,
                         Map<String, String> environment) throws IOException {
         this.root = root;
@@ -70,16 +72,17 @@
     }
 
     /**
-     * Starts the process, or one more after the last has ended; the lasting folder is kept. Does not wait.
+     * Starts a process; the previous one must have ended. The state folder is kept. Does not wait until the
+     * relay serves.
      */
     public void start() throws IOException {
         if (process != null && process.isAlive()) {
-            throw new IllegalStateException("process " + process.pid() + " runs");
+            throw new IllegalStateException("the relay is already running as process " + process.pid());
         }
         clientAddress = null;
         consoleAddress = null;
-        ProcessBuilder processBuilder = new ProcessBuilder("/bin/sh", "-c", readRunCommand(root)).directory(root.toFile())
-            .redirectErrorStream(true).redirectOutput(log(++startCount).toFile());
+        ProcessBuilder processBuilder = new ProcessBuilder("/bin/sh", "-c", readRunCommand(root))
+            .directory(root.toFile()).redirectErrorStream(true).redirectOutput(log(++startCount).toFile());
         processBuilder.environment().putAll(Map.of("EDGE_NAME", settings.name(), "EDGE_LISTEN", "127.0.0.1:0",
             "EDGE_CONSOLE", "127.0.0.1:0", "EDGE_DISCOVERY", RelayConfig.hostAndPort(agent),
             "EDGE_STATE", stateFolder().toString(), "EDGE_CONFIG", folder.resolve("config.json").toString(),
@@ -91,50 +94,56 @@
 
     private static String readRunCommand(Path root) throws IOException {
         Path file = root.resolve("deploy/balancer.toml");
-        Matcher processBuilder = RUN_SETTING.matcher(Files.readString(file));
-        if (!processBuilder.find()) {
-            throw new IOException("no run = \"...\" in " + file);
+        Matcher runSetting = RUN_SETTING.matcher(Files.readString(file));
+        if (!runSetting.find()) {
+            throw new IOException("no setting run = \"...\" in " + file);
         }
-        return processBuilder.group(1).replaceAll("\\\\(.)", "$1");
+        return runSetting.group(1).replaceAll("\\\\(.)", "$1");
     }
 
     private Path log(int start) {
         return folder.resolve("log." + start);
     }
 
-    /** What the latest process has written so far. */
+    /** Returns the output of the latest process so far; empty before the first start. */
     public String log() throws IOException {
         return startCount == 0 ? "" : Files.readString(log(startCount));
     }
 
-    /** What all processes have written so far, the latest last. */
+    /** Returns the output of all processes so far, the latest last, each with a heading. */
     public String allLogs() throws IOException {
-        StringBuilder walk = new StringBuilder();
+        StringBuilder logs = new StringBuilder();
         for (int start = 1; start <= startCount; start++) {
-            walk.append("---- start ").append(start).append('\n').append(Files.readString(log(start)));
+            logs.append("---- start ").append(start).append('\n').append(Files.readString(log(start)));
         }
-        return walk.toString();
+        return logs.toString();
     }
 
-    /** Waits until the process has ended; false where it has not in time. */
+    /** Waits until the process has ended; returns false on timeout. */
     public boolean awaitExit(Duration timeout) throws InterruptedException {
         return process.waitFor(timeout.toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    /** The folder that lasts. */
+    /** Returns the relay's state folder, which outlasts restarts. */
     public Path stateFolder() {
         return folder.resolve("state");
     }
 
+    /** Returns the id of the latest process. */
     public long pid() {
         return process.pid();
     }
 
+    /** Returns whether a process is running. */
     public boolean isAlive() {
         return process != null && process.isAlive();
     }
 
-    /** Waits until the process serves clients; false where it does not in time. */
+    /**
+     * Waits until the process serves clients; returns false on timeout.
+     *
+     * @throws IOException if the process has ended
+     */
     public boolean awaitServing(Duration timeout) throws IOException, InterruptedException {
         if (!awaitConsole(timeout)) {
             return false;
@@ -143,7 +152,11 @@
         return clientAddress != null;
     }
 
-    /** Waits until the process answers operators; false where it does not in time. */
+    /**
+     * Waits until the process listens for operators; returns false on timeout.
+     *
+     * @throws IOException if the process has ended
+     */
     boolean awaitConsole(Duration timeout) throws IOException, InterruptedException {
         if (consoleAddress == null) {
             consoleAddress = awaitAddress(CONSOLE_LINE, timeout);
@@ -151,6 +164,7 @@
         return consoleAddress != null;
     }
 
+    /** Waits for a line in the log of the latest process, and returns its address; null on timeout. */
     private InetSocketAddress awaitAddress(Pattern pattern, Duration timeout)
         throws IOException, InterruptedException {
         long deadlineNanos = System.nanoTime() + timeout.toNanos();
@@ -161,8 +175,8 @@
                 return new InetSocketAddress("127.0.0.1", Integer.parseInt(line.group(1)));
             }
             if (ended) {
-                throw new IOException("the relay ended with code " + process.exitValue() + ": "
-                    + log().lines().limit(3).toList());
+                throw new IOException("the relay exited with code " + process.exitValue()
+                    + "; start of its log: " + log().lines().limit(3).toList());
             }
             if (System.nanoTime() > deadlineNanos) {
                 return null;
@@ -171,17 +185,17 @@
         }
     }
 
-    /** Where clients connect, once it serves. */
+    /** Returns the clients' address; null before {@link #awaitServing} has succeeded. */
     public InetSocketAddress clientAddress() {
         return clientAddress;
     }
 
-    /** Where operators connect, once it answers them. */
+    /** Returns the operators' address; null before {@link #awaitConsole} has succeeded. */
     InetSocketAddress consoleAddress() {
         return consoleAddress;
     }
 
-    /** The figures of the console. */
+    /** Returns the metrics of the relay's console. */
     public Wire.Fields telemetry() throws IOException {
         HttpURLConnection call = openConnection("telemetry");
         try (InputStream answer = call.getInputStream()) {
@@ -191,7 +205,7 @@
         }
     }
 
-    /** True if the console says that it serves. */
+    /** Returns whether the console reports the relay as ready. */
     boolean isReady() throws IOException {
         HttpURLConnection call = openConnection("ready");
         try {
@@ -209,21 +223,22 @@
         return call;
     }
 
-    /** How many hosts the list that it holds names. */
+    /** Returns the number of hosts in the list that the relay holds. */
     long memberCount() throws IOException {
         return telemetry().whole("members");
     }
 
     /**
-     * Waits until the list that it holds names so many hosts; false where it does not in time, or ends. One
-     * that is too busy to answer its operators is asked again.
+     * Waits until the relay's list has the given number of hosts; returns false on timeout or when the
+     * process ends. Failed calls are repeated, because the relay may be too busy to answer operators.
      */
     boolean awaitMemberCount(long hosts, Duration timeout, Duration pollInterval)
         throws IOException, InterruptedException {
         long deadlineNanos = System.nanoTime() + timeout.toNanos();
         while (isAlive() && System.nanoTime() < deadlineNanos) {
             try {
-                if (awaitConsole(Duration.ofNanos(deadlineNanos - System.nanoTime())) && memberCount() == hosts) {
+                if (awaitConsole(Duration.ofNanos(deadlineNanos - System.nanoTime()))
+                    && memberCount() == hosts) {
                     return true;
                 }
             } catch (IOException e) {
@@ -236,38 +251,38 @@
         return false;
     }
 
-    /** Processor time of the process since its start, us. */
+    /** Returns the processor time of the process since its start, in microseconds. */
     long cpuMicros() throws IOException {
         return stats.cpuMicros();
     }
 
-    /** Processor time of each thread, ns, named by the system's number for it. */
+    /** Returns the processor time in ns by thread id. */
     Map<String, Long> threadNanos() throws IOException {
         return stats.threadNanos();
     }
 
-    /** Bytes handed to the system by all writes since the start, to sockets too. */
+    /** Returns the bytes passed to write calls since the start, including those to sockets. */
     long writtenBytes() throws IOException {
         return stats.writtenBytes();
     }
 
-    /** Resident memory, bytes. */
+    /** Returns the resident memory in bytes. */
     public long rssBytes() throws IOException {
         return stats.rssBytes();
     }
 
-    /** The most resident memory since the start, bytes. */
+    /** Returns the peak resident memory since the start, in bytes. */
     long peakRssBytes() throws IOException {
         return stats.peakRssBytes();
     }
 
-    /** SIGKILL; returns once the process has ended. */
+    /** Sends SIGKILL, and waits until the process has ended. */
     public void kill() throws InterruptedException {
         process.destroyForcibly();
         process.waitFor();
     }
 
-    /** SIGTERM; returns once the process has ended, by SIGKILL where it takes longer. */
+    /** Sends SIGTERM, waits until the process has ended, and kills it on timeout. */
     void terminate(Duration timeout) throws InterruptedException {
         process.destroy();
         if (!process.waitFor(timeout.toMillis(), TimeUnit.MILLISECONDS)) {
@@ -275,7 +290,7 @@
         }
     }
 
-    /** Writes the configuration anew with another address of discovery, then SIGHUP. */
+    /** Rewrites the configuration with another agent's address, and makes the relay reload it. */
     public void reload(InetSocketAddress otherAgent) throws IOException, InterruptedException {
         agent = otherAgent;
         Path draft = folder.resolve("config.new");
@@ -284,22 +299,22 @@
         reload();
     }
 
-    /** Sends a signal by its name, such as STOP. */
+    /** Sends the signal of this name, such as STOP. */
     public void signal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, Long.toString(pid())).start().waitFor();
     }
 
-    /** SIGTERM; does not wait. */
+    /** Sends SIGTERM, and does not wait. */
     public void requestTermination() {
         process.destroy();
     }
 
-    /** SIGHUP: the configuration is read anew. */
+    /** Sends SIGHUP, which makes the relay reload its configuration. */
     void reload() throws IOException, InterruptedException {
         signal("HUP");
     }
 
-    /** Ends the process and deletes its folder. */
+    /** Kills the process and deletes the relay's folder. */
     @Override
     public void close() {
         Runtime.getRuntime().removeShutdownHook(shutdownHook);
@@ -319,7 +334,7 @@
                 Files.delete(path);
             }
         } catch (IOException e) {
-            System.err.println("left behind: " + folder + ": " + e);
+            System.err.println("could not delete " + folder + ": " + e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/wrenkeel/scale/RelaySettings.java
+++ b/src/main/java/wrenkeel/scale/RelaySettings.java
@@ -3,25 +3,38 @@
 import java.util.List;
 
 /**
- * What one relay's configuration holds besides the list: {@code relays} is the size of the fleet that it is
- * told of, {@code seed} hexadecimal, {@code cores}, {@code memoryMb}, {@code sockets} and {@code diskMb} its
- * limits. {@code zones} and {@code kinds} are those that a {@link HostCatalog} names; {@code callSlots} is how
- * many calls may be out at once, {@code maxOpenMessages} how many messages may be held.
+ * Configuration of one relay, without the host list.
+ *
+ * @param seed hexadecimal
+ * @param relays configured number of relays in the fleet
+ * @param cores limit of processor cores
+ * @param memoryMb limit of memory
+ * @param sockets limit of sockets
+ * @param diskMb limit of disk space
+ * @param zones the zones that a {@link HostCatalog} uses
+ * @param kinds the kinds of hosts that a {@link HostCatalog} uses
+ * @param profiles the message classes
+ * @param callSlots maximum number of calls in flight
+ * @param maxOpenMessages maximum number of messages held
  */
 public record RelaySettings(String name, String seed, int relays, double cores, int memoryMb, int sockets,
                      double diskMb, List<String> zones, List<String> kinds, List<Profile> profiles,
                      int callSlots, int maxOpenMessages, List<Tenant> tenants) {
 
     /**
-     * A class of messages: times in milliseconds; semantics {@code retryable}, {@code dedup} or {@code
-     * fragile}.
+     * A message class.
+     *
+     * @param aimMs target time, within which a message earns full worth
+     * @param hardLimitMs time after which a message has failed
+     * @param semantics {@code retryable}, {@code dedup} or {@code fragile}
+     * @param windowMs period within which destinations recognize a repeated message; 0 without {@code dedup}
      */
     public record Profile(String name, long aimMs, long hardLimitMs, String semantics, long windowMs) { }
 
-    /** A client whose messages count in full up to a rate over all relays. */
+    /** A client with the message rate, over all relays, up to which its messages have full worth. */
     public record Tenant(String name, double quotaPerSecond) { }
 
-    /** A relay of a fleet of 2,300, with the limits of the deployment and one class of each sort. */
+    /** Returns a relay of a fleet of 2,300, with the deployment's limits and a class for each semantics. */
     public static RelaySettings typical(String name) {
         return new RelaySettings(name, "8c1f30d27a5be964", 2_300, 1, 192, 1_024, 3, HostCatalog.ZONES,
             HostCatalog.KINDS, List.of(new Profile("notice", 2_000, 16_000, "dedup", 15_000),
@@ -29,32 +42,37 @@
                 new Profile("order", 2_000, 16_000, "fragile", 0)), 64, 1_000, List.of());
     }
 
-    /** The same under another name. */
+    /** Returns these settings with another relay name. */
     public RelaySettings withName(String newName) {
         return new RelaySettings(newName, seed, relays, cores, memoryMb, sockets, diskMb, zones, kinds,
             profiles, callSlots, maxOpenMessages, tenants);
     }
 
+    /** Returns these settings with another number of relays in the fleet. */
     public RelaySettings withRelays(int relayCount) {
-        return new RelaySettings(name, seed, relayCount, cores, memoryMb, sockets, diskMb, zones, kinds, profiles,
-            callSlots, maxOpenMessages, tenants);
+        return new RelaySettings(name, seed, relayCount, cores, memoryMb, sockets, diskMb, zones, kinds,
+            profiles, callSlots, maxOpenMessages, tenants);
     }
 
+    /** Returns these settings with other message classes. */
     public RelaySettings withProfiles(List<Profile> newProfiles) {
-        return new RelaySettings(name, seed, relays, cores, memoryMb, sockets, diskMb, zones, kinds, newProfiles,
-            callSlots, maxOpenMessages, tenants);
+        return new RelaySettings(name, seed, relays, cores, memoryMb, sockets, diskMb, zones, kinds,
+            newProfiles, callSlots, maxOpenMessages, tenants);
     }
 
+    /** Returns these settings with another limit of disk space. */
     public RelaySettings withDisk(double megabytes) {
         return new RelaySettings(name, seed, relays, cores, memoryMb, sockets, megabytes, zones, kinds,
             profiles, callSlots, maxOpenMessages, tenants);
     }
 
+    /** Returns these settings with other limits of calls in flight and messages held. */
     public RelaySettings withCalls(int newCallSlots, int newMaxOpenMessages) {
         return new RelaySettings(name, seed, relays, cores, memoryMb, sockets, diskMb, zones, kinds, profiles,
             newCallSlots, newMaxOpenMessages, tenants);
     }
 
+    /** Returns these settings with other tenants. */
     RelaySettings withTenants(List<Tenant> newTenants) {
         return new RelaySettings(name, seed, relays, cores, memoryMb, sockets, diskMb, zones, kinds, profiles,
             callSlots, maxOpenMessages, newTenants);
--- a/src/main/java/wrenkeel/scale/RelaysExperiment.java
+++ b/src/main/java/wrenkeel/scale/RelaysExperiment.java
@@ -9,15 +9,15 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** What a fleet of so many relays costs all the time: without a change, and while changes trickle in. */
+/** Measures the continuous cost of a fleet: without changes of the list, and with changes at a low rate. */
 @Command(name = "relays", mixinStandardHelpOptions = true,
-    description = "A fleet of so many hollow relays: calls, bytes and processor time of relays, agents and"
-        + " the control machines; memory of a relay.")
+    description = "A fleet of list-only relays: calls, bytes and processor time of relays, agents and control"
+        + " machines; memory of the relays.")
 final class RelaysExperiment implements Callable<Integer> {
     private static final List<Long> SIZES = List.of(100L, 300L, 1_000L, 2_300L);
     private static final long TARGET_RELAYS = 2_300;
 
-    /** ms; how long a relay's watch waits. */
+    /** How long a relay's watch waits for a change. */
     private static final long WATCH_WAIT_MS = 4_000;
 
     @Mixin
@@ -25,13 +25,15 @@
     @Mixin
     private FleetOptions fleetOptions;
     @Option(names = "--idle-waits", defaultValue = "2", paramLabel = "N",
-        description = "Waits of 4 s that are measured without a change (default: ${DEFAULT-VALUE}).")
+        description = "Length of the measurement without changes, in waits of 4 s"
+            + " (default: ${DEFAULT-VALUE}).")
     private int idleWaits;
     @Option(names = "--changes", defaultValue = "16", paramLabel = "N",
-        description = "Changes of the trickle (default: ${DEFAULT-VALUE}).")
+        description = "Number of changes at a low rate (default: ${DEFAULT-VALUE}).")
     private int changes;
     @Option(names = "--gap-ms", defaultValue = "500", paramLabel = "N",
-        description = "Mean gap between them; 3,100 a day are one in 27,900 ms (default: ${DEFAULT-VALUE}).")
+        description = "Mean gap between them, in ms; 3,100 a day are one in 27,900 ms"
+            + " (default: ${DEFAULT-VALUE}).")
     private double gapMs;
 
     @Override
@@ -43,10 +45,11 @@
         Map<String, Double> values = new LinkedHashMap<>();
         try (Fleet fleet = new Fleet(size, seed, fleetOptions, Fleet::roundRobinZone)) {
             fleet.start();
-            // What runs for the first time is compiled before it is measured.
+            // Warm-up: lets the JIT compile the code before it is measured.
             fleet.publishChanges(changes, gapMs / 4);
             fleet.awaitAllRelays();
-            // All watches began with the last change. Between two ends of their waits: whole ones count.
+            // All watches were renewed by the last change, so their waits end at the same time. The
+            // measurement starts halfway between two such ends, so that it covers whole waits.
             Thread.sleep(WATCH_WAIT_MS / 2);
             Fleet.ResourceUsage usageBefore = fleet.usage();
             Thread.sleep(WATCH_WAIT_MS * idleWaits);
@@ -66,17 +69,21 @@
     }
 
     /**
-     * What one change moves on each hop: no watch ends by itself where changes follow this quickly. Processor
-     * time is less that of the idle fleet.
+     * Adds the cost of one change on each hop. No watch times out while changes follow this quickly, so all
+     * bytes are those of changes; processor time excludes that of the idle fleet.
      */
-    private void putCostPerChange(Fleet.ResourceUsage changesUsage, Fleet.ResourceUsage usageAfterIdle, Map<String, Double> values) {
-        double durationRatio = (double) changesUsage.atMicros() / usageAfterIdle.atMicros();
+    private void putCostPerChange(Fleet.ResourceUsage changesUsage, Fleet.ResourceUsage idleUsage,
+                                  Map<String, Double> values) {
+        double durationRatio = (double) changesUsage.atMicros() / idleUsage.atMicros();
         values.put("change_source_bytes", (double) changesUsage.source().totalBytes() / changes);
         values.put("change_machine_bytes", (double) changesUsage.machine().totalBytes() / changes);
         values.put("change_agent_bytes", (double) changesUsage.agent().totalBytes() / changes);
         values.put("change_machines_cpu_ms",
-            (changesUsage.machinesCpuMicros() - durationRatio * usageAfterIdle.machinesCpuMicros()) / changes / 1e3);
-        values.put("change_agents_cpu_ms", (changesUsage.agentsCpuMicros() - durationRatio * usageAfterIdle.agentsCpuMicros()) / changes / 1e3);
-        values.put("change_relays_cpu_ms", (changesUsage.relaysCpuMicros() - durationRatio * usageAfterIdle.relaysCpuMicros()) / changes / 1e3);
+            (changesUsage.machinesCpuMicros() - durationRatio * idleUsage.machinesCpuMicros())
+                / changes / 1e3);
+        values.put("change_agents_cpu_ms",
+            (changesUsage.agentsCpuMicros() - durationRatio * idleUsage.agentsCpuMicros()) / changes / 1e3);
+        values.put("change_relays_cpu_ms",
+            (changesUsage.relaysCpuMicros() - durationRatio * idleUsage.relaysCpuMicros()) / changes / 1e3);
     }
 }
--- a/src/main/java/wrenkeel/scale/RestartExperiment.java
+++ b/src/main/java/wrenkeel/scale/RestartExperiment.java
@@ -10,15 +10,17 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** What restarts cost: of single relays, of single machines with their agents, of a whole zone at once. */
+/**
+ * Measures the cost of restarts: of single relays, of relays with their agents, and of a whole zone at once.
+ */
 @Command(name = "restart", mixinStandardHelpOptions = true,
-    description = "A zone of so many hollow relays: single relays restarted, single machines replaced (the"
-        + " agent starts empty too), then the zone back at once with its control machine: whole lists,"
-        + " bytes, time.")
+    description = "A zone of list-only relays: single relays restarted, single machines replaced (the agent"
+        + " restarts without a list too), then the whole zone restarted at once with its control machine:"
+        + " whole lists, bytes, time.")
 final class RestartExperiment implements Callable<Integer> {
     private static final List<Long> SIZES = List.of(50L, 150L, 300L, 460L);
     private static final long TARGET_RELAYS = 460;
-    /** ms; one wait of a relay: its watches without a restart, which are taken off. */
+    /** Length of the idle measurement, whose traffic is subtracted: one wait of a relay's watch. */
     private static final long IDLE_MS = 4_000;
 
     @Mixin
@@ -26,7 +28,8 @@
     @Mixin
     private FleetOptions fleetOptions;
     @Option(names = "--single", defaultValue = "10", paramLabel = "N",
-        description = "Single restarts of each sort (default: ${DEFAULT-VALUE}).")
+        description = "Number of single restarts, of relays and of machines each"
+            + " (default: ${DEFAULT-VALUE}).")
     private int singleRestarts;
 
     @Override
@@ -48,7 +51,13 @@
         return values;
     }
 
-    /** One after the other; {@code replaced}: each with its agent. */
+    /**
+     * Restarts single relays one after the other.
+     *
+     * @param withAgent whether the relay's agent loses its list too
+     * @param idleUsage usage of the idle fleet, which is subtracted from the bytes
+     * @param prefix prefix of the values' names
+     */
     private void restartSingles(Fleet fleet, boolean withAgent, Fleet.ResourceUsage idleUsage, String prefix,
                          Map<String, Double> values) throws IOException {
         Histogram startDelays = new Histogram(ListOnlyFleet.HISTOGRAM_DIGITS);
@@ -69,11 +78,13 @@
         values.put(prefix + "machine_whole_lists", (double) usage.machine().wholeLists() / singleRestarts);
         values.put(prefix + "agent_whole_lists", (double) usage.agent().wholeLists() / singleRestarts);
         values.put(prefix + "machine_bytes",
-            (usage.machine().totalBytes() - durationRatio * idleUsage.machine().totalBytes()) / singleRestarts);
-        values.put(prefix + "agent_bytes", (usage.agent().totalBytes() - durationRatio * idleUsage.agent().totalBytes()) / singleRestarts);
+            (usage.machine().totalBytes() - durationRatio * idleUsage.machine().totalBytes())
+                / singleRestarts);
+        values.put(prefix + "agent_bytes",
+            (usage.agent().totalBytes() - durationRatio * idleUsage.agent().totalBytes()) / singleRestarts);
     }
 
-    /** The zone's control machine, its agents and its relays lose power, and are back at one moment. */
+    /** Simulates a power loss of the zone's control machine, agents and relays, which all restart at once. */
     private static void restartZone(Fleet fleet, int size, Map<String, Double> values) throws IOException {
         fleet.relays().stop(0, size);
         Fleet.ResourceUsage usageBefore = fleet.usage();
--- a/src/main/java/wrenkeel/scale/StandInAgent.java
+++ b/src/main/java/wrenkeel/scale/StandInAgent.java
@@ -46,23 +46,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The platform's agent, played on a free port of loopback: gives a catalog's list whole or as a watch, and
- * takes notices. It has one thread. Counts, which any thread may read, begin with the agent.
+ * A stand-in for the platform's discovery agent on a free loopback port. It serves the host list of a catalog
+ * and watches of it, and accepts notices. It runs on one thread of its own; its methods may be called by any
+ * thread. Counts start with the agent.
  */
 public final class StandInAgent implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(StandInAgent.class);
-    /**
-     * Connections at once, those of a fleet behind one agent; bytes of one call; ms that a watch may wait.
-     */
-    private static final int MAX_CONNECTIONS = 4_096, MAX_CALL_BYTES = 1 << 20, MAX_WAIT_MS = 60_000;
+    /** Enough for a whole fleet behind one agent. */
+    private static final int MAX_CONNECTIONS = 4_096;
+    private static final int MAX_CALL_BYTES = 1 << 20;
+    /** The longest wait of a watch. */
+    private static final int MAX_WAIT_MS = 60_000;
     private static final int CHUNK_BYTES = 1 << 16;
-    /** Versions whose times are kept. */
+    /** Number of versions whose times are kept. */
     private static final int MAX_TIMES = 8_192;
 
-    /** When a version was made, first sent to a watch, and first named by a call as held; 0 for not yet. */
+    /**
+     * When a version was published, first sent to a watch, and first named as held by a call; 0 for not yet.
+     */
     record VersionTimes(long publishedNanos, long sentNanos, long heldNanos) { }
 
-    /** A call that waits for something newer than a version. */
+    /** A watch that waits for a version newer than {@code after}. */
     private record WaitingWatch(ChannelHandlerContext context, long after) { }
 
     private final MultiThreadIoEventLoopGroup group =
@@ -71,7 +75,7 @@
     private final HostCatalog catalog;
     private final Consumer<String> noticeListener;
     private final Channel listener;
-    /** By connection, each with its timer; only the agent's thread touches it. */
+    /** Waiting watches with their timers, in the order of arrival. Used only on the agent's thread. */
     private final Map<WaitingWatch, Future<?>> waitingWatches = new LinkedHashMap<>();
     private final Map<Long, VersionTimes> timesByVersion = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
@@ -94,7 +98,7 @@
         this(catalog, notice -> { });
     }
 
-    /** {@code noticeListener} gets each line of a notice, on the agent's thread. */
+    /** {@code noticeListener} receives each line of a notice, on the agent's thread. */
     public StandInAgent(HostCatalog catalog, Consumer<String> noticeListener) throws InterruptedException {
         this.catalog = catalog;
         this.noticeListener = noticeListener;
@@ -115,22 +119,24 @@
             }).bind(InetAddress.getLoopbackAddress(), 0).sync().channel();
     }
 
+    /** Returns the address that the agent listens at. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
 
+    /** Returns the catalog; change it through the agent, which answers watches. */
     HostCatalog catalog() {
         return catalog;
     }
 
-    /** Changes the standing of one host and answers the watches that wait; the list's new version. */
+    /** Changes the health of one host, answers the waiting watches, and returns the list's new version. */
     public long changeHealth(int host, HostCatalog.Health health) {
         return recordPublished(catalog.changeHealth(host, health));
     }
 
-    /** Gives one host another address and answers the watches that wait; the list's new version. */
-    long changeAddress(int host, String dial) {
-        return recordPublished(catalog.changeAddress(host, dial));
+    /** Changes the address of one host, answers the waiting watches, and returns the list's new version. */
+    long changeAddress(int host, String address) {
+        return recordPublished(catalog.changeAddress(host, address));
     }
 
     private long recordPublished(long version) {
@@ -142,14 +148,14 @@
         return version;
     }
 
-    /** The times of one change; null for one that is not, or no longer, known. */
+    /** Returns the times of one version; null if it is not, or no longer, known. */
     VersionTimes timesOf(long version) {
         synchronized (timesByVersion) {
             return timesByVersion.get(version);
         }
     }
 
-    /** Waits until a call names this version, or a later one, as held; false where none did in time. */
+    /** Waits until a call names this or a later version as held; returns false on timeout. */
     boolean awaitHeld(long version, Duration timeout) throws InterruptedException {
         long deadlineNanos = System.nanoTime() + timeout.toNanos();
         synchronized (timesByVersion) {
@@ -164,32 +170,32 @@
         }
     }
 
-    /** Calls for the list, watches included. */
+    /** Returns the number of calls for the list, including watches. */
     long calls() {
         return calls.sum();
     }
 
-    /** Answers with the whole list that were begun. */
+    /** Returns the number of answers with the whole list, counted when they start. */
     long wholeLists() {
         return wholeLists.sum();
     }
 
-    /** Lines of notices. */
+    /** Returns the number of notice lines received. */
     long notices() {
         return notices.sum();
     }
 
-    /** Bytes read from all connections, heads included. */
+    /** Returns the bytes read from all connections, including HTTP headers. */
     long bytesIn() {
         return bytesIn.sum();
     }
 
-    /** Bytes handed to the system for all connections, heads included. */
+    /** Returns the bytes sent on all connections, including HTTP headers. */
     long bytesOut() {
         return bytesOut.sum();
     }
 
-    /** Connections open now. */
+    /** Returns the number of open connections. */
     int connections() {
         return connections.get();
     }
@@ -218,19 +224,23 @@
         send(context, catalog.changesSince(after), whole);
         long nowNanos = System.nanoTime();
         synchronized (timesByVersion) {
-            for (long version = catalog.version(); version > after && timesByVersion.containsKey(version); version--) {
+            for (long version = catalog.version();
+                 version > after && timesByVersion.containsKey(version); version--) {
                 timesByVersion.computeIfPresent(version, (olderVersion, times) -> times.sentNanos == 0
                     ? new VersionTimes(times.publishedNanos, nowNanos, times.heldNanos) : times);
             }
         }
     }
 
+    /** Records that a call named this version as held; the caller then holds all versions before it, too. */
     private void recordHeld(long version) {
         long nowNanos = System.nanoTime();
         synchronized (timesByVersion) {
             if (version > heldVersion) {
-                for (long olderVersion = version; olderVersion > heldVersion && timesByVersion.containsKey(olderVersion); olderVersion--) {
-                    timesByVersion.computeIfPresent(olderVersion, (key, times) -> new VersionTimes(times.publishedNanos, times.sentNanos, nowNanos));
+                for (long olderVersion = version;
+                     olderVersion > heldVersion && timesByVersion.containsKey(olderVersion); olderVersion--) {
+                    timesByVersion.computeIfPresent(olderVersion,
+                        (key, times) -> new VersionTimes(times.publishedNanos, times.sentNanos, nowNanos));
                 }
                 heldVersion = version;
                 timesByVersion.notifyAll();
@@ -245,8 +255,9 @@
         HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         head.headers().set(HttpHeaderNames.CONTENT_LENGTH, list.length);
         context.write(head);
-        // In chunks, for the system takes a copy of each: many relays may be sent a long list at once.
-        context.writeAndFlush(new HttpChunkedInput(new ChunkedStream(new ByteArrayInputStream(list), CHUNK_BYTES)));
+        // In chunks, because each written buffer is copied: many relays may receive a long list at once.
+        context.writeAndFlush(new HttpChunkedInput(
+            new ChunkedStream(new ByteArrayInputStream(list), CHUNK_BYTES)));
     }
 
     private static void sendStatus(ChannelHandlerContext context, HttpResponseStatus status) {
@@ -258,6 +269,7 @@
         context.writeAndFlush(answer);
     }
 
+    /** Handles the calls of one connection. */
     private final class CallHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
@@ -265,7 +277,8 @@
             if (request.method().equals(HttpMethod.GET) && uri.path().equals("/v1/servers")) {
                 calls.increment();
                 try {
-                    handleListRequest(context, longParameter(uri, "after", -1), longParameter(uri, "wait_ms", 0));
+                    handleListRequest(context, longParameter(uri, "after", -1),
+                        longParameter(uri, "wait_ms", 0));
                 } catch (NumberFormatException e) {
                     sendStatus(context, HttpResponseStatus.BAD_REQUEST);
                 }
@@ -311,7 +324,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (!(cause instanceof IOException)) {
-                LOG.error("connection of a relay closed", cause);
+                LOG.error("closing the connection of a relay after an unexpected error", cause);
             }
             context.close();
         }
--- a/src/main/java/wrenkeel/scale/ThreadTimes.java
+++ b/src/main/java/wrenkeel/scale/ThreadTimes.java
@@ -6,16 +6,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The processor time of some event loops' threads together. */
+/** Sums the processor time of the threads of several event loops. */
 final class ThreadTimes {
     private final ThreadMXBean threadMxBean = ManagementFactory.getThreadMXBean();
     private final List<Long> threadIds = new ArrayList<>();
 
+    /** Adds the thread of an event loop; blocks until the loop has answered. */
     void add(EventLoop loop) {
         threadIds.add(loop.submit(() -> Thread.currentThread().getId()).syncUninterruptibly().getNow());
     }
 
-    /** us of processor time so far. */
+    /** Returns the processor time of all added threads so far, in microseconds. */
     long cpuMicros() {
         return threadIds.stream().mapToLong(id -> threadMxBean.getThreadCpuTime(id) / 1_000).sum();
     }
--- a/src/main/java/wrenkeel/scale/TimedRelay.java
+++ b/src/main/java/wrenkeel/scale/TimedRelay.java
@@ -12,7 +12,11 @@
 import java.util.Map;
 import wrenkeel.net.HollowRelay;
 
-/** One hollow relay with a folder and a thread of its own, and when each version came into force there. */
+/**
+ * A list-only relay with its own folder and thread, which records when it applies each version of the list.
+ * A version is applied once the decision module has received it. The relay's thread records times; one other
+ * thread may start, stop and read.
+ */
 final class TimedRelay {
     private final Map<String, String> environment;
     private MultiThreadIoEventLoopGroup eventLoops;
@@ -20,11 +24,14 @@
     private volatile long startedAtMicros;
     private volatile long firstAppliedAtMicros;
     private volatile long appliedVersion = -1;
-    /** When the versions after {@code baseVersion} came into force (epoch us), by their distance from it. */
+    /**
+     * When each version after {@code baseVersion} was applied, in microseconds since the Unix epoch; the
+     * first element is that of {@code baseVersion + 1}.
+     */
     private volatile long[] appliedAtMicros = new long[0];
     private volatile long baseVersion;
 
-    /** Writes its configuration; {@code port}: its agent's, on loopback. */
+    /** Writes the relay's configuration; {@code port} is the loopback port of its agent. */
     TimedRelay(Path folder, String name, int port) throws IOException {
         Path home = Files.createDirectories(folder.resolve(name));
         Path state = Files.createDirectories(home.resolve("state"));
@@ -34,7 +41,7 @@
         environment = Map.of("EDGE_CONFIG", config.toString(), "EDGE_STATE", state.toString());
     }
 
-    /** Holds no list yet; its times begin anew. */
+    /** Starts the relay without a list, and resets its start and first-list times. */
     void start() {
         eventLoops = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("relay", true),
             NioIoHandler.newFactory());
@@ -45,17 +52,18 @@
         relay = new HollowRelay(loop, environment, this::onApplied);
         relay.start().addListener(done -> {
             if (!done.isSuccess()) {
-                System.err.println("relay not started: " + done.cause());
+                System.err.println("relay could not be started: " + done.cause());
             }
         });
     }
 
-    /** On the relay's thread. */
+    /** Records the times of a version that was applied. Runs on the relay's thread. */
     private void onApplied(long version) {
         long nowMicros = EpochClock.micros();
         long[] appliedTimes = appliedAtMicros;
-        // A whole list brings all before it into force as well.
-        for (long v = Math.max(appliedVersion, baseVersion) + 1; v <= version && v - baseVersion <= appliedTimes.length; v++) {
+        // A whole list applies all versions before it as well.
+        for (long v = Math.max(appliedVersion, baseVersion) + 1;
+             v <= version && v - baseVersion <= appliedTimes.length; v++) {
             appliedTimes[(int) (v - baseVersion) - 1] = nowMicros;
         }
         if (appliedVersion < 0) {
@@ -64,12 +72,16 @@
         appliedVersion = version;
     }
 
-    /** Notes from now on when each of so many versions after this one comes into force; it must be held. */
+    /**
+     * Records from now on when each of the {@code count} versions after {@code version}, which the relay must
+     * have applied, is applied.
+     */
     void recordVersions(long version, int count) {
         appliedAtMicros = new long[count];
         baseVersion = version;
     }
 
+    /** Stops the relay without a clean shutdown; no effect if it is not started. */
     void stop() {
         if (relay != null) {
             relay.stop().syncUninterruptibly();
@@ -78,26 +90,33 @@
         }
     }
 
+    /** Returns whether the relay was started and not stopped since. */
     boolean isStarted() {
         return relay != null;
     }
 
-    /** The version in force; -1 before the first. */
+    /** Returns the version applied last; -1 before the first list. */
     long appliedVersion() {
         return appliedVersion;
     }
 
-    /** When it was last started, epoch us. */
+    /** Returns when the relay was last started, in microseconds since the Unix epoch. */
     long startedAtMicros() {
         return startedAtMicros;
     }
 
-    /** When its first list since then was in force, epoch us; 0 before that. */
+    /**
+     * Returns when the first list since the last start was applied, in microseconds since the Unix epoch; 0
+     * before that.
+     */
     long firstAppliedAtMicros() {
         return firstAppliedAtMicros;
     }
 
-    /** When a version came into force, epoch us; 0 if it has not, or was not to be noted. */
+    /**
+     * Returns when a version was applied, in microseconds since the Unix epoch; 0 if it was not applied or
+     * not to be recorded.
+     */
     long appliedAtMicros(long version) {
         long index = version - baseVersion - 1;
         return index < 0 || index >= appliedAtMicros.length ? 0 : appliedAtMicros[(int) index];
--- a/src/main/java/wrenkeel/scale/UpstreamWatch.java
+++ b/src/main/java/wrenkeel/scale/UpstreamWatch.java
@@ -27,13 +27,16 @@
 import java.util.regex.Pattern;
 
 /**
- * The watch that an agent or a control machine keeps of the place above it. What it is sent comes over the
- * socket whole, but only its version is looked at: the content stands in the {@link ChangeLog} that all
- * share.
+ * The watch of an agent or a control machine on its upstream node. It receives complete answers over the
+ * socket, but reads only their version: the content is in the {@link ChangeLog} that all nodes share. Runs on
+ * one event loop, including {@link #connect} and {@link #close}.
  */
 final class UpstreamWatch implements AutoCloseable {
-    /** ms; gap before a call is made again, and silence beyond the wait that ends a connection. */
-    private static final long RETRY_DELAY_MS = 100, READ_TIMEOUT_MARGIN_MS = 2_000;
+    /** Pause before the next attempt to connect. */
+    private static final long RETRY_DELAY_MS = 100;
+    /** A connection is closed if nothing arrives for the wait of a call and this time. */
+    private static final long READ_TIMEOUT_MARGIN_MS = 2_000;
+    /** The start of an answer, with the list's version. */
     private static final Pattern VERSION_PATTERN = Pattern.compile("^\\{\"seq\":(\\d+),");
     private static final int MAX_PREFIX_BYTES = 32;
 
@@ -46,7 +49,13 @@
     private Channel channel;
     private boolean closed;
 
-    /** Goes on from {@code version}, -1 for nothing; {@code waitMs}: ms that each call may wait. */
+    /**
+     * Creates a watch; {@link #connect} starts it.
+     *
+     * @param waitMs how long each call asks the upstream node to wait for a change
+     * @param version the version that is held already; -1 for none
+     * @param versionListener receives the version of each answer
+     */
     UpstreamWatch(EventLoop loop, InetSocketAddress upstream, long waitMs, long version,
                   LongConsumer versionListener) {
         this.loop = loop;
@@ -59,12 +68,14 @@
             .handler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel newChannel) {
-                    newChannel.pipeline().addLast(new ReadTimeoutHandler(waitMs + READ_TIMEOUT_MARGIN_MS, TimeUnit.MILLISECONDS),
+                    newChannel.pipeline().addLast(
+                        new ReadTimeoutHandler(waitMs + READ_TIMEOUT_MARGIN_MS, TimeUnit.MILLISECONDS),
                         new HttpClientCodec(), new ResponseReader());
                 }
             });
     }
 
+    /** Connects, and repeats until it succeeds or the watch is closed. */
     void connect() {
         bootstrap.connect(upstream).addListener(connected -> {
             if (!connected.isSuccess()) {
@@ -79,6 +90,7 @@
         }
     }
 
+    /** Requests the whole list, or a change after the version that is held. */
     private void sendRequest() {
         String query = version < 0 ? "" : "?after=" + version + "&wait_ms=" + waitMs;
         DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
@@ -96,8 +108,9 @@
         }
     }
 
+    /** Reads the answers of one connection, and sends the next request after each. */
     private final class ResponseReader extends SimpleChannelInboundHandler<HttpObject> {
-        /** How the body begins. */
+        /** The first characters of the body. */
         private final StringBuilder bodyPrefix = new StringBuilder();
 
         @Override
--- a/src/test/java/wrenkeel/scale/ChangeLogTest.java
+++ b/src/test/java/wrenkeel/scale/ChangeLogTest.java
@@ -8,6 +8,7 @@
 import org.junit.jupiter.api.Test;
 import wrenkeel.Wire;
 
+/** Tests the answers that a change log builds, and the limits of what it keeps. */
 class ChangeLogTest {
     private final HostCatalog catalog = new HostCatalog(20, 1);
     private final ChangeLog log = new ChangeLog(catalog, 3);
@@ -45,7 +46,7 @@
         }
         assertNull(log.changesBetween(firstVersion, log.latestVersion()));
         assertNotNull(log.changesBetween(firstVersion + 1, log.latestVersion()));
-        assertNull(log.changesBetween(firstVersion - 1, firstVersion), "nobody holds what was before the first list");
+        assertNull(log.changesBetween(firstVersion - 1, firstVersion), "the version before the first list was never published");
         assertNull(log.changesBetween(log.latestVersion() + 1, log.latestVersion()));
     }
 
@@ -58,6 +59,6 @@
         for (int i = 1; i < 6; i++) {
             log.wholeList(log.publish(i, HostCatalog.Health.DRAINING));
         }
-        assertNull(log.wholeList(second), "only the latest are kept");
+        assertNull(log.wholeList(second), "only the latest whole lists are kept");
     }
 }
--- a/src/test/java/wrenkeel/scale/FleetTest.java
+++ b/src/test/java/wrenkeel/scale/FleetTest.java
@@ -14,7 +14,7 @@
 import picocli.CommandLine;
 import wrenkeel.Wire;
 
-/** A few hollow relays in processes of their own: what a play is put together from works as a whole. */
+/** Runs a complete fleet with a few list-only relays in their own processes. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class FleetTest {
     @TempDir
@@ -37,9 +37,9 @@
             ListOnlyFleet.PropagationTimes inForce = fleet.relays().propagationTimes(publishedAt);
             assertEquals(5 * 4, inForce.delays().getTotalCount());
             assertEquals(4, inForce.lastRelayDelays().size());
-            assertTrue(fleet.agents().hopCounts().wholeLists() >= 5, "more if a relay's patience ends on a busy machine");
+            assertTrue(fleet.agents().hopCounts().wholeLists() >= 5, "at least one per relay; more if a relay's call times out on a busy machine");
             assertEquals(5, fleet.machines().machineHopCounts().wholeLists());
-            assertEquals(6, fleet.machines().sourceHopCounts().wholeLists(), "the second head and five zones");
+            assertEquals(6, fleet.machines().sourceHopCounts().wholeLists(), "the second region's head and five zone machines");
         }
     }
 
--- a/src/test/java/wrenkeel/scale/HostCatalogTest.java
+++ b/src/test/java/wrenkeel/scale/HostCatalogTest.java
@@ -15,6 +15,7 @@
 import org.junit.jupiter.api.Test;
 import wrenkeel.Wire;
 
+/** Tests the generated host list, its encoding and its log of changes. */
 final class HostCatalogTest {
     private static Wire.Fields read(byte[] list) throws Wire.Malformed {
         return Wire.decode(new String(list, StandardCharsets.UTF_8));
--- a/src/test/java/wrenkeel/scale/ListNodeTest.java
+++ b/src/test/java/wrenkeel/scale/ListNodeTest.java
@@ -18,6 +18,7 @@
 import org.junit.jupiter.api.Timeout;
 import wrenkeel.Wire;
 
+/** Tests a source node and one node that watches it, over loopback sockets. */
 @Timeout(value = 20, unit = TimeUnit.SECONDS)
 class ListNodeTest {
     private static final long WAIT_MS = 60_000;
@@ -60,14 +61,14 @@
         source.advanceTo(log.publish(host, HostCatalog.Health.DRAINING));
     }
 
-    /** Until a call with this number in all has come in. */
+    /** Waits until the hop has counted at least this many calls. */
     private static void awaitCalls(HopCounters hop, long calls) throws InterruptedException {
         await(() -> hop.snapshot().calls() >= calls);
     }
 
     private static void await(BooleanSupplier done) throws InterruptedException {
         while (!done.getAsBoolean()) {
-            // Hears the class's time limit.
+            // Interrupted when the class's timeout ends.
             Thread.sleep(1);
         }
     }
@@ -95,7 +96,7 @@
         requestList("").get();
         CompletableFuture<Wire.Fields> watch = requestList("?after=" + firstVersion + "&wait_ms=" + WAIT_MS);
         awaitCalls(agentHop, 2);
-        // Published, but not yet told to the source: nobody has been sent it.
+        // Published, but the source has not been notified: no node has received it yet.
         long second = log.publish(3, HostCatalog.Health.DRAINING);
         assertEquals(0, requestList("?after=" + firstVersion + "&wait_ms=1").get().objects("hosts").size());
         assertFalse(watch.isDone());
--- a/src/test/java/wrenkeel/scale/RelayConfigTest.java
+++ b/src/test/java/wrenkeel/scale/RelayConfigTest.java
@@ -11,6 +11,7 @@
 import wrenkeel.Relay;
 import wrenkeel.Wire;
 
+/** Tests that the code of a relay reads the configuration files written for scale runs. */
 final class RelayConfigTest {
     @TempDir
     private Path folder;
--- a/src/test/java/wrenkeel/scale/RelayProcessTest.java
+++ b/src/test/java/wrenkeel/scale/RelayProcessTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A shell stands for the relay: it says what a relay says, and waits. */
+/** Uses shell commands in place of a relay; they print the log lines of a relay, and wait. */
 @Timeout(60)
 final class RelayProcessTest {
     private static final Duration TIMEOUT = Duration.ofSeconds(30);
@@ -89,7 +89,7 @@
         }
     }
 
-    /** What a relay loads costs its start and its memory. */
+    /** Guards against a relay that loads the tools' classes, which would cost start time and memory. */
     @Test
     void relaySourcesDoNotReferToScaleOrSoakTools() throws IOException {
         Path sources = Path.of("src/main/java/wrenkeel");
--- a/src/test/java/wrenkeel/scale/StandInAgentTest.java
+++ b/src/test/java/wrenkeel/scale/StandInAgentTest.java
@@ -23,6 +23,7 @@
 import org.junit.jupiter.api.Timeout;
 import wrenkeel.Wire;
 
+/** Tests the stand-in agent with HTTP clients and plain sockets. */
 @Timeout(60)
 final class StandInAgentTest {
     private static final Duration TIMEOUT = Duration.ofSeconds(30);
@@ -72,7 +73,7 @@
     void everyWaitingWatchIsAnsweredByAChange() throws Exception {
         long version = catalog.version();
         CompletableFuture<Wire.Fields> watch = list("?after=" + version + "&wait_ms=60000");
-        // Heard, and so waiting: the agent's one thread answers a change after it.
+        // The agent has received the watch, and its single thread handles later changes after it.
         assertTrue(agent.awaitHeld(version, TIMEOUT));
         CompletableFuture<Wire.Fields> other = list("?after=" + version + "&wait_ms=60000");
         long changed = agent.changeHealth(7, HostCatalog.Health.DRAINING);
