--- a/src/main/java/wrenkeel/scale/ControlMachines.java
+++ b/src/main/java/wrenkeel/scale/ControlMachines.java
@@ -23,8 +23,8 @@
 
     private final ChangeLog changeLog;
     private final long waitMs;
-    private final HopCounters sourceHop = new HopCounters();
-    private final HopCounters machineHop = new HopCounters();
+    private final HopCounters sourceTraffic = new HopCounters();
+    private final HopCounters machineTraffic = new HopCounters();
     private final ThreadTimes threadTimes = new ThreadTimes();
     private final MultiThreadIoEventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(MACHINE_COUNT,
         new DefaultThreadFactory("control-machine", true), NioIoHandler.newFactory());
@@ -36,12 +36,12 @@
     ControlMachines(ChangeLog changeLog, long waitMs) throws IOException {
         this.changeLog = changeLog;
         this.waitMs = waitMs;
-        source = newMachine(sourceHop);
+        source = newMachine(sourceTraffic);
         source.advanceTo(changeLog.latestVersion());
-        secondRegionHead = newMachine(sourceHop);
+        secondRegionHead = newMachine(sourceTraffic);
         secondRegionHead.watch(source.address(), waitMs);
         for (int zone = 0; zone < ZONE_COUNT; zone++) {
-            ListNode machine = newMachine(machineHop);
+            ListNode machine = newMachine(machineTraffic);
             machine.watch(upstreamOf(zone), waitMs);
             zoneMachines.add(machine);
         }
@@ -80,13 +80,13 @@
     }
 
     /** Returns the traffic between the control machines so far. */
-    HopCounters.Counts sourceHopCounts() {
-        return sourceHop.snapshot();
+    HopCounters.Counts sourceTraffic() {
+        return sourceTraffic.snapshot();
     }
 
     /** Returns the traffic between the zones' machines and the agents so far. */
-    HopCounters.Counts machineHopCounts() {
-        return machineHop.snapshot();
+    HopCounters.Counts machineTraffic() {
+        return machineTraffic.snapshot();
     }
 
     /** Returns the processor time of all machines so far, in microseconds. */
--- a/src/main/java/wrenkeel/scale/Fleet.java
+++ b/src/main/java/wrenkeel/scale/Fleet.java
@@ -137,7 +137,7 @@
      * ready. Returns the time of publication in microseconds since the Unix epoch.
      */
     long publishChange() {
-        currentHost = hostIsDraining ? currentHost : random.nextInt(catalog.hostCount());
+        currentHost = hostIsDraining ? currentHost : random.nextInt(catalog.totalHosts());
         hostIsDraining = !hostIsDraining;
         long atMicros = EpochClock.micros();
         machines.advanceSource(changeLog.publish(currentHost,
@@ -162,8 +162,8 @@
 
     /** Returns what the fleet has used since its start. */
     ResourceUsage usage() throws IOException {
-        return new ResourceUsage(EpochClock.micros(), machines.sourceHopCounts(),
-            machines.machineHopCounts(), agents.hopCounts(), machines.cpuMicros(), agents.cpuMicros(),
+        return new ResourceUsage(EpochClock.micros(), machines.sourceTraffic(),
+            machines.machineTraffic(), agents.agentTraffic(), machines.cpuMicros(), agents.cpuMicros(),
             relays.cpuMicros());
     }
 
--- a/src/main/java/wrenkeel/scale/FleetAgents.java
+++ b/src/main/java/wrenkeel/scale/FleetAgents.java
@@ -20,7 +20,7 @@
     private final ControlMachines machines;
     private final long waitMs;
     private final IntUnaryOperator zoneOfAgent;
-    private final HopCounters hopCounters = new HopCounters();
+    private final HopCounters agentTraffic = new HopCounters();
     private final ThreadTimes threadTimes = new ThreadTimes();
     private final MultiThreadIoEventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(THREADS,
         new DefaultThreadFactory("agents", true), NioIoHandler.newFactory());
@@ -42,7 +42,7 @@
         }
         for (int i = 0; i < count; i++) {
             EventLoop loop = eventLoops.next();
-            ListNode agent = new ListNode(loop, log, hopCounters);
+            ListNode agent = new ListNode(loop, log, agentTraffic);
             agent.watch(machines.zoneAddress(zoneOfAgent.applyAsInt(i)), waitMs);
             agents.add(agent);
         }
@@ -69,8 +69,8 @@
     }
 
     /** Returns the traffic between the agents and their relays so far. */
-    HopCounters.Counts hopCounts() {
-        return hopCounters.snapshot();
+    HopCounters.Counts agentTraffic() {
+        return agentTraffic.snapshot();
     }
 
     /** Returns the processor time of all agents so far, in microseconds. */
--- a/src/main/java/wrenkeel/scale/HostCatalog.java
+++ b/src/main/java/wrenkeel/scale/HostCatalog.java
@@ -61,7 +61,7 @@
     private long version = FIRST_VERSION;
     private int goneCount;
     /** The current whole list, encoded; null after a change until it is requested. */
-    private byte[] encodedList;
+    private byte[] wholeList;
 
     /** Creates a list whose addresses do not answer, for relays that make no calls. */
     HostCatalog(int hostCount, long seed) {
@@ -84,7 +84,7 @@
     }
 
     /** Returns the number of hosts, including those that are gone. */
-    public int hostCount() {
+    public int totalHosts() {
         return hostCount;
     }
 
@@ -140,7 +140,7 @@
     private long recordChange(int host, HostState newState) {
         goneCount += (newState.health == Health.GONE ? 1 : 0) - (stateOf(host).health == Health.GONE ? 1 : 0);
         changedHosts.put(host, newState);
-        encodedList = null;
+        wholeList = null;
         changes.add(new Change(++version, host));
         if (changes.size() > MAX_CHANGES) {
             changes.remove();
@@ -150,10 +150,10 @@
 
     /** Returns the whole list in discovery's JSON form. Callers share the array and must not modify it. */
     synchronized byte[] wholeList() {
-        if (encodedList == null) {
-            encodedList = encode(true, null);
+        if (wholeList == null) {
+            wholeList = encode(true, null);
         }
-        return encodedList;
+        return wholeList;
     }
 
     /**
--- a/src/main/java/wrenkeel/scale/ListExperiment.java
+++ b/src/main/java/wrenkeel/scale/ListExperiment.java
@@ -154,7 +154,7 @@
         int host = 0;
         for (int i = 0; i < count; i++) {
             if (i % 4 == 0) {
-                host = random.nextInt(agent.catalog().hostCount());
+                host = random.nextInt(agent.catalog().totalHosts());
             }
             long version = switch (i % 4) {
                 case 0 -> agent.changeHealth(host, HostCatalog.Health.DRAINING);
--- a/src/main/java/wrenkeel/scale/PeakRates.java
+++ b/src/main/java/wrenkeel/scale/PeakRates.java
@@ -22,15 +22,15 @@
 
     PeakRates(Fleet fleet) {
         this.fleet = fleet;
-        machineBytes = fleet.machines().machineHopCounts().totalBytes();
-        agentBytes = fleet.agents().hopCounts().totalBytes();
+        machineBytes = fleet.machines().machineTraffic().totalBytes();
+        agentBytes = fleet.agents().agentTraffic().totalBytes();
         sampler.scheduleAtFixedRate(this::sample, WINDOW, WINDOW, TimeUnit.MILLISECONDS);
     }
 
     private synchronized void sample() {
         long now = System.nanoTime();
-        long machine = fleet.machines().machineHopCounts().totalBytes();
-        long agent = fleet.agents().hopCounts().totalBytes();
+        long machine = fleet.machines().machineTraffic().totalBytes();
+        long agent = fleet.agents().agentTraffic().totalBytes();
         // Never over less than the window: what a late sample saw then counts for its own, longer time.
         double seconds = Math.max(WINDOW / 1e3, (now - sampledAt) / 1e9);
         machinePeak = Math.max(machinePeak, (machine - machineBytes) / seconds);
--- a/src/test/java/wrenkeel/scale/FleetTest.java
+++ b/src/test/java/wrenkeel/scale/FleetTest.java
@@ -37,9 +37,9 @@
             ListOnlyFleet.PropagationTimes inForce = fleet.relays().propagationTimes(publishedAt);
             assertEquals(5 * 4, inForce.delays().getTotalCount());
             assertEquals(4, inForce.lastRelayDelays().size());
-            assertTrue(fleet.agents().hopCounts().wholeLists() >= 5, "at least one per relay; more if a relay's call times out on a busy machine");
-            assertEquals(5, fleet.machines().machineHopCounts().wholeLists());
-            assertEquals(6, fleet.machines().sourceHopCounts().wholeLists(), "the second region's head and five zone machines");
+            assertTrue(fleet.agents().agentTraffic().wholeLists() >= 5, "at least one per relay; more if a relay's call times out on a busy machine");
+            assertEquals(5, fleet.machines().machineTraffic().wholeLists());
+            assertEquals(6, fleet.machines().sourceTraffic().wholeLists(), "the second region's head and five zone machines");
         }
     }
 
@@ -47,7 +47,7 @@
     void everyAgentOfARestartedZoneFetchesTheWholeList() throws Exception {
         try (Fleet fleet = new Fleet(4, 1, options("--hosts", "30", "--relays-a-process", "2"), relay -> 0)) {
             fleet.start();
-            HopCounters.Counts before = fleet.machines().machineHopCounts();
+            HopCounters.Counts before = fleet.machines().machineTraffic();
             fleet.relays().stop(0, 4);
             fleet.machines().restartZone(0);
             for (int agent = 0; agent < 4; agent++) {
@@ -56,7 +56,7 @@
             fleet.relays().start(0, 4);
             fleet.awaitAllRelays();
             assertEquals(4, fleet.relays().startTimes(0, 4).getTotalCount());
-            assertTrue(fleet.machines().machineHopCounts().minus(before).wholeLists() >= 4);
+            assertTrue(fleet.machines().machineTraffic().minus(before).wholeLists() >= 4);
         }
     }
 
