--- a/src/main/java/wrenkeel/scale/FleetOptions.java
+++ b/src/main/java/wrenkeel/scale/FleetOptions.java
@@ -18,7 +18,7 @@
 
     @Option(names = "--wait-ms", defaultValue = "4000", paramLabel = "N",
         description = "How long a watch by an agent or a control machine waits for a change, in ms;"
-            + " does not apply to relays (default: ${DEFAULT-VALUE}).")
+            + " relays have a fixed wait of their own (default: ${DEFAULT-VALUE}).")
     long waitMs;
 
     @Option(names = "--log", defaultValue = "4096", paramLabel = "N",
--- a/src/main/java/wrenkeel/scale/ListOnlyFleet.java
+++ b/src/main/java/wrenkeel/scale/ListOnlyFleet.java
@@ -122,7 +122,7 @@
     /**
      * Returns how long the recorded versions took to reach the relays.
      *
-     * @param publishedAt when each recorded version was published, in microseconds since the Unix epoch
+     * @param publishedAtMicros when each recorded version was published, in microseconds since the Unix epoch
      */
     PropagationTimes propagationTimes(List<Long> publishedAtMicros) throws IOException {
         String command = "inforce "
--- a/src/main/java/wrenkeel/scale/RelayProcess.java
+++ b/src/main/java/wrenkeel/scale/RelayProcess.java
@@ -57,7 +57,9 @@
         this(root, settings, agent, knownList, Map.of());
     }
 
-    /** As above; {@code environment} holds further environment variables for the process. */
+    /**
+     * Like the other constructor; {@code environment} holds further environment variables for the process.
+     */
     public RelayProcess(Path root, RelaySettings settings, InetSocketAddress agent, byte[] knownList,
                         Map<String, String> environment) throws IOException {
         this.root = root;
--- a/src/main/java/wrenkeel/scale/StandInAgent.java
+++ b/src/main/java/wrenkeel/scale/StandInAgent.java
@@ -255,7 +255,8 @@
         HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         head.headers().set(HttpHeaderNames.CONTENT_LENGTH, list.length);
         context.write(head);
-        // In chunks, because each written buffer is copied: many relays may receive a long list at once.
+        // In chunks, because the operating system copies each buffer that is written, and many relays may
+        // receive a long list at once.
         context.writeAndFlush(new HttpChunkedInput(
             new ChunkedStream(new ByteArrayInputStream(list), CHUNK_BYTES)));
     }
--- a/src/test/java/wrenkeel/scale/ChangeLogTest.java
+++ b/src/test/java/wrenkeel/scale/ChangeLogTest.java
@@ -46,7 +46,8 @@
         }
         assertNull(log.changesBetween(firstVersion, log.latestVersion()));
         assertNotNull(log.changesBetween(firstVersion + 1, log.latestVersion()));
-        assertNull(log.changesBetween(firstVersion - 1, firstVersion), "the version before the first list was never published");
+        assertNull(log.changesBetween(firstVersion - 1, firstVersion),
+            "the version before the first list was never published");
         assertNull(log.changesBetween(log.latestVersion() + 1, log.latestVersion()));
     }
 
--- a/src/test/java/wrenkeel/scale/FleetTest.java
+++ b/src/test/java/wrenkeel/scale/FleetTest.java
@@ -28,7 +28,8 @@
 
     @Test
     void everyRelayRecordsEveryChange() throws Exception {
-        try (Fleet fleet = new Fleet(5, 1, options("--hosts", "30", "--relays-a-process", "3"), Fleet::roundRobinZone)) {
+        try (Fleet fleet = new Fleet(5, 1, options("--hosts", "30", "--relays-a-process", "3"),
+                Fleet::roundRobinZone)) {
             fleet.start();
             assertEquals(2, fleet.relays().processCount());
             fleet.relays().recordVersions(fleet.latestVersion(), 4);
@@ -37,9 +38,11 @@
             ListOnlyFleet.PropagationTimes inForce = fleet.relays().propagationTimes(publishedAt);
             assertEquals(5 * 4, inForce.delays().getTotalCount());
             assertEquals(4, inForce.lastRelayDelays().size());
-            assertTrue(fleet.agents().agentTraffic().wholeLists() >= 5, "at least one per relay; more if a relay's call times out on a busy machine");
+            assertTrue(fleet.agents().agentTraffic().wholeLists() >= 5,
+                "at least one per relay; more if a relay's call times out on a busy machine");
             assertEquals(5, fleet.machines().machineTraffic().wholeLists());
-            assertEquals(6, fleet.machines().sourceTraffic().wholeLists(), "the second region's head and five zone machines");
+            assertEquals(6, fleet.machines().sourceTraffic().wholeLists(),
+                "the second region's head and five zone machines");
         }
     }
 
--- a/src/test/java/wrenkeel/scale/ListNodeTest.java
+++ b/src/test/java/wrenkeel/scale/ListNodeTest.java
@@ -22,7 +22,8 @@
 @Timeout(value = 20, unit = TimeUnit.SECONDS)
 class ListNodeTest {
     private static final long WAIT_MS = 60_000;
-    private final MultiThreadIoEventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup eventLoops =
+        new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     private final HttpClient client = HttpClient.newHttpClient();
     private final ChangeLog log = new ChangeLog(new HostCatalog(20, 1), 2);
     private final HopCounters sourceHop = new HopCounters();
