--- a/src/main/java/wrenkeel/scale/ByteCounter.java
+++ b/src/main/java/wrenkeel/scale/ByteCounter.java
@@ -7,21 +7,22 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Counts the bytes of a connection: those read, and those that the system has taken. First in its pipeline.
+ * Counts the bytes read from a connection and the bytes that the operating system has accepted for sending.
+ * Must be the first handler of the connection's pipeline, so that it sees encoded bytes.
  */
 final class ByteCounter extends ChannelDuplexHandler {
-    private final LongAdder in;
-    private final LongAdder out;
+    private final LongAdder bytesIn;
+    private final LongAdder bytesOut;
 
-    ByteCounter(LongAdder in, LongAdder out) {
-        this.in = in;
-        this.out = out;
+    ByteCounter(LongAdder bytesIn, LongAdder bytesOut) {
+        this.bytesIn = bytesIn;
+        this.bytesOut = bytesOut;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         if (message instanceof ByteBuf bytes) {
-            in.add(bytes.readableBytes());
+            bytesIn.add(bytes.readableBytes());
         }
         context.fireChannelRead(message);
     }
@@ -33,7 +34,7 @@
             int length = bytes.readableBytes();
             done.addListener(written -> {
                 if (written.isSuccess()) {
-                    out.add(length);
+                    bytesOut.add(length);
                 }
             });
         }
--- a/src/main/java/wrenkeel/scale/ChangeLog.java
+++ b/src/main/java/wrenkeel/scale/ChangeLog.java
@@ -7,95 +7,103 @@
 import java.util.TreeMap;
 
 /**
- * The list as its source has published it: a bounded log of changes and the latest whole lists as encoded.
- * All control machines and agents of a run share one, so that thousands of them fit into a process; how much
- * of it each has been sent is its own affair. Any thread.
+ * The host list as its source has published it: a bounded log of encoded changes and the latest encoded whole
+ * lists. All control machines and agents of a run share one log, so that thousands of them fit into a
+ * process; each keeps track of the version that it has received. Thread-safe.
  */
 final class ChangeLog {
-    /** Encoded whole lists kept: nodes that are some changes behind are served from an older one. */
-    private static final int WHOLES_MOST = 4;
-    private static final byte[] HOSTS = "\"hosts\":[".getBytes(StandardCharsets.US_ASCII);
-    private static final byte[] END = "]}".getBytes(StandardCharsets.US_ASCII);
+    /**
+     * Number of encoded whole lists kept; nodes that are some changes behind are served from an older one.
+     */
+    private static final int MAX_WHOLE_LISTS = 4;
+    private static final byte[] HOSTS_FIELD = "\"hosts\":[".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] LIST_END = "]}".getBytes(StandardCharsets.US_ASCII);
 
     private final HostCatalog catalog;
-    private final byte[][] entries;
-    private final long first;
-    private final TreeMap<Long, byte[]> wholes = new TreeMap<>();
-    private long builtAfter = -1;
-    private long builtUpTo = -1;
-    private byte[] built;
+    private final byte[][] encodedChanges;
+    private final long firstVersion;
+    private final TreeMap<Long, byte[]> wholeLists = new TreeMap<>();
+    private long cachedAfter = -1;
+    private long cachedUpTo = -1;
+    private byte[] cachedAnswer;
 
-    /** {@code most}: changes kept. From now on only this log changes the catalog. */
-    ChangeLog(HostCatalog catalog, int most) {
+    /** {@code capacity} is the number of changes kept. From now on, only this log may change the catalog. */
+    ChangeLog(HostCatalog catalog, int capacity) {
         this.catalog = catalog;
-        this.entries = new byte[most][];
-        this.first = catalog.version();
-        wholes.put(first, catalog.whole());
+        this.encodedChanges = new byte[capacity][];
+        this.firstVersion = catalog.version();
+        wholeLists.put(firstVersion, catalog.wholeList());
     }
 
-    /** Gives one host another standing, and returns the list's version. */
+    /** Changes the health of one host, and returns the list's new version. */
     synchronized long publish(int host, HostCatalog.Health health) {
-        long before = catalog.version();
-        long version = catalog.change(host, health);
-        entries[slot(version)] = entry(catalog.since(before));
+        long versionBefore = catalog.version();
+        long version = catalog.changeHealth(host, health);
+        encodedChanges[slot(version)] = extractEntry(catalog.changesSince(versionBefore));
         return version;
     }
 
-    /** The one entry of an answer. */
-    private static byte[] entry(byte[] answer) {
-        int from = new String(answer, StandardCharsets.US_ASCII)
-            .indexOf(new String(HOSTS, StandardCharsets.US_ASCII)) + HOSTS.length;
-        return Arrays.copyOfRange(answer, from, answer.length - END.length);
+    /** Returns the encoded entry of an answer that holds exactly one. */
+    private static byte[] extractEntry(byte[] answer) {
+        int start = new String(answer, StandardCharsets.US_ASCII)
+            .indexOf(new String(HOSTS_FIELD, StandardCharsets.US_ASCII)) + HOSTS_FIELD.length;
+        return Arrays.copyOfRange(answer, start, answer.length - LIST_END.length);
     }
 
     private int slot(long version) {
-        return (int) (version % entries.length);
+        return (int) (version % encodedChanges.length);
     }
 
-    synchronized long latest() {
+    /** Returns the latest published version. */
+    synchronized long latestVersion() {
         return catalog.version();
     }
 
-    /** The answer to a watch: what came after one version up to another; null if the log begins later. */
-    synchronized byte[] changes(long after, long upTo) {
-        if (after < first || after > upTo || after < latest() - entries.length) {
+    /**
+     * Returns the encoded answer to a watch: the changes after version {@code after} up to and including
+     * {@code upTo}; null if the log no longer holds all of them or does not know the version. Callers must
+     * not modify the array.
+     */
+    synchronized byte[] changesBetween(long after, long upTo) {
+        if (after < firstVersion || after > upTo || after < latestVersion() - encodedChanges.length) {
             return null;
         }
-        if (after != builtAfter || upTo != builtUpTo) {
-            built = build(after, upTo);
-            builtAfter = after;
-            builtUpTo = upTo;
+        if (after != cachedAfter || upTo != cachedUpTo) {
+            cachedAnswer = buildAnswer(after, upTo);
+            cachedAfter = after;
+            cachedUpTo = upTo;
         }
-        return built;
+        return cachedAnswer;
     }
 
-    private byte[] build(long after, long upTo) {
+    private byte[] buildAnswer(long after, long upTo) {
         ByteArrayOutputStream text = new ByteArrayOutputStream();
         text.writeBytes(("{\"seq\":" + upTo + ",\"whole\":false,").getBytes(StandardCharsets.US_ASCII));
-        text.writeBytes(HOSTS);
+        text.writeBytes(HOSTS_FIELD);
         for (long version = after + 1; version <= upTo; version++) {
             if (version > after + 1) {
                 text.write(',');
             }
-            text.writeBytes(entries[slot(version)]);
+            text.writeBytes(encodedChanges[slot(version)]);
         }
-        text.writeBytes(END);
+        text.writeBytes(LIST_END);
         return text.toByteArray();
     }
 
     /**
-     * The latest encoded whole list that is no newer than this version; whoever gets it asks for the rest
-     * next. Null if all that are kept are newer.
+     * Returns the latest encoded whole list that is no newer than {@code upTo}; its receiver requests the
+     * remaining changes with its next call. Null if all whole lists that are kept are newer. Callers must not
+     * modify the array.
      */
-    synchronized byte[] whole(long upTo) {
-        long latest = latest();
-        if (upTo >= latest && !wholes.containsKey(latest)) {
-            wholes.put(latest, catalog.whole());
-            if (wholes.size() > WHOLES_MOST) {
-                wholes.pollFirstEntry();
+    synchronized byte[] wholeList(long upTo) {
+        long latest = latestVersion();
+        if (upTo >= latest && !wholeLists.containsKey(latest)) {
+            wholeLists.put(latest, catalog.wholeList());
+            if (wholeLists.size() > MAX_WHOLE_LISTS) {
+                wholeLists.pollFirstEntry();
             }
         }
-        Map.Entry<Long, byte[]> newest = wholes.floorEntry(upTo);
-        return newest == null ? null : newest.getValue();
+        Map.Entry<Long, byte[]> newestWholeList = wholeLists.floorEntry(upTo);
+        return newestWholeList == null ? null : newestWholeList.getValue();
     }
 }
--- a/src/main/java/wrenkeel/scale/ControlMachines.java
+++ b/src/main/java/wrenkeel/scale/ControlMachines.java
@@ -10,93 +10,95 @@
 import java.util.List;
 
 /**
- * The seven control machines as a tree of watches over two regions and five zones: one head a region, of
- * which the first is the source, and one machine a zone. So a change crosses between the regions once, enters
- * each zone once, and no machine sends it to more than a fifth of the fleet's agents; what a zone's return
- * costs stays with that zone's machine. Each machine is one thread here.
+ * The seven control machines as a tree of watches over two regions and five zones: one head per region, of
+ * which the first is the source, and one machine per zone. A change thus crosses between the regions once and
+ * enters each zone once, and no machine sends it to more than a fifth of the fleet's agents. The load of a
+ * zone that returns from an outage stays with that zone's machine. Here, each machine is one thread.
  */
 final class ControlMachines implements AutoCloseable {
-    static final int MACHINES = 7, ZONES = 5;
-    /** Zones of the first region; the others are in the second. */
-    private static final int ZONES_OF_SOURCE = 3;
+    static final int MACHINE_COUNT = 7;
+    static final int ZONE_COUNT = 5;
+    /** Number of zones in the first region; the others are in the second. */
+    private static final int FIRST_REGION_ZONES = 3;
 
-    private final ChangeLog log;
-    private final long wait;
-    private final HopCounters sourceHop = new HopCounters();
-    private final HopCounters machineHop = new HopCounters();
-    private final ThreadTimes times = new ThreadTimes();
-    private final MultiThreadIoEventLoopGroup threads = new MultiThreadIoEventLoopGroup(MACHINES,
+    private final ChangeLog changeLog;
+    private final long waitMs;
+    private final HopCounters sourceTraffic = new HopCounters();
+    private final HopCounters machineTraffic = new HopCounters();
+    private final ThreadTimes threadTimes = new ThreadTimes();
+    private final MultiThreadIoEventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(MACHINE_COUNT,
         new DefaultThreadFactory("control-machine", true), NioIoHandler.newFactory());
     private final ListNode source;
-    private final ListNode secondHead;
-    private final List<ListNode> zones = new ArrayList<>();
+    private final ListNode secondRegionHead;
+    private final List<ListNode> zoneMachines = new ArrayList<>();
 
-    /** {@code wait}: ms that each watch between machines waits. */
-    ControlMachines(ChangeLog log, long wait) throws IOException {
-        this.log = log;
-        this.wait = wait;
-        source = machine(sourceHop);
-        source.advance(log.latest());
-        secondHead = machine(sourceHop);
-        secondHead.follow(source.address(), wait);
-        for (int zone = 0; zone < ZONES; zone++) {
-            ListNode machine = machine(machineHop);
-            machine.follow(above(zone), wait);
-            zones.add(machine);
+    /** Starts the machines; {@code waitMs} is how long each watch between machines waits for a change. */
+    ControlMachines(ChangeLog changeLog, long waitMs) throws IOException {
+        this.changeLog = changeLog;
+        this.waitMs = waitMs;
+        source = newMachine(sourceTraffic);
+        source.advanceTo(changeLog.latestVersion());
+        secondRegionHead = newMachine(sourceTraffic);
+        secondRegionHead.watch(source.address(), waitMs);
+        for (int zone = 0; zone < ZONE_COUNT; zone++) {
+            ListNode machine = newMachine(machineTraffic);
+            machine.watch(upstreamOf(zone), waitMs);
+            zoneMachines.add(machine);
         }
     }
 
-    private ListNode machine(HopCounters hop) throws IOException {
-        EventLoop loop = threads.next();
-        times.add(loop);
-        return new ListNode(loop, log, hop);
+    private ListNode newMachine(HopCounters hop) throws IOException {
+        EventLoop loop = eventLoops.next();
+        threadTimes.add(loop);
+        return new ListNode(loop, changeLog, hop);
     }
 
-    private InetSocketAddress above(int zone) {
-        return (zone < ZONES_OF_SOURCE ? source : secondHead).address();
+    /** Returns the address of the region head that a zone's machine watches. */
+    private InetSocketAddress upstreamOf(int zone) {
+        return (zone < FIRST_REGION_ZONES ? source : secondRegionHead).address();
     }
 
-    /** Where the agents of a zone watch. */
-    InetSocketAddress zone(int zone) {
-        return zones.get(zone).address();
+    /** Returns the address that the agents of a zone watch. */
+    InetSocketAddress zoneAddress(int zone) {
+        return zoneMachines.get(zone).address();
     }
 
-    /** Tells the source of what has been published. */
-    void published(long version) {
-        source.advance(version);
+    /** Makes the source serve the list up to this published version. */
+    void advanceSource(long version) {
+        source.advanceTo(version);
     }
 
-    /** A zone's machine is lost and back. */
+    /** Simulates the loss and return of a zone's machine: it restarts without a list. */
     void restartZone(int zone) {
-        zones.get(zone).restart(above(zone), wait).syncUninterruptibly();
+        zoneMachines.get(zone).restart(upstreamOf(zone), waitMs).syncUninterruptibly();
     }
 
-    /** The lowest version that any machine holds. */
-    long version() {
-        return Math.min(secondHead.version(),
-            zones.stream().mapToLong(ListNode::version).min().orElseThrow());
+    /** Returns the lowest version that any machine holds; -1 while any has no list. */
+    long minVersion() {
+        return Math.min(secondRegionHead.version(),
+            zoneMachines.stream().mapToLong(ListNode::version).min().orElseThrow());
     }
 
-    /** Between the machines. */
-    HopCounters.Counts sourceHop() {
-        return sourceHop.read();
+    /** Returns the traffic between the control machines so far. */
+    HopCounters.Counts sourceTraffic() {
+        return sourceTraffic.snapshot();
     }
 
-    /** Between the zones' machines and the agents. */
-    HopCounters.Counts machineHop() {
-        return machineHop.read();
+    /** Returns the traffic between the zones' machines and the agents so far. */
+    HopCounters.Counts machineTraffic() {
+        return machineTraffic.snapshot();
     }
 
-    /** us of processor time of all machines so far. */
+    /** Returns the processor time of all machines so far, in microseconds. */
     long cpuMicros() {
-        return times.micros();
+        return threadTimes.cpuMicros();
     }
 
     @Override
     public void close() {
-        zones.forEach(ListNode::close);
-        secondHead.close();
+        zoneMachines.forEach(ListNode::close);
+        secondRegionHead.close();
         source.close();
-        Shutdown.now(threads);
+        Shutdown.now(eventLoops);
     }
 }
--- a/src/main/java/wrenkeel/scale/Fleet.java
+++ b/src/main/java/wrenkeel/scale/Fleet.java
@@ -9,123 +9,167 @@
 import java.util.function.IntUnaryOperator;
 import java.util.function.LongSupplier;
 
-/** Control machines, agents and hollow relays of one play, with a list that changes at the source. */
+/**
+ * The processes of one measured run (a "play"): control machines, one agent per relay, and list-only relays,
+ * which maintain the host list but accept no clients and make no calls. The list changes at the source, the
+ * first control machine, and propagates over three hops: between control machines, from a zone's control
+ * machine to the agents, and from each agent to its relay. Not thread-safe.
+ */
 final class Fleet implements AutoCloseable {
-    private static final long LOOK = 2;
-    /** s; what has not come by then will not. */
-    static final long PATIENCE = 60;
-
-    /** What has been spent up to one moment: by hop and by role; times in us. */
-    record Spent(long at, HopCounters.Counts source, HopCounters.Counts machine, HopCounters.Counts agent,
-                 long machinesCpu, long agentsCpu, long relaysCpu) {
-        Spent minus(Spent before) {
-            return new Spent(at - before.at, source.minus(before.source), machine.minus(before.machine),
-                agent.minus(before.agent), machinesCpu - before.machinesCpu, agentsCpu - before.agentsCpu,
-                relaysCpu - before.relaysCpu);
+    private static final long POLL_INTERVAL_MS = 2;
+    /** A list that has not arrived after this time is treated as lost, and the run fails. */
+    static final long TIMEOUT_SECONDS = 60;
+
+    /**
+     * Cumulative network traffic by hop and processor time by role at one moment, or the difference between
+     * two moments.
+     *
+     * @param atMicros time since the Unix epoch, or the length of the interval
+     * @param source traffic between the control machines
+     * @param machine traffic between the zones' control machines and the agents
+     * @param agent traffic between the agents and their relays
+     */
+    record ResourceUsage(long atMicros, HopCounters.Counts source, HopCounters.Counts machine,
+                         HopCounters.Counts agent, long machinesCpuMicros, long agentsCpuMicros,
+                         long relaysCpuMicros) {
+        /** Returns the usage of the interval between the earlier moment and this one. */
+        ResourceUsage minus(ResourceUsage earlier) {
+            return new ResourceUsage(atMicros - earlier.atMicros, source.minus(earlier.source),
+                machine.minus(earlier.machine), agent.minus(earlier.agent),
+                machinesCpuMicros - earlier.machinesCpuMicros, agentsCpuMicros - earlier.agentsCpuMicros,
+                relaysCpuMicros - earlier.relaysCpuMicros);
         }
 
-        /** Calls and bytes a second on each hop, and processor time as percent of a core. */
-        void rates(String prefix, Map<String, Double> values) {
-            double seconds = at / 1e6;
+        /**
+         * Adds, for an interval, calls and bytes per second on each hop and processor time as a percentage of
+         * one core. The keys start with {@code prefix}.
+         */
+        void putRates(String prefix, Map<String, Double> values) {
+            double seconds = atMicros / 1e6;
             values.put(prefix + "source_calls_per_s", source.calls() / seconds);
             values.put(prefix + "machine_calls_per_s", machine.calls() / seconds);
             values.put(prefix + "agent_calls_per_s", agent.calls() / seconds);
-            values.put(prefix + "source_bytes_per_s", source.bytes() / seconds);
-            values.put(prefix + "machine_bytes_per_s", machine.bytes() / seconds);
-            values.put(prefix + "agent_bytes_per_s", agent.bytes() / seconds);
-            cpu(prefix, values);
+            values.put(prefix + "source_bytes_per_s", source.totalBytes() / seconds);
+            values.put(prefix + "machine_bytes_per_s", machine.totalBytes() / seconds);
+            values.put(prefix + "agent_bytes_per_s", agent.totalBytes() / seconds);
+            putCpuPercent(prefix, values);
         }
 
-        /** Processor time of each role as percent of a core. */
-        void cpu(String prefix, Map<String, Double> values) {
-            double seconds = at / 1e6;
-            values.put(prefix + "machines_cpu_percent", machinesCpu / seconds / 1e4);
-            values.put(prefix + "agents_cpu_percent", agentsCpu / seconds / 1e4);
-            values.put(prefix + "relays_cpu_percent", relaysCpu / seconds / 1e4);
+        /** Adds, for an interval, the processor time of each role as a percentage of one core. */
+        void putCpuPercent(String prefix, Map<String, Double> values) {
+            double seconds = atMicros / 1e6;
+            values.put(prefix + "machines_cpu_percent", machinesCpuMicros / seconds / 1e4);
+            values.put(prefix + "agents_cpu_percent", agentsCpuMicros / seconds / 1e4);
+            values.put(prefix + "relays_cpu_percent", relaysCpuMicros / seconds / 1e4);
         }
     }
 
     private final HostCatalog catalog;
-    private final ChangeLog log;
+    private final ChangeLog changeLog;
     private final ControlMachines machines;
     private final FleetAgents agents;
-    private final HollowFleet relays;
+    private final ListOnlyFleet relays;
     private final Random random;
-    private boolean draining;
-    private int next;
-
-    /** The relays are not started yet; {@code zones} gives the zone of each. */
-    Fleet(int size, long seed, FleetOptions options, IntUnaryOperator zones) throws IOException {
+    private boolean hostIsDraining;
+    private int currentHost;
+
+    /**
+     * Starts the control machines, the agents and the processes that will run the relays; {@link #start}
+     * starts the relays.
+     *
+     * @param size number of relays
+     * @param seed determines the host list, the changed hosts and the gaps between changes
+     * @param zoneOfRelay the zone of each relay, by the relay's number
+     */
+    Fleet(int size, long seed, FleetOptions options, IntUnaryOperator zoneOfRelay) throws IOException {
         random = new Random(seed);
         catalog = new HostCatalog(options.hosts, seed);
-        log = new ChangeLog(catalog, options.log);
-        machines = new ControlMachines(log, options.wait);
-        agents = new FleetAgents(log, machines, size, options.wait, zones);
-        relays = new HollowFleet(agents, options.each, options.heapMb);
+        changeLog = new ChangeLog(catalog, options.changeLogSize);
+        machines = new ControlMachines(changeLog, options.waitMs);
+        agents = new FleetAgents(changeLog, machines, size, options.waitMs, zoneOfRelay);
+        relays = new ListOnlyFleet(agents, options.relaysPerProcess, options.heapMb);
     }
 
-    /** One relay after the other over the five zones. */
-    static int spread(int relay) {
-        return relay % ControlMachines.ZONES;
+    /** Distributes relays evenly over the zones, by the relay's number. */
+    static int roundRobinZone(int relay) {
+        return relay % ControlMachines.ZONE_COUNT;
     }
 
-    /** Starts all relays and waits until each holds the list. */
+    /**
+     * Starts all relays and waits until each has applied the list.
+     *
+     * @throws IOException if the list does not reach every machine, agent and relay in time
+     */
     void start() throws IOException, InterruptedException {
-        await("the machines hold no list", machines::version);
-        await("the agents hold no list", agents::version);
+        awaitVersion("the control machines did not receive the list in time", machines::minVersion);
+        awaitVersion("the agents did not receive the list in time", agents::minVersion);
         relays.start(0, agents.size());
-        awaitRelays();
+        awaitAllRelays();
     }
 
-    /** Waits until all relays hold the latest version. */
-    void awaitRelays() throws IOException {
-        long held = relays.await(log.latest(), PATIENCE);
-        if (held < agents.size()) {
-            throw new IOException(held + " of " + agents.size() + " relays hold version " + log.latest()
-                + " after " + PATIENCE + " s");
+    /**
+     * Waits until all relays have applied the latest version of the list.
+     *
+     * @throws IOException if some have not after {@link #TIMEOUT_SECONDS}
+     */
+    void awaitAllRelays() throws IOException {
+        long relaysHolding = relays.awaitVersion(changeLog.latestVersion(), TIMEOUT_SECONDS);
+        if (relaysHolding < agents.size()) {
+            throw new IOException(relaysHolding + " of " + agents.size() + " relays hold version "
+                + changeLog.latestVersion() + " after " + TIMEOUT_SECONDS + " s");
         }
     }
 
-    /** Waits until the latest version is held. */
-    private void await(String fault, LongSupplier version) throws IOException, InterruptedException {
-        long by = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE);
-        while (version.getAsLong() < log.latest()) {
-            if (System.nanoTime() > by) {
-                throw new IOException(fault);
+    /** Waits until {@code version} returns the latest version of the list; fails with the given message. */
+    private void awaitVersion(String faultMessage, LongSupplier version)
+        throws IOException, InterruptedException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
+        while (version.getAsLong() < changeLog.latestVersion()) {
+            if (System.nanoTime() > deadlineNanos) {
+                throw new IOException(faultMessage);
             }
-            Thread.sleep(LOOK);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 
-    /** A host is told to drain, or is ready again; when that was published (epoch us). */
-    long change() {
-        next = draining ? next : random.nextInt(catalog.size());
-        draining = !draining;
-        long at = EpochClock.micros();
-        machines.published(log.publish(next,
-            draining ? HostCatalog.Health.DRAINING : HostCatalog.Health.READY));
-        return at;
+    /**
+     * Publishes one change at the source: alternately sets a random host to draining, and that host back to
+     * ready. Returns the time of publication in microseconds since the Unix epoch.
+     */
+    long publishChange() {
+        currentHost = hostIsDraining ? currentHost : random.nextInt(catalog.totalHosts());
+        hostIsDraining = !hostIsDraining;
+        long atMicros = EpochClock.micros();
+        machines.advanceSource(changeLog.publish(currentHost,
+            hostIsDraining ? HostCatalog.Health.DRAINING : HostCatalog.Health.READY));
+        return atMicros;
     }
 
-    /** Publishes so many changes with random gaps of this mean (exponential, ms); when each was published. */
-    List<Long> changes(int count, double meanGap) throws InterruptedException {
+    /**
+     * Publishes {@code count} changes with exponentially distributed gaps. Returns the time of each
+     * publication in microseconds since the Unix epoch.
+     */
+    List<Long> publishChanges(int count, double meanGapMs) throws InterruptedException {
         List<Long> publishedAt = new ArrayList<>();
-        double due = EpochClock.micros();
+        double dueMicros = EpochClock.micros();
         for (int i = 0; i < count; i++) {
-            due += -Math.log(1 - random.nextDouble()) * meanGap * 1_000;
-            TimeUnit.MICROSECONDS.sleep((long) Math.max(0, due - EpochClock.micros()));
-            publishedAt.add(change());
+            dueMicros += -Math.log(1 - random.nextDouble()) * meanGapMs * 1_000;
+            TimeUnit.MICROSECONDS.sleep((long) Math.max(0, dueMicros - EpochClock.micros()));
+            publishedAt.add(publishChange());
         }
         return publishedAt;
     }
 
-    Spent spent() throws IOException {
-        return new Spent(EpochClock.micros(), machines.sourceHop(), machines.machineHop(), agents.hop(),
-            machines.cpuMicros(), agents.cpuMicros(), relays.cpuMicros());
+    /** Returns what the fleet has used since its start. */
+    ResourceUsage usage() throws IOException {
+        return new ResourceUsage(EpochClock.micros(), machines.sourceTraffic(),
+            machines.machineTraffic(), agents.agentTraffic(), machines.cpuMicros(), agents.cpuMicros(),
+            relays.cpuMicros());
     }
 
-    long version() {
-        return log.latest();
+    /** Returns the latest version of the list at the source. */
+    long latestVersion() {
+        return changeLog.latestVersion();
     }
 
     ControlMachines machines() {
@@ -136,7 +180,7 @@
         return agents;
     }
 
-    HollowFleet relays() {
+    ListOnlyFleet relays() {
         return relays;
     }
 
--- a/src/main/java/wrenkeel/scale/ListNode.java
+++ b/src/main/java/wrenkeel/scale/ListNode.java
@@ -31,82 +31,88 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One place on the list's way from its source to the relays: a control machine or an agent. It serves watches
- * of what it has been sent, and, unless it is the source, watches the place above it. All on one event loop.
+ * A server of the host list between its source and the relays: a control machine or an agent. It serves the
+ * list and watches, up to the version that it has received, and, unless it is the source, watches its
+ * upstream node. All work runs on one event loop; other threads may call all methods.
  */
 final class ListNode implements AutoCloseable {
-    /** ms; the longest wait that the protocol allows. */
-    private static final long WAIT_MOST = 60_000;
-    private static final int REQUEST_MOST = 64 * 1024, CALLERS_MOST = 4_096;
+    /** The longest wait of a watch that the protocol allows. */
+    private static final long MAX_WAIT_MS = 60_000;
+    private static final int MAX_REQUEST_BYTES = 64 * 1024;
+    private static final int ACCEPT_BACKLOG = 4_096;
 
     private final EventLoop loop;
-    private final ChangeLog log;
-    private final HopCounters below;
-    private final Channel door;
-    private final ChannelGroup callers;
-    /** Those whose call is not answered yet, in the order in which they came. */
-    private final Set<Caller> waiting = new LinkedHashSet<>();
+    private final ChangeLog changeLog;
+    private final HopCounters hopCounters;
+    private final Channel listener;
+    private final ChannelGroup clientChannels;
+    /** Connections whose call is not answered yet, in the order of arrival. */
+    private final Set<ClientConnection> waitingClients = new LinkedHashSet<>();
     private UpstreamWatch upstream;
     private volatile long version = -1;
 
-    /** Opens its door on any free port of loopback; {@code below} counts what goes over it. */
-    ListNode(EventLoop loop, ChangeLog log, HopCounters below) throws IOException {
+    /** Listens on a free loopback port; {@code hopCounters} counts the traffic there. */
+    ListNode(EventLoop loop, ChangeLog changeLog, HopCounters hopCounters) throws IOException {
         this.loop = loop;
-        this.log = log;
-        this.below = below;
-        this.callers = new DefaultChannelGroup(loop);
-        this.door = new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, CALLERS_MOST)
+        this.changeLog = changeLog;
+        this.hopCounters = hopCounters;
+        this.clientChannels = new DefaultChannelGroup(loop);
+        this.listener = new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
+            .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
             .childOption(ChannelOption.TCP_NODELAY, true)
             .childHandler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel channel) {
-                    callers.add(channel);
-                    below.connected();
-                    channel.pipeline().addLast(below.bytes(), new HttpServerCodec(),
-                        new HttpObjectAggregator(REQUEST_MOST), new Caller());
+                    clientChannels.add(channel);
+                    hopCounters.countConnection();
+                    channel.pipeline().addLast(hopCounters.byteCounter(), new HttpServerCodec(),
+                        new HttpObjectAggregator(MAX_REQUEST_BYTES), new ClientConnection());
                 }
             }).bind(InetAddress.getLoopbackAddress(), 0).syncUninterruptibly().channel();
     }
 
+    /** Returns the address that it listens at. */
     InetSocketAddress address() {
-        return (InetSocketAddress) door.localAddress();
+        return (InetSocketAddress) listener.localAddress();
     }
 
-    /** The version it has been sent; -1 while it has no list. Any thread may ask. */
+    /** Returns the version that it has received; -1 while it has no list. */
     long version() {
         return version;
     }
 
-    /** Watches the place above from now on, with calls that wait for so many milliseconds. */
-    void follow(InetSocketAddress above, long wait) {
+    /** Starts to watch the upstream node; each call waits up to {@code waitMs} for a change. */
+    void watch(InetSocketAddress upstreamAddress, long waitMs) {
         loop.execute(() -> {
-            upstream = new UpstreamWatch(loop, above, wait, version, this::arrived);
-            upstream.begin();
+            upstream = new UpstreamWatch(loop, upstreamAddress, waitMs, version, this::versionReceived);
+            upstream.connect();
         });
     }
 
-    /** It holds the list up to this version now: at the source as published, elsewhere as sent. */
-    void advance(long next) {
+    /** Makes the list up to this version available to clients, and answers their watches. */
+    void advanceTo(long newVersion) {
         if (loop.inEventLoop()) {
-            arrived(next);
+            versionReceived(newVersion);
         } else {
-            loop.execute(() -> arrived(next));
+            loop.execute(() -> versionReceived(newVersion));
         }
     }
 
-    private void arrived(long next) {
-        version = Math.max(version, next);
-        List.copyOf(waiting).forEach(Caller::answerIfDue);
+    private void versionReceived(long newVersion) {
+        version = Math.max(version, newVersion);
+        List.copyOf(waitingClients).forEach(ClientConnection::answerIfNewer);
     }
 
-    /** Its machine is lost and back: connections are closed; it holds nothing until it is sent the list. */
-    Future<?> restart(InetSocketAddress above, long wait) {
+    /**
+     * Simulates the loss and return of its machine: closes all connections, and starts to watch again without
+     * a list.
+     */
+    Future<?> restart(InetSocketAddress upstreamAddress, long waitMs) {
         return loop.submit(() -> {
             upstream.close();
-            List.copyOf(callers).forEach(Channel::close);
+            List.copyOf(clientChannels).forEach(Channel::close);
             version = -1;
-            follow(above, wait);
+            watch(upstreamAddress, waitMs);
         });
     }
 
@@ -116,61 +122,63 @@
             if (upstream != null) {
                 upstream.close();
             }
-            List.copyOf(callers).forEach(Channel::close);
+            List.copyOf(clientChannels).forEach(Channel::close);
         }).syncUninterruptibly();
-        door.close().syncUninterruptibly();
+        listener.close().syncUninterruptibly();
     }
 
-    /** One connection from below. */
-    private final class Caller extends SimpleChannelInboundHandler<FullHttpRequest> {
+    /** One connection of a downstream node or a relay. */
+    private final class ClientConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
         private ChannelHandlerContext context;
-        /** The version that its call asks to go on from; -1 for a whole list. */
-        private long after;
+        /** The version after which its call requests changes; -1 for the whole list. */
+        private long afterVersion;
         private Future<?> timer;
 
         @Override
-        protected void channelRead0(ChannelHandlerContext from, FullHttpRequest request) {
-            context = from;
-            below.called();
+        protected void channelRead0(ChannelHandlerContext channelContext, FullHttpRequest request) {
+            context = channelContext;
+            hopCounters.countCall();
             QueryStringDecoder uri = new QueryStringDecoder(request.uri());
             if (uri.path().equals("/reports")) {
                 answer(HttpResponseStatus.NO_CONTENT, Unpooled.EMPTY_BUFFER);
             } else if (!uri.path().equals("/v1/servers")) {
                 answer(HttpResponseStatus.NOT_FOUND, Unpooled.EMPTY_BUFFER);
             } else {
-                after = number(uri.parameters(), "after", -1);
-                waiting.add(this);
-                answerIfDue();
-                if (after >= 0 && waiting.contains(this)) {
-                    long wait = Math.min(WAIT_MOST, number(uri.parameters(), "wait_ms", 0));
-                    timer = loop.schedule(this::answerUnchanged, wait, TimeUnit.MILLISECONDS);
+                afterVersion = longParameter(uri.parameters(), "after", -1);
+                waitingClients.add(this);
+                answerIfNewer();
+                if (afterVersion >= 0 && waitingClients.contains(this)) {
+                    long waitMs = Math.min(MAX_WAIT_MS, longParameter(uri.parameters(), "wait_ms", 0));
+                    timer = loop.schedule(this::answerUnchanged, waitMs, TimeUnit.MILLISECONDS);
                 }
             }
         }
 
-        private static long number(Map<String, List<String>> parameters, String name, long otherwise) {
+        private static long longParameter(Map<String, List<String>> parameters, String name,
+                                          long defaultValue) {
             List<String> values = parameters.get(name);
-            return values == null ? otherwise : Long.parseLong(values.get(0));
+            return values == null ? defaultValue : Long.parseLong(values.get(0));
         }
 
-        /** Silent while it has no list; a watch waits for something newer. */
-        private void answerIfDue() {
-            if (version >= 0 && after < version) {
-                byte[] changes = after < 0 ? null : log.changes(after, version);
-                byte[] whole = changes == null ? log.whole(version) : null;
+        /** Answers the call if the node holds a list, and a newer version than the call names. */
+        private void answerIfNewer() {
+            if (version >= 0 && afterVersion < version) {
+                byte[] changes = afterVersion < 0 ? null : changeLog.changesBetween(afterVersion, version);
+                byte[] wholeList = changes == null ? changeLog.wholeList(version) : null;
                 if (changes != null) {
                     answerWaiting(changes);
-                } else if (whole != null) {
-                    below.sentWhole();
-                    answerWaiting(whole);
+                } else if (wholeList != null) {
+                    hopCounters.countWholeList();
+                    answerWaiting(wholeList);
                 }
             }
         }
 
+        /** Answers a watch whose wait has ended, with no changes. */
         private void answerUnchanged() {
-            byte[] none = version < 0 ? null : log.changes(version, version);
-            if (waiting.contains(this) && none != null) {
-                answerWaiting(none);
+            byte[] unchanged = version < 0 ? null : changeLog.changesBetween(version, version);
+            if (waitingClients.contains(this) && unchanged != null) {
+                answerWaiting(unchanged);
             }
         }
 
@@ -180,7 +188,7 @@
         }
 
         private void stopWaiting() {
-            waiting.remove(this);
+            waitingClients.remove(this);
             if (timer != null) {
                 timer.cancel(false);
                 timer = null;
@@ -197,13 +205,13 @@
         }
 
         @Override
-        public void channelInactive(ChannelHandlerContext from) {
+        public void channelInactive(ChannelHandlerContext channelContext) {
             stopWaiting();
         }
 
         @Override
-        public void exceptionCaught(ChannelHandlerContext from, Throwable cause) {
-            from.close();
+        public void exceptionCaught(ChannelHandlerContext channelContext, Throwable cause) {
+            channelContext.close();
         }
     }
 }
--- a/src/main/java/wrenkeel/scale/LoadedRelay.java
+++ b/src/main/java/wrenkeel/scale/LoadedRelay.java
@@ -8,24 +8,33 @@
 import java.util.Map;
 import java.util.concurrent.atomic.LongAdder;
 
-/** One real relay with an agent of its own, whose list leads to shared ports. */
+/**
+ * One real relay with its own agent, for experiments with traffic. The hosts of the agent's list share a few
+ * ports, where stand-in destinations listen.
+ */
 final class LoadedRelay implements AutoCloseable {
-    private static final Duration HELD_WITHIN = Duration.ofSeconds(15), LOOK = Duration.ofMillis(50);
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(15);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(50);
     private static final double HOSTS_PER_DESTINATION = 1.7;
 
-    /** What its plays are of, besides the rate: destinations, play and seed. */
+    /** Number of destinations that was asked for; the size of the experiment's play. */
     final long size;
+    /** Number of the play. */
     final int play;
+    /** Seed of the play. */
     final long seed;
     private final HostCatalog catalog;
-    private final LongAdder givenUp = new LongAdder(), handedBack = new LongAdder();
+    private final LongAdder failedMessages = new LongAdder();
+    private final LongAdder returnedMessages = new LongAdder();
     private final StandInAgent agent;
     private final RelayProcess process;
-    private double seconds;
+    private double startSeconds;
 
     /**
-     * @param destinations how many the list is to have, at 1.7 hosts each
-     * @param ports the dials, which the hosts share by turns
+     * Starts the agent and writes the relay's configuration; {@link #start} starts the relay.
+     *
+     * @param destinations number of destinations in the list, at 1.7 hosts each
+     * @param ports loopback ports, assigned to the hosts in turn
      */
     LoadedRelay(Path root, RelaySettings settings, long destinations, int play, long seed,
                 List<Integer> ports)
@@ -35,40 +44,41 @@
         this.seed = seed;
         catalog = new HostCatalog((int) Math.round(destinations * HOSTS_PER_DESTINATION), seed,
             host -> "127.0.0.1:" + ports.get(host % ports.size()));
-        agent = new StandInAgent(catalog, this::noticed);
+        agent = new StandInAgent(catalog, this::countNotice);
         process = new RelayProcess(root, settings, agent.address(), null);
     }
 
-    private void noticed(String line) {
+    private void countNotice(String line) {
         if (line.contains("\"given_up\"")) {
-            givenUp.increment();
+            failedMessages.increment();
         } else if (line.contains("\"handed_back\"")) {
-            handedBack.increment();
+            returnedMessages.increment();
         }
     }
 
-    /** Starts it; false where it does not hold its list and serve clients in time. */
+    /** Starts the relay; returns false if it does not hold its list and serve clients in time. */
     boolean start() throws IOException, InterruptedException {
-        long begun = System.nanoTime();
+        long startedNanos = System.nanoTime();
         process.start();
-        boolean held = process.awaitMembers(catalog.listed(), HELD_WITHIN, LOOK)
-            && process.awaitServing(HELD_WITHIN);
-        seconds = (System.nanoTime() - begun) / 1e9;
-        return held;
+        boolean listHeld = process.awaitMemberCount(catalog.listedCount(), START_TIMEOUT, POLL_INTERVAL)
+            && process.awaitServing(START_TIMEOUT);
+        startSeconds = (System.nanoTime() - startedNanos) / 1e9;
+        return listHeld;
     }
 
-    /** What a relay did that does not hold its list. */
-    Map<String, Double> unheld() throws IOException {
+    /** Returns the values to report if {@link #start} returned false. */
+    Map<String, Double> valuesWithoutList() throws IOException {
         Map<String, Double> values = new LinkedHashMap<>();
         values.put("held", 0.0);
-        values.put("unheld_cpu_percent", process.cpuMicros() / 1e4 / seconds);
+        values.put("unheld_cpu_percent", process.cpuMicros() / 1e4 / startSeconds);
         values.put("unheld_peak_rss_mb", process.peakRssBytes() / 1e6);
-        values.put("unheld_whole_lists_per_s", agent.wholeLists() / seconds);
+        values.put("unheld_whole_lists_per_s", agent.wholeLists() / startSeconds);
         return values;
     }
 
-    int destinations() {
-        return catalog.destinations();
+    /** Returns the number of destinations in the list. */
+    int destinationCount() {
+        return catalog.destinationCount();
     }
 
     RelayProcess process() {
@@ -79,14 +89,14 @@
         return agent;
     }
 
-    /** Notices of messages given up so far. */
-    long givenUp() {
-        return givenUp.sum();
+    /** Returns the number of notices of failed messages so far. */
+    long failedMessages() {
+        return failedMessages.sum();
     }
 
-    /** Notices of messages handed back so far. */
-    long handedBack() {
-        return handedBack.sum();
+    /** Returns the number of notices of returned messages so far. */
+    long returnedMessages() {
+        return returnedMessages.sum();
     }
 
     @Override
--- a/src/main/java/wrenkeel/scale/ProcessStats.java
+++ b/src/main/java/wrenkeel/scale/ProcessStats.java
@@ -8,67 +8,70 @@
 import java.util.Map;
 import java.util.stream.Stream;
 
-/** What Linux tells of one process, by {@code /proc}. Not for several threads. */
+/** Resource usage of one process, read from Linux's {@code /proc}. Not thread-safe. */
 final class ProcessStats {
-    private final Path proc;
-    /** Processor time of each thread as last seen, ns: one that has ended is told of no more. */
-    private final Map<String, Long> threads = new HashMap<>();
+    private final Path procFolder;
+    /** Latest known processor time of each thread, in ns; kept because ended threads vanish from /proc. */
+    private final Map<String, Long> nanosByThread = new HashMap<>();
 
     ProcessStats(long pid) {
-        proc = Path.of("/proc", Long.toString(pid));
+        procFolder = Path.of("/proc", Long.toString(pid));
     }
 
     /**
-     * Processor time of all threads since the start, us. From the scheduler's own clock, not in ticks of 10
-     * ms; what a thread did between the last call and its end is missed.
+     * Returns the processor time of all threads since the start, in microseconds. It comes from the
+     * scheduler's statistics, which are finer than the 10 ms ticks of {@code stat}. The time of a thread
+     * between the last call of this method and the thread's end is missed.
      */
     long cpuMicros() throws IOException {
         return threadNanos().values().stream().mapToLong(nanos -> nanos).sum() / 1_000;
     }
 
-    /** The same by thread, ns, named by the system's number for it; those that have ended included. */
+    /** Returns the processor time in ns by thread id, including threads that have ended. */
     Map<String, Long> threadNanos() throws IOException {
         List<Path> tasks;
-        try (Stream<Path> all = Files.list(proc.resolve("task"))) {
+        try (Stream<Path> all = Files.list(procFolder.resolve("task"))) {
             tasks = all.toList();
         }
         for (Path task : tasks) {
             try {
                 String[] words = Files.readString(task.resolve("schedstat")).split(" ");
-                threads.put(task.getFileName().toString(), Long.parseLong(words[0]));
+                nanosByThread.put(task.getFileName().toString(), Long.parseLong(words[0]));
             } catch (IOException e) {
-                // It has ended since the folder was read.
+                // The thread has ended since the folder was listed.
                 continue;
             }
         }
-        return Map.copyOf(threads);
+        return Map.copyOf(nanosByThread);
     }
 
-    /** Resident memory, bytes. */
+    /** Returns the resident memory in bytes. */
     long rssBytes() throws IOException {
-        return status("VmRSS");
+        return statusBytes("VmRSS");
     }
 
-    /** The most resident memory so far, bytes. */
+    /** Returns the peak resident memory so far, in bytes. */
     long peakRssBytes() throws IOException {
-        return status("VmHWM");
+        return statusBytes("VmHWM");
     }
 
-    /** Bytes handed to the system by all writes so far, to sockets and pipes too. */
+    /** Returns the bytes passed to write calls so far, including those to sockets and pipes. */
     long writtenBytes() throws IOException {
-        return number("io", "wchar");
+        return readNumber("io", "wchar");
     }
 
-    private long status(String name) throws IOException {
-        return 1_024 * number("status", name);
+    /** Reads a field in kB from {@code status}; returns bytes. */
+    private long statusBytes(String name) throws IOException {
+        return 1_024 * readNumber("status", name);
     }
 
-    private long number(String file, String name) throws IOException {
-        for (String line : Files.readAllLines(proc.resolve(file))) {
+    /** Reads a number from a line of the form {@code name: number}. */
+    private long readNumber(String file, String name) throws IOException {
+        for (String line : Files.readAllLines(procFolder.resolve(file))) {
             if (line.startsWith(name + ":")) {
                 return Long.parseLong(line.replaceAll("[^0-9]", ""));
             }
         }
-        throw new IOException("no " + name + " in " + proc.resolve(file));
+        throw new IOException("no field " + name + " in " + procFolder.resolve(file));
     }
 }
--- a/src/main/java/wrenkeel/scale/RelayProcess.java
+++ b/src/main/java/wrenkeel/scale/RelayProcess.java
@@ -20,43 +20,47 @@
 import wrenkeel.Wire;
 
 /**
- * One real relay, started by {@code run} of the deploy file under the limits that stand there, with a
- * temporary folder of its own that is deleted at the end. At most one process at a time; it dies with this
- * JVM. Not for several threads.
+ * One real relay, started with the {@code run} command and the limits of {@code deploy/balancer.toml}, with
+ * its own temporary folder, which {@link #close} deletes. It has at most one process at a time, and may be
+ * restarted; the process is killed when this JVM exits. Not thread-safe.
  */
 public final class RelayProcess implements AutoCloseable {
-    private static final Pattern RUN = Pattern.compile("(?m)^run\\s*=\\s*\"((?:[^\"\\\\]|\\\\.)*)\"");
-    /** With what follows the port: a line may be half written. */
-    private static final Pattern SERVING = Pattern.compile("serving on \\S*?:(\\d+)\\D"),
-        CONSOLE = Pattern.compile("operators at \\S*?:(\\d+)\\D");
-    private static final Duration LOOK = Duration.ofMillis(5);
-    private static final int CALL_PATIENCE = 2_000;
+    /** The {@code run} setting of the deploy file. */
+    private static final Pattern RUN_SETTING = Pattern.compile("(?m)^run\\s*=\\s*\"((?:[^\"\\\\]|\\\\.)*)\"");
+    /** Requires a character after the port, because the line may be only partly written. */
+    private static final Pattern SERVING_LINE = Pattern.compile("serving on \\S*?:(\\d+)\\D");
+    /** Like {@link #SERVING_LINE}. */
+    private static final Pattern CONSOLE_LINE = Pattern.compile("operators at \\S*?:(\\d+)\\D");
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(5);
+    private static final int CALL_TIMEOUT_MS = 2_000;
 
     private final Path root;
     private final Path folder;
     private final RelaySettings settings;
     private InetSocketAddress agent;
     private final Map<String, String> environment;
-    private final Thread atExit = new Thread(this::remove, "end of a relay");
+    private final Thread shutdownHook = new Thread(this::killAndDelete, "relay cleanup");
     private Process process;
     private ProcessStats stats;
-    private int starts;
-    private InetSocketAddress clients;
-    private InetSocketAddress console;
+    private int startCount;
+    private InetSocketAddress clientAddress;
+    private InetSocketAddress consoleAddress;
 
     /**
      * Writes the configuration; {@link #start} starts the process.
      *
-     * @param root the repository's root, built
-     * @param known the list that the configuration holds, in discovery's form; null for none
+     * @param root root folder of the repository, which must be built
+     * @param knownList the host list that the configuration holds, in discovery's JSON form; null for none
      */
-    RelayProcess(Path root, RelaySettings settings, InetSocketAddress agent, byte[] known)
+    RelayProcess(Path root, RelaySettings settings, InetSocketAddress agent, byte[] knownList)
         throws IOException {
-        this(root, settings, agent, known, Map.of());
+        this(root, settings, agent, knownList, Map.of());
     }
 
-    /** {@code environment}: further variables that the process is started with. */
-    public RelayProcess(Path root, RelaySettings settings, InetSocketAddress agent, byte[] known,
+    /**
+     * Like the other constructor; {@code environment} holds further environment variables for the process.
+     */
+    public RelayProcess(Path root, RelaySettings settings, InetSocketAddress agent, byte[] knownList,
                         Map<String, String> environment) throws IOException {
         this.root = root;
         this.settings = settings;
@@ -65,95 +69,107 @@
         folder = Files.createTempDirectory("scale-relay");
         Files.createDirectory(folder.resolve("state"));
         Files.createDirectory(folder.resolve("tmp"));
-        RelayConfig.write(folder.resolve("config.json"), settings, agent, known);
-        Runtime.getRuntime().addShutdownHook(atExit);
+        RelayConfig.write(folder.resolve("config.json"), settings, agent, knownList);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
     /**
-     * Starts the process, or one more after the last has ended; the lasting folder is kept. Does not wait.
+     * Starts a process; the previous one must have ended. The state folder is kept. Does not wait until the
+     * relay serves.
      */
     public void start() throws IOException {
         if (process != null && process.isAlive()) {
-            throw new IllegalStateException("process " + process.pid() + " runs");
+            throw new IllegalStateException("the relay is already running as process " + process.pid());
         }
-        clients = null;
-        console = null;
-        ProcessBuilder run = new ProcessBuilder("/bin/sh", "-c", command(root)).directory(root.toFile())
-            .redirectErrorStream(true).redirectOutput(log(++starts).toFile());
-        run.environment().putAll(Map.of("EDGE_NAME", settings.name(), "EDGE_LISTEN", "127.0.0.1:0",
-            "EDGE_CONSOLE", "127.0.0.1:0", "EDGE_DISCOVERY", RelayConfig.text(agent),
-            "EDGE_STATE", state().toString(), "EDGE_CONFIG", folder.resolve("config.json").toString(),
+        clientAddress = null;
+        consoleAddress = null;
+        ProcessBuilder processBuilder = new ProcessBuilder("/bin/sh", "-c", readRunCommand(root))
+            .directory(root.toFile()).redirectErrorStream(true).redirectOutput(log(++startCount).toFile());
+        processBuilder.environment().putAll(Map.of("EDGE_NAME", settings.name(), "EDGE_LISTEN", "127.0.0.1:0",
+            "EDGE_CONSOLE", "127.0.0.1:0", "EDGE_DISCOVERY", RelayConfig.hostAndPort(agent),
+            "EDGE_STATE", stateFolder().toString(), "EDGE_CONFIG", folder.resolve("config.json").toString(),
             "TMPDIR", folder.resolve("tmp").toString()));
-        run.environment().putAll(environment);
-        process = run.start();
+        processBuilder.environment().putAll(environment);
+        process = processBuilder.start();
         stats = new ProcessStats(process.pid());
     }
 
-    private static String command(Path root) throws IOException {
+    private static String readRunCommand(Path root) throws IOException {
         Path file = root.resolve("deploy/balancer.toml");
-        Matcher run = RUN.matcher(Files.readString(file));
-        if (!run.find()) {
-            throw new IOException("no run = \"...\" in " + file);
+        Matcher runSetting = RUN_SETTING.matcher(Files.readString(file));
+        if (!runSetting.find()) {
+            throw new IOException("no setting run = \"...\" in " + file);
         }
-        return run.group(1).replaceAll("\\\\(.)", "$1");
+        return runSetting.group(1).replaceAll("\\\\(.)", "$1");
     }
 
     private Path log(int start) {
         return folder.resolve("log." + start);
     }
 
-    /** What the latest process has written so far. */
+    /** Returns the output of the latest process so far; empty before the first start. */
     public String log() throws IOException {
-        return starts == 0 ? "" : Files.readString(log(starts));
+        return startCount == 0 ? "" : Files.readString(log(startCount));
     }
 
-    /** What all processes have written so far, the latest last. */
-    public String logs() throws IOException {
-        StringBuilder all = new StringBuilder();
-        for (int start = 1; start <= starts; start++) {
-            all.append("---- start ").append(start).append('\n').append(Files.readString(log(start)));
+    /** Returns the output of all processes so far, the latest last, each with a heading. */
+    public String allLogs() throws IOException {
+        StringBuilder logs = new StringBuilder();
+        for (int start = 1; start <= startCount; start++) {
+            logs.append("---- start ").append(start).append('\n').append(Files.readString(log(start)));
         }
-        return all.toString();
+        return logs.toString();
     }
 
-    /** Waits until the process has ended; false where it has not in time. */
-    public boolean awaitEnd(Duration atMost) throws InterruptedException {
-        return process.waitFor(atMost.toMillis(), TimeUnit.MILLISECONDS);
+    /** Waits until the process has ended; returns false on timeout. */
+    public boolean awaitExit(Duration timeout) throws InterruptedException {
+        return process.waitFor(timeout.toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    /** The folder that lasts. */
-    public Path state() {
+    /** Returns the relay's state folder, which outlasts restarts. */
+    public Path stateFolder() {
         return folder.resolve("state");
     }
 
+    /** Returns the id of the latest process. */
     public long pid() {
         return process.pid();
     }
 
-    public boolean alive() {
+    /** Returns whether a process is running. */
+    public boolean isAlive() {
         return process != null && process.isAlive();
     }
 
-    /** Waits until the process serves clients; false where it does not in time. */
-    public boolean awaitServing(Duration atMost) throws IOException, InterruptedException {
-        if (!awaitConsole(atMost)) {
+    /**
+     * Waits until the process serves clients; returns false on timeout.
+     *
+     * @throws IOException if the process has ended
+     */
+    public boolean awaitServing(Duration timeout) throws IOException, InterruptedException {
+        if (!awaitConsole(timeout)) {
             return false;
         }
-        clients = awaitAddress(SERVING, atMost);
-        return clients != null;
+        clientAddress = awaitAddress(SERVING_LINE, timeout);
+        return clientAddress != null;
     }
 
-    /** Waits until the process answers operators; false where it does not in time. */
-    boolean awaitConsole(Duration atMost) throws IOException, InterruptedException {
-        if (console == null) {
-            console = awaitAddress(CONSOLE, atMost);
+    /**
+     * Waits until the process listens for operators; returns false on timeout.
+     *
+     * @throws IOException if the process has ended
+     */
+    boolean awaitConsole(Duration timeout) throws IOException, InterruptedException {
+        if (consoleAddress == null) {
+            consoleAddress = awaitAddress(CONSOLE_LINE, timeout);
         }
-        return console != null;
+        return consoleAddress != null;
     }
 
-    private InetSocketAddress awaitAddress(Pattern pattern, Duration atMost)
+    /** Waits for a line in the log of the latest process, and returns its address; null on timeout. */
+    private InetSocketAddress awaitAddress(Pattern pattern, Duration timeout)
         throws IOException, InterruptedException {
-        long by = System.nanoTime() + atMost.toNanos();
+        long deadlineNanos = System.nanoTime() + timeout.toNanos();
         while (true) {
             boolean ended = !process.isAlive();
             Matcher line = pattern.matcher(log());
@@ -161,29 +177,29 @@
                 return new InetSocketAddress("127.0.0.1", Integer.parseInt(line.group(1)));
             }
             if (ended) {
-                throw new IOException("the relay ended with code " + process.exitValue() + ": "
-                    + log().lines().limit(3).toList());
+                throw new IOException("the relay exited with code " + process.exitValue()
+                    + "; start of its log: " + log().lines().limit(3).toList());
             }
-            if (System.nanoTime() > by) {
+            if (System.nanoTime() > deadlineNanos) {
                 return null;
             }
-            Thread.sleep(LOOK.toMillis());
+            Thread.sleep(POLL_INTERVAL.toMillis());
         }
     }
 
-    /** Where clients connect, once it serves. */
-    public InetSocketAddress clients() {
-        return clients;
+    /** Returns the clients' address; null before {@link #awaitServing} has succeeded. */
+    public InetSocketAddress clientAddress() {
+        return clientAddress;
     }
 
-    /** Where operators connect, once it answers them. */
-    InetSocketAddress console() {
-        return console;
+    /** Returns the operators' address; null before {@link #awaitConsole} has succeeded. */
+    InetSocketAddress consoleAddress() {
+        return consoleAddress;
     }
 
-    /** The figures of the console. */
+    /** Returns the metrics of the relay's console. */
     public Wire.Fields telemetry() throws IOException {
-        HttpURLConnection call = call("telemetry");
+        HttpURLConnection call = openConnection("telemetry");
         try (InputStream answer = call.getInputStream()) {
             return Wire.decode(new String(answer.readAllBytes(), StandardCharsets.UTF_8));
         } finally {
@@ -191,9 +207,9 @@
         }
     }
 
-    /** True if the console says that it serves. */
-    boolean ready() throws IOException {
-        HttpURLConnection call = call("ready");
+    /** Returns whether the console reports the relay as ready. */
+    boolean isReady() throws IOException {
+        HttpURLConnection call = openConnection("ready");
         try {
             return call.getResponseCode() == HttpURLConnection.HTTP_OK;
         } finally {
@@ -201,81 +217,82 @@
         }
     }
 
-    private HttpURLConnection call(String name) throws IOException {
-        URI uri = URI.create("http://" + RelayConfig.text(console) + "/api/" + name);
+    private HttpURLConnection openConnection(String name) throws IOException {
+        URI uri = URI.create("http://" + RelayConfig.hostAndPort(consoleAddress) + "/api/" + name);
         HttpURLConnection call = (HttpURLConnection) uri.toURL().openConnection();
-        call.setConnectTimeout(CALL_PATIENCE);
-        call.setReadTimeout(CALL_PATIENCE);
+        call.setConnectTimeout(CALL_TIMEOUT_MS);
+        call.setReadTimeout(CALL_TIMEOUT_MS);
         return call;
     }
 
-    /** How many hosts the list that it holds names. */
-    long members() throws IOException {
+    /** Returns the number of hosts in the list that the relay holds. */
+    long memberCount() throws IOException {
         return telemetry().longValue("members");
     }
 
     /**
-     * Waits until the list that it holds names so many hosts; false where it does not in time, or ends. One
-     * that is too busy to answer its operators is asked again.
+     * Waits until the relay's list has the given number of hosts; returns false on timeout or when the
+     * process ends. Failed calls are repeated, because the relay may be too busy to answer operators.
      */
-    boolean awaitMembers(long hosts, Duration atMost, Duration look)
+    boolean awaitMemberCount(long hosts, Duration timeout, Duration pollInterval)
         throws IOException, InterruptedException {
-        long by = System.nanoTime() + atMost.toNanos();
-        while (alive() && System.nanoTime() < by) {
+        long deadlineNanos = System.nanoTime() + timeout.toNanos();
+        while (isAlive() && System.nanoTime() < deadlineNanos) {
             try {
-                if (awaitConsole(Duration.ofNanos(by - System.nanoTime())) && members() == hosts) {
+                if (awaitConsole(Duration.ofNanos(deadlineNanos - System.nanoTime()))
+                    && memberCount() == hosts) {
                     return true;
                 }
             } catch (IOException e) {
-                if (!alive()) {
+                if (!isAlive()) {
                     System.err.println(settings.name() + ": " + e.getMessage());
                 }
             }
-            Thread.sleep(look.toMillis());
+            Thread.sleep(pollInterval.toMillis());
         }
         return false;
     }
 
-    /** Processor time of the process since its start, us. */
+    /** Returns the processor time of the process since its start, in microseconds. */
     long cpuMicros() throws IOException {
         return stats.cpuMicros();
     }
 
-    /** Processor time of each thread, ns, named by the system's number for it. */
+    /** Returns the processor time in ns by thread id. */
     Map<String, Long> threadNanos() throws IOException {
         return stats.threadNanos();
     }
 
-    /** Bytes handed to the system by all writes since the start, to sockets too. */
+    /** Returns the bytes passed to write calls since the start, including those to sockets. */
     long writtenBytes() throws IOException {
         return stats.writtenBytes();
     }
 
-    /** Resident memory, bytes. */
+    /** Returns the resident memory in bytes. */
     public long rssBytes() throws IOException {
         return stats.rssBytes();
     }
 
-    /** The most resident memory since the start, bytes. */
+    /** Returns the peak resident memory since the start, in bytes. */
     long peakRssBytes() throws IOException {
         return stats.peakRssBytes();
     }
 
-    /** SIGKILL; returns once the process has ended. */
+    /** Sends SIGKILL, and waits until the process has ended. */
     public void kill() throws InterruptedException {
         process.destroyForcibly();
         process.waitFor();
     }
 
-    /** SIGTERM; returns once the process has ended, by SIGKILL where it takes longer. */
-    void terminate(Duration atMost) throws InterruptedException {
+    /** Sends SIGTERM, waits until the process has ended, and kills it on timeout. */
+    void terminate(Duration timeout) throws InterruptedException {
         process.destroy();
-        if (!process.waitFor(atMost.toMillis(), TimeUnit.MILLISECONDS)) {
+        if (!process.waitFor(timeout.toMillis(), TimeUnit.MILLISECONDS)) {
             kill();
         }
     }
 
-    /** Writes the configuration anew with another address of discovery, then SIGHUP. */
+    /** Rewrites the configuration with another agent's address, and makes the relay reload it. */
     public void reload(InetSocketAddress otherAgent) throws IOException, InterruptedException {
         agent = otherAgent;
         Path draft = folder.resolve("config.new");
@@ -284,42 +301,42 @@
         reload();
     }
 
-    /** Sends a signal by its name, such as STOP. */
+    /** Sends the signal of this name, such as STOP. */
     public void signal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, Long.toString(pid())).start().waitFor();
     }
 
-    /** SIGTERM; does not wait. */
-    public void beginEnd() {
+    /** Sends SIGTERM, and does not wait. */
+    public void requestTermination() {
         process.destroy();
     }
 
-    /** SIGHUP: the configuration is read anew. */
+    /** Sends SIGHUP, which makes the relay reload its configuration. */
     void reload() throws IOException, InterruptedException {
         signal("HUP");
     }
 
-    /** Ends the process and deletes its folder. */
+    /** Kills the process and deletes the relay's folder. */
     @Override
     public void close() {
-        Runtime.getRuntime().removeShutdownHook(atExit);
-        remove();
+        Runtime.getRuntime().removeShutdownHook(shutdownHook);
+        killAndDelete();
     }
 
-    private void remove() {
+    private void killAndDelete() {
         try {
             if (process != null) {
                 kill();
             }
-            List<Path> left;
-            try (Stream<Path> all = Files.walk(folder)) {
-                left = all.sorted(Comparator.reverseOrder()).toList();
+            List<Path> paths;
+            try (Stream<Path> walk = Files.walk(folder)) {
+                paths = walk.sorted(Comparator.reverseOrder()).toList();
             }
-            for (Path path : left) {
+            for (Path path : paths) {
                 Files.delete(path);
             }
         } catch (IOException e) {
-            System.err.println("left behind: " + folder + ": " + e);
+            System.err.println("could not delete " + folder + ": " + e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/wrenkeel/scale/RelaysExperiment.java
+++ b/src/main/java/wrenkeel/scale/RelaysExperiment.java
@@ -9,74 +9,81 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** What a fleet of so many relays costs all the time: without a change, and while changes trickle in. */
+/** Measures the continuous cost of a fleet: without changes of the list, and with changes at a low rate. */
 @Command(name = "relays", mixinStandardHelpOptions = true,
-    description = "A fleet of so many hollow relays: calls, bytes and processor time of relays, agents and"
-        + " the control machines; memory of a relay.")
+    description = "A fleet of list-only relays: calls, bytes and processor time of relays, agents and control"
+        + " machines; memory of the relays.")
 final class RelaysExperiment implements Callable<Integer> {
     private static final List<Long> SIZES = List.of(100L, 300L, 1_000L, 2_300L);
-    private static final long TARGET = 2_300;
+    private static final long TARGET_RELAYS = 2_300;
 
-    /** ms; how long a relay's watch waits. */
-    private static final long WAIT = 4_000;
+    /** How long a relay's watch waits for a change. */
+    private static final long WATCH_WAIT_MS = 4_000;
 
     @Mixin
     private CommonOptions options;
     @Mixin
     private FleetOptions fleetOptions;
     @Option(names = "--idle-waits", defaultValue = "2", paramLabel = "N",
-        description = "Waits of 4 s that are measured without a change (default: ${DEFAULT-VALUE}).")
+        description = "Length of the measurement without changes, in waits of 4 s"
+            + " (default: ${DEFAULT-VALUE}).")
     private int idleWaits;
     @Option(names = "--changes", defaultValue = "16", paramLabel = "N",
-        description = "Changes of the trickle (default: ${DEFAULT-VALUE}).")
+        description = "Number of changes at a low rate (default: ${DEFAULT-VALUE}).")
     private int changes;
     @Option(names = "--gap-ms", defaultValue = "500", paramLabel = "N",
-        description = "Mean gap between them; 3,100 a day are one in 27,900 ms (default: ${DEFAULT-VALUE}).")
-    private double gap;
+        description = "Mean gap between them, in ms; 3,100 a day are one in 27,900 ms"
+            + " (default: ${DEFAULT-VALUE}).")
+    private double gapMs;
 
     @Override
     public Integer call() throws Exception {
-        return FleetPlays.run("relays", options, SIZES, TARGET, this::play);
+        return FleetPlays.run("relays", options, SIZES, TARGET_RELAYS, this::play);
     }
 
     private Map<String, Double> play(int size, long seed) throws IOException, InterruptedException {
         Map<String, Double> values = new LinkedHashMap<>();
-        try (Fleet fleet = new Fleet(size, seed, fleetOptions, Fleet::spread)) {
+        try (Fleet fleet = new Fleet(size, seed, fleetOptions, Fleet::roundRobinZone)) {
             fleet.start();
-            // What runs for the first time is compiled before it is measured.
-            fleet.changes(changes, gap / 4);
-            fleet.awaitRelays();
-            // All watches began with the last change. Between two ends of their waits: whole ones count.
-            Thread.sleep(WAIT / 2);
-            Fleet.Spent before = fleet.spent();
-            Thread.sleep(WAIT * idleWaits);
-            Fleet.Spent idle = fleet.spent();
-            idle.minus(before).rates("idle_", values);
-            fleet.changes(changes, gap);
-            fleet.awaitRelays();
-            aChange(fleet.spent().minus(idle), idle.minus(before), values);
-            HollowFleet.Memory memory = fleet.relays().memory();
+            // Warm-up: lets the JIT compile the code before it is measured.
+            fleet.publishChanges(changes, gapMs / 4);
+            fleet.awaitAllRelays();
+            // All watches were renewed by the last change, so their waits end at the same time. The
+            // measurement starts halfway between two such ends, so that it covers whole waits.
+            Thread.sleep(WATCH_WAIT_MS / 2);
+            Fleet.ResourceUsage usageBefore = fleet.usage();
+            Thread.sleep(WATCH_WAIT_MS * idleWaits);
+            Fleet.ResourceUsage usageAfterIdle = fleet.usage();
+            usageAfterIdle.minus(usageBefore).putRates("idle_", values);
+            fleet.publishChanges(changes, gapMs);
+            fleet.awaitAllRelays();
+            putCostPerChange(fleet.usage().minus(usageAfterIdle), usageAfterIdle.minus(usageBefore), values);
+            ListOnlyFleet.Memory memory = fleet.relays().measureMemory();
             values.put("relays_heap_mb", memory.heapBytes() / 1e6);
             values.put("relays_rss_mb", memory.rssBytes() / 1e6);
             values.put("relays_descriptors", (double) memory.descriptors());
-            values.put("tool_descriptors", (double) Descriptors.open());
-            values.put("relay_processes", (double) fleet.relays().processes());
+            values.put("tool_descriptors", (double) Descriptors.openCount());
+            values.put("relay_processes", (double) fleet.relays().processCount());
         }
         return values;
     }
 
     /**
-     * What one change moves on each hop: no watch ends by itself where changes follow this quickly. Processor
-     * time is less that of the idle fleet.
+     * Adds the cost of one change on each hop. No watch times out while changes follow this quickly, so all
+     * bytes are those of changes; processor time excludes that of the idle fleet.
      */
-    private void aChange(Fleet.Spent trickle, Fleet.Spent idle, Map<String, Double> values) {
-        double share = (double) trickle.at() / idle.at();
-        values.put("change_source_bytes", (double) trickle.source().bytes() / changes);
-        values.put("change_machine_bytes", (double) trickle.machine().bytes() / changes);
-        values.put("change_agent_bytes", (double) trickle.agent().bytes() / changes);
+    private void putCostPerChange(Fleet.ResourceUsage changesUsage, Fleet.ResourceUsage idleUsage,
+                                  Map<String, Double> values) {
+        double durationRatio = (double) changesUsage.atMicros() / idleUsage.atMicros();
+        values.put("change_source_bytes", (double) changesUsage.source().totalBytes() / changes);
+        values.put("change_machine_bytes", (double) changesUsage.machine().totalBytes() / changes);
+        values.put("change_agent_bytes", (double) changesUsage.agent().totalBytes() / changes);
         values.put("change_machines_cpu_ms",
-            (trickle.machinesCpu() - share * idle.machinesCpu()) / changes / 1e3);
-        values.put("change_agents_cpu_ms", (trickle.agentsCpu() - share * idle.agentsCpu()) / changes / 1e3);
-        values.put("change_relays_cpu_ms", (trickle.relaysCpu() - share * idle.relaysCpu()) / changes / 1e3);
+            (changesUsage.machinesCpuMicros() - durationRatio * idleUsage.machinesCpuMicros())
+                / changes / 1e3);
+        values.put("change_agents_cpu_ms",
+            (changesUsage.agentsCpuMicros() - durationRatio * idleUsage.agentsCpuMicros()) / changes / 1e3);
+        values.put("change_relays_cpu_ms",
+            (changesUsage.relaysCpuMicros() - durationRatio * idleUsage.relaysCpuMicros()) / changes / 1e3);
     }
 }
--- a/src/main/java/wrenkeel/scale/StandInAgent.java
+++ b/src/main/java/wrenkeel/scale/StandInAgent.java
@@ -46,43 +46,47 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The platform's agent, played on a free port of loopback: gives a catalog's list whole or as a watch, and
- * takes notices. It has one thread. Counts, which any thread may read, begin with the agent.
+ * A stand-in for the platform's discovery agent on a free loopback port. It serves the host list of a catalog
+ * and watches of it, and accepts notices. It runs on one thread of its own; its methods may be called by any
+ * thread. Counts start with the agent.
  */
 public final class StandInAgent implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(StandInAgent.class);
+    /** Enough for a whole fleet behind one agent. */
+    private static final int MAX_CONNECTIONS = 4_096;
+    private static final int MAX_CALL_BYTES = 1 << 20;
+    /** The longest wait of a watch. */
+    private static final int MAX_WAIT_MS = 60_000;
+    private static final int CHUNK_BYTES = 1 << 16;
+    /** Number of versions whose times are kept. */
+    private static final int MAX_TIMES = 8_192;
+
     /**
-     * Connections at once, those of a fleet behind one agent; bytes of one call; ms that a watch may wait.
+     * When a version was published, first sent to a watch, and first named as held by a call; 0 for not yet.
      */
-    private static final int CONNECTIONS_MOST = 4_096, CALL_MOST = 1 << 20, WAIT_MOST = 60_000;
-    private static final int CHUNK = 1 << 16;
-    /** Versions whose times are kept. */
-    private static final int TIMES_MOST = 8_192;
-
-    /** When a version was made, first sent to a watch, and first named by a call as held; 0 for not yet. */
-    record Times(long madeNanos, long sentNanos, long heldNanos) { }
+    record VersionTimes(long publishedNanos, long sentNanos, long heldNanos) { }
 
-    /** A call that waits for something newer than a version. */
-    private record Waiting(ChannelHandlerContext context, long after) { }
+    /** A watch that waits for a version newer than {@code after}. */
+    private record WaitingWatch(ChannelHandlerContext context, long after) { }
 
     private final MultiThreadIoEventLoopGroup group =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final EventLoop thread = group.next();
+    private final EventLoop eventLoop = group.next();
     private final HostCatalog catalog;
-    private final Consumer<String> whenNoticed;
+    private final Consumer<String> noticeListener;
     private final Channel listener;
-    /** By connection, each with its timer; only the agent's thread touches it. */
-    private final Map<Waiting, Future<?>> waiting = new LinkedHashMap<>();
-    private final Map<Long, Times> times = new LinkedHashMap<>() {
+    /** Waiting watches with their timers, in the order of arrival. Used only on the agent's thread. */
+    private final Map<WaitingWatch, Future<?>> waitingWatches = new LinkedHashMap<>();
+    private final Map<Long, VersionTimes> timesByVersion = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<Long, Times> eldest) {
-            return size() > TIMES_MOST;
+        protected boolean removeEldestEntry(Map.Entry<Long, VersionTimes> eldest) {
+            return size() > MAX_TIMES;
         }
     };
-    /** The latest version that a call has named as held; -1 for none. Guarded by {@code times}. */
-    private long held = -1;
+    /** The latest version that a call has named as held; -1 for none. Guarded by {@code timesByVersion}. */
+    private long heldVersion = -1;
     private final AtomicInteger connections = new AtomicInteger();
     private final LongAdder calls = new LongAdder();
     private final LongAdder wholeLists = new LongAdder();
@@ -94,102 +98,104 @@
         this(catalog, notice -> { });
     }
 
-    /** {@code whenNoticed} gets each line of a notice, on the agent's thread. */
-    public StandInAgent(HostCatalog catalog, Consumer<String> whenNoticed) throws InterruptedException {
+    /** {@code noticeListener} receives each line of a notice, on the agent's thread. */
+    public StandInAgent(HostCatalog catalog, Consumer<String> noticeListener) throws InterruptedException {
         this.catalog = catalog;
-        this.whenNoticed = whenNoticed;
+        this.noticeListener = noticeListener;
         listener = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, CONNECTIONS_MOST)
+            .option(ChannelOption.SO_BACKLOG, MAX_CONNECTIONS)
             .childOption(ChannelOption.TCP_NODELAY, true)
             .childHandler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel channel) {
-                    if (connections.incrementAndGet() > CONNECTIONS_MOST) {
+                    if (connections.incrementAndGet() > MAX_CONNECTIONS) {
                         channel.close();
                     }
-                    channel.closeFuture().addListener(closed -> connections.decrementAndGet());
+                    channel.closeFuture().addListener(future -> connections.decrementAndGet());
                     channel.pipeline().addLast(new ByteCounter(bytesIn, bytesOut), new HttpServerCodec(),
-                        new HttpServerKeepAliveHandler(), new HttpObjectAggregator(CALL_MOST),
-                        new ChunkedWriteHandler(), new Calls());
+                        new HttpServerKeepAliveHandler(), new HttpObjectAggregator(MAX_CALL_BYTES),
+                        new ChunkedWriteHandler(), new CallHandler());
                 }
             }).bind(InetAddress.getLoopbackAddress(), 0).sync().channel();
     }
 
+    /** Returns the address that the agent listens at. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
 
+    /** Returns the catalog; change it through the agent, which answers watches. */
     HostCatalog catalog() {
         return catalog;
     }
 
-    /** Changes the standing of one host and answers the watches that wait; the list's new version. */
-    public long change(int host, HostCatalog.Health health) {
-        return made(catalog.change(host, health));
+    /** Changes the health of one host, answers the waiting watches, and returns the list's new version. */
+    public long changeHealth(int host, HostCatalog.Health health) {
+        return recordPublished(catalog.changeHealth(host, health));
     }
 
-    /** Gives one host another address and answers the watches that wait; the list's new version. */
-    long move(int host, String dial) {
-        return made(catalog.move(host, dial));
+    /** Changes the address of one host, answers the waiting watches, and returns the list's new version. */
+    long changeAddress(int host, String address) {
+        return recordPublished(catalog.changeAddress(host, address));
     }
 
-    private long made(long version) {
-        long now = System.nanoTime();
-        synchronized (times) {
-            times.put(version, new Times(now, 0, 0));
+    private long recordPublished(long version) {
+        long nowNanos = System.nanoTime();
+        synchronized (timesByVersion) {
+            timesByVersion.put(version, new VersionTimes(nowNanos, 0, 0));
         }
-        thread.execute(this::answerAll);
+        eventLoop.execute(this::answerAllWatches);
         return version;
     }
 
-    /** The times of one change; null for one that is not, or no longer, known. */
-    Times times(long version) {
-        synchronized (times) {
-            return times.get(version);
+    /** Returns the times of one version; null if it is not, or no longer, known. */
+    VersionTimes timesOf(long version) {
+        synchronized (timesByVersion) {
+            return timesByVersion.get(version);
         }
     }
 
-    /** Waits until a call names this version, or a later one, as held; false where none did in time. */
-    boolean awaitHeld(long version, Duration atMost) throws InterruptedException {
-        long by = System.nanoTime() + atMost.toNanos();
-        synchronized (times) {
-            while (held < version) {
-                long left = by - System.nanoTime();
-                if (left <= 0) {
+    /** Waits until a call names this or a later version as held; returns false on timeout. */
+    boolean awaitHeld(long version, Duration timeout) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + timeout.toNanos();
+        synchronized (timesByVersion) {
+            while (heldVersion < version) {
+                long remainingNanos = deadlineNanos - System.nanoTime();
+                if (remainingNanos <= 0) {
                     return false;
                 }
-                TimeUnit.NANOSECONDS.timedWait(times, left);
+                TimeUnit.NANOSECONDS.timedWait(timesByVersion, remainingNanos);
             }
             return true;
         }
     }
 
-    /** Calls for the list, watches included. */
+    /** Returns the number of calls for the list, including watches. */
     long calls() {
         return calls.sum();
     }
 
-    /** Answers with the whole list that were begun. */
+    /** Returns the number of answers with the whole list, counted when they start. */
     long wholeLists() {
         return wholeLists.sum();
     }
 
-    /** Lines of notices. */
+    /** Returns the number of notice lines received. */
     long notices() {
         return notices.sum();
     }
 
-    /** Bytes read from all connections, heads included. */
+    /** Returns the bytes read from all connections, including HTTP headers. */
     long bytesIn() {
         return bytesIn.sum();
     }
 
-    /** Bytes handed to the system for all connections, heads included. */
+    /** Returns the bytes sent on all connections, including HTTP headers. */
     long bytesOut() {
         return bytesOut.sum();
     }
 
-    /** Connections open now. */
+    /** Returns the number of open connections. */
     int connections() {
         return connections.get();
     }
@@ -199,41 +205,45 @@
         group.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS).awaitUninterruptibly();
     }
 
-    private void answerAll() {
-        for (Waiting call : List.copyOf(waiting.keySet())) {
-            answer(call);
+    private void answerAllWatches() {
+        for (WaitingWatch watch : List.copyOf(waitingWatches.keySet())) {
+            answer(watch);
         }
     }
 
-    private void answer(Waiting call) {
-        Future<?> timer = waiting.remove(call);
+    private void answer(WaitingWatch watch) {
+        Future<?> timer = waitingWatches.remove(watch);
         if (timer != null) {
             timer.cancel(false);
-            sendChanges(call.context, call.after);
+            sendChanges(watch.context, watch.after);
         }
     }
 
     private void sendChanges(ChannelHandlerContext context, long after) {
-        boolean whole = !catalog.remembers(after);
-        send(context, catalog.since(after), whole);
-        long now = System.nanoTime();
-        synchronized (times) {
-            for (long version = catalog.version(); version > after && times.containsKey(version); version--) {
-                times.computeIfPresent(version, (v, t) -> t.sentNanos == 0
-                    ? new Times(t.madeNanos, now, t.heldNanos) : t);
+        boolean whole = !catalog.hasChangesSince(after);
+        send(context, catalog.changesSince(after), whole);
+        long nowNanos = System.nanoTime();
+        synchronized (timesByVersion) {
+            for (long version = catalog.version();
+                 version > after && timesByVersion.containsKey(version); version--) {
+                timesByVersion.computeIfPresent(version, (olderVersion, times) -> times.sentNanos == 0
+                    ? new VersionTimes(times.publishedNanos, nowNanos, times.heldNanos) : times);
             }
         }
     }
 
-    private void heard(long version) {
-        long now = System.nanoTime();
-        synchronized (times) {
-            if (version > held) {
-                for (long v = version; v > held && times.containsKey(v); v--) {
-                    times.computeIfPresent(v, (same, t) -> new Times(t.madeNanos, t.sentNanos, now));
+    /** Records that a call named this version as held; the caller then holds all versions before it, too. */
+    private void recordHeld(long version) {
+        long nowNanos = System.nanoTime();
+        synchronized (timesByVersion) {
+            if (version > heldVersion) {
+                for (long olderVersion = version;
+                     olderVersion > heldVersion && timesByVersion.containsKey(olderVersion); olderVersion--) {
+                    timesByVersion.computeIfPresent(olderVersion,
+                        (key, times) -> new VersionTimes(times.publishedNanos, times.sentNanos, nowNanos));
                 }
-                held = version;
-                times.notifyAll();
+                heldVersion = version;
+                timesByVersion.notifyAll();
             }
         }
     }
@@ -245,11 +255,13 @@
         HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         head.headers().set(HttpHeaderNames.CONTENT_LENGTH, list.length);
         context.write(head);
-        // In chunks, for the system takes a copy of each: many relays may be sent a long list at once.
-        context.writeAndFlush(new HttpChunkedInput(new ChunkedStream(new ByteArrayInputStream(list), CHUNK)));
+        // In chunks, because the operating system copies each buffer that is written, and many relays may
+        // receive a long list at once.
+        context.writeAndFlush(new HttpChunkedInput(
+            new ChunkedStream(new ByteArrayInputStream(list), CHUNK_BYTES)));
     }
 
-    private static void status(ChannelHandlerContext context, HttpResponseStatus status) {
+    private static void sendStatus(ChannelHandlerContext context, HttpResponseStatus status) {
         FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
             Unpooled.EMPTY_BUFFER);
         if (!status.equals(HttpResponseStatus.NO_CONTENT)) {
@@ -258,52 +270,54 @@
         context.writeAndFlush(answer);
     }
 
-    private final class Calls extends SimpleChannelInboundHandler<FullHttpRequest> {
+    /** Handles the calls of one connection. */
+    private final class CallHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             QueryStringDecoder uri = new QueryStringDecoder(request.uri());
             if (request.method().equals(HttpMethod.GET) && uri.path().equals("/v1/servers")) {
                 calls.increment();
                 try {
-                    list(context, number(uri, "after", -1), number(uri, "wait_ms", 0));
+                    handleListRequest(context, longParameter(uri, "after", -1),
+                        longParameter(uri, "wait_ms", 0));
                 } catch (NumberFormatException e) {
-                    status(context, HttpResponseStatus.BAD_REQUEST);
+                    sendStatus(context, HttpResponseStatus.BAD_REQUEST);
                 }
             } else if (request.method().equals(HttpMethod.POST) && uri.path().equals("/reports")) {
                 List<String> lines = request.content().toString(StandardCharsets.UTF_8).lines().toList();
                 notices.add(lines.size());
-                lines.forEach(whenNoticed);
-                status(context, HttpResponseStatus.NO_CONTENT);
+                lines.forEach(noticeListener);
+                sendStatus(context, HttpResponseStatus.NO_CONTENT);
             } else {
-                status(context, HttpResponseStatus.NOT_FOUND);
+                sendStatus(context, HttpResponseStatus.NOT_FOUND);
             }
         }
 
-        private void list(ChannelHandlerContext context, long after, long wait) {
+        private void handleListRequest(ChannelHandlerContext context, long after, long waitMs) {
             if (after < 0) {
-                send(context, catalog.whole(), true);
+                send(context, catalog.wholeList(), true);
                 return;
             }
-            heard(after);
-            if (after != catalog.version() || wait <= 0) {
+            recordHeld(after);
+            if (after != catalog.version() || waitMs <= 0) {
                 sendChanges(context, after);
                 return;
             }
-            Waiting call = new Waiting(context, after);
-            waiting.put(call, thread.schedule(() -> answer(call), Math.min(wait, WAIT_MOST),
+            WaitingWatch watch = new WaitingWatch(context, after);
+            waitingWatches.put(watch, eventLoop.schedule(() -> answer(watch), Math.min(waitMs, MAX_WAIT_MS),
                 TimeUnit.MILLISECONDS));
         }
 
-        private static long number(QueryStringDecoder uri, String name, long absent) {
+        private static long longParameter(QueryStringDecoder uri, String name, long defaultValue) {
             List<String> values = uri.parameters().getOrDefault(name, List.of());
-            return values.isEmpty() ? absent : Long.parseLong(values.get(0));
+            return values.isEmpty() ? defaultValue : Long.parseLong(values.get(0));
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            for (Waiting call : new ArrayList<>(waiting.keySet())) {
-                if (call.context == context) {
-                    waiting.remove(call).cancel(false);
+            for (WaitingWatch watch : new ArrayList<>(waitingWatches.keySet())) {
+                if (watch.context == context) {
+                    waitingWatches.remove(watch).cancel(false);
                 }
             }
         }
@@ -311,7 +325,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (!(cause instanceof IOException)) {
-                LOG.error("connection of a relay closed", cause);
+                LOG.error("closing the connection of a relay after an unexpected error", cause);
             }
             context.close();
         }
--- a/src/main/java/wrenkeel/scale/ThreadTimes.java
+++ b/src/main/java/wrenkeel/scale/ThreadTimes.java
@@ -6,17 +6,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The processor time of some event loops' threads together. */
+/** Sums the processor time of the threads of several event loops. */
 final class ThreadTimes {
-    private final ThreadMXBean threads = ManagementFactory.getThreadMXBean();
-    private final List<Long> ids = new ArrayList<>();
+    private final ThreadMXBean threadMxBean = ManagementFactory.getThreadMXBean();
+    private final List<Long> threadIds = new ArrayList<>();
 
+    /** Adds the thread of an event loop; blocks until the loop has answered. */
     void add(EventLoop loop) {
-        ids.add(loop.submit(() -> Thread.currentThread().getId()).syncUninterruptibly().getNow());
+        threadIds.add(loop.submit(() -> Thread.currentThread().getId()).syncUninterruptibly().getNow());
     }
 
-    /** us of processor time so far. */
-    long micros() {
-        return ids.stream().mapToLong(id -> threads.getThreadCpuTime(id) / 1_000).sum();
+    /** Returns the processor time of all added threads so far, in microseconds. */
+    long cpuMicros() {
+        return threadIds.stream().mapToLong(id -> threadMxBean.getThreadCpuTime(id) / 1_000).sum();
     }
 }
--- a/src/main/java/wrenkeel/scale/UpstreamWatch.java
+++ b/src/main/java/wrenkeel/scale/UpstreamWatch.java
@@ -27,64 +27,76 @@
 import java.util.regex.Pattern;
 
 /**
- * The watch that an agent or a control machine keeps of the place above it. What it is sent comes over the
- * socket whole, but only its version is looked at: the content stands in the {@link ChangeLog} that all
- * share.
+ * The watch of an agent or a control machine on its upstream node. It receives complete answers over the
+ * socket, but reads only their version: the content is in the {@link ChangeLog} that all nodes share. Runs on
+ * one event loop, including {@link #connect} and {@link #close}.
  */
 final class UpstreamWatch implements AutoCloseable {
-    /** ms; gap before a call is made again, and silence beyond the wait that ends a connection. */
-    private static final long AGAIN = 100, SLACK = 2_000;
-    private static final Pattern SEQ = Pattern.compile("^\\{\"seq\":(\\d+),");
-    private static final int HEAD_MOST = 32;
+    /** Pause before the next attempt to connect. */
+    private static final long RETRY_DELAY_MS = 100;
+    /** A connection is closed if nothing arrives for the wait of a call and this time. */
+    private static final long READ_TIMEOUT_MARGIN_MS = 2_000;
+    /** The start of an answer, with the list's version. */
+    private static final Pattern VERSION_PATTERN = Pattern.compile("^\\{\"seq\":(\\d+),");
+    private static final int MAX_PREFIX_BYTES = 32;
 
     private final EventLoop loop;
-    private final InetSocketAddress above;
-    private final long wait;
-    private final LongConsumer whenArrived;
+    private final InetSocketAddress upstream;
+    private final long waitMs;
+    private final LongConsumer versionListener;
     private final Bootstrap bootstrap;
     private long version;
     private Channel channel;
     private boolean closed;
 
-    /** Goes on from {@code version}, -1 for nothing; {@code wait}: ms that each call may wait. */
-    UpstreamWatch(EventLoop loop, InetSocketAddress above, long wait, long version,
-                  LongConsumer whenArrived) {
+    /**
+     * Creates a watch; {@link #connect} starts it.
+     *
+     * @param waitMs how long each call asks the upstream node to wait for a change
+     * @param version the version that is held already; -1 for none
+     * @param versionListener receives the version of each answer
+     */
+    UpstreamWatch(EventLoop loop, InetSocketAddress upstream, long waitMs, long version,
+                  LongConsumer versionListener) {
         this.loop = loop;
-        this.above = above;
-        this.wait = wait;
+        this.upstream = upstream;
+        this.waitMs = waitMs;
         this.version = version;
-        this.whenArrived = whenArrived;
+        this.versionListener = versionListener;
         this.bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true)
             .handler(new ChannelInitializer<Channel>() {
                 @Override
-                protected void initChannel(Channel fresh) {
-                    fresh.pipeline().addLast(new ReadTimeoutHandler(wait + SLACK, TimeUnit.MILLISECONDS),
-                        new HttpClientCodec(), new Reader());
+                protected void initChannel(Channel newChannel) {
+                    newChannel.pipeline().addLast(
+                        new ReadTimeoutHandler(waitMs + READ_TIMEOUT_MARGIN_MS, TimeUnit.MILLISECONDS),
+                        new HttpClientCodec(), new ResponseReader());
                 }
             });
     }
 
-    void begin() {
-        bootstrap.connect(above).addListener(done -> {
-            if (!done.isSuccess()) {
-                beginAgain();
+    /** Connects, and repeats until it succeeds or the watch is closed. */
+    void connect() {
+        bootstrap.connect(upstream).addListener(connected -> {
+            if (!connected.isSuccess()) {
+                connectLater();
             }
         });
     }
 
-    private void beginAgain() {
+    private void connectLater() {
         if (!closed) {
-            loop.schedule(this::begin, AGAIN, TimeUnit.MILLISECONDS);
+            loop.schedule(this::connect, RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void ask() {
-        String query = version < 0 ? "" : "?after=" + version + "&wait_ms=" + wait;
+    /** Requests the whole list, or a change after the version that is held. */
+    private void sendRequest() {
+        String query = version < 0 ? "" : "?after=" + version + "&wait_ms=" + waitMs;
         DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
             "/v1/servers" + query, Unpooled.EMPTY_BUFFER);
         request.headers().set(HttpHeaderNames.HOST,
-            above.getAddress().getHostAddress() + ":" + above.getPort());
+            upstream.getAddress().getHostAddress() + ":" + upstream.getPort());
         channel.writeAndFlush(request);
     }
 
@@ -96,9 +108,10 @@
         }
     }
 
-    private final class Reader extends SimpleChannelInboundHandler<HttpObject> {
-        /** How the body begins. */
-        private final StringBuilder head = new StringBuilder();
+    /** Reads the answers of one connection, and sends the next request after each. */
+    private final class ResponseReader extends SimpleChannelInboundHandler<HttpObject> {
+        /** The first characters of the body. */
+        private final StringBuilder bodyPrefix = new StringBuilder();
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
@@ -106,7 +119,7 @@
             if (closed) {
                 channel.close();
             } else {
-                ask();
+                sendRequest();
             }
         }
 
@@ -116,27 +129,27 @@
                 context.close();
                 return;
             }
-            if (part instanceof HttpContent content && head.length() < HEAD_MOST) {
+            if (part instanceof HttpContent content && bodyPrefix.length() < MAX_PREFIX_BYTES) {
                 ByteBuf bytes = content.content();
-                int length = Math.min(HEAD_MOST - head.length(), bytes.readableBytes());
-                head.append(bytes.toString(bytes.readerIndex(), length, StandardCharsets.US_ASCII));
+                int length = Math.min(MAX_PREFIX_BYTES - bodyPrefix.length(), bytes.readableBytes());
+                bodyPrefix.append(bytes.toString(bytes.readerIndex(), length, StandardCharsets.US_ASCII));
             }
             if (part instanceof LastHttpContent) {
-                Matcher seq = SEQ.matcher(head.toString());
-                head.setLength(0);
-                if (!seq.find()) {
+                Matcher matcher = VERSION_PATTERN.matcher(bodyPrefix.toString());
+                bodyPrefix.setLength(0);
+                if (!matcher.find()) {
                     context.close();
                     return;
                 }
-                version = Long.parseLong(seq.group(1));
-                whenArrived.accept(version);
-                ask();
+                version = Long.parseLong(matcher.group(1));
+                versionListener.accept(version);
+                sendRequest();
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            beginAgain();
+            connectLater();
         }
 
         @Override
--- a/src/main/java/wrenkeel/soak/OutageRun.java
+++ b/src/main/java/wrenkeel/soak/OutageRun.java
@@ -125,7 +125,7 @@
             MAX_CONNECTIONS);
         for (int i = 0; i < plan.relays; i++) {
             InetSocketAddress address = PortAllocator.allocate();
-            RelayProcess process = new RelayProcess(root, settings.named("n" + i), agent.address(), null,
+            RelayProcess process = new RelayProcess(root, settings.withName("n" + i), agent.address(), null,
                 Map.of("EDGE_LISTEN", address.getAddress().getHostAddress() + ":" + address.getPort()));
             relays.add(new RelayWithClients(process, new StandInClients(address, traffic, plan.seed + i,
                 CLIENT_TIMEOUT_MS, (long) i << SEQUENCE_BITS, new ClientRecorder())));
@@ -179,7 +179,7 @@
         runOnAll(shuffled.subList(0, (int) Math.round(plan.killFraction * relays.size())), relay -> {
             relay.process.kill();
             if (!plan.keepsStateFolder) {
-                deleteContents(relay.process.state());
+                deleteContents(relay.process.stateFolder());
             }
             TimeUnit.MILLISECONDS.sleep(RESTART_DELAY_MS);
             start(relay.process);
@@ -222,7 +222,7 @@
     List<String> logs() throws IOException {
         List<String> all = new ArrayList<>();
         for (RelayWithClients relay : relays) {
-            all.add(relay.process.logs());
+            all.add(relay.process.allLogs());
         }
         return all;
     }
--- a/src/main/java/wrenkeel/soak/RelayHandle.java
+++ b/src/main/java/wrenkeel/soak/RelayHandle.java
@@ -79,7 +79,7 @@
 
     /** The logs of all processes of this relay, the latest last. */
     String logs() throws IOException {
-        return process.logs();
+        return process.allLogs();
     }
 
     /** Starts the process and waits until it serves; otherwise records a finding and returns false. */
@@ -109,7 +109,7 @@
 
     /** Records a finding, once, if the process has ended although nobody ended it. */
     void checkAlive() {
-        if (!inTransition.get() && readyAt > 0 && !process.alive()
+        if (!inTransition.get() && readyAt > 0 && !process.isAlive()
             && inTransition.compareAndSet(false, true)) {
             addFinding("crashed", "the process is gone");
         }
@@ -126,18 +126,18 @@
         long signalledAt = clock.getAsLong();
         switch (kind) {
             case TERMINATE -> {
-                process.beginEnd();
-                process.awaitEnd(Duration.ofMillis(KILL_AFTER_TERM_MS));
+                process.requestTermination();
+                process.awaitExit(Duration.ofMillis(KILL_AFTER_TERM_MS));
             }
             case TERMINATE_TWICE, SIGNAL_SERIES -> {
-                process.beginEnd();
+                process.requestTermination();
                 TimeUnit.MILLISECONDS.sleep(RESTART_DELAY_MS / 2);
                 process.signal("HUP");
-                process.beginEnd();
-                process.awaitEnd(Duration.ofMillis(KILL_AFTER_TERM_MS - RESTART_DELAY_MS / 2));
+                process.requestTermination();
+                process.awaitExit(Duration.ofMillis(KILL_AFTER_TERM_MS - RESTART_DELAY_MS / 2));
             }
             case KILL_WHILE_LEAVING -> {
-                process.beginEnd();
+                process.requestTermination();
                 TimeUnit.MILLISECONDS.sleep(RESTART_DELAY_MS);
             }
             default -> { }
@@ -192,7 +192,7 @@
 
     /** Suspends the process for so many ms, if it runs. */
     void pause(long millis) throws IOException, InterruptedException {
-        if (process.alive()) {
+        if (process.isAlive()) {
             process.signal("STOP");
             TimeUnit.MILLISECONDS.sleep(millis);
             process.signal("CONT");
--- a/src/main/java/wrenkeel/soak/SoakRun.java
+++ b/src/main/java/wrenkeel/soak/SoakRun.java
@@ -115,14 +115,14 @@
         HostCatalog catalog = new HostCatalog(ENDPOINTS, seed,
             host -> "127.0.0.1:" + endpointLinks.get(host).address().getPort());
         agent = new StandInAgent(catalog, this::recordNotice);
-        traffic = new Traffic(catalog.destinations(), 0.5, BODY_BYTES, CLASS_SHARES, List.of(),
+        traffic = new Traffic(catalog.destinationCount(), 0.5, BODY_BYTES, CLASS_SHARES, List.of(),
             MAX_CONNECTIONS);
         for (int endpoint = 0; endpoint < ENDPOINTS; endpoint++) {
             limitCapacity(endpoint, relayCount);
         }
         RelaySettings settings = RelaySettings.typical("n").withRelays(relayCount).withProfiles(PROFILES);
         for (int i = 0; i < relayCount; i++) {
-            relays.add(new RelayHandle(i, root, tempFolder, library, settings.named("n" + i), trace,
+            relays.add(new RelayHandle(i, root, tempFolder, library, settings.withName("n" + i), trace,
                 agent.address(), eventLoops, this::nowMillis, history));
         }
     }
@@ -132,9 +132,9 @@
      * which grows back in the cold time. Too many calls do not make it fail again: the oracle reports them.
      */
     private void limitCapacity(int endpoint, int relayCount) {
-        int destination = HostCatalog.destination(endpoint);
+        int destination = HostCatalog.destinationOf(endpoint);
         long siblings = IntStream.range(0, ENDPOINTS)
-            .filter(other -> HostCatalog.destination(other) == destination).count();
+            .filter(other -> HostCatalog.destinationOf(other) == destination).count();
         double meanCallsPerSecond = traffic.share(destination) * MESSAGES_PER_SECOND_PER_RELAY * relayCount
             / siblings;
         double capacity = CAPACITY_TO_TRAFFIC_RATIO * meanCallsPerSecond;
@@ -392,10 +392,10 @@
                 if (!endpointsDraining.add(endpoint)) {
                     return;
                 }
-                agent.change(endpoint, HostCatalog.Health.DRAINING);
+                agent.changeHealth(endpoint, HostCatalog.Health.DRAINING);
                 TimeUnit.MILLISECONDS.sleep(fault.durationMillis());
                 history.drains(endpoint, new History.Interval(start, nowMillis()));
-                agent.change(endpoint, HostCatalog.Health.READY);
+                agent.changeHealth(endpoint, HostCatalog.Health.READY);
                 endpointsDraining.remove(endpoint);
                 return;
             }
@@ -443,7 +443,7 @@
                 case "query" -> History.Effect.SAFE;
                 default -> History.Effect.UNSAFE;
             };
-            long dedupWindowMillis = PROFILES.get(0).window();
+            long dedupWindowMillis = PROFILES.get(0).windowMs();
             history.recordSubmission(new History.Message(id.text(), relayOf(id), destination, effect,
                 dedupWindowMillis, toMillis(id.dueNanos()), kind.lifeMillis()));
         }
@@ -464,10 +464,10 @@
             }
             // Status 0 is silence: the endpoint may have executed the message.
             boolean mayExecute = verdict.status() == 200 || verdict.status() == 0;
-            history.recordCall(new History.Call(relayOf(id), endpoint, HostCatalog.destination(endpoint),
+            history.recordCall(new History.Call(relayOf(id), endpoint, HostCatalog.destinationOf(endpoint),
                 id.text(), toMillis(nowNanos), verdict.waitMillis()), mayExecute);
             History.Message message = history.message(id.text());
-            if (message == null || message.destination != HostCatalog.destination(endpoint)) {
+            if (message == null || message.destination != HostCatalog.destinationOf(endpoint)) {
                 history.addFinding(new Finding("made up", toMillis(nowNanos), "message " + id.text()
                     + " at endpoint " + endpoint));
             }
--- a/src/test/java/wrenkeel/scale/FleetTest.java
+++ b/src/test/java/wrenkeel/scale/FleetTest.java
@@ -14,7 +14,7 @@
 import picocli.CommandLine;
 import wrenkeel.Wire;
 
-/** A few hollow relays in processes of their own: what a play is put together from works as a whole. */
+/** Runs a complete fleet with a few list-only relays in their own processes. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class FleetTest {
     @TempDir
@@ -27,41 +27,44 @@
     }
 
     @Test
-    void everyChangeIsNotedAtEveryRelay() throws Exception {
-        try (Fleet fleet = new Fleet(5, 1, options("--hosts", "30", "--relays-a-process", "3"), Fleet::spread)) {
+    void everyRelayRecordsEveryChange() throws Exception {
+        try (Fleet fleet = new Fleet(5, 1, options("--hosts", "30", "--relays-a-process", "3"),
+                Fleet::roundRobinZone)) {
             fleet.start();
-            assertEquals(2, fleet.relays().processes());
-            fleet.relays().note(fleet.version(), 4);
-            List<Long> publishedAt = fleet.changes(4, 1);
-            fleet.awaitRelays();
-            HollowFleet.InForce inForce = fleet.relays().inForce(publishedAt);
-            assertEquals(5 * 4, inForce.spans().getTotalCount());
-            assertEquals(4, inForce.last().size());
-            assertTrue(fleet.agents().hop().wholeLists() >= 5, "more if a relay's patience ends on a busy machine");
-            assertEquals(5, fleet.machines().machineHop().wholeLists());
-            assertEquals(6, fleet.machines().sourceHop().wholeLists(), "the second head and five zones");
+            assertEquals(2, fleet.relays().processCount());
+            fleet.relays().recordVersions(fleet.latestVersion(), 4);
+            List<Long> publishedAt = fleet.publishChanges(4, 1);
+            fleet.awaitAllRelays();
+            ListOnlyFleet.PropagationTimes inForce = fleet.relays().propagationTimes(publishedAt);
+            assertEquals(5 * 4, inForce.delays().getTotalCount());
+            assertEquals(4, inForce.lastRelayDelays().size());
+            assertTrue(fleet.agents().agentTraffic().wholeLists() >= 5,
+                "at least one per relay; more if a relay's call times out on a busy machine");
+            assertEquals(5, fleet.machines().machineTraffic().wholeLists());
+            assertEquals(6, fleet.machines().sourceTraffic().wholeLists(),
+                "the second region's head and five zone machines");
         }
     }
 
     @Test
-    void aZoneThatIsBackAsksForEachListOnce() throws Exception {
+    void everyAgentOfARestartedZoneFetchesTheWholeList() throws Exception {
         try (Fleet fleet = new Fleet(4, 1, options("--hosts", "30", "--relays-a-process", "2"), relay -> 0)) {
             fleet.start();
-            HopCounters.Counts before = fleet.machines().machineHop();
+            HopCounters.Counts before = fleet.machines().machineTraffic();
             fleet.relays().stop(0, 4);
             fleet.machines().restartZone(0);
             for (int agent = 0; agent < 4; agent++) {
                 fleet.agents().restart(agent).syncUninterruptibly();
             }
             fleet.relays().start(0, 4);
-            fleet.awaitRelays();
-            assertEquals(4, fleet.relays().starts(0, 4).getTotalCount());
-            assertTrue(fleet.machines().machineHop().minus(before).wholeLists() >= 4);
+            fleet.awaitAllRelays();
+            assertEquals(4, fleet.relays().startTimes(0, 4).getTotalCount());
+            assertTrue(fleet.machines().machineTraffic().minus(before).wholeLists() >= 4);
         }
     }
 
     @Test
-    void theChangeExperimentGivesOneLineAPlayAndOneAValue() throws Exception {
+    void changeExperimentReportsEachPlayAndEachValue() throws Exception {
         Path out = folder.resolve("change.jsonl");
         assertEquals(0, ScaleCommand.run(new String[] {"change", "--sizes", "1,2,3,4", "--plays", "1", "--hosts", "20",
             "--day-changes", "2", "--day-gap-ms", "1", "--burst-changes", "2", "--out", out.toString()}));
@@ -75,10 +78,10 @@
     }
 
     @Test
-    void aHistogramCrossesBetweenProcesses() throws Exception {
-        Histogram spans = new Histogram(HollowFleet.DIGITS);
+    void histogramSurvivesEncodingAndDecoding() throws Exception {
+        Histogram spans = new Histogram(ListOnlyFleet.HISTOGRAM_DIGITS);
         spans.recordValue(1_234);
         spans.recordValue(56_000_000);
-        assertEquals(spans, HollowFleet.decode(HollowFleet.encode(spans)));
+        assertEquals(spans, ListOnlyFleet.decode(ListOnlyFleet.encode(spans)));
     }
 }
--- a/src/test/java/wrenkeel/scale/ListNodeTest.java
+++ b/src/test/java/wrenkeel/scale/ListNodeTest.java
@@ -18,32 +18,34 @@
 import org.junit.jupiter.api.Timeout;
 import wrenkeel.Wire;
 
+/** Tests a source node and one node that watches it, over loopback sockets. */
 @Timeout(value = 20, unit = TimeUnit.SECONDS)
 class ListNodeTest {
-    private static final long WAIT = 60_000;
-    private final MultiThreadIoEventLoopGroup threads = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+    private static final long WAIT_MS = 60_000;
+    private final MultiThreadIoEventLoopGroup eventLoops =
+        new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     private final HttpClient client = HttpClient.newHttpClient();
     private final ChangeLog log = new ChangeLog(new HostCatalog(20, 1), 2);
     private final HopCounters sourceHop = new HopCounters();
     private final HopCounters agentHop = new HopCounters();
-    private final long first = log.latest();
+    private final long firstVersion = log.latestVersion();
     private ListNode source;
     private ListNode agent;
 
     @BeforeEach
     void begin() throws IOException {
-        source = new ListNode(threads.next(), log, sourceHop);
-        agent = new ListNode(threads.next(), log, agentHop);
+        source = new ListNode(eventLoops.next(), log, sourceHop);
+        agent = new ListNode(eventLoops.next(), log, agentHop);
     }
 
     @AfterEach
     void end() {
         agent.close();
         source.close();
-        Shutdown.now(threads);
+        Shutdown.now(eventLoops);
     }
 
-    private CompletableFuture<Wire.Fields> ask(String query) {
+    private CompletableFuture<Wire.Fields> requestList(String query) {
         URI uri = URI.create("http://127.0.0.1:" + agent.address().getPort() + "/v1/servers" + query);
         return client.sendAsync(HttpRequest.newBuilder(uri).build(), HttpResponse.BodyHandlers.ofString())
             .thenApply(answer -> {
@@ -57,73 +59,73 @@
     }
 
     private void publish(int host) {
-        source.advance(log.publish(host, HostCatalog.Health.DRAINING));
+        source.advanceTo(log.publish(host, HostCatalog.Health.DRAINING));
     }
 
-    /** Until a call with this number in all has come in. */
+    /** Waits until the hop has counted at least this many calls. */
     private static void awaitCalls(HopCounters hop, long calls) throws InterruptedException {
-        await(() -> hop.read().calls() >= calls);
+        await(() -> hop.snapshot().calls() >= calls);
     }
 
     private static void await(BooleanSupplier done) throws InterruptedException {
         while (!done.getAsBoolean()) {
-            // Hears the class's time limit.
+            // Interrupted when the class's timeout ends.
             Thread.sleep(1);
         }
     }
 
     @Test
-    void whoHasNoListIsSilentUntilItIsSentOne() throws Exception {
-        CompletableFuture<Wire.Fields> whole = ask("");
+    void nodeWithoutAListAnswersOnceItReceivesOne() throws Exception {
+        CompletableFuture<Wire.Fields> whole = requestList("");
         awaitCalls(agentHop, 1);
         assertFalse(whole.isDone());
-        agent.follow(source.address(), WAIT);
+        agent.watch(source.address(), WAIT_MS);
         awaitCalls(sourceHop, 1);
         assertEquals(-1, agent.version());
-        source.advance(first);
+        source.advanceTo(firstVersion);
         assertTrue(whole.get().booleanValue("whole"));
         assertEquals(20, whole.get().objects("hosts").size());
-        assertEquals(1, sourceHop.read().wholeLists());
-        assertEquals(1, agentHop.read().wholeLists());
-        assertTrue(sourceHop.read().bytesOut() > 20 * 100);
+        assertEquals(1, sourceHop.snapshot().wholeLists());
+        assertEquals(1, agentHop.snapshot().wholeLists());
+        assertTrue(sourceHop.snapshot().bytesOut() > 20 * 100);
     }
 
     @Test
-    void aWatchIsAnsweredByTheNextChangeOfWhatItsNodeWasSent() throws Exception {
-        source.advance(first);
-        agent.follow(source.address(), WAIT);
-        ask("").get();
-        CompletableFuture<Wire.Fields> watch = ask("?after=" + first + "&wait_ms=" + WAIT);
+    void watchIsAnsweredWhenItsNodeReceivesANewVersion() throws Exception {
+        source.advanceTo(firstVersion);
+        agent.watch(source.address(), WAIT_MS);
+        requestList("").get();
+        CompletableFuture<Wire.Fields> watch = requestList("?after=" + firstVersion + "&wait_ms=" + WAIT_MS);
         awaitCalls(agentHop, 2);
-        // Published, but not yet told to the source: nobody has been sent it.
+        // Published, but the source has not been notified: no node has received it yet.
         long second = log.publish(3, HostCatalog.Health.DRAINING);
-        assertEquals(0, ask("?after=" + first + "&wait_ms=1").get().objects("hosts").size());
+        assertEquals(0, requestList("?after=" + firstVersion + "&wait_ms=1").get().objects("hosts").size());
         assertFalse(watch.isDone());
-        source.advance(second);
+        source.advanceTo(second);
         assertEquals(second, watch.get().longValue("seq"));
         assertEquals("draining", watch.get().objects("hosts").get(0).text("health"));
-        assertEquals(1, agentHop.read().wholeLists());
+        assertEquals(1, agentHop.snapshot().wholeLists());
     }
 
     @Test
-    void whoIsFurtherBehindThanTheLogGetsTheWholeList() throws Exception {
-        source.advance(first);
-        agent.follow(source.address(), WAIT);
+    void clientFurtherBehindThanTheLogGetsTheWholeList() throws Exception {
+        source.advanceTo(firstVersion);
+        agent.watch(source.address(), WAIT_MS);
         for (int host = 0; host < 3; host++) {
             publish(host);
         }
-        await(() -> agent.version() == log.latest());
-        assertTrue(ask("?after=" + first + "&wait_ms=1").get().booleanValue("whole"));
+        await(() -> agent.version() == log.latestVersion());
+        assertTrue(requestList("?after=" + firstVersion + "&wait_ms=1").get().booleanValue("whole"));
     }
 
     @Test
-    void aRestartedNodeAsksForTheWholeListAnew() throws Exception {
-        source.advance(first);
-        agent.follow(source.address(), WAIT);
-        ask("").get();
-        agent.restart(source.address(), WAIT).get();
-        assertEquals(first, ask("").get().longValue("seq"));
-        assertEquals(2, sourceHop.read().wholeLists());
-        assertEquals(2, sourceHop.read().connections());
+    void restartedNodeRequestsTheWholeListAgain() throws Exception {
+        source.advanceTo(firstVersion);
+        agent.watch(source.address(), WAIT_MS);
+        requestList("").get();
+        agent.restart(source.address(), WAIT_MS).get();
+        assertEquals(firstVersion, requestList("").get().longValue("seq"));
+        assertEquals(2, sourceHop.snapshot().wholeLists());
+        assertEquals(2, sourceHop.snapshot().connections());
     }
 }
--- a/src/test/java/wrenkeel/scale/RelayConfigTest.java
+++ b/src/test/java/wrenkeel/scale/RelayConfigTest.java
@@ -11,14 +11,15 @@
 import wrenkeel.Relay;
 import wrenkeel.Wire;
 
+/** Tests that the code of a relay reads the configuration files written for scale runs. */
 final class RelayConfigTest {
     @TempDir
     private Path folder;
 
     @Test
-    void aRelayReadsWhatIsWritten() throws IOException {
+    void writtenConfigurationIsReadBackUnchanged() throws IOException {
         Path file = folder.resolve("config.json");
-        byte[] known = new HostCatalog(30, 1).whole();
+        byte[] known = new HostCatalog(30, 1).wholeList();
         RelayConfig.write(file, RelaySettings.typical("n7").withRelays(100),
             new InetSocketAddress("127.0.0.1", 8_500), known);
         Wire.Fields config = Wire.decode(Files.readString(file));
