--- a/src/test/java/wrenkeel/SimHostTest.java
+++ b/src/test/java/wrenkeel/SimHostTest.java
@@ -9,7 +9,6 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
