--- a/src/main/java/wrenkeel/scale/CallObserver.java
+++ b/src/main/java/wrenkeel/scale/CallObserver.java
@@ -10,8 +10,8 @@
      * @param verdict what becomes of the call
      * @param nowNanos by the destinations' clock
      */
-    void called(int endpoint, MessageId id, EndpointModel.Verdict verdict, long nowNanos);
+    void callReceived(int endpoint, MessageId id, EndpointModel.Response verdict, long nowNanos);
 
     /** The message's answer with 200 has been handed to the system, also in a bundle's answer. */
-    void delivered(int endpoint, MessageId id, long nowNanos);
+    void messageDelivered(int endpoint, MessageId id, long nowNanos);
 }
--- a/src/main/java/wrenkeel/scale/CommonOptions.java
+++ b/src/main/java/wrenkeel/scale/CommonOptions.java
@@ -28,7 +28,7 @@
     private Long target;
 
     @Option(names = "--out", paramLabel = "FILE", description = "Also write the results here, as JSON lines.")
-    private Path out;
+    private Path outputFile;
 
     @Option(names = "--root", defaultValue = ".", paramLabel = "DIR",
         description = "The repository's root, built, with deploy/balancer.toml (default: ${DEFAULT-VALUE}).")
@@ -36,11 +36,11 @@
 
     @Option(names = "--most-seconds", defaultValue = "900", paramLabel = "N",
         description = "The whole run ends with an error after so long (default: ${DEFAULT-VALUE}).")
-    private long mostSeconds;
+    private long maxSeconds;
 
     /** The sizes asked for, or else these. */
-    List<Long> sizes(Long... otherwise) {
-        return sizes == null ? List.of(otherwise) : List.copyOf(sizes);
+    List<Long> sizes(Long... defaultValue) {
+        return sizes == null ? List.of(defaultValue) : List.copyOf(sizes);
     }
 
     int plays() {
@@ -52,21 +52,21 @@
         return seed + play;
     }
 
-    long target(long otherwise) {
-        return target == null ? otherwise : target;
+    long target(long defaultValue) {
+        return target == null ? defaultValue : target;
     }
 
     /** Null where none is asked for. */
-    Path out() {
-        return out;
+    Path outputFile() {
+        return outputFile;
     }
 
     Path root() {
         return root.toAbsolutePath().normalize();
     }
 
-    long mostSeconds() {
-        return mostSeconds;
+    long maxSeconds() {
+        return maxSeconds;
     }
 
     /** The arguments as given, from {@code scale} on. */
--- a/src/main/java/wrenkeel/scale/FleetPlays.java
+++ b/src/main/java/wrenkeel/scale/FleetPlays.java
@@ -16,7 +16,7 @@
     /** {@code sizes} and {@code target}, in relays, where the options name none. */
     static int run(String experiment, CommonOptions options, List<Long> sizes, long target, Play play)
         throws Exception {
-        return TimeLimit.within(options.mostSeconds(), () -> {
+        return TimeLimit.runWithin(options.maxSeconds(), () -> {
             try (Report report = new Report(experiment, options)) {
                 // Plays outside, sizes inside: what drifts on the machine shows as spread, not as a slope.
                 for (int i = 0; i < options.plays(); i++) {
--- a/src/main/java/wrenkeel/scale/LearnExperiment.java
+++ b/src/main/java/wrenkeel/scale/LearnExperiment.java
@@ -30,24 +30,24 @@
 
     @Option(names = "--rate", defaultValue = "1.842", paramLabel = "X",
         description = "Events a second for each destination, over all relays (default: ${DEFAULT-VALUE}).")
-    private double rate;
+    private double messageRate;
 
     @Option(names = "--limit", defaultValue = "3.9", paramLabel = "X",
         description = "Calls a second that a destination takes, counted over 2 s (default: "
             + "${DEFAULT-VALUE}).")
-    private double limit;
+    private double callsPerSecond;
 
     @Option(names = "--tells-wait", defaultValue = "true", negatable = true, fallbackValue = "true",
         description = "Refused calls are told to wait (default: ${DEFAULT-VALUE}).")
-    private boolean tellsWait;
+    private boolean sendsRetryAfter;
 
     @Option(names = "--keep-all",
         description = "The module is told of all destinations at the start and releases none.")
-    private boolean keeps;
+    private boolean keepAll;
 
     @Option(names = "--down", defaultValue = "0.013", paramLabel = "X",
         description = "Part of the time that a destination is out (default: ${DEFAULT-VALUE}).")
-    private double down;
+    private double outageShare;
 
     @Option(names = "--outage-seconds", defaultValue = "30", paramLabel = "N",
         description = "Mean length of an outage (default: ${DEFAULT-VALUE}).")
@@ -55,30 +55,30 @@
 
     @Option(names = "--warm-up-seconds", defaultValue = "300", paramLabel = "N",
         description = "Virtual time before the play (default: ${DEFAULT-VALUE}).")
-    private long warmUp;
+    private long warmUpSeconds;
 
     @Option(names = "--play-seconds", defaultValue = "1200", paramLabel = "N",
         description = "Virtual time measured (default: ${DEFAULT-VALUE}).")
-    private long length;
+    private long playSeconds;
 
     @Override
     public Integer call() throws Exception {
-        return TimeLimit.within(options.mostSeconds(), this::run);
+        return TimeLimit.runWithin(options.maxSeconds(), this::run);
     }
 
     private int run() throws IOException {
         EndpointModel.Behaviour behaviour = EndpointModel.Behaviour.unlimited(250_000, 0.4)
-            .with(new EndpointModel.Limit(2 * limit, 2_000, tellsWait, false))
-            .with(new EndpointModel.Cold(0.2, 10_000, 2, 2_000, 5_000));
+            .with(new EndpointModel.Limit(2 * callsPerSecond, 2_000, sendsRetryAfter, false))
+            .with(new EndpointModel.ColdStart(0.2, 10_000, 2, 2_000, 5_000));
         try (Report report = new Report("learn", options)) {
             for (int play = 0; play < options.plays(); play++) {
                 for (long relays : options.sizes(10L, 100L, 500L, 1_000L, 2_300L)) {
                     int count = Math.toIntExact(relays);
-                    LearnFleet.Setup setup = new LearnFleet.Setup(count, destinations, rate, behaviour, down,
-                        outageSeconds, !keeps);
-                    LearnFleet fleet = new LearnFleet(setup, settings(count), options.seed(play));
+                    LearnFleet.Setup setup = new LearnFleet.Setup(count, destinations, messageRate, behaviour, outageShare,
+                        outageSeconds, !keepAll);
+                    LearnFleet fleet = new LearnFleet(setup, relaySettings(count), options.seed(play));
                     report.add(new Measurement("learn", relays, play, options.seed(play),
-                        fleet.play(warmUp, length)));
+                        fleet.play(warmUpSeconds, playSeconds)));
                 }
             }
             report.finish(options.target(2_300));
@@ -87,7 +87,7 @@
     }
 
     /** Those that a real relay would read. */
-    static Relay.Settings settings(int relays) throws IOException {
+    static Relay.Settings relaySettings(int relays) throws IOException {
         Path file = Files.createTempFile("scale-learn", ".json");
         try {
             RelayConfig.write(file,
--- a/src/main/java/wrenkeel/scale/Line.java
+++ b/src/main/java/wrenkeel/scale/LinearFit.java
@@ -11,12 +11,12 @@
  * variance that the line explains; {@code spread} is the largest (max - min) / mean over the plays of one
  * size.
  */
-record Line(String value, double at0, double perUnit, double r2, double atTarget, double spread) {
+record LinearFit(String value, double at0, double perUnit, double r2, double atTarget, double spread) {
     /** Fewer sizes make no line. */
-    static final int SIZES_LEAST = 4;
+    static final int MIN_SIZES = 4;
 
     /** How many sizes have this value. */
-    static int sizes(String value, List<Measurement> plays) {
+    static int countSizes(String value, List<Measurement> plays) {
         return bySize(value, plays).size();
     }
 
@@ -25,11 +25,11 @@
      *
      * @throws IllegalArgumentException if fewer than four sizes have it
      */
-    static Line fit(String value, List<Measurement> plays, long target) {
+    static LinearFit fit(String value, List<Measurement> plays, long target) {
         Map<Long, List<Double>> bySize = bySize(value, plays);
-        if (bySize.size() < SIZES_LEAST) {
+        if (bySize.size() < MIN_SIZES) {
             throw new IllegalArgumentException("no line for " + value + ": " + bySize.size()
-                + " sizes have it, " + SIZES_LEAST + " are needed");
+                + " sizes have it, " + MIN_SIZES + " are needed");
         }
         double count = 0;
         double meanX = 0;
@@ -57,14 +57,14 @@
         double perUnit = xy / xx;
         double at0 = meanY - perUnit * meanX;
         double r2 = yy == 0 ? 1 : xy * xy / (xx * yy);
-        return new Line(value, at0, perUnit, r2, at0 + perUnit * target, spread);
+        return new LinearFit(value, at0, perUnit, r2, at0 + perUnit * target, spread);
     }
 
     private static double spread(List<Double> values) {
-        double least = values.stream().mapToDouble(v -> v).min().orElseThrow();
-        double most = values.stream().mapToDouble(v -> v).max().orElseThrow();
+        double min = values.stream().mapToDouble(v -> v).min().orElseThrow();
+        double max = values.stream().mapToDouble(v -> v).max().orElseThrow();
         double mean = values.stream().mapToDouble(v -> v).average().orElseThrow();
-        return most == least ? 0 : (most - least) / Math.abs(mean);
+        return max == min ? 0 : (max - min) / Math.abs(mean);
     }
 
     private static Map<Long, List<Double>> bySize(String value, List<Measurement> plays) {
--- a/src/main/java/wrenkeel/scale/ListExperiment.java
+++ b/src/main/java/wrenkeel/scale/ListExperiment.java
@@ -37,7 +37,7 @@
 
     @Override
     public Integer call() throws Exception {
-        return TimeLimit.within(options.mostSeconds(), this::run);
+        return TimeLimit.runWithin(options.maxSeconds(), this::run);
     }
 
     private int run() throws IOException, InterruptedException {
--- a/src/main/java/wrenkeel/scale/Report.java
+++ b/src/main/java/wrenkeel/scale/Report.java
@@ -25,13 +25,13 @@
 
     private final String experiment;
     private final List<Measurement> plays = new ArrayList<>();
-    private final JsonGenerator out;
+    private final JsonGenerator json;
     private final PrintStream table;
 
     /** Writes to the file that the options name, if any, and the table to standard output. */
     Report(String experiment, CommonOptions options) throws IOException {
         this(experiment, options.commandLine(), options.seed(0), options.plays(),
-            options.out() == null ? OutputStream.nullOutputStream() : Files.newOutputStream(options.out()),
+            options.outputFile() == null ? OutputStream.nullOutputStream() : Files.newOutputStream(options.outputFile()),
             System.out);
     }
 
@@ -39,35 +39,35 @@
         throws IOException {
         this.experiment = experiment;
         this.table = table;
-        out = JSON.createGenerator(lines);
-        out.setRootValueSeparator(null);
-        head("header");
-        out.writeStringField("experiment", experiment);
-        out.writeStringField("command", commandLine);
-        out.writeNumberField("seed", seed);
-        out.writeNumberField("plays", plays);
-        out.writeNumberField("load_average", load());
-        out.writeNumberField("processors", Runtime.getRuntime().availableProcessors());
-        out.writeStringField("java", Runtime.version().toString());
-        endLine();
+        json = JSON.createGenerator(lines);
+        json.setRootValueSeparator(null);
+        startRecord("header");
+        json.writeStringField("experiment", experiment);
+        json.writeStringField("command", commandLine);
+        json.writeNumberField("seed", seed);
+        json.writeNumberField("plays", plays);
+        json.writeNumberField("load_average", loadAverage());
+        json.writeNumberField("processors", Runtime.getRuntime().availableProcessors());
+        json.writeStringField("java", Runtime.version().toString());
+        endRecord();
     }
 
     /** Keeps a measurement, and writes it at once, so that a run cut short leaves what it had. */
     void add(Measurement play) throws IOException {
         plays.add(play);
-        head("play");
-        out.writeStringField("experiment", play.experiment());
-        out.writeNumberField("size", play.size());
-        out.writeNumberField("play", play.play());
-        out.writeNumberField("seed", play.seed());
-        out.writeObjectFieldStart("values");
+        startRecord("play");
+        json.writeStringField("experiment", play.experiment());
+        json.writeNumberField("size", play.size());
+        json.writeNumberField("play", play.play());
+        json.writeNumberField("seed", play.seed());
+        json.writeObjectFieldStart("values");
         for (String value : play.values().keySet()) {
-            number(value, play.values().get(value));
+            writeNumber(value, play.values().get(value));
         }
-        out.writeEndObject();
-        endLine();
-        table.printf("%s, size %s, play %d: %s%n", experiment, grouped(play.size()), play.play() + 1,
-            play.values().entrySet().stream().map(value -> value.getKey() + " " + figure(value.getValue()))
+        json.writeEndObject();
+        endRecord();
+        table.printf("%s, size %s, play %d: %s%n", experiment, formatGrouped(play.size()), play.play() + 1,
+            play.values().entrySet().stream().map(value -> value.getKey() + " " + format(value.getValue()))
                 .collect(Collectors.joining(", ")));
     }
 
@@ -75,33 +75,33 @@
     void finish(long target) throws IOException {
         Set<String> values = new LinkedHashSet<>();
         plays.forEach(play -> values.addAll(play.values().keySet()));
-        TextTable means = means(values);
-        TextTable lines = new TextTable("value", "at 0", "per 1,000", "r2", "at " + grouped(target),
+        TextTable means = meansTable(values);
+        TextTable lines = new TextTable("value", "at 0", "per 1,000", "r2", "at " + formatGrouped(target),
             "spread");
         for (String value : values) {
-            int sizes = Line.sizes(value, plays);
-            head("line");
-            out.writeStringField("value", value);
-            if (sizes < Line.SIZES_LEAST) {
-                out.writeStringField("refused", "measured at " + sizes + " sizes, at least "
-                    + Line.SIZES_LEAST + " are needed");
-                lines.row(value, "-", "-", "-", "-", "only " + sizes + " sizes");
+            int sizes = LinearFit.countSizes(value, plays);
+            startRecord("line");
+            json.writeStringField("value", value);
+            if (sizes < LinearFit.MIN_SIZES) {
+                json.writeStringField("refused", "measured at " + sizes + " sizes, at least "
+                    + LinearFit.MIN_SIZES + " are needed");
+                lines.addRow(value, "-", "-", "-", "-", "only " + sizes + " sizes");
             } else {
-                Line line = Line.fit(value, plays, target);
-                number("at0", line.at0());
-                number("per_unit", line.perUnit());
-                number("r2", line.r2());
-                out.writeNumberField("target", target);
-                number("at_target", line.atTarget());
-                number("spread", line.spread());
-                lines.row(value, figure(line.at0()), figure(line.perUnit() * 1_000), figure(line.r2()),
-                    figure(line.atTarget()), figure(line.spread()));
+                LinearFit line = LinearFit.fit(value, plays, target);
+                writeNumber("at0", line.at0());
+                writeNumber("per_unit", line.perUnit());
+                writeNumber("r2", line.r2());
+                json.writeNumberField("target", target);
+                writeNumber("at_target", line.atTarget());
+                writeNumber("spread", line.spread());
+                lines.addRow(value, format(line.at0()), format(line.perUnit() * 1_000), format(line.r2()),
+                    format(line.atTarget()), format(line.spread()));
             }
-            endLine();
+            endRecord();
         }
-        head("end");
-        out.writeNumberField("load_average", load());
-        endLine();
+        startRecord("end");
+        json.writeNumberField("load_average", loadAverage());
+        endRecord();
         table.println();
         table.println("Means over the plays of each size:");
         means.print(table);
@@ -110,7 +110,7 @@
         lines.print(table);
     }
 
-    private TextTable means(Set<String> values) {
+    private TextTable meansTable(Set<String> values) {
         List<String> head = new ArrayList<>(List.of("size", "plays"));
         head.addAll(values);
         TextTable means = new TextTable(head.toArray(String[]::new));
@@ -118,56 +118,56 @@
         plays.forEach(play -> sizes.add(play.size()));
         for (long size : sizes) {
             List<Measurement> same = plays.stream().filter(play -> play.size() == size).toList();
-            List<String> row = new ArrayList<>(List.of(grouped(size), String.valueOf(same.size())));
+            List<String> row = new ArrayList<>(List.of(formatGrouped(size), String.valueOf(same.size())));
             for (String value : values) {
                 row.add(same.stream().filter(play -> play.values().containsKey(value))
                     .mapToDouble(play -> play.values().get(value)).average().stream()
-                    .mapToObj(Report::figure).findFirst().orElse("-"));
+                    .mapToObj(Report::format).findFirst().orElse("-"));
             }
-            means.row(row.toArray(String[]::new));
+            means.addRow(row.toArray(String[]::new));
         }
         return means;
     }
 
-    private static String grouped(long number) {
+    private static String formatGrouped(long number) {
         return String.format(Locale.ROOT, "%,d", number);
     }
 
     /** About four digits. */
-    private static String figure(double value) {
+    private static String format(double value) {
         double size = Math.abs(value);
         boolean small = size < 0.1 && size > 0;
         String form = size >= 1_000 ? "%,.0f" : size >= 10 ? "%.1f" : small ? "%.2e" : "%.3f";
         return String.format(Locale.ROOT, form, value);
     }
 
-    private static double load() {
+    private static double loadAverage() {
         return ManagementFactory.getOperatingSystemMXBean().getSystemLoadAverage();
     }
 
-    private void head(String kind) throws IOException {
-        out.writeStartObject();
-        out.writeStringField("kind", kind);
+    private void startRecord(String kind) throws IOException {
+        json.writeStartObject();
+        json.writeStringField("kind", kind);
     }
 
     /** Rounded to six digits: the files are kept. */
-    private void number(String name, double value) throws IOException {
-        out.writeFieldName(name);
+    private void writeNumber(String name, double value) throws IOException {
+        json.writeFieldName(name);
         if (Double.isFinite(value)) {
-            out.writeNumber(Double.parseDouble(String.format(Locale.ROOT, "%.6g", value)));
+            json.writeNumber(Double.parseDouble(String.format(Locale.ROOT, "%.6g", value)));
         } else {
-            out.writeNull();
+            json.writeNull();
         }
     }
 
-    private void endLine() throws IOException {
-        out.writeEndObject();
-        out.writeRaw('\n');
-        out.flush();
+    private void endRecord() throws IOException {
+        json.writeEndObject();
+        json.writeRaw('\n');
+        json.flush();
     }
 
     @Override
     public void close() throws IOException {
-        out.close();
+        json.close();
     }
 }
--- a/src/main/java/wrenkeel/scale/RestartExperiment.java
+++ b/src/main/java/wrenkeel/scale/RestartExperiment.java
@@ -97,8 +97,8 @@
             values.put("zone_source_mb", spent.source().bytes() / 1e6);
             values.put("zone_machine_mb", spent.machine().bytes() / 1e6);
             values.put("zone_agent_mb", spent.agent().bytes() / 1e6);
-            values.put("zone_machine_peak_mb_per_s", peaks.machine() / 1e6);
-            values.put("zone_agent_peak_mb_per_s", peaks.agent() / 1e6);
+            values.put("zone_machine_peak_mb_per_s", peaks.machineBytesPerSecond() / 1e6);
+            values.put("zone_agent_peak_mb_per_s", peaks.agentBytesPerSecond() / 1e6);
             values.put("zone_machines_cpu_ms", spent.machinesCpu() / 1e3);
             values.put("zone_agents_cpu_ms", spent.agentsCpu() / 1e3);
             values.put("zone_relays_cpu_ms", spent.relaysCpu() / 1e3);
--- a/src/main/java/wrenkeel/scale/StandInClients.java
+++ b/src/main/java/wrenkeel/scale/StandInClients.java
@@ -39,15 +39,15 @@
  */
 public final class StandInClients implements AutoCloseable {
     /** ms that a client waits for its answer. */
-    static final long PATIENCE = 400;
-    private static final int ANSWER_MOST = 64 * 1024;
+    static final long DEFAULT_TIMEOUT_MS = 400;
+    private static final int MAX_RESPONSE_BYTES = 64 * 1024;
 
     private final MultiThreadIoEventLoopGroup group =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final Bootstrap bootstrap;
     private final InetSocketAddress relay;
-    private final long patience;
+    private final long timeoutMillis;
     private final ClientObserver observer;
     private final Traffic traffic;
     private final SplittableRandom random;
@@ -55,28 +55,28 @@
     private final byte[] body;
     private final double[] classShares, tenantShares;
     private final LongAdder bytesIn = new LongAdder(), bytesOut = new LongAdder();
-    private final Deque<Connection> idle = new ArrayDeque<>();
-    private Tally tally = new Tally();
-    private int connections, mostConnections;
+    private final Deque<Connection> idleConnections = new ArrayDeque<>();
+    private SubmissionCounts counts = new SubmissionCounts();
+    private int connections, maxConnections;
     private double eventsPerSecond;
-    private long sequence, dueNanos;
-    private Future<?> arrival;
+    private long nextSequence, dueNanos;
+    private Future<?> nextArrival;
 
-    /** Clients that hand nothing in before {@link #rate}. */
+    /** Clients that hand nothing in before {@link #setRate}. */
     StandInClients(InetSocketAddress relay, Traffic traffic, long seed) {
-        this(relay, traffic, seed, PATIENCE);
+        this(relay, traffic, seed, DEFAULT_TIMEOUT_MS);
     }
 
-    /** {@code patience}: ms that they wait for an answer. */
-    StandInClients(InetSocketAddress relay, Traffic traffic, long seed, long patience) {
-        this(relay, traffic, seed, patience, 0, ClientObserver.NONE);
+    /** {@code timeoutMillis}: ms that they wait for an answer. */
+    StandInClients(InetSocketAddress relay, Traffic traffic, long seed, long timeoutMillis) {
+        this(relay, traffic, seed, timeoutMillis, 0, ClientObserver.NONE);
     }
 
     /** {@code firstSequence}: of their first message; {@code observer}: hears of each message. */
-    public StandInClients(InetSocketAddress relay, Traffic traffic, long seed, long patience,
+    public StandInClients(InetSocketAddress relay, Traffic traffic, long seed, long timeoutMillis,
                           long firstSequence, ClientObserver observer) {
-        this.patience = patience;
-        this.sequence = firstSequence;
+        this.timeoutMillis = timeoutMillis;
+        this.nextSequence = firstSequence;
         this.observer = observer;
         this.relay = relay;
         this.traffic = traffic;
@@ -87,36 +87,36 @@
         tenantShares = traffic.tenants().stream().mapToDouble(Traffic.TenantShare::share).toArray();
         bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) patience)
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) timeoutMillis)
             .handler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel channel) {
                     channel.pipeline().addLast(new ByteCounter(bytesIn, bytesOut), new HttpClientCodec(),
-                        new HttpObjectAggregator(ANSWER_MOST), new Connection());
+                        new HttpObjectAggregator(MAX_RESPONSE_BYTES), new Connection());
                 }
             });
     }
 
     /** From now on so many messages a second come; with 0 none. */
-    public void rate(double perSecond) throws InterruptedException {
-        inLoop(() -> {
-            if (arrival != null) {
-                arrival.cancel(false);
+    public void setRate(double perSecond) throws InterruptedException {
+        callInLoop(() -> {
+            if (nextArrival != null) {
+                nextArrival.cancel(false);
             }
             eventsPerSecond = perSecond;
             dueNanos = System.nanoTime();
             if (perSecond > 0) {
-                next();
+                scheduleNextArrival();
             }
             return null;
         });
     }
 
     /** Messages due from now on are counted here; returns the sequence number of the first of them. */
-    long count(Tally into) throws InterruptedException {
-        return inLoop(() -> {
-            tally = into;
-            return sequence;
+    long startCounting(SubmissionCounts into) throws InterruptedException {
+        return callInLoop(() -> {
+            counts = into;
+            return nextSequence;
         });
     }
 
@@ -131,11 +131,11 @@
     }
 
     /** Most connections that were held at once. */
-    int mostConnections() throws InterruptedException {
-        return inLoop(() -> mostConnections);
+    int maxConnections() throws InterruptedException {
+        return callInLoop(() -> maxConnections);
     }
 
-    private <T> T inLoop(Callable<T> task) throws InterruptedException {
+    private <T> T callInLoop(Callable<T> task) throws InterruptedException {
         try {
             return loop.submit(task).get();
         } catch (ExecutionException e) {
@@ -149,105 +149,105 @@
     }
 
     /** Arranges the next arrival. */
-    private void next() {
-        dueNanos += gapNanos(random, eventsPerSecond);
-        arrival = loop.schedule(this::arrive, Math.max(0, dueNanos - System.nanoTime()),
+    private void scheduleNextArrival() {
+        dueNanos += exponentialGapNanos(random, eventsPerSecond);
+        nextArrival = loop.schedule(this::submitNext, Math.max(0, dueNanos - System.nanoTime()),
             TimeUnit.NANOSECONDS);
     }
 
     /** The time to the next of events that come independently of each other. */
-    static long gapNanos(SplittableRandom random, double perSecond) {
+    static long exponentialGapNanos(SplittableRandom random, double perSecond) {
         return (long) (-Math.log(1 - random.nextDouble()) / perSecond * 1e9);
     }
 
-    private void arrive() {
-        Handed handed = new Handed(new MessageId(sequence++, dueNanos), tally);
-        tally.handedIn((System.nanoTime() - dueNanos) / 1_000);
-        next();
-        handed.request = request(handed.id);
-        send(handed);
+    private void submitNext() {
+        Submission submission = new Submission(new MessageId(nextSequence++, dueNanos), counts);
+        counts.recordSubmitted((System.nanoTime() - dueNanos) / 1_000);
+        scheduleNextArrival();
+        submission.request = newRequest(submission.id);
+        send(submission);
     }
 
-    private void send(Handed handed) {
-        for (Connection c = idle.pollLast(); c != null; c = idle.pollLast()) {
-            if (c.channel.isActive()) {
-                c.carry(handed, true);
+    private void send(Submission submission) {
+        for (Connection connection = idleConnections.pollLast(); connection != null; connection = idleConnections.pollLast()) {
+            if (connection.channel.isActive()) {
+                connection.send(submission, true);
                 return;
             }
         }
-        open(handed);
+        sendOnNewConnection(submission);
     }
 
     /** Sends on a connection of its own. */
-    private void open(Handed handed) {
-        handed.awaitAnswer();
-        if (connections >= traffic.mostConnections()) {
-            handed.end(handed.tally::notSent, ClientObserver.Ending.NOT_SENT, 0);
+    private void sendOnNewConnection(Submission submission) {
+        submission.startTimeout();
+        if (connections >= traffic.maxConnections()) {
+            submission.finish(submission.counts::recordNotSent, ClientObserver.Result.NOT_SENT, 0);
             return;
         }
         connections++;
-        mostConnections = Math.max(mostConnections, connections);
+        maxConnections = Math.max(maxConnections, connections);
         bootstrap.connect(relay).addListener((ChannelFuture done) -> {
             if (!done.isSuccess()) {
                 connections--;
-                handed.end(handed.tally::brokenOff, ClientObserver.Ending.BROKEN_OFF, 0);
+                submission.finish(submission.counts::recordConnectionLost, ClientObserver.Result.CONNECTION_LOST, 0);
             } else {
-                Connection c = done.channel().pipeline().get(Connection.class);
+                Connection connection = done.channel().pipeline().get(Connection.class);
                 done.channel().closeFuture().addListener(closed -> connections--);
-                c.carry(handed, false);
+                connection.send(submission, false);
             }
         });
     }
 
     /** One message's way to its answer. */
-    private final class Handed {
+    private final class Submission {
         final MessageId id;
-        final Tally tally;
+        final SubmissionCounts counts;
         FullHttpRequest request;
         Connection connection;
-        private Future<?> timer;
+        private Future<?> timeout;
         private boolean ended;
         private boolean written;
 
-        Handed(MessageId id, Tally tally) {
+        Submission(MessageId id, SubmissionCounts tally) {
             this.id = id;
-            this.tally = tally;
+            this.counts = tally;
         }
 
-        void awaitAnswer() {
-            if (timer == null) {
-                timer = loop.schedule(() -> end(() -> {
-                    tally.noAnswer();
+        void startTimeout() {
+            if (timeout == null) {
+                timeout = loop.schedule(() -> finish(() -> {
+                    counts.recordTimedOut();
                     if (connection != null) {
                         connection.channel.close();
                     }
-                }, ClientObserver.Ending.NO_ANSWER, 0), patience, TimeUnit.MILLISECONDS);
+                }, ClientObserver.Result.TIMED_OUT, 0), timeoutMillis, TimeUnit.MILLISECONDS);
             }
         }
 
-        void end(Runnable how, ClientObserver.Ending ending, int status) {
+        void finish(Runnable how, ClientObserver.Result result, int status) {
             if (!ended) {
                 ended = true;
-                timer.cancel(false);
+                timeout.cancel(false);
                 how.run();
-                observer.ended(id, ending, status, written);
+                observer.submissionEnded(id, result, status, written);
             }
         }
     }
 
-    private FullHttpRequest request(MessageId id) {
-        Traffic.ClassShare kind = traffic.classes().get(draw(classShares));
-        String tenant = tenantShares.length == 0 ? null : traffic.tenants().get(draw(tenantShares)).name();
+    private FullHttpRequest newRequest(MessageId id) {
+        Traffic.ClassShare messageClass = traffic.classes().get(drawIndex(classShares));
+        String tenant = tenantShares.length == 0 ? null : traffic.tenants().get(drawIndex(tenantShares)).name();
         ByteBuf content = Unpooled.wrappedBuffer(body);
         int destination = destinations.next(random);
-        observer.handedIn(id, kind, destination);
+        observer.submitted(id, messageClass, destination);
         FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST,
-            "/" + kind.name(), content);
+            "/" + messageClass.name(), content);
         request.headers().set(HttpHeaderNames.HOST, "api.internal").set("X-Request-ID", id.text())
-            .set("X-Priority-Class", kind.name()).set("X-Timeout-Ms", kind.lifeMillis())
+            .set("X-Priority-Class", messageClass.name()).set("X-Timeout-Ms", messageClass.lifeMillis())
             .set("X-Envelope", "dest=" + destination)
             .set(HttpHeaderNames.CONTENT_LENGTH, body.length);
-        if (kind.keyed()) {
+        if (messageClass.keyed()) {
             request.headers().set("Idempotency-Key", "key-" + id.text());
         }
         if (tenant != null) {
@@ -256,7 +256,7 @@
         return request;
     }
 
-    private int draw(double[] shares) {
+    private int drawIndex(double[] shares) {
         double point = random.nextDouble();
         int drawn = 0;
         while (drawn < shares.length - 1 && point >= shares[drawn]) {
@@ -268,7 +268,7 @@
     /** One kept connection. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private Channel channel;
-        private Handed carried;
+        private Submission current;
         private boolean reused;
 
         @Override
@@ -276,33 +276,33 @@
             channel = context.channel();
         }
 
-        void carry(Handed handed, boolean again) {
-            if (handed.ended) {
-                idle.addLast(this);
+        void send(Submission submission, boolean again) {
+            if (submission.ended) {
+                idleConnections.addLast(this);
                 return;
             }
-            carried = handed;
+            current = submission;
             reused = again;
-            handed.connection = this;
-            handed.awaitAnswer();
-            handed.written = false;
-            channel.writeAndFlush(handed.request.retainedDuplicate())
-                .addListener(done -> handed.written |= done.isSuccess());
+            submission.connection = this;
+            submission.startTimeout();
+            submission.written = false;
+            channel.writeAndFlush(submission.request.retainedDuplicate())
+                .addListener(done -> submission.written |= done.isSuccess());
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse answer) {
-            Handed handed = carried;
-            carried = null;
-            if (handed == null) {
+            Submission submission = current;
+            current = null;
+            if (submission == null) {
                 channel.close();
                 return;
             }
-            long micros = (System.nanoTime() - handed.id.dueNanos()) / 1_000;
+            long micros = (System.nanoTime() - submission.id.dueNanos()) / 1_000;
             int status = answer.status().code();
-            handed.end(() -> handed.tally.answered(status, micros), ClientObserver.Ending.ANSWERED, status);
+            submission.finish(() -> submission.counts.recordAnswered(status, micros), ClientObserver.Result.ANSWERED, status);
             if (HttpUtil.isKeepAlive(answer)) {
-                idle.addLast(this);
+                idleConnections.addLast(this);
             } else {
                 channel.close();
             }
@@ -310,17 +310,17 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            idle.remove(this);
-            Handed handed = carried;
-            carried = null;
-            if (handed == null || handed.ended) {
+            idleConnections.remove(this);
+            Submission submission = current;
+            current = null;
+            if (submission == null || submission.ended) {
                 return;
             }
             if (reused) {
                 // The relay closed an idle connection that this request was on its way on: once more.
-                open(handed);
+                sendOnNewConnection(submission);
             } else {
-                handed.end(handed.tally::brokenOff, ClientObserver.Ending.BROKEN_OFF, 0);
+                submission.finish(submission.counts::recordConnectionLost, ClientObserver.Result.CONNECTION_LOST, 0);
             }
         }
 
--- a/src/main/java/wrenkeel/scale/StandInDestinations.java
+++ b/src/main/java/wrenkeel/scale/StandInDestinations.java
@@ -50,8 +50,8 @@
  */
 public final class StandInDestinations implements AutoCloseable {
     /** Bytes of a call's body at most. */
-    private static final int BODY_MOST = 64 * 1024;
-    private static final int BACKLOG = 1_024;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
+    private static final int LISTEN_BACKLOG = 1_024;
     private static final JsonFactory JSON = new JsonFactory();
 
     /** One port. */
@@ -70,30 +70,30 @@
 
     private final MultiThreadIoEventLoopGroup group;
     private final List<Endpoint> endpoints = new ArrayList<>();
-    private final int bundleMost;
+    private final int maxBatchMessages;
     private final LongSupplier clock;
     private final LongAdder bytesIn = new LongAdder();
     private final LongAdder bytesOut = new LongAdder();
-    private final LongAdder connected = new LongAdder();
+    private final LongAdder acceptedConnections = new LongAdder();
     private final LongAdder calls = new LongAdder();
-    private final LongAdder turnedAway = new LongAdder();
-    private final LongAdder abandoned = new LongAdder();
-    private final LongAdder malformed = new LongAdder();
+    private final LongAdder refusedCalls = new LongAdder();
+    private final LongAdder abandonedCalls = new LongAdder();
+    private final LongAdder malformedCalls = new LongAdder();
     private volatile CallObserver observer = new Deliveries(Long.MAX_VALUE);
 
     /**
      * Opens the ports.
      *
      * @param ports how many endpoints
-     * @param behaviour of each until {@link #behave} says otherwise
+     * @param behaviour of each until {@link #setBehaviour} says otherwise
      * @param bundleMost messages that a call may hold
      * @param threads that serve the connections
      * @param seed for the times of answers
      * @param clock nanoseconds, the one by which message ids are written
      */
-    public StandInDestinations(int ports, EndpointModel.Behaviour behaviour, int bundleMost, int threads,
+    public StandInDestinations(int ports, EndpointModel.Behaviour behaviour, int maxBatchMessages, int threads,
                                long seed, LongSupplier clock) throws InterruptedException {
-        this.bundleMost = bundleMost;
+        this.maxBatchMessages = maxBatchMessages;
         this.clock = clock;
         group = new MultiThreadIoEventLoopGroup(threads, NioIoHandler.newFactory());
         try {
@@ -110,15 +110,15 @@
 
     private void listen(Endpoint endpoint) throws InterruptedException {
         endpoint.listener = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_BACKLOG, BACKLOG)
+            .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_BACKLOG, LISTEN_BACKLOG)
             .childOption(ChannelOption.TCP_NODELAY, true)
             .childHandler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel channel) {
                     endpoint.connections.add(channel);
-                    connected.increment();
+                    acceptedConnections.increment();
                     channel.pipeline().addLast(new ByteCounter(bytesIn, bytesOut), new HttpServerCodec(),
-                        new HttpObjectAggregator(BODY_MOST), new Calls(endpoint));
+                        new HttpObjectAggregator(MAX_BODY_BYTES), new CallHandler(endpoint));
                 }
             }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), endpoint.port)).sync().channel();
         endpoint.port = ((InetSocketAddress) endpoint.listener.localAddress()).getPort();
@@ -130,40 +130,40 @@
     }
 
     /** From now on an endpoint answers like this. */
-    public void behave(int number, EndpointModel.Behaviour behaviour) {
+    public void setBehaviour(int number, EndpointModel.Behaviour behaviour) {
         EndpointModel model = endpoints.get(number).model;
         synchronized (model) {
-            model.behave(behaviour);
+            model.setBehaviour(behaviour);
         }
     }
 
     /** Begins or ends an outage of an endpoint. One that refuses has no listener, and its connections end. */
-    public void stand(int number, EndpointModel.Standing standing) throws InterruptedException {
+    public void setMode(int number, EndpointModel.Mode mode) throws InterruptedException {
         Endpoint endpoint = endpoints.get(number);
-        EndpointModel.Standing before;
+        EndpointModel.Mode before;
         synchronized (endpoint.model) {
-            before = endpoint.model.standing();
-            endpoint.model.stand(standing, clock.getAsLong());
+            before = endpoint.model.mode();
+            endpoint.model.setMode(mode, clock.getAsLong());
         }
-        if (standing == EndpointModel.Standing.REFUSING && before != standing) {
+        if (mode == EndpointModel.Mode.REFUSING && before != mode) {
             endpoint.listener.close().sync();
             endpoint.connections.close().sync();
-        } else if (standing != before && before == EndpointModel.Standing.REFUSING) {
+        } else if (mode != before && before == EndpointModel.Mode.REFUSING) {
             listen(endpoint);
         }
     }
 
     /** For so long an endpoint turns all calls away and tells each to wait until the end of that. */
-    public void shut(int number, long millis) {
+    public void refuseFor(int number, long millis) {
         EndpointModel model = endpoints.get(number).model;
         synchronized (model) {
-            model.shutUntil(clock.getAsLong() + millis * 1_000_000);
+            model.refuseUntil(clock.getAsLong() + millis * 1_000_000);
         }
     }
 
     /** From now on calls and deliveries are told to this one. */
-    public void report(CallObserver to) {
-        observer = to;
+    public void setObserver(CallObserver newObserver) {
+        observer = newObserver;
     }
 
     /** Calls whose last byte has come. */
@@ -172,18 +172,18 @@
     }
 
     /** Calls answered with 429 or 503. */
-    long turnedAway() {
-        return turnedAway.sum();
+    long refusedCalls() {
+        return refusedCalls.sum();
     }
 
     /** Calls whose relay had gone before their answer. */
-    long abandoned() {
-        return abandoned.sum();
+    long abandonedCalls() {
+        return abandonedCalls.sum();
     }
 
     /** Calls answered with 400, 404 or 413, which no relay should see. */
-    public long malformed() {
-        return malformed.sum();
+    public long malformedCalls() {
+        return malformedCalls.sum();
     }
 
     /** Bytes read from all connections, heads included. */
@@ -197,8 +197,8 @@
     }
 
     /** Connections that have come up. */
-    long connected() {
-        return connected.sum();
+    long acceptedConnections() {
+        return acceptedConnections.sum();
     }
 
     /** Connections held now. */
@@ -212,83 +212,83 @@
     }
 
     /** The calls on one connection. */
-    private final class Calls extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class CallHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final Endpoint endpoint;
 
-        Calls(Endpoint endpoint) {
+        CallHandler(Endpoint endpoint) {
             this.endpoint = endpoint;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-            boolean bundle = request.uri().equals("/v1/messages:batch");
-            boolean keep = HttpUtil.isKeepAlive(request);
+            boolean batch = request.uri().equals("/v1/messages:batch");
+            boolean keepAlive = HttpUtil.isKeepAlive(request);
             if (request.decoderResult().isFailure() || !request.method().equals(HttpMethod.POST)
-                || !bundle && !request.uri().equals("/v1/messages")) {
+                || !batch && !request.uri().equals("/v1/messages")) {
                 reject(context, HttpResponseStatus.NOT_FOUND);
                 return;
             }
-            List<String> ids = bundle ? ids(request) : List.of(request.headers().get("X-Request-ID", ""));
+            List<String> ids = batch ? batchIds(request) : List.of(request.headers().get("X-Request-ID", ""));
             if (ids.isEmpty() || ids.contains("")) {
                 reject(context, HttpResponseStatus.BAD_REQUEST);
                 return;
             }
-            if (ids.size() > bundleMost) {
+            if (ids.size() > maxBatchMessages) {
                 reject(context, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
                 return;
             }
             long now = clock.getAsLong();
             calls.increment();
-            EndpointModel.Verdict verdict;
+            EndpointModel.Response modelResponse;
             synchronized (endpoint.model) {
-                verdict = endpoint.model.call(now);
+                modelResponse = endpoint.model.handleCall(now);
             }
-            CallObserver tellTo = observer;
-            ids.forEach(id -> tellTo.called(endpoint.number, MessageId.parse(id), verdict, now));
-            if (verdict.status() == 200) {
-                byte[] body = bundle ? states(ids) : new byte[0];
-                context.executor().schedule(() -> accept(context, ids, body, keep), verdict.delayNanos(),
+            CallObserver currentObserver = observer;
+            ids.forEach(id -> currentObserver.callReceived(endpoint.number, MessageId.parse(id), modelResponse, now));
+            if (modelResponse.status() == 200) {
+                byte[] body = batch ? batchResponse(ids) : new byte[0];
+                context.executor().schedule(() -> answerAccepted(context, ids, body, keepAlive), modelResponse.delayNanos(),
                     TimeUnit.NANOSECONDS);
-            } else if (verdict.status() != 0) {
-                turnedAway.increment();
-                respond(context, HttpResponseStatus.valueOf(verdict.status()), verdict.waitMillis(),
-                    new byte[0], keep);
+            } else if (modelResponse.status() != 0) {
+                refusedCalls.increment();
+                respond(context, HttpResponseStatus.valueOf(modelResponse.status()), modelResponse.retryAfterMillis(),
+                    new byte[0], keepAlive);
             }
         }
 
-        private void accept(ChannelHandlerContext context, List<String> ids, byte[] body, boolean keep) {
-            boolean serves;
+        private void answerAccepted(ChannelHandlerContext context, List<String> ids, byte[] body, boolean keepAlive) {
+            boolean isServing;
             synchronized (endpoint.model) {
-                serves = endpoint.model.standing() == EndpointModel.Standing.SERVING;
+                isServing = endpoint.model.mode() == EndpointModel.Mode.SERVING;
             }
             if (!context.channel().isActive()) {
-                abandoned.increment();
-            } else if (serves) {
-                respond(context, HttpResponseStatus.OK, 0, body, keep);
+                abandonedCalls.increment();
+            } else if (isServing) {
+                respond(context, HttpResponseStatus.OK, 0, body, keepAlive);
                 long now = clock.getAsLong();
-                CallObserver tellTo = observer;
-                ids.forEach(id -> tellTo.delivered(endpoint.number, MessageId.parse(id), now));
+                CallObserver currentObserver = observer;
+                ids.forEach(id -> currentObserver.messageDelivered(endpoint.number, MessageId.parse(id), now));
             }
         }
 
         private void reject(ChannelHandlerContext context, HttpResponseStatus status) {
-            malformed.increment();
+            malformedCalls.increment();
             respond(context, status, 0, new byte[0], false);
         }
 
-        private void respond(ChannelHandlerContext context, HttpResponseStatus status, long waitMillis,
-                             byte[] body, boolean keep) {
+        private void respond(ChannelHandlerContext context, HttpResponseStatus status, long retryAfterMillis,
+                             byte[] body, boolean keepAlive) {
             FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
                 Unpooled.wrappedBuffer(body));
             response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
-            if (waitMillis > 0) {
+            if (retryAfterMillis > 0) {
                 response.headers().set(HttpHeaderNames.RETRY_AFTER,
-                    String.format(Locale.ROOT, "%.3f", waitMillis / 1e3));
+                    String.format(Locale.ROOT, "%.3f", retryAfterMillis / 1e3));
             }
-            if (!keep) {
+            if (!keepAlive) {
                 response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             }
-            context.writeAndFlush(response).addListener(keep ? ChannelFutureListener.CLOSE_ON_FAILURE
+            context.writeAndFlush(response).addListener(keepAlive ? ChannelFutureListener.CLOSE_ON_FAILURE
                 : ChannelFutureListener.CLOSE);
         }
 
@@ -300,7 +300,7 @@
     }
 
     /** The ids of a bundle; none where the body cannot be read. */
-    private static List<String> ids(FullHttpRequest request) {
+    private static List<String> batchIds(FullHttpRequest request) {
         List<String> ids = new ArrayList<>();
         try (InputStream body = new ByteBufInputStream(request.content());
              JsonParser parser = JSON.createParser(body)) {
@@ -317,7 +317,7 @@
         return ids.stream().distinct().count() == ids.size() && !ids.contains(null) ? ids : List.of();
     }
 
-    private static byte[] states(List<String> ids) {
+    private static byte[] batchResponse(List<String> ids) {
         ByteArrayOutputStream text = new ByteArrayOutputStream();
         try (JsonGenerator out = JSON.createGenerator(text)) {
             out.writeStartArray();
--- a/src/main/java/wrenkeel/scale/Tally.java
+++ b/src/main/java/wrenkeel/scale/SubmissionCounts.java
@@ -5,26 +5,26 @@
 /**
  * How the messages of one measured span were met at the relay's door. Written by the clients' thread alone.
  */
-final class Tally {
+final class SubmissionCounts {
     /** us; answers come within 400 ms or not at all. */
-    private static final long LONGEST = 10_000_000;
+    private static final long MAX_MICROS = 10_000_000;
 
-    private volatile long due, taken, refused, failed, unanswered, broken, unsent;
-    private final Histogram answers = new Histogram(LONGEST, 3), late = new Histogram(LONGEST, 3);
+    private volatile long due, accepted, refused, failed, timedOut, connectionsLost, notSent;
+    private final Histogram answerLatency = new Histogram(MAX_MICROS, 3), submissionDelay = new Histogram(MAX_MICROS, 3);
 
     /** A message is handed in so long after it was due: the clients' own lag, no fault of the relay. */
-    synchronized void handedIn(long lateMicros) {
+    synchronized void recordSubmitted(long lateMicros) {
         due++;
-        late.recordValue(Math.min(LONGEST, Math.max(0, lateMicros)));
+        submissionDelay.recordValue(Math.min(MAX_MICROS, Math.max(0, lateMicros)));
     }
 
     /**
      * An answer came so long after the message was due: later than it was sent if the clients were behind.
      */
-    synchronized void answered(int status, long micros) {
-        answers.recordValue(Math.min(LONGEST, Math.max(0, micros)));
+    synchronized void recordAnswered(int status, long micros) {
+        answerLatency.recordValue(Math.min(MAX_MICROS, Math.max(0, micros)));
         if (status == 200 || status == 202) {
-            taken++;
+            accepted++;
         } else if (status == 429 || status == 503) {
             refused++;
         } else {
@@ -32,16 +32,16 @@
         }
     }
 
-    void noAnswer() {
-        unanswered++;
+    void recordTimedOut() {
+        timedOut++;
     }
 
-    void brokenOff() {
-        broken++;
+    void recordConnectionLost() {
+        connectionsLost++;
     }
 
-    void notSent() {
-        unsent++;
+    void recordNotSent() {
+        notSent++;
     }
 
     /** Messages due in the span, whatever became of them. */
@@ -50,8 +50,8 @@
     }
 
     /** Answered 200 or 202. */
-    long taken() {
-        return taken;
+    long accepted() {
+        return accepted;
     }
 
     /** Answered 429 or 503. */
@@ -65,32 +65,32 @@
     }
 
     /** Without an answer in 400 ms. */
-    long unanswered() {
-        return unanswered;
+    long timedOut() {
+        return timedOut;
     }
 
     /** Connection refused, or ended before the answer. */
-    long broken() {
-        return broken;
+    long connectionsLost() {
+        return connectionsLost;
     }
 
     /** All connections were busy. */
-    long unsent() {
-        return unsent;
+    long notSent() {
+        return notSent;
     }
 
     /** True once each message that was due has met one of the ends. */
-    boolean settled() {
-        return taken + refused + failed + unanswered + broken + unsent == due;
+    boolean isComplete() {
+        return accepted + refused + failed + timedOut + connectionsLost + notSent == due;
     }
 
     /** ms from when a message was due until its client handed it in, at this percentile. */
-    synchronized double lateMillis(double percentile) {
-        return late.getValueAtPercentile(percentile) / 1e3;
+    synchronized double submissionDelayMillis(double percentile) {
+        return submissionDelay.getValueAtPercentile(percentile) / 1e3;
     }
 
     /** ms from when a message was due until its client had the answer, at this percentile. */
     synchronized double answerMillis(double percentile) {
-        return answers.getValueAtPercentile(percentile) / 1e3;
+        return answerLatency.getValueAtPercentile(percentile) / 1e3;
     }
 }
--- a/src/main/java/wrenkeel/scale/TextTable.java
+++ b/src/main/java/wrenkeel/scale/TextTable.java
@@ -11,10 +11,10 @@
 
     TextTable(String... head) {
         columns = head.length;
-        row(head);
+        addRow(head);
     }
 
-    void row(String... cells) {
+    void addRow(String... cells) {
         if (cells.length != columns) {
             throw new IllegalArgumentException(cells.length + " cells in a table of " + columns + " columns");
         }
--- a/src/main/java/wrenkeel/scale/TimeLimit.java
+++ b/src/main/java/wrenkeel/scale/TimeLimit.java
@@ -8,12 +8,12 @@
 /** Ends this JVM, with the processes that it started, once a run has lasted too long. */
 public final class TimeLimit {
     /** The exit code then. */
-    private static final int EXCEEDED = 3;
+    private static final int EXCEEDED_EXIT_CODE = 3;
 
     private TimeLimit() { }
 
     /** Runs an experiment that may last so long. */
-    public static int within(long seconds, Callable<Integer> run) throws Exception {
+    public static int runWithin(long seconds, Callable<Integer> run) throws Exception {
         ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor(task -> {
             Thread thread = new Thread(task, "time limit");
             thread.setDaemon(true);
@@ -21,7 +21,7 @@
         });
         timer.schedule(() -> {
             System.err.println("ended: the run has lasted " + seconds + " s (--most-seconds)");
-            System.exit(EXCEEDED);
+            System.exit(EXCEEDED_EXIT_CODE);
         }, seconds, TimeUnit.SECONDS);
         try {
             return run.call();
--- a/src/main/java/wrenkeel/scale/Traffic.java
+++ b/src/main/java/wrenkeel/scale/Traffic.java
@@ -10,10 +10,10 @@
  * @param bodyBytes of each message
  * @param classes with their shares, which sum to 1
  * @param tenants in the same way
- * @param mostConnections held at once; a message that finds all busy is counted as not sent
+ * @param maxConnections held at once; a message that finds all busy is counted as not sent
  */
 public record Traffic(int destinations, double exponent, int bodyBytes, List<ClassShare> classes,
-               List<TenantShare> tenants, int mostConnections) {
+               List<TenantShare> tenants, int maxConnections) {
     /**
      * @param lifeMillis sent as X-Timeout-Ms
      * @param keyed whether each message has an idempotency key of its own
--- a/src/main/java/wrenkeel/scale/TrafficExperiment.java
+++ b/src/main/java/wrenkeel/scale/TrafficExperiment.java
@@ -44,10 +44,10 @@
      * Events a second of the whole fleet at the target; each tenant's quota is half as much again as its
      * share.
      */
-    private static final double FLEET_RATE = 350_000, QUOTA_ROOM = 1.5;
+    private static final double FLEET_EVENTS_PER_SECOND = 350_000, QUOTA_FACTOR = 1.5;
     /** Threads that serve the destinations; ms after a play in which its messages may still be delivered. */
-    private static final int THREADS = 2, DRAIN = 2_000;
-    private static final int CONNECTIONS_MOST = 600;
+    private static final int DESTINATION_THREADS = 2, DRAIN_MS = 2_000;
+    private static final int MAX_CONNECTIONS = 600;
 
     @Mixin
     private CommonOptions options;
@@ -58,7 +58,7 @@
 
     @Option(names = "--rate", defaultValue = "152", paramLabel = "N",
         description = "Events a second where destinations vary (default: ${DEFAULT-VALUE}).")
-    private double rate;
+    private double eventsPerSecond;
 
     @Option(names = "--destinations", defaultValue = "1000", paramLabel = "N",
         description = "Destinations where the rate varies, 1.7 hosts each (default: ${DEFAULT-VALUE}).")
@@ -92,15 +92,15 @@
     @Option(names = "--limit", defaultValue = "0", paramLabel = "N",
         description = "Calls a second that each port takes before it answers 429; 0 for no limit (default: "
             + "${DEFAULT-VALUE}).")
-    private double limit;
+    private double callsPerSecond;
 
     @Option(names = "--slots", defaultValue = "96", paramLabel = "N",
         description = "Calls that the relay may have out at once (default: ${DEFAULT-VALUE}).")
-    private int slots;
+    private int callSlots;
 
     @Option(names = "--open", defaultValue = "1000", paramLabel = "N",
         description = "Messages that the relay may hold (default: ${DEFAULT-VALUE}).")
-    private int open;
+    private int maxMessages;
 
     @Option(names = "--disk-mb", defaultValue = "3", paramLabel = "N",
         description = "Limit on the relay's folder (default: ${DEFAULT-VALUE}).")
@@ -112,19 +112,19 @@
 
     @Option(names = "--settle-seconds", defaultValue = "60", paramLabel = "N",
         description = "Idle time of all relays before the first play (default: ${DEFAULT-VALUE}).")
-    private long settle;
+    private long settleSeconds;
 
     @Option(names = "--warm-up-seconds", defaultValue = "8", paramLabel = "N",
         description = "Traffic before each play; twice that for a relay's first (default: ${DEFAULT-VALUE}).")
-    private long warmUp;
+    private long warmUpSeconds;
 
     @Option(names = "--play-seconds", defaultValue = "10", paramLabel = "N",
         description = "Length of a play (default: ${DEFAULT-VALUE}).")
-    private long length;
+    private long playSeconds;
 
     @Override
     public Integer call() throws Exception {
-        return TimeLimit.within(options.mostSeconds(), this::run);
+        return TimeLimit.runWithin(options.maxSeconds(), this::run);
     }
 
     private int run() throws IOException, InterruptedException {
@@ -132,18 +132,18 @@
             : options.sizes(20L, 1_000L, 10_000L, 20_000L, 100_000L);
         EndpointModel.Behaviour behaviour = EndpointModel.Behaviour
             .unlimited(answerMillis * 1_000, answerSigma)
-            .with(new EndpointModel.Limit(limit, 1_000, true, false));
+            .with(new EndpointModel.Limit(callsPerSecond, 1_000, true, false));
         List<LoadedRelay> loaded = new ArrayList<>();
         try (Report report = new Report("traffic", options);
-             StandInDestinations standIns = new StandInDestinations(ports, behaviour, 1, THREADS,
+             StandInDestinations standIns = new StandInDestinations(ports, behaviour, 1, DESTINATION_THREADS,
                  options.seed(0), System::nanoTime)) {
-            List<Integer> dials = standIns.ports();
+            List<Integer> dialPorts = standIns.ports();
             for (int i = 0; i < Math.min(ports, downPorts); i++) {
-                standIns.stand(i, EndpointModel.Standing.REFUSING);
+                standIns.setMode(i, EndpointModel.Mode.REFUSING);
             }
             try {
-                start(sizes, dials, report, loaded);
-                TimeUnit.SECONDS.sleep(settle);
+                startRelays(sizes, dialPorts, report, loaded);
+                TimeUnit.SECONDS.sleep(settleSeconds);
                 for (LoadedRelay relay : List.copyOf(loaded)) {
                     playAll(relay, vary == Vary.RATE ? sizes : List.of(relay.size), standIns, report);
                     relay.close();
@@ -160,7 +160,7 @@
     }
 
     /** One relay a play, which meets all rates, or one for each number of destinations in each play. */
-    private void start(List<Long> sizes, List<Integer> ports, Report report, List<LoadedRelay> loaded)
+    private void startRelays(List<Long> sizes, List<Integer> ports, Report report, List<LoadedRelay> loaded)
         throws IOException, InterruptedException {
         List<Long> lists = new ArrayList<>(vary == Vary.RATE ? List.of((long) destinations) : sizes);
         for (int play = 0; play < options.plays(); play++) {
@@ -182,20 +182,20 @@
 
     private RelaySettings settings() {
         List<Tenant> tenants = TENANTS.stream()
-            .map(tenant -> new Tenant(tenant.name(), tenant.share() * FLEET_RATE * QUOTA_ROOM)).toList();
+            .map(tenant -> new Tenant(tenant.name(), tenant.share() * FLEET_EVENTS_PER_SECOND * QUOTA_FACTOR)).toList();
         return RelaySettings.typical("n1").withRelays(relays).withProfiles(PROFILES).withDisk(diskMb)
-            .withCalls(slots, open).withTenants(tenants);
+            .withCalls(callSlots, maxMessages).withTenants(tenants);
     }
 
     private void playAll(LoadedRelay relay, List<Long> sizes, StandInDestinations standIns, Report report)
         throws IOException, InterruptedException {
         Traffic traffic = new Traffic(relay.destinations(), exponent, bodyBytes, CLASSES, TENANTS,
-            CONNECTIONS_MOST);
+            MAX_CONNECTIONS);
         try (StandInClients clients = new StandInClients(relay.process().clients(), traffic, relay.seed)) {
             boolean first = true;
             for (long size : sizes) {
-                clients.rate(vary == Vary.RATE ? size : rate);
-                TimeUnit.SECONDS.sleep(first ? 2 * warmUp : warmUp);
+                clients.setRate(vary == Vary.RATE ? size : eventsPerSecond);
+                TimeUnit.SECONDS.sleep(first ? 2 * warmUpSeconds : warmUpSeconds);
                 first = false;
                 report.add(new Measurement("traffic", size, relay.play, relay.seed,
                     play(relay, clients, standIns)));
@@ -209,52 +209,52 @@
      */
     private Map<String, Double> play(LoadedRelay relay, StandInClients clients, StandInDestinations standIns)
         throws IOException, InterruptedException {
-        Tally tally = new Tally();
-        Deliveries deliveries = new Deliveries(clients.count(tally));
-        standIns.report(deliveries);
+        SubmissionCounts counts = new SubmissionCounts();
+        Deliveries deliveries = new Deliveries(clients.startCounting(counts));
+        standIns.setObserver(deliveries);
         Reading before = Reading.take(relay, clients, standIns);
-        TimeUnit.SECONDS.sleep(length);
+        TimeUnit.SECONDS.sleep(playSeconds);
         Reading after = Reading.take(relay, clients, standIns);
-        deliveries.until(clients.count(new Tally()));
-        clients.rate(0);
-        TimeUnit.MILLISECONDS.sleep(DRAIN);
+        deliveries.endBefore(clients.startCounting(new SubmissionCounts()));
+        clients.setRate(0);
+        TimeUnit.MILLISECONDS.sleep(DRAIN_MS);
         Map<String, Double> values = new LinkedHashMap<>();
         values.put("held", 1.0);
-        costs(before, after, tally.due(), values);
-        ends(tally, deliveries, values);
-        values.put("given_up_percent", percent(after.givenUp() - before.givenUp(), tally.taken()));
-        values.put("handed_back_percent", percent(after.handedBack() - before.handedBack(), tally.taken()));
+        addCosts(before, after, counts.due(), values);
+        addOutcomes(counts, deliveries, values);
+        values.put("given_up_percent", percent(after.givenUp() - before.givenUp(), counts.accepted()));
+        values.put("handed_back_percent", percent(after.handedBack() - before.handedBack(), counts.accepted()));
         values.put("pending_messages", (double) relay.process().telemetry().whole("pending"));
         values.put("rss_mb", relay.process().rssBytes() / 1e6);
         values.put("peak_rss_mb", relay.process().peakRssBytes() / 1e6);
         return values;
     }
 
-    private static void costs(Reading before, Reading after, long events, Map<String, Double> values) {
+    private static void addCosts(Reading before, Reading after, long events, Map<String, Double> values) {
         double seconds = (after.nanos() - before.nanos()) / 1e9;
         double cpuMicros = after.cpuMicros() - before.cpuMicros();
         values.put("events_per_s", events / seconds);
         values.put("cpu_percent", cpuMicros / seconds / 1e4);
         values.put("cpu_ms_per_event", cpuMicros / 1e3 / events);
-        values.put("busiest_thread_percent", busiest(before.threads(), after.threads()) / seconds / 1e7);
+        values.put("busiest_thread_percent", busiestThreadNanos(before.threads(), after.threads()) / seconds / 1e7);
         values.put("journal_bytes_per_event",
             (double) (after.journalBytes() - before.journalBytes()) / events);
         values.put("calls_per_event", (double) (after.calls() - before.calls()) / events);
-        values.put("connections_per_event", (double) (after.connected() - before.connected()) / events);
-        values.put("turned_away_per_event", (double) (after.turnedAway() - before.turnedAway()) / events);
+        values.put("connections_per_event", (double) (after.acceptedConnections() - before.acceptedConnections()) / events);
+        values.put("turned_away_per_event", (double) (after.refusedCalls() - before.refusedCalls()) / events);
     }
 
-    private static void ends(Tally tally, Deliveries deliveries, Map<String, Double> values) {
-        values.put("taken_percent", percent(tally.taken(), tally.due()));
-        values.put("refused_percent", percent(tally.refused(), tally.due()));
-        values.put("unanswered_percent", percent(tally.unanswered(), tally.due()));
+    private static void addOutcomes(SubmissionCounts counts, Deliveries deliveries, Map<String, Double> values) {
+        values.put("taken_percent", percent(counts.accepted(), counts.due()));
+        values.put("refused_percent", percent(counts.refused(), counts.due()));
+        values.put("unanswered_percent", percent(counts.timedOut(), counts.due()));
         values.put("otherwise_percent",
-            percent(tally.failed() + tally.broken() + tally.unsent(), tally.due()));
-        values.put("delivered_percent", percent(deliveries.count(), tally.due()));
-        values.put("duplicates_percent", percent(deliveries.duplicates(), tally.due()));
-        values.put("handed_in_late_p99_ms", tally.lateMillis(99));
-        values.put("answer_p50_ms", tally.answerMillis(50));
-        values.put("answer_p99_ms", tally.answerMillis(99));
+            percent(counts.failed() + counts.connectionsLost() + counts.notSent(), counts.due()));
+        values.put("delivered_percent", percent(deliveries.deliveredCount(), counts.due()));
+        values.put("duplicates_percent", percent(deliveries.duplicates(), counts.due()));
+        values.put("handed_in_late_p99_ms", counts.submissionDelayMillis(99));
+        values.put("answer_p50_ms", counts.answerMillis(50));
+        values.put("answer_p99_ms", counts.answerMillis(99));
         values.put("call_p50_ms", deliveries.callMillis(50));
         values.put("call_p99_ms", deliveries.callMillis(99));
         values.put("delivery_p50_ms", deliveries.deliveryMillis(50));
@@ -266,7 +266,7 @@
     }
 
     /** Processor time of the thread that had most of it, ns. */
-    static long busiest(Map<String, Long> before, Map<String, Long> after) {
+    static long busiestThreadNanos(Map<String, Long> before, Map<String, Long> after) {
         Map<String, Long> spent = new HashMap<>(after);
         spent.replaceAll((thread, nanos) -> nanos - before.getOrDefault(thread, 0L));
         return spent.values().stream().mapToLong(nanos -> nanos).max().orElse(0);
@@ -277,14 +277,14 @@
      * which is its journal and a few lines of log.
      */
     private record Reading(long nanos, long cpuMicros, Map<String, Long> threads, long journalBytes,
-                           long calls, long connected, long turnedAway, long givenUp, long handedBack) {
+                           long calls, long acceptedConnections, long refusedCalls, long givenUp, long handedBack) {
         static Reading take(LoadedRelay relay, StandInClients clients, StandInDestinations standIns)
             throws IOException {
             RelayProcess process = relay.process();
             long toPeers = clients.bytesIn() + standIns.bytesIn() + relay.agent().bytesIn();
             return new Reading(System.nanoTime(), process.cpuMicros(), process.threadNanos(),
-                process.writtenBytes() - toPeers, standIns.calls(), standIns.connected(),
-                standIns.turnedAway(), relay.givenUp(), relay.handedBack());
+                process.writtenBytes() - toPeers, standIns.calls(), standIns.acceptedConnections(),
+                standIns.refusedCalls(), relay.givenUp(), relay.handedBack());
         }
     }
 }
--- a/src/main/java/wrenkeel/soak/OutageRun.java
+++ b/src/main/java/wrenkeel/soak/OutageRun.java
@@ -49,7 +49,7 @@
      * @param keepsFolder whether the killed relays find their lasting folder again
      * @param secondKillAfter the return, by so much, of the same relays; 0 for none
      */
-    record Plan(long seed, int relays, double perSecond, double capacity, EndpointModel.Standing outage,
+    record Plan(long seed, int relays, double perSecond, double capacity, EndpointModel.Mode outage,
                 long outageMillis, double killShare, long killBefore, boolean keepsFolder,
                 long secondKillAfter) { }
 
@@ -101,7 +101,7 @@
         this.plan = plan;
         destination = new StandInDestinations(1, EndpointModel.Behaviour.unlimited(ANSWER_MICROS, 0), 1,
             THREADS, plan.seed, System::nanoTime);
-        destination.report(new Calls());
+        destination.setObserver(new Calls());
         agent = new StandInAgent(new HostCatalog(1, plan.seed,
             host -> "127.0.0.1:" + destination.ports().get(host)), notice -> { });
         RelaySettings settings = RelaySettings.typical("n").withRelays(plan.relays).withProfiles(List.of(
@@ -124,11 +124,11 @@
             return null;
         });
         for (Member member : members) {
-            member.clients.rate(plan.perSecond / plan.relays);
+            member.clients.setRate(plan.perSecond / plan.relays);
         }
         TimeUnit.MILLISECONDS.sleep(WARM_UP_MILLIS);
         int before = calls.size();
-        destination.stand(0, plan.outage);
+        destination.setMode(0, plan.outage);
         long returnAt = millis() + plan.outageMillis;
         Future<?> kill = tasks.submit(() -> {
             restart(returnAt - plan.killBefore);
@@ -139,7 +139,7 @@
         });
         sleepUntil(returnAt);
         int inOutage = calls.size() - before;
-        destination.stand(0, EndpointModel.Standing.SERVING);
+        destination.setMode(0, EndpointModel.Mode.SERVING);
         long returned = millis();
         sleepUntil(returned + COLD_MILLIS);
         kill.get();
@@ -209,24 +209,24 @@
 
     private final class Calls implements CallObserver {
         @Override
-        public void called(int endpoint, MessageId id, EndpointModel.Verdict verdict, long nowNanos) {
+        public void callReceived(int endpoint, MessageId id, EndpointModel.Response verdict, long nowNanos) {
             calls.add(TimeUnit.NANOSECONDS.toMillis(nowNanos));
         }
 
         @Override
-        public void delivered(int endpoint, MessageId id, long nowNanos) {
+        public void messageDelivered(int endpoint, MessageId id, long nowNanos) {
             delivered.add(id.sequence());
         }
     }
 
     private final class Clients implements ClientObserver {
         @Override
-        public void handedIn(MessageId id, Traffic.ClassShare kind, int to) {
+        public void submitted(MessageId id, Traffic.ClassShare kind, int to) {
             handedIn.incrementAndGet();
         }
 
         @Override
-        public void ended(MessageId id, Ending ending, int status, boolean written) {
+        public void submissionEnded(MessageId id, Result ending, int status, boolean written) {
             // Judged is what the destination gets.
         }
     }
--- a/src/main/java/wrenkeel/soak/SoakCommand.java
+++ b/src/main/java/wrenkeel/soak/SoakCommand.java
@@ -57,7 +57,7 @@
 
     @Override
     public Integer call() throws Exception {
-        return TimeLimit.within(mostSeconds, this::playAll);
+        return TimeLimit.runWithin(mostSeconds, this::playAll);
     }
 
     private int playAll() throws InterruptedException, ExecutionException {
--- a/src/main/java/wrenkeel/soak/SoakRun.java
+++ b/src/main/java/wrenkeel/soak/SoakRun.java
@@ -90,7 +90,7 @@
         for (int port : destinations.ports()) {
             links.add(new FaultProxy(loops, new java.net.InetSocketAddress("127.0.0.1", port)));
         }
-        destinations.report(new Calls());
+        destinations.setObserver(new Calls());
         HostCatalog catalog = new HostCatalog(ENDPOINTS, seed,
             host -> "127.0.0.1:" + links.get(host).address().getPort());
         agent = new StandInAgent(catalog, this::noticed);
@@ -113,9 +113,9 @@
         double mean = traffic.share(destination) * EVENTS_PER_SECOND * relayCount / siblings;
         double capacity = CAPACITY_OVER_TRAFFIC * mean;
         history.capacity(endpoint, capacity);
-        destinations.behave(endpoint, EndpointModel.Behaviour.unlimited(ANSWER_MICROS, ANSWER_SIGMA)
+        destinations.setBehaviour(endpoint, EndpointModel.Behaviour.unlimited(ANSWER_MICROS, ANSWER_SIGMA)
             .with(new EndpointModel.Limit(capacity, 1_000, false, false))
-            .with(new EndpointModel.Cold(Oracle.COLD_FROM, Oracle.COLD_MILLIS, 0, Oracle.TIP_MILLIS, 0)));
+            .with(new EndpointModel.ColdStart(Oracle.COLD_FROM, Oracle.COLD_MILLIS, 0, Oracle.TIP_MILLIS, 0)));
     }
 
     Schedule schedule() {
@@ -139,7 +139,7 @@
             StandInClients own = new StandInClients(relay.address, traffic, seed + relay.number,
                 CLIENT_PATIENCE, (long) relay.number << RELAY_SHIFT, new Clients());
             clients.add(own);
-            own.rate(EVENTS_PER_SECOND);
+            own.setRate(EVENTS_PER_SECOND);
         }
         Future<?> looking = tasks.submit(this::look);
         List<Future<?>> troubles = new ArrayList<>();
@@ -152,7 +152,7 @@
         }
         TimeUnit.MILLISECONDS.sleep(Math.max(0, TRAFFIC_MILLIS - now()));
         for (StandInClients own : clients) {
-            own.rate(0);
+            own.setRate(0);
         }
         await(troubles);
         TimeUnit.MILLISECONDS.sleep(TAIL_MILLIS);
@@ -337,11 +337,11 @@
         FaultProxy link = links.get(endpoint);
         long from = now();
         switch (t.kind()) {
-            case ENDPOINT_SILENT -> standFor(endpoint, EndpointModel.Standing.SILENT, t);
-            case ENDPOINT_DOWN -> standFor(endpoint, EndpointModel.Standing.REFUSING, t);
-            case ENDPOINT_FAILS -> standFor(endpoint, EndpointModel.Standing.FAILING, t);
+            case ENDPOINT_SILENT -> standFor(endpoint, EndpointModel.Mode.SILENT, t);
+            case ENDPOINT_DOWN -> standFor(endpoint, EndpointModel.Mode.REFUSING, t);
+            case ENDPOINT_FAILS -> standFor(endpoint, EndpointModel.Mode.FAILING, t);
             case ENDPOINT_SHUT -> {
-                destinations.shut(endpoint, t.lengthMillis());
+                destinations.refuseFor(endpoint, t.lengthMillis());
                 return;
             }
             case ENDPOINT_DRAINS -> {
@@ -363,15 +363,15 @@
         history.link(endpoint, new History.Span(from, now() + 1_000));
     }
 
-    private void standFor(int endpoint, EndpointModel.Standing standing, Trouble t)
+    private void standFor(int endpoint, EndpointModel.Mode standing, Trouble t)
         throws InterruptedException {
         if (!out.add(endpoint)) {
             return;
         }
         long from = now();
-        destinations.stand(endpoint, standing);
+        destinations.setMode(endpoint, standing);
         TimeUnit.MILLISECONDS.sleep(t.lengthMillis());
-        destinations.stand(endpoint, EndpointModel.Standing.SERVING);
+        destinations.setMode(endpoint, EndpointModel.Mode.SERVING);
         history.outage(endpoint, new History.Span(from, now()));
         out.remove(endpoint);
     }
@@ -389,7 +389,7 @@
 
     private final class Clients implements ClientObserver {
         @Override
-        public void handedIn(MessageId id, Traffic.ClassShare kind, int destination) {
+        public void submitted(MessageId id, Traffic.ClassShare kind, int destination) {
             History.Effect effect = switch (kind.name()) {
                 case "notice" -> History.Effect.KEYED;
                 case "query" -> History.Effect.SAFE;
@@ -401,21 +401,21 @@
         }
 
         @Override
-        public void ended(MessageId id, Ending ending, int status, boolean written) {
-            history.ended(id.text(), status, ending == Ending.BROKEN_OFF && written, now());
+        public void submissionEnded(MessageId id, Result ending, int status, boolean written) {
+            history.ended(id.text(), status, ending == Result.CONNECTION_LOST && written, now());
         }
     }
 
     private final class Calls implements CallObserver {
         @Override
-        public void called(int endpoint, MessageId id, EndpointModel.Verdict verdict, long nowNanos) {
+        public void callReceived(int endpoint, MessageId id, EndpointModel.Response verdict, long nowNanos) {
             if (id == null) {
                 history.found(new Finding("made up", at(nowNanos), "a call with an id that no client wrote"));
                 return;
             }
             boolean runs = verdict.status() == 200 || verdict.status() == 0;
             history.called(new History.Call(relay(id), endpoint, HostCatalog.destination(endpoint), id.text(),
-                at(nowNanos), verdict.waitMillis()), runs);
+                at(nowNanos), verdict.retryAfterMillis()), runs);
             History.Message message = history.message(id.text());
             if (message == null || message.destination != HostCatalog.destination(endpoint)) {
                 history.found(new Finding("made up", at(nowNanos), "message " + id.text() + " at endpoint "
@@ -424,7 +424,7 @@
         }
 
         @Override
-        public void delivered(int endpoint, MessageId id, long nowNanos) {
+        public void messageDelivered(int endpoint, MessageId id, long nowNanos) {
             history.delivered(id.text(), at(nowNanos));
         }
     }
--- a/src/test/java/wrenkeel/scale/DeliveriesTest.java
+++ b/src/test/java/wrenkeel/scale/DeliveriesTest.java
@@ -5,21 +5,21 @@
 import org.junit.jupiter.api.Test;
 
 final class DeliveriesTest {
-    private static final long MS = 1_000_000;
+    private static final long NANOS_PER_MS = 1_000_000;
 
     @Test
-    void countsEachMessageOfTheSpanOnceAndTimesItsFirstCall() {
+    void countsEachMessageInTheSpanOnceAndTimesItsFirstCall() {
         Deliveries deliveries = new Deliveries(10);
-        deliveries.until(12);
+        deliveries.endBefore(12);
         for (long sequence = 9; sequence <= 12; sequence++) {
             MessageId id = new MessageId(sequence, 0);
-            deliveries.called(id, 5 * MS);
-            deliveries.called(id, 90 * MS);
-            deliveries.delivered(id, 100 * MS);
+            deliveries.called(id, 5 * NANOS_PER_MS);
+            deliveries.called(id, 90 * NANOS_PER_MS);
+            deliveries.delivered(id, 100 * NANOS_PER_MS);
         }
-        deliveries.delivered(new MessageId(11, 0), 200 * MS);
+        deliveries.delivered(new MessageId(11, 0), 200 * NANOS_PER_MS);
         deliveries.delivered(null, 0);
-        assertEquals(2, deliveries.count());
+        assertEquals(2, deliveries.deliveredCount());
         assertEquals(2, deliveries.calledCount());
         assertEquals(1, deliveries.duplicates());
         assertEquals(5, deliveries.callMillis(99), 0.01);
--- a/src/test/java/wrenkeel/scale/EndpointModelTest.java
+++ b/src/test/java/wrenkeel/scale/EndpointModelTest.java
@@ -11,12 +11,12 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 import wrenkeel.scale.EndpointModel.Behaviour;
-import wrenkeel.scale.EndpointModel.Cold;
+import wrenkeel.scale.EndpointModel.ColdStart;
 import wrenkeel.scale.EndpointModel.Limit;
-import wrenkeel.scale.EndpointModel.Standing;
+import wrenkeel.scale.EndpointModel.Mode;
 
 final class EndpointModelTest {
-    private static final long MS = 1_000_000;
+    private static final long NANOS_PER_MS = 1_000_000;
     private static final Behaviour PLAIN = Behaviour.unlimited(20_000, 0);
 
     private static EndpointModel model(Behaviour behaviour) {
@@ -25,94 +25,94 @@
 
     @Test
     void answersAfterItsLatency() {
-        assertEquals(new EndpointModel.Verdict(200, 20 * MS, 0), model(PLAIN).call(0));
+        assertEquals(new EndpointModel.Response(200, 20 * NANOS_PER_MS, 0), model(PLAIN).handleCall(0));
     }
 
     @Test
-    void tellsToWaitUntilTheNextSpanOnceTheLimitIsMet() {
+    void sendsRetryAfterUntilTheNextWindowOnceTheLimitIsReached() {
         EndpointModel model = model(PLAIN.with(new Limit(2, 1_000, true, false)));
-        model.call(100 * MS);
-        model.call(200 * MS);
-        assertEquals(new EndpointModel.Verdict(429, 0, 700), model.call(300 * MS));
-        assertEquals(200, model.call(1_000 * MS).status());
+        model.handleCall(100 * NANOS_PER_MS);
+        model.handleCall(200 * NANOS_PER_MS);
+        assertEquals(new EndpointModel.Response(429, 0, 700), model.handleCall(300 * NANOS_PER_MS));
+        assertEquals(200, model.handleCall(1_000 * NANOS_PER_MS).status());
     }
 
     @Test
-    void refusesWithoutAWaitWhereItTellsNone() {
+    void refusesWithoutRetryAfterWhereTheLimitSendsNone() {
         EndpointModel model = model(PLAIN.with(new Limit(1, 1_000, false, false)));
-        model.call(0);
-        assertEquals(new EndpointModel.Verdict(503, 0, 0), model.call(1));
+        model.handleCall(0);
+        assertEquals(new EndpointModel.Response(503, 0, 0), model.handleCall(1));
     }
 
     @Test
-    void countsRefusedCallsAgainstTheNextSpanWhereToldTo() {
+    void countsRefusedCallsAgainstTheNextWindowWhereConfigured() {
         EndpointModel model = model(PLAIN.with(new Limit(1, 1_000, false, true)));
         for (int i = 0; i < 3; i++) {
-            model.call(i);
+            model.handleCall(i);
         }
-        assertEquals(503, model.call(1_000 * MS).status());
+        assertEquals(503, model.handleCall(1_000 * NANOS_PER_MS).status());
     }
 
     @Test
-    void isSilentThroughAnOutageAndColdAfterIt() {
+    void isSilentDuringAnOutageAndHasReducedCapacityAfterIt() {
         EndpointModel model = model(PLAIN.with(new Limit(10, 1_000, false, false))
-            .with(new Cold(0.2, 10_000, 0, 1_000, 0)));
-        model.stand(Standing.SILENT, 0);
-        assertEquals(0, model.call(1).status());
-        model.stand(Standing.SERVING, 5_000 * MS);
-        assertEquals(2, taken(model, 5_000, 20));
+            .with(new ColdStart(0.2, 10_000, 0, 1_000, 0)));
+        model.setMode(Mode.SILENT, 0);
+        assertEquals(0, model.handleCall(1).status());
+        model.setMode(Mode.SERVING, 5_000 * NANOS_PER_MS);
+        assertEquals(2, countAccepted(model, 5_000, 20));
         // Half way: 0.2 + 0.8 / 2 of the limit.
-        assertEquals(6, taken(model, 10_000, 20));
-        assertEquals(10, taken(model, 15_000, 20));
+        assertEquals(6, countAccepted(model, 10_000, 20));
+        assertEquals(10, countAccepted(model, 15_000, 20));
     }
 
-    private static int taken(EndpointModel model, long atMillis, int calls) {
+    private static int countAccepted(EndpointModel model, long atMillis, int calls) {
         int taken = 0;
         for (int i = 0; i < calls; i++) {
-            taken += model.call(atMillis * MS).status() == 200 ? 1 : 0;
+            taken += model.handleCall(atMillis * NANOS_PER_MS).status() == 200 ? 1 : 0;
         }
         return taken;
     }
 
     @Test
-    void fallsUnderTooManyCallsWhileItIsColdAndIsBackAfterThat() {
+    void collapsesUnderTooManyCallsDuringAColdStartAndRecovers() {
         EndpointModel model = model(PLAIN.with(new Limit(10, 1_000, false, false))
-            .with(new Cold(0.2, 10_000, 2, 2_000, 3_000)));
-        assertEquals(10, taken(model, 0, 100), "warm it only refuses");
-        model.stand(Standing.SILENT, 0);
-        model.stand(Standing.SERVING, 5_000 * MS);
+            .with(new ColdStart(0.2, 10_000, 2, 2_000, 3_000)));
+        assertEquals(10, countAccepted(model, 0, 100), "warm it only refuses");
+        model.setMode(Mode.SILENT, 0);
+        model.setMode(Mode.SERVING, 5_000 * NANOS_PER_MS);
         // It bears 2 a second at first: 8 calls in 2 s are twice that, and one more is too many.
-        assertEquals(2, taken(model, 5_000, 8));
-        assertEquals(0, model.falls());
-        assertEquals(0, model.call(5_000 * MS).status());
-        assertEquals(1, model.falls());
-        assertEquals(0, model.call(7_999 * MS).status());
-        assertEquals(200, model.call(8_000 * MS).status());
-        assertEquals(1, model.falls());
+        assertEquals(2, countAccepted(model, 5_000, 8));
+        assertEquals(0, model.collapses());
+        assertEquals(0, model.handleCall(5_000 * NANOS_PER_MS).status());
+        assertEquals(1, model.collapses());
+        assertEquals(0, model.handleCall(7_999 * NANOS_PER_MS).status());
+        assertEquals(200, model.handleCall(8_000 * NANOS_PER_MS).status());
+        assertEquals(1, model.collapses());
     }
 
     @Test
-    void turnsEverybodyAwayWhileShut() {
+    void refusesEveryCallUntilTheGivenTime() {
         EndpointModel model = model(PLAIN);
-        model.shutUntil(300 * MS);
-        assertEquals(new EndpointModel.Verdict(429, 0, 100), model.call(200 * MS));
-        assertEquals(200, model.call(300 * MS).status());
+        model.refuseUntil(300 * NANOS_PER_MS);
+        assertEquals(new EndpointModel.Response(429, 0, 100), model.handleCall(200 * NANOS_PER_MS));
+        assertEquals(200, model.handleCall(300 * NANOS_PER_MS).status());
     }
 
     @Property
-    void takesNoMoreThanItsLimitInASpan(@ForAll @Size(max = 200) int[] gaps,
+    void acceptsNoMoreThanItsLimitInAWindow(@ForAll @Size(max = 200) int[] gaps,
                                         @ForAll @IntRange(min = 1, max = 9) int limit,
                                         @ForAll boolean refusedCount) {
         EndpointModel model = model(PLAIN.with(new Limit(limit, 100, true, refusedCount)));
         Map<Long, Integer> taken = new HashMap<>();
         long now = 0;
         for (int gap : gaps) {
-            now += Math.floorMod(gap, 60) * MS;
-            EndpointModel.Verdict verdict = model.call(now);
+            now += Math.floorMod(gap, 60) * NANOS_PER_MS;
+            EndpointModel.Response verdict = model.handleCall(now);
             if (verdict.status() == 200) {
-                assertTrue(taken.merge(now / (100 * MS), 1, Integer::sum) <= limit);
+                assertTrue(taken.merge(now / (100 * NANOS_PER_MS), 1, Integer::sum) <= limit);
             } else {
-                assertEquals(0, (now + verdict.waitMillis() * MS) % (100 * MS),
+                assertEquals(0, (now + verdict.retryAfterMillis() * NANOS_PER_MS) % (100 * NANOS_PER_MS),
                     "the wait ends with the span");
             }
         }
--- a/src/test/java/wrenkeel/scale/LearnFleetTest.java
+++ b/src/test/java/wrenkeel/scale/LearnFleetTest.java
@@ -13,11 +13,11 @@
     private static final Behaviour PLAIN = Behaviour.unlimited(100_000, 0);
 
     private static Map<String, Double> play(LearnFleet.Setup setup, long seed) throws IOException {
-        return new LearnFleet(setup, LearnExperiment.settings(setup.relays()), seed).play(60, 120);
+        return new LearnFleet(setup, LearnExperiment.relaySettings(setup.relays()), seed).play(60, 120);
     }
 
     @Test
-    void deliversAllWhereNothingStandsInTheWay() throws IOException {
+    void deliversAllMessagesWithoutLimitsAndOutages() throws IOException {
         Map<String, Double> values = play(new LearnFleet.Setup(3, 4, 1, PLAIN, 0, 1, false), 1);
         assertEquals(100, values.get("delivered_percent"));
         assertEquals(0, values.get("refused_calls_percent"));
@@ -26,14 +26,14 @@
     }
 
     @Test
-    void releasesWhatItMeetsSeldom() throws IOException {
+    void releasesDestinationsThatRarelyReceiveMessages() throws IOException {
         Map<String, Double> values = play(new LearnFleet.Setup(400, 4, 1, PLAIN, 0, 1, true), 1);
         assertTrue(values.get("released_per_event") > 0.5);
         assertEquals(100, values.get("delivered_percent"));
     }
 
     @Test
-    void isTheSameForTheSameSeed() throws IOException {
+    void givesTheSameResultsForTheSameSeed() throws IOException {
         LearnFleet.Setup setup = new LearnFleet.Setup(5, 4, 2, PLAIN.with(new Limit(2, 1_000, true, false)),
             0.1, 10, true);
         Map<String, Double> values = play(setup, 7);
--- a/src/test/java/wrenkeel/scale/LineTest.java
+++ b/src/test/java/wrenkeel/scale/LinearFitTest.java
@@ -8,18 +8,18 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-final class LineTest {
+final class LinearFitTest {
     private static Measurement play(long size, int play, double value) {
         return new Measurement("list", size, play, 1, Map.of("cpu_ms", value));
     }
 
     @Test
-    void aStraightLineIsFoundAndCarriedToTheTarget() {
+    void fitsAStraightLineAndExtrapolatesItToTheTarget() {
         List<Measurement> plays = new ArrayList<>();
         for (long size : List.of(10L, 1_000L, 20_000L, 300_000L)) {
             plays.add(play(size, 0, 7 + 0.25 * size));
         }
-        Line line = Line.fit("cpu_ms", plays, 1_000_000);
+        LinearFit line = LinearFit.fit("cpu_ms", plays, 1_000_000);
         assertEquals(7, line.at0(), 1e-6);
         assertEquals(0.25, line.perUnit(), 1e-12);
         assertEquals(1, line.r2(), 1e-12);
@@ -28,13 +28,13 @@
     }
 
     @Test
-    void spreadIsTheLargestOfAnySizeAndNoiseLowersR2() {
+    void spreadIsTheLargestOfAnySizeAndNoiseLowersRSquared() {
         List<Measurement> plays = new ArrayList<>();
         for (long size = 1; size <= 4; size++) {
             plays.add(play(size, 0, 10 * size - 1));
             plays.add(play(size, 1, 10 * size + 1));
         }
-        Line line = Line.fit("cpu_ms", plays, 10);
+        LinearFit line = LinearFit.fit("cpu_ms", plays, 10);
         assertEquals(10, line.perUnit(), 1e-9);
         assertEquals(100, line.atTarget(), 1e-9);
         assertEquals(0.2, line.spread(), 1e-9);
@@ -43,19 +43,19 @@
     }
 
     @Test
-    void aValueThatDoesNotChangeIsALine() {
+    void fitsAConstantValueExactly() {
         List<Measurement> plays = List.of(play(1, 0, 0), play(2, 0, 0), play(3, 0, 0), play(4, 0, 0));
-        assertEquals(new Line("cpu_ms", 0, 0, 1, 0, 0), Line.fit("cpu_ms", plays, 9));
+        assertEquals(new LinearFit("cpu_ms", 0, 0, 1, 0, 0), LinearFit.fit("cpu_ms", plays, 9));
     }
 
     @Test
-    void threeSizesMakeNoLineHoweverManyPlays() {
+    void rejectsThreeSizesWhateverTheNumberOfPlays() {
         List<Measurement> plays = new ArrayList<>();
         for (int i = 0; i < 9; i++) {
             plays.add(play(i % 3, i / 3, i));
         }
         plays.add(new Measurement("list", 77, 0, 1, Map.of("other_ms", 1.0)));
-        assertEquals(3, Line.sizes("cpu_ms", plays));
-        assertThrows(IllegalArgumentException.class, () -> Line.fit("cpu_ms", plays, 9));
+        assertEquals(3, LinearFit.countSizes("cpu_ms", plays));
+        assertThrows(IllegalArgumentException.class, () -> LinearFit.fit("cpu_ms", plays, 9));
     }
 }
--- a/src/test/java/wrenkeel/scale/MessageIdTest.java
+++ b/src/test/java/wrenkeel/scale/MessageIdTest.java
@@ -10,13 +10,13 @@
 
 final class MessageIdTest {
     @Property
-    void readsWhatItWrites(@ForAll @LongRange(min = 0) long sequence, @ForAll long due) {
+    void parsesTheTextThatItFormats(@ForAll @LongRange(min = 0) long sequence, @ForAll long due) {
         MessageId id = new MessageId(sequence, due);
         assertEquals(id, MessageId.parse(id.text()));
     }
 
     @Test
-    void knowsTheIdsOfOthers() {
+    void parsesIdsOfOtherClientsAsNull() {
         for (String text : new String[] {null, "", "-", "9b1f03aa5c7e2d41", "1-x", "-5"}) {
             assertNull(MessageId.parse(text), text);
         }
--- a/src/test/java/wrenkeel/scale/ReportTest.java
+++ b/src/test/java/wrenkeel/scale/ReportTest.java
@@ -22,25 +22,25 @@
             new PrintStream(table, true, StandardCharsets.UTF_8));
     }
 
-    private List<Wire.Fields> written() throws IOException {
+    private List<Wire.Fields> writtenRecords() throws IOException {
         List<String> all = lines.toString(StandardCharsets.UTF_8).lines().toList();
         return Wire.decodeArray("[" + String.join(",", all) + "]");
     }
 
     @Test
-    void theHeaderAndEachPlayAreWrittenAtOnce() throws IOException {
+    void writesTheHeaderAndEachPlayImmediately() throws IOException {
         try (Report report = report()) {
-            assertEquals("header", written().get(0).text("kind"));
-            assertEquals("list --seed 5", written().get(0).text("command"));
-            assertEquals(5, written().get(0).whole("seed"));
-            assertEquals(2, written().get(0).whole("plays"));
-            assertTrue(written().get(0).whole("processors") > 0);
-            assertTrue(written().get(0).values().keySet().containsAll(List.of("load_average", "java")));
+            assertEquals("header", writtenRecords().get(0).text("kind"));
+            assertEquals("list --seed 5", writtenRecords().get(0).text("command"));
+            assertEquals(5, writtenRecords().get(0).whole("seed"));
+            assertEquals(2, writtenRecords().get(0).whole("plays"));
+            assertTrue(writtenRecords().get(0).whole("processors") > 0);
+            assertTrue(writtenRecords().get(0).values().keySet().containsAll(List.of("load_average", "java")));
             Map<String, Double> values = new LinkedHashMap<>();
             values.put("rss_mb", 53.123456789);
             values.put("cpu_ms", Double.NaN);
             report.add(new Measurement("list", 20, 1, 6, values));
-            Wire.Fields play = written().get(1);
+            Wire.Fields play = writtenRecords().get(1);
             assertEquals("play", play.text("kind"));
             assertEquals(20, play.whole("size"));
             assertEquals(1, play.whole("play"));
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void theEndHasALineForEachValueOrWhyThereIsNone() throws IOException {
+    void finishWritesAFitForEachValueOrTheReasonForNone() throws IOException {
         try (Report report = report()) {
             for (long size = 1; size <= 4; size++) {
                 report.add(new Measurement("list", size, 0, 5, size < 4
@@ -59,7 +59,7 @@
             }
             report.finish(1_000);
         }
-        List<Wire.Fields> ends = written().subList(5, 8);
+        List<Wire.Fields> ends = writtenRecords().subList(5, 8);
         for (Wire.Fields line : ends.subList(0, 2)) {
             assertEquals("line", line.text("kind"));
             if (line.text("value").equals("rss_mb")) {
--- a/src/test/java/wrenkeel/scale/TrafficExperimentTest.java
+++ b/src/test/java/wrenkeel/scale/TrafficExperimentTest.java
@@ -15,13 +15,13 @@
 
 final class TrafficExperimentTest {
     @Test
-    void theBusiestThreadIsTheOneThatSpentMost() {
-        assertEquals(70, TrafficExperiment.busiest(Map.of("1", 1_000L, "2", 10L, "3", 90L),
+    void busiestThreadIsTheOneWithTheMostProcessorTime() {
+        assertEquals(70, TrafficExperiment.busiestThreadNanos(Map.of("1", 1_000L, "2", 10L, "3", 90L),
             Map.of("1", 1_020L, "2", 50L, "4", 70L)));
     }
 
     @Test
-    void theRelayReadsTheCallsAndTenantsThatAreAskedFor(@TempDir Path folder) throws IOException {
+    void relaySettingsContainTheRequestedLimitsAndTenants(@TempDir Path folder) throws IOException {
         RelaySettings settings = RelaySettings.typical("n1").withCalls(96, 700)
             .withTenants(List.of(new RelaySettings.Tenant("a", 40)));
         Path file = folder.resolve("config.json");
@@ -34,22 +34,22 @@
     }
 
     @Test
-    void aTallyIsSettledOnceEachMessageHasMetOneEnd() {
-        Tally tally = new Tally();
+    void submissionCountsAreCompleteOnceEachMessageHasAResult() {
+        SubmissionCounts counts = new SubmissionCounts();
         int[] statuses = {200, 202, 429, 503, 504};
         for (int i = 0; i < statuses.length + 3; i++) {
-            tally.handedIn(2_000);
+            counts.recordSubmitted(2_000);
         }
         for (int status : statuses) {
-            tally.answered(status, 1_000);
+            counts.recordAnswered(status, 1_000);
         }
-        tally.noAnswer();
-        tally.brokenOff();
-        assertEquals(false, tally.settled());
-        tally.notSent();
-        assertEquals(true, tally.settled());
-        assertEquals(List.of(2L, 2L, 1L), List.of(tally.taken(), tally.refused(), tally.failed()));
-        assertEquals(1, tally.answerMillis(50), 0.01);
-        assertEquals(2, tally.lateMillis(50), 0.01);
+        counts.recordTimedOut();
+        counts.recordConnectionLost();
+        assertEquals(false, counts.isComplete());
+        counts.recordNotSent();
+        assertEquals(true, counts.isComplete());
+        assertEquals(List.of(2L, 2L, 1L), List.of(counts.accepted(), counts.refused(), counts.failed()));
+        assertEquals(1, counts.answerMillis(50), 0.01);
+        assertEquals(2, counts.submissionDelayMillis(50), 0.01);
     }
 }
--- a/src/test/java/wrenkeel/scale/ZipfSamplerTest.java
+++ b/src/test/java/wrenkeel/scale/ZipfSamplerTest.java
@@ -11,7 +11,7 @@
 
 final class ZipfSamplerTest {
     @Test
-    void sharesFallWithTheRank() {
+    void sharesDecreaseWithTheRank() {
         ZipfSampler sampler = new ZipfSampler(3, 1);
         assertEquals(6.0 / 11, sampler.share(0), 1e-9);
         assertEquals(3.0 / 11, sampler.share(1), 1e-9);
@@ -19,7 +19,7 @@
     }
 
     @Property
-    void aPointFallsToTheDestinationThatCoversIt(@ForAll @IntRange(min = 1, max = 50) int destinations,
+    void pointMapsToTheDestinationThatCoversIt(@ForAll @IntRange(min = 1, max = 50) int destinations,
                                                  @ForAll @DoubleRange(min = 0, max = 2) double exponent,
                                                  @ForAll long seed) {
         ZipfSampler sampler = new ZipfSampler(destinations, exponent);
@@ -29,11 +29,11 @@
         while (expected < destinations - 1 && before + sampler.share(expected) <= point - 1e-12) {
             before += sampler.share(expected++);
         }
-        assertEquals(expected, sampler.at(point), 1);
+        assertEquals(expected, sampler.destinationAt(point), 1);
     }
 
     @Test
-    void drawsInTheSharesOfTheDistribution() {
+    void drawsDestinationsInProportionToTheirShares() {
         ZipfSampler sampler = new ZipfSampler(100, 0.85);
         SplittableRandom random = new SplittableRandom(5);
         int first = 0;
--- a/src/test/java/wrenkeel/soak/OutageRunTest.java
+++ b/src/test/java/wrenkeel/soak/OutageRunTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.extension.ExtendWith;
 import org.junit.jupiter.api.io.TempDir;
 import wrenkeel.KnownRed;
-import wrenkeel.scale.EndpointModel.Standing;
+import wrenkeel.scale.EndpointModel.Mode;
 
 /** Real relays against one destination that has an outage and comes back cold. */
 @ExtendWith(KnownRed.class)
@@ -39,7 +39,7 @@
     @Test
     void relaysKilledInAnOutageKeepTheBudgetOfTheColdDestination() throws Exception {
         try (OutageRun run = new OutageRun(repository(),
-                new OutageRun.Plan(1, 24, 16, 20, Standing.SILENT, 6_000, 1, 1_500, true, 0))) {
+                new OutageRun.Plan(1, 24, 16, 20, Mode.SILENT, 6_000, 1, 1_500, true, 0))) {
             OutageRun.Result result = run.play();
             System.out.println("outage run: " + result);
             assertTrue(result.worst().ratio() <= 1, result.toString());
