--- a/src/main/java/wrenkeel/scale/ClientObserver.java
+++ b/src/main/java/wrenkeel/scale/ClientObserver.java
@@ -1,40 +1,43 @@
 package wrenkeel.scale;
 
-/** Hears what becomes of each message that stand-in clients hand in; on the clients' thread. */
+/**
+ * Is notified of each message that stand-in clients submit and of its result, on the clients' event loop
+ * thread.
+ */
 public interface ClientObserver {
-    /** How handing a message in can end. */
+    /** How the submission of a message ended. */
     enum Result {
-        /** Answered; the status tells how. */
+        /** The relay answered; the status says how. */
         ANSWERED,
-        /** No answer within the clients' patience. */
+        /** No answer came within the clients' timeout. */
         TIMED_OUT,
-        /** The connection ended, or never came up. */
+        /** The connection failed, or could not be established. */
         CONNECTION_LOST,
-        /** Never written: too many connections were busy. */
+        /** Not sent: the maximum number of connections was in use. */
         NOT_SENT
     }
 
-    /** Hears nothing. */
+    /** Ignores all notifications. */
     ClientObserver NONE = new ClientObserver() {
         @Override
-        public void submitted(MessageId id, Traffic.ClassShare kind, int destination) {
-            // Nobody asks.
+        public void submitted(MessageId id, Traffic.ClassShare messageClass, int destination) {
+            // Ignored.
         }
 
         @Override
-        public void submissionEnded(MessageId id, Result ending, int status, boolean written) {
-            // Nobody asks.
+        public void submissionEnded(MessageId id, Result result, int status, boolean written) {
+            // Ignored.
         }
     };
 
-    /** A message is about to be handed in. */
-    void submitted(MessageId id, Traffic.ClassShare kind, int destination);
+    /** A message is about to be sent to the relay. */
+    void submitted(MessageId id, Traffic.ClassShare messageClass, int destination);
 
     /**
-     * Its handing in has ended.
+     * The submission of a message has ended.
      *
-     * @param status HTTP status; 0 where it was not answered
-     * @param written true if its last byte had been handed to the system on the connection that ended
+     * @param status HTTP status; 0 if there was no answer
+     * @param written whether the whole request had been passed to the socket of its last connection
      */
-    void submissionEnded(MessageId id, Result ending, int status, boolean written);
+    void submissionEnded(MessageId id, Result result, int status, boolean written);
 }
--- a/src/main/java/wrenkeel/scale/CommonOptions.java
+++ b/src/main/java/wrenkeel/scale/CommonOptions.java
@@ -6,17 +6,20 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** The options that all experiments have. */
+/**
+ * The command line options that all experiments share. A play is one measurement of one size; an experiment
+ * plays each of its sizes several times.
+ */
 final class CommonOptions {
     @Spec(Spec.Target.MIXEE)
     private CommandSpec spec;
 
     @Option(names = "--sizes", split = ",", paramLabel = "N",
-        description = "Sizes to play, at least four for a line. Default: those of the experiment.")
+        description = "Sizes to measure, at least four for a linear fit. Default: those of the experiment.")
     private List<Long> sizes;
 
     @Option(names = "--plays", defaultValue = "3", paramLabel = "N",
-        description = "Plays of each size (default: ${DEFAULT-VALUE}).")
+        description = "Plays (measurements) of each size (default: ${DEFAULT-VALUE}).")
     private int plays;
 
     @Option(names = "--seed", defaultValue = "1", paramLabel = "N",
@@ -24,21 +27,24 @@
     private long seed;
 
     @Option(names = "--target", paramLabel = "N",
-        description = "Size that the lines are carried to. Default: that of the experiment.")
+        description = "Size to which the linear fits are extrapolated. Default: that of the experiment.")
     private Long target;
 
-    @Option(names = "--out", paramLabel = "FILE", description = "Also write the results here, as JSON lines.")
+    @Option(names = "--out", paramLabel = "FILE",
+        description = "Also write the results to this file, as JSON lines.")
     private Path outputFile;
 
     @Option(names = "--root", defaultValue = ".", paramLabel = "DIR",
-        description = "The repository's root, built, with deploy/balancer.toml (default: ${DEFAULT-VALUE}).")
+        description = "Root of the repository, with deploy/balancer.toml and a finished build "
+            + "(default: ${DEFAULT-VALUE}).")
     private Path root;
 
     @Option(names = "--most-seconds", defaultValue = "900", paramLabel = "N",
-        description = "The whole run ends with an error after so long (default: ${DEFAULT-VALUE}).")
+        description = "Time limit of the whole run, which then ends with an error "
+            + "(default: ${DEFAULT-VALUE}).")
     private long maxSeconds;
 
-    /** The sizes asked for, or else these. */
+    /** The sizes from the command line, or these if there are none. */
     List<Long> sizes(Long... defaultValue) {
         return sizes == null ? List.of(defaultValue) : List.copyOf(sizes);
     }
@@ -47,16 +53,17 @@
         return plays;
     }
 
-    /** The seed of one play, counted from 0. */
+    /** The seed of one play; plays are counted from 0. */
     long seed(int play) {
         return seed + play;
     }
 
+    /** The target size from the command line, or this one if there is none. */
     long target(long defaultValue) {
         return target == null ? defaultValue : target;
     }
 
-    /** Null where none is asked for. */
+    /** The file to which results are written too; null if there is none. */
     Path outputFile() {
         return outputFile;
     }
@@ -69,7 +76,7 @@
         return maxSeconds;
     }
 
-    /** The arguments as given, from {@code scale} on. */
+    /** The original command line arguments, starting with {@code scale}. */
     String commandLine() {
         return String.join(" ", spec.root().commandLine().getParseResult().originalArgs());
     }
--- a/src/main/java/wrenkeel/scale/Deliveries.java
+++ b/src/main/java/wrenkeel/scale/Deliveries.java
@@ -4,50 +4,59 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Which messages of one measured span have reached their destination, and how late. Counted at the
- * destinations, by any thread; only messages from {@code firstSequence} on count, and once {@link #endBefore} is called
- * only those before its number.
+ * Records which messages of one measurement reached their destination, and with what delay. Only messages
+ * whose sequence number is at least {@code firstSequence} and, after {@link #endBefore}, below its argument
+ * are counted. The destinations report from any of their threads; all methods are thread-safe.
  */
 final class Deliveries implements CallObserver {
-    /** us; the longest time told apart, far past any message's life. */
+    /**
+     * Upper bound of the histograms, far above the lifetime of any message; longer times are recorded as
+     * this.
+     */
     private static final long MAX_LATENCY_MICROS = 3_600_000_000L;
 
     private final long firstSequence;
     private long endSequence = Long.MAX_VALUE;
-    private final BitSet calledMessages = new BitSet(), deliveredMessages = new BitSet();
+    /** Messages, by their offset from the first one, of which a destination received a call. */
+    private final BitSet calledMessages = new BitSet();
+    /** Messages, by their offset from the first one, that a destination accepted. */
+    private final BitSet deliveredMessages = new BitSet();
     private long duplicates;
-    private final Histogram callLatency = new Histogram(MAX_LATENCY_MICROS, 3), deliveryLatency = new Histogram(MAX_LATENCY_MICROS, 3);
-
-    /** {@code firstSequence}: sequence number of the first message that counts. */
-    Deliveries(long first) {
-        this.firstSequence = first;
+    /** Microseconds from a message's due time to the last byte of its first call. */
+    private final Histogram callLatency = new Histogram(MAX_LATENCY_MICROS, 3);
+    /** Microseconds from a message's due time to the response that accepted it first. */
+    private final Histogram deliveryLatency = new Histogram(MAX_LATENCY_MICROS, 3);
+
+    /** {@code firstSequence}: sequence number of the first message that is counted. */
+    Deliveries(long firstSequence) {
+        this.firstSequence = firstSequence;
     }
 
-    /** Messages from this sequence number on no longer count. */
+    /** Stops counting messages with this or a higher sequence number. */
     synchronized void endBefore(long sequence) {
         endSequence = sequence;
     }
 
     @Override
-    public void callReceived(int endpoint, MessageId id, EndpointModel.Response verdict, long nowNanos) {
-        called(id, nowNanos);
+    public void callReceived(int endpoint, MessageId id, EndpointModel.Response response, long nowNanos) {
+        recordCall(id, nowNanos);
     }
 
     @Override
     public void messageDelivered(int endpoint, MessageId id, long nowNanos) {
-        delivered(id, nowNanos);
+        recordDelivery(id, nowNanos);
     }
 
-    /** The last byte of a call with the message has come; the first such call is timed. */
-    synchronized void called(MessageId id, long nowNanos) {
+    /** Records that the last byte of a call with the message was received; only the first call is timed. */
+    synchronized void recordCall(MessageId id, long nowNanos) {
         if (isCounted(id) && !calledMessages.get(indexOf(id))) {
             calledMessages.set(indexOf(id));
             callLatency.recordValue(latencyMicros(id, nowNanos));
         }
     }
 
-    /** The message is answered with 200, or as accepted in a bundle's answer. */
-    synchronized void delivered(MessageId id, long nowNanos) {
+    /** Records that the message was accepted, by status 200 or in the response to a batch. */
+    synchronized void recordDelivery(MessageId id, long nowNanos) {
         if (!isCounted(id)) {
             return;
         }
@@ -72,27 +81,27 @@
         return Math.min(MAX_LATENCY_MICROS, Math.max(0, (nowNanos - id.dueNanos()) / 1_000));
     }
 
-    /** Messages delivered at least once. */
+    /** Number of messages delivered at least once. */
     synchronized long deliveredCount() {
         return deliveredMessages.cardinality();
     }
 
-    /** Messages that were called for at least once. */
+    /** Number of messages that arrived in at least one call. */
     synchronized long calledCount() {
         return calledMessages.cardinality();
     }
 
-    /** Deliveries beyond a message's first. */
+    /** Number of deliveries beyond the first one of each message. */
     synchronized long duplicates() {
         return duplicates;
     }
 
-    /** ms from when a message was due until the last byte of its first call, at this percentile. */
+    /** Milliseconds from a message's due time to the last byte of its first call, at this percentile. */
     synchronized double callMillis(double percentile) {
         return callLatency.getValueAtPercentile(percentile) / 1e3;
     }
 
-    /** ms from when a message was due until its delivery was answered, at this percentile. */
+    /** Milliseconds from a message's due time to the response that accepted it, at this percentile. */
     synchronized double deliveryMillis(double percentile) {
         return deliveryLatency.getValueAtPercentile(percentile) / 1e3;
     }
--- a/src/main/java/wrenkeel/scale/EndpointModel.java
+++ b/src/main/java/wrenkeel/scale/EndpointModel.java
@@ -3,65 +3,84 @@
 import java.util.SplittableRandom;
 
 /**
- * How one endpoint answers calls: after a latency, within a limit on calls per span, cold after an outage. It
- * opens no socket and reads no clock; times are nanoseconds of one clock that does not go back. One thread.
+ * Models how one endpoint answers calls: with a random latency, a limit on calls per time window, and
+ * reduced capacity after an outage (cold start). It opens no socket and reads no clock; callers pass the
+ * time in nanoseconds of a clock that never goes back. Not thread-safe.
  */
 public final class EndpointModel {
-    /** What an endpoint does with calls. */
+    /** How an endpoint treats calls. */
     public enum Mode {
-        /** Answers them. */ SERVING,
-        /** Takes them and stays silent. */ SILENT,
-        /** Has no listener. */ REFUSING,
-        /** Answers 500 at once. */ FAILING,
-        /** Answers 503 at once. */ UNAVAILABLE
+        /** Answers calls, within its limit. */ SERVING,
+        /** Accepts connections and calls, but never answers. */ SILENT,
+        /** Refuses connections: it has no listener. */ REFUSING,
+        /** Answers 500 immediately. */ FAILING,
+        /** Answers 503 immediately. */ UNAVAILABLE
     }
 
     /**
+     * The properties of an endpoint.
+     *
      * @param medianMicros median time from a call's last byte to its answer
      * @param sigma standard deviation of that time's logarithm; 0 for a fixed time
+     * @param limit on accepted calls
+     * @param coldStart reduced capacity after an outage
      */
     public record Behaviour(long medianMicros, double sigma, Limit limit, ColdStart coldStart) {
-        /** An endpoint without a limit that answers after a time of this median. */
+        /** An endpoint without limit or cold start; parameters as in the record. */
         public static Behaviour unlimited(long medianMicros, double sigma) {
             return new Behaviour(medianMicros, sigma, Limit.NONE, ColdStart.NONE);
         }
 
+        /** A copy with this limit. */
         public Behaviour with(Limit other) {
             return new Behaviour(medianMicros, sigma, other, coldStart);
         }
 
+        /** A copy with this cold start. */
         public Behaviour with(ColdStart other) {
             return new Behaviour(medianMicros, sigma, limit, other);
         }
     }
 
     /**
-     * @param callsPerWindow taken in each span; 0 for no limit
-     * @param windowMillis length of a span
-     * @param sendsRetryAfter refused calls get 429 with Retry-After until the span's end, else 503
-     * @param countsRefusedCalls refused calls use up the next span's limit as if they had been taken
+     * A limit on accepted calls in consecutive time windows of fixed length.
+     *
+     * @param callsPerWindow calls accepted in each window; 0 for no limit
+     * @param windowMillis length of a window
+     * @param sendsRetryAfter whether refused calls get 429 with Retry-After up to the window's end;
+     *     else they get 503
+     * @param countsRefusedCalls whether refused calls reduce the next window's limit as accepted calls
+     *     would
      */
-    public record Limit(double callsPerWindow, long windowMillis, boolean sendsRetryAfter, boolean countsRefusedCalls) {
+    public record Limit(double callsPerWindow, long windowMillis, boolean sendsRetryAfter,
+                        boolean countsRefusedCalls) {
         static final Limit NONE = new Limit(0, 1_000, false, false);
     }
 
     /**
-     * After an outage an endpoint bears less, and falls again under too many calls, refused ones counted.
+     * Reduced capacity after an outage. During the cold start the endpoint collapses, that is, begins
+     * another outage, under too many calls, refused ones included.
      *
-     * @param initialShare share of the limit that is left right after an outage, 0 to 1
-     * @param durationMillis time after an outage in which the limit grows back to all of it
-     * @param collapseMultiple of what it bears, over which it falls; 0 for never
-     * @param collapseWindowMillis span over which its calls are counted for that
-     * @param collapseMillis length of the outage that a fall begins; it takes calls and stays silent
+     * @param initialShare share of the limit that is available directly after an outage, 0 to 1
+     * @param durationMillis time after an outage in which the limit grows linearly back to its full
+     *     value
+     * @param collapseMultiple multiple of the current limit above which the endpoint collapses; 0 for
+     *     never
+     * @param collapseWindowMillis window in which calls are counted for {@code collapseMultiple}
+     * @param collapseMillis length of the outage after a collapse, in which it accepts calls and never
+     *     answers
      */
-    public record ColdStart(double initialShare, long durationMillis, double collapseMultiple, long collapseWindowMillis, long collapseMillis) {
+    public record ColdStart(double initialShare, long durationMillis, double collapseMultiple,
+                            long collapseWindowMillis, long collapseMillis) {
         static final ColdStart NONE = new ColdStart(1, 0, 0, 1_000, 0);
     }
 
     /**
-     * @param status HTTP status; 0 for silence
+     * The answer to a call.
+     *
+     * @param status HTTP status; 0 for no answer
      * @param delayNanos time until the answer is written
-     * @param retryAfterMillis wait to be told with it; 0 for none
+     * @param retryAfterMillis value of Retry-After; 0 for none
      */
     public record Response(int status, long delayNanos, long retryAfterMillis) { }
 
@@ -71,9 +90,19 @@
     private final SplittableRandom random;
     private Behaviour behaviour;
     private Mode mode = Mode.SERVING;
-    private boolean hadOutage, collapsed;
-    private long outageEndedAt, windowStart, refusingUntil, collapseWindowStart, collapsedUntil, collapses;
-    private double usedInWindow, callsInCollapseWindow;
+    private boolean hadOutage;
+    /** Whether the current outage is the result of a collapse. */
+    private boolean collapsed;
+    private long outageEndedAt;
+    private long windowStart;
+    /** Until this time all calls are refused with Retry-After; see {@link #refuseUntil}. */
+    private long refusingUntil;
+    private long collapseWindowStart;
+    private long collapsedUntil;
+    private long collapses;
+    /** Calls that count against the limit of the current window. */
+    private double usedInWindow;
+    private double callsInCollapseWindow;
 
     EndpointModel(Behaviour behaviour, long seed) {
         this.behaviour = behaviour;
@@ -84,17 +113,17 @@
         return mode;
     }
 
-    /** How often it has fallen under too many calls while it was cold. */
+    /** Number of collapses under too many calls during a cold start. */
     long collapses() {
         return collapses;
     }
 
-    /** Other figures hold from the next call on. */
+    /** Sets the properties that apply from the next call on. */
     void setBehaviour(Behaviour next) {
         behaviour = next;
     }
 
-    /** Back from an outage it is cold. */
+    /** Sets the mode; a change from any outage to {@code SERVING} begins a cold start. */
     void setMode(Mode next, long now) {
         collapsed = false;
         if (next == Mode.SERVING && mode != Mode.SERVING) {
@@ -104,12 +133,15 @@
         mode = next;
     }
 
-    /** Turns calls away until then and tells them to wait so long: a wait that is no limit's. */
+    /**
+     * Refuses calls until the given time with 429 and Retry-After up to that time, independently of the
+     * limit.
+     */
     void refuseUntil(long until) {
         refusingUntil = until;
     }
 
-    /** What becomes of a call whose last byte comes now. */
+    /** Returns the answer to a call whose last byte is received at {@code now}. */
     Response handleCall(long now) {
         if (collapsed && now >= collapsedUntil) {
             setMode(Mode.SERVING, collapsedUntil);
@@ -131,7 +163,8 @@
         }
         if (limit.callsPerWindow > 0 && usedInWindow + 1 > callsPerWindowAt(now)) {
             usedInWindow += limit.countsRefusedCalls ? 1 : 0;
-            return limit.sendsRetryAfter ? new Response(429, 0, toMillisRoundedUp(windowStart + windowNanos - now))
+            return limit.sendsRetryAfter
+                ? new Response(429, 0, toMillisRoundedUp(windowStart + windowNanos - now))
                 : new Response(503, 0, 0);
         }
         usedInWindow++;
@@ -143,28 +176,31 @@
         return hadOutage && now - outageEndedAt < behaviour.coldStart.durationMillis * NANOS_PER_MS;
     }
 
-    /** Calls that a span takes at this time. */
+    /** Calls that a window accepts at this time. */
     private double callsPerWindowAt(long now) {
         if (!isCold(now)) {
             return behaviour.limit.callsPerWindow;
         }
         ColdStart coldStart = behaviour.coldStart;
-        double share = coldStart.initialShare + (1 - coldStart.initialShare) * (now - outageEndedAt) / (coldStart.durationMillis * NANOS_PER_MS);
+        double share = coldStart.initialShare + (1 - coldStart.initialShare) * (now - outageEndedAt)
+            / (coldStart.durationMillis * NANOS_PER_MS);
         return Math.max(1, behaviour.limit.callsPerWindow * share);
     }
 
-    /** Counts a call; true where it is the one too many, with which the endpoint falls. */
+    /** Counts a call during a cold start; returns true if the endpoint collapses with this call. */
     private boolean collapsesWithCall(long now) {
         ColdStart coldStart = behaviour.coldStart;
         if (coldStart.collapseMultiple <= 0 || behaviour.limit.callsPerWindow <= 0 || !isCold(now)) {
             return false;
         }
-        if (now - collapseWindowStart >= coldStart.collapseWindowMillis * NANOS_PER_MS || collapseWindowStart < outageEndedAt) {
+        if (now - collapseWindowStart >= coldStart.collapseWindowMillis * NANOS_PER_MS
+            || collapseWindowStart < outageEndedAt) {
             collapseWindowStart = now;
             callsInCollapseWindow = 0;
         }
         callsInCollapseWindow++;
-        double maxCalls = coldStart.collapseMultiple * callsPerWindowAt(now) * coldStart.collapseWindowMillis / behaviour.limit.windowMillis;
+        double maxCalls = coldStart.collapseMultiple * callsPerWindowAt(now) * coldStart.collapseWindowMillis
+            / behaviour.limit.windowMillis;
         if (callsInCollapseWindow <= maxCalls) {
             return false;
         }
@@ -179,7 +215,7 @@
         return (nanos + NANOS_PER_MS - 1) / NANOS_PER_MS;
     }
 
-    /** One draw of a normal distribution (Box and Muller). */
+    /** Draws from the standard normal distribution (Box-Muller transform). */
     private double gaussian() {
         return Math.sqrt(-2 * Math.log(1 - random.nextDouble()))
             * Math.cos(2 * Math.PI * random.nextDouble());
--- a/src/main/java/wrenkeel/scale/LearnExperiment.java
+++ b/src/main/java/wrenkeel/scale/LearnExperiment.java
@@ -13,13 +13,14 @@
 import wrenkeel.Wire;
 
 /**
- * What a fleet finds out about destinations by its own calls, by the number of relays that share the same
- * traffic. The relays' decisions are the real ones, everything round them is modelled in this process ({@link
- * LearnFleet}). The destinations' limits, outages and cold returns are assumptions, and options.
+ * Measures what the relays of a fleet learn about destinations from their own calls, depending on the
+ * number of relays that share the same traffic. Each relay runs the real decision module; everything around
+ * it is simulated in this process ({@link LearnFleet}). The destinations' limits, outages and cold starts
+ * are assumptions; limits and outages can be set by options.
  */
 @Command(name = "learn", mixinStandardHelpOptions = true,
-    description = "Many relays' decisions on a virtual clock: refused calls, cold falls, copies, what is "
-        + "known.")
+    description = "Many decision modules on a virtual clock: refused calls, collapses after outages, copies, "
+        + "and what the relays know.")
 final class LearnExperiment implements Callable<Integer> {
     @Mixin
     private CommonOptions options;
@@ -29,24 +30,24 @@
     private int destinations;
 
     @Option(names = "--rate", defaultValue = "1.842", paramLabel = "X",
-        description = "Events a second for each destination, over all relays (default: ${DEFAULT-VALUE}).")
+        description = "Messages per second to each destination, over all relays (default: ${DEFAULT-VALUE}).")
     private double messageRate;
 
     @Option(names = "--limit", defaultValue = "3.9", paramLabel = "X",
-        description = "Calls a second that a destination takes, counted over 2 s (default: "
+        description = "Calls per second that a destination accepts, counted over 2 s (default: "
             + "${DEFAULT-VALUE}).")
     private double callsPerSecond;
 
     @Option(names = "--tells-wait", defaultValue = "true", negatable = true, fallbackValue = "true",
-        description = "Refused calls are told to wait (default: ${DEFAULT-VALUE}).")
+        description = "Destinations send Retry-After with refused calls (default: ${DEFAULT-VALUE}).")
     private boolean sendsRetryAfter;
 
     @Option(names = "--keep-all",
-        description = "The module is told of all destinations at the start and releases none.")
+        description = "Introduce all destinations to the relays at the start, and never release one.")
     private boolean keepAll;
 
     @Option(names = "--down", defaultValue = "0.013", paramLabel = "X",
-        description = "Part of the time that a destination is out (default: ${DEFAULT-VALUE}).")
+        description = "Share of the time that a destination has an outage (default: ${DEFAULT-VALUE}).")
     private double outageShare;
 
     @Option(names = "--outage-seconds", defaultValue = "30", paramLabel = "N",
@@ -54,11 +55,11 @@
     private double outageSeconds;
 
     @Option(names = "--warm-up-seconds", defaultValue = "300", paramLabel = "N",
-        description = "Virtual time before the play (default: ${DEFAULT-VALUE}).")
+        description = "Virtual time before the measurement (default: ${DEFAULT-VALUE}).")
     private long warmUpSeconds;
 
     @Option(names = "--play-seconds", defaultValue = "1200", paramLabel = "N",
-        description = "Virtual time measured (default: ${DEFAULT-VALUE}).")
+        description = "Virtual time of the measurement (default: ${DEFAULT-VALUE}).")
     private long playSeconds;
 
     @Override
@@ -74,8 +75,8 @@
             for (int play = 0; play < options.plays(); play++) {
                 for (long relays : options.sizes(10L, 100L, 500L, 1_000L, 2_300L)) {
                     int count = Math.toIntExact(relays);
-                    LearnFleet.Setup setup = new LearnFleet.Setup(count, destinations, messageRate, behaviour, outageShare,
-                        outageSeconds, !keepAll);
+                    LearnFleet.Setup setup = new LearnFleet.Setup(count, destinations, messageRate, behaviour,
+                        outageShare, outageSeconds, !keepAll);
                     LearnFleet fleet = new LearnFleet(setup, relaySettings(count), options.seed(play));
                     report.add(new Measurement("learn", relays, play, options.seed(play),
                         fleet.play(warmUpSeconds, playSeconds)));
@@ -86,7 +87,7 @@
         return 0;
     }
 
-    /** Those that a real relay would read. */
+    /** The settings that a real relay of a fleet of this size would read from its configuration file. */
     static Relay.Settings relaySettings(int relays) throws IOException {
         Path file = Files.createTempFile("scale-learn", ".json");
         try {
--- a/src/main/java/wrenkeel/scale/LearnFleet.java
+++ b/src/main/java/wrenkeel/scale/LearnFleet.java
@@ -15,31 +15,35 @@
 import wrenkeel.scale.EndpointModel.Mode;
 
 /**
- * Many relays' decisions against modelled destinations, on a virtual clock in microseconds: no sockets, no
- * journal, no list that changes. Messages come at random times to a relay drawn at random; a client that is
- * refused does not come again. One thread.
+ * Simulates the decision modules of many relays against modelled destinations, on a virtual clock in
+ * microseconds: no sockets, no journal, and a host list that never changes. Messages arrive at random times
+ * at a random relay; a refused message is not submitted again. Not thread-safe.
  */
 final class LearnFleet {
-    /** us; one way between a relay and a destination. */
+    /** Network latency one way between a relay and a destination. */
     private static final long ONE_WAY_MICROS = 10_000;
     private static final long SECOND_MICROS = 1_000_000;
-    /** Answers from which on a relay goes by what it knows of a destination, as the module has it. */
+    /** Number of answers from which on the decision module relies on its own data about a destination. */
     private static final int MIN_ANSWERS_KNOWN = 8;
 
     /**
-     * @param relays in the fleet
-     * @param destinations each with two endpoints that share one limit
-     * @param messageRate messages a second for each, over all relays
+     * The fleet, its traffic and its destinations.
+     *
+     * @param relays number of relays
+     * @param destinations number of destinations, each with two endpoints that share one limit
+     * @param messageRate messages per second to each destination, over all relays
      * @param behaviour of each destination
-     * @param outageShare part of the time that a destination is out, 0 to 1
-     * @param outageSeconds mean length of an outage, half of them silent, half refusing connections
-     * @param releasesDestinations as the real relay has it: the module is told of a destination before a message for it,
-     *     and releases it when nothing rests on it; else it is told of all at the start and keeps them
+     * @param outageShare share of the time that a destination has an outage, 0 to 1
+     * @param outageSeconds mean length of an outage; half of the outages are silent, half refuse
+     *     connections
+     * @param releasesDestinations if true, as in a real relay: a destination is introduced to the
+     *     module before a message for it, and released when no state depends on it; if false, all
+     *     destinations are introduced at the start and kept
      */
     record Setup(int relays, int destinations, double messageRate, EndpointModel.Behaviour behaviour,
                  double outageShare, double outageSeconds, boolean releasesDestinations) { }
 
-    /** Something due at a time; what is due at one time keeps its order. */
+    /** A task that is due at a virtual time; tasks due at the same time keep their order. */
     private record ScheduledTask(long time, long order, Runnable task) implements Comparable<ScheduledTask> {
         @Override
         public int compareTo(ScheduledTask other) {
@@ -47,8 +51,10 @@
         }
     }
 
+    /** A modelled destination; both of its endpoints share the model. */
     private static final class Destination {
         final EndpointModel model;
+        /** Start of the current outage; -1 while there is none. */
         long outageStart = -1;
 
         Destination(EndpointModel model) {
@@ -56,21 +62,26 @@
         }
     }
 
+    /** A message held by a relay. */
     private static final class Message {
         final int destination;
-        final long submittedAt, aim;
+        final long submittedAt;
+        /** Time by which a delivery has its full worth. */
+        final long aim;
+        /** Whether the message is part of the measurement. */
         final boolean isCounted;
         final List<Attempt> attempts = new ArrayList<>();
         boolean ended;
 
-        Message(int destination, long due, long aim, boolean counts) {
+        Message(int destination, long submittedAt, long aim, boolean isCounted) {
             this.destination = destination;
-            this.submittedAt = due;
+            this.submittedAt = submittedAt;
             this.aim = aim;
-            this.isCounted = counts;
+            this.isCounted = isCounted;
         }
     }
 
+    /** One call that carries the message. */
     private static final class Attempt {
         final Message message;
         final String id;
@@ -78,20 +89,22 @@
         final long endpoint, sentAt;
         boolean ended;
 
-        Attempt(Message message, String id, long endpoint, long sent) {
+        Attempt(Message message, String id, long endpoint, long sentAt) {
             this.message = message;
             this.id = id;
             number = message.attempts.size();
             this.endpoint = endpoint;
-            this.sentAt = sent;
+            this.sentAt = sentAt;
         }
     }
 
-    /** One relay: its module, and the messages that it holds. */
+    /** One relay: its decision module and the messages that it holds. */
     private final class ModelledRelay {
         final Control control;
         final Map<String, Message> messages = new HashMap<>();
+        /** Destinations that the module knows; used only if {@link Setup#releasesDestinations}. */
         final Set<Long> introducedDestinations = new HashSet<>();
+        /** Calls answered with status 200 during the measurement. */
         final int[] answersByDestination = new int[setup.destinations()];
         long wakeAt = Long.MAX_VALUE;
 
@@ -99,6 +112,7 @@
             control = new Control(seed, settings);
         }
 
+        /** Passes events to the module and carries out the actions that it returns. */
         void handleEvents(Relay.Event... events) {
             for (Relay.Action action : control.turn(now, List.of(events))) {
                 carryOut(action);
@@ -140,6 +154,7 @@
             }
         }
 
+        /** Marks a message as refused or failed and counts it in {@code end}. */
         private void endMessage(String id, long[] end) {
             Message message = messages.get(id);
             if (message != null && !message.ended) {
@@ -165,6 +180,7 @@
             schedule(now + send.timeout(), () -> endAttempt(attempt, Relay.Outcome.TIMEOUT, 0));
         }
 
+        /** The call of this attempt arrives at its destination. */
         private void reachDestination(Attempt attempt) {
             Destination destination = destinations.get(attempt.message.destination);
             if (isMeasuring() && destination.outageStart >= 0) {
@@ -172,15 +188,18 @@
             }
             EndpointModel.Response response = destination.model.handleCall(now * 1_000);
             if (response.status() == 200) {
-                schedule(now + response.delayNanos() / 1_000 + ONE_WAY_MICROS, () -> endAttempt(attempt, Relay.Outcome.OK, 0));
+                schedule(now + response.delayNanos() / 1_000 + ONE_WAY_MICROS,
+                    () -> endAttempt(attempt, Relay.Outcome.OK, 0));
             } else if (response.status() != 0) {
                 totals.refusedCalls += isMeasuring() ? 1 : 0;
-                schedule(now + ONE_WAY_MICROS, () -> endAttempt(attempt, Relay.Outcome.FULL, response.retryAfterMillis() * 1_000));
+                schedule(now + ONE_WAY_MICROS,
+                    () -> endAttempt(attempt, Relay.Outcome.FULL, response.retryAfterMillis() * 1_000));
             } else if (destination.model.mode() == Mode.REFUSING) {
                 schedule(now + ONE_WAY_MICROS, () -> endAttempt(attempt, Relay.Outcome.CONNECT_FAILED, 0));
             }
         }
 
+        /** Reports the outcome of an attempt to the module; an attempt has only one outcome. */
         private void endAttempt(Attempt attempt, Relay.Outcome outcome, long wait) {
             if (attempt.ended) {
                 return;
@@ -200,6 +219,7 @@
             removeIfEnded(attempt.id, message);
         }
 
+        /** Drops a message that has ended and has no open attempt. */
         private void removeIfEnded(String id, Message message) {
             if (message.ended && message.attempts.stream().allMatch(attempt -> attempt.ended)) {
                 messages.remove(id);
@@ -207,9 +227,15 @@
         }
     }
 
-    /** Counts of the measured span. An end is an array so that it can be handed on. */
+    /**
+     * Totals of the measurement. Two counters are arrays of length one so that they can be passed by
+     * reference.
+     */
     private static final class Totals {
-        final long[] refusedMessages = new long[1], failedMessages = new long[1];
+        /** Messages that the module refused. */
+        final long[] refusedMessages = new long[1];
+        /** Messages that the module gave up as failed. */
+        final long[] failedMessages = new long[1];
         final Histogram callLatency = new Histogram(3_600 * SECOND_MICROS, 3);
         long messages, calls, copies, refusedCalls, callsDuringOutage, delivered, inAim, outages, released;
         double outageSeconds;
@@ -222,9 +248,14 @@
     private final List<Destination> destinations = new ArrayList<>();
     private final PriorityQueue<ScheduledTask> scheduledTasks = new PriorityQueue<>();
     private final Totals totals = new Totals();
-    private long now, nextOrder, nextMessageId, measureStart = Long.MAX_VALUE, measureEnd, countEnd, collapsesBefore;
-
-    /** {@code settings}: those of each relay, told of as many relays as the setup has. */
+    private long now, nextOrder, nextMessageId;
+    private long measureStart = Long.MAX_VALUE, measureEnd;
+    /** Messages submitted from this time on are not counted. */
+    private long countEnd;
+    /** Collapses of all destinations before the measurement. */
+    private long collapsesBefore;
+
+    /** {@code settings}: settings of each relay; their number of relays must be that of the setup. */
     LearnFleet(Setup setup, Relay.Settings settings, long seed) {
         this.setup = setup;
         this.settings = settings;
@@ -248,12 +279,13 @@
         }
     }
 
+    /** The two endpoints of a destination. */
     private static List<Relay.Endpoint> endpoints(long destination) {
         return List.of(new Relay.Endpoint(2 * destination, 0, 0, destination, Relay.Listing.READY, 1),
             new Relay.Endpoint(2 * destination + 1, 0, 0, destination, Relay.Listing.READY, 1));
     }
 
-    /** Once a second, as the real relay does. */
+    /** Asks each module once a second to release destinations, as the real relay does. */
     private void scheduleRelease() {
         schedule(now + SECOND_MICROS, () -> {
             for (ModelledRelay relay : relays) {
@@ -265,6 +297,7 @@
         });
     }
 
+    /** Runs a task at a virtual time. */
     private void schedule(long time, Runnable task) {
         scheduledTasks.add(new ScheduledTask(time, nextOrder++, task));
     }
@@ -273,12 +306,14 @@
         return now >= measureStart && now < measureEnd;
     }
 
-    /** Lets time pass for the warm-up, then measures; values have their units in their names. */
+    /**
+     * Runs the warm-up, then the measurement; returns the measured values, whose names contain their units.
+     */
     Map<String, Double> play(long warmUpSeconds, long seconds) {
         advance(warmUpSeconds * SECOND_MICROS);
         measureStart = now;
         measureEnd = now + seconds * SECOND_MICROS;
-        // Messages that come later may not have met their end when the play is over.
+        // Messages submitted later may not have ended when the measurement ends.
         long longest = settings.classes().stream().mapToLong(Relay.MessageClass::life).max().orElseThrow();
         countEnd = measureEnd - longest;
         collapsesBefore = countCollapses();
@@ -286,6 +321,7 @@
         return values(seconds);
     }
 
+    /** Runs all tasks due within the given time and moves the clock forward by it. */
     private void advance(long span) {
         long until = now + span;
         while (!scheduledTasks.isEmpty() && scheduledTasks.peek().time() < until) {
@@ -320,7 +356,8 @@
             totals.calls / (setup.messageRate() * setup.destinations() * seconds));
         values.put("refused_calls_percent", 100.0 * totals.refusedCalls / Math.max(1, totals.calls));
         values.put("copies_percent", 100.0 * totals.copies / Math.max(1, totals.calls));
-        values.put("calls_per_s_out", totals.outageSeconds == 0 ? 0 : totals.callsDuringOutage / totals.outageSeconds);
+        values.put("calls_per_s_out", totals.outageSeconds == 0 ? 0
+            : totals.callsDuringOutage / totals.outageSeconds);
         values.put("falls_per_outage", totals.outages == 0 ? 0
             : (double) (countCollapses() - collapsesBefore) / totals.outages);
         values.put("outages", (double) totals.outages);
@@ -333,7 +370,7 @@
         return values;
     }
 
-    /** Arranges the next message of the fleet. */
+    /** Schedules the next message of the fleet, and with it all further ones. */
     private void scheduleNextMessage() {
         double rate = setup.messageRate() * setup.destinations();
         schedule(now + StandInClients.exponentialGapNanos(random, rate) / 1_000, () -> {
@@ -342,6 +379,7 @@
         });
     }
 
+    /** Submits a message of a random class for a random destination to a random relay. */
     private void submitMessage() {
         ModelledRelay relay = relays.get(random.nextInt(relays.size()));
         int destination = random.nextInt(setup.destinations());
@@ -354,7 +392,7 @@
         relay.accept(new Relay.Accepted(id, number, 0, null, now + messageClass.life(), destination));
     }
 
-    /** Arranges the next outage of a destination, and the one after that. */
+    /** Schedules the next outage of a destination, and with its end all further ones. */
     private void scheduleOutage(int number) {
         if (setup.outageShare() <= 0) {
             return;
@@ -364,7 +402,8 @@
             Destination destination = destinations.get(number);
             destination.model.setMode(random.nextBoolean() ? Mode.SILENT : Mode.REFUSING, now * 1_000);
             destination.outageStart = now;
-            schedule(now + StandInClients.exponentialGapNanos(random, 1 / setup.outageSeconds()) / 1_000, () -> {
+            schedule(now + StandInClients
+                .exponentialGapNanos(random, 1 / setup.outageSeconds()) / 1_000, () -> {
                 destination.model.setMode(Mode.SERVING, now * 1_000);
                 if (isMeasuring()) {
                     totals.outages++;
--- a/src/main/java/wrenkeel/scale/LinearFit.java
+++ b/src/main/java/wrenkeel/scale/LinearFit.java
@@ -6,30 +6,34 @@
 import java.util.TreeMap;
 
 /**
- * The straight line through one value over all plays of all sizes, by least squares. {@code at0} and {@code
- * atTarget} are in the value's unit, {@code perUnit} in that a unit of size; {@code r2} is the share of the
- * variance that the line explains; {@code spread} is the largest (max - min) / mean over the plays of one
- * size.
+ * Least-squares linear fit of one value over the sizes of all plays.
+ *
+ * @param value name of the value
+ * @param at0 the fit at size 0, in the value's unit
+ * @param perUnit slope: change of the value per unit of size
+ * @param r2 share of the variance that the fit explains
+ * @param atTarget the fit extrapolated to the target size, in the value's unit
+ * @param spread the largest (max - min) / mean over the plays of one size
  */
 record LinearFit(String value, double at0, double perUnit, double r2, double atTarget, double spread) {
-    /** Fewer sizes make no line. */
+    /** Minimum number of sizes for a fit. */
     static final int MIN_SIZES = 4;
 
-    /** How many sizes have this value. */
+    /** Number of sizes for which this value was measured. */
     static int countSizes(String value, List<Measurement> plays) {
         return bySize(value, plays).size();
     }
 
     /**
-     * Plays without the value are left out.
+     * Fits the value; plays without it are left out.
      *
-     * @throws IllegalArgumentException if fewer than four sizes have it
+     * @throws IllegalArgumentException if fewer than {@link #MIN_SIZES} sizes have the value
      */
     static LinearFit fit(String value, List<Measurement> plays, long target) {
         Map<Long, List<Double>> bySize = bySize(value, plays);
         if (bySize.size() < MIN_SIZES) {
-            throw new IllegalArgumentException("no line for " + value + ": " + bySize.size()
-                + " sizes have it, " + MIN_SIZES + " are needed");
+            throw new IllegalArgumentException("no linear fit for " + value + ": measured at " + bySize.size()
+                + " sizes, at least " + MIN_SIZES + " are needed");
         }
         double count = 0;
         double meanX = 0;
--- a/src/main/java/wrenkeel/scale/MessageId.java
+++ b/src/main/java/wrenkeel/scale/MessageId.java
@@ -1,18 +1,19 @@
 package wrenkeel.scale;
 
 /**
- * What the stand-in clients write into {@code X-Request-ID}. Relays pass it on unchanged, so a destination
- * can tell from it alone which message came and how late.
+ * The message id that stand-in clients send in {@code X-Request-ID}. Relays forward it unchanged, so a
+ * destination can derive from it which message arrived and with what delay.
  *
- * @param sequence place among all messages of the run, from 0, in the order in which they were due
- * @param dueNanos when it was to be handed in, by {@link System#nanoTime}
+ * @param sequence number of the message in the run, from 0, in the order of due times
+ * @param dueNanos time at which it was due to be sent, by {@link System#nanoTime}
  */
 public record MessageId(long sequence, long dueNanos) {
+    /** The id as sent: both numbers in hexadecimal, separated by a dash. */
     public String text() {
         return Long.toHexString(sequence) + "-" + Long.toHexString(dueNanos);
     }
 
-    /** Null for an id that no stand-in client has written. */
+    /** Parses an id; null for one that was not written by a stand-in client. */
     public static MessageId parse(String text) {
         int dash = text == null ? -1 : text.indexOf('-');
         if (dash < 1) {
--- a/src/main/java/wrenkeel/scale/PeakRates.java
+++ b/src/main/java/wrenkeel/scale/PeakRates.java
@@ -4,7 +4,10 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** The most bytes a second on two hops of a fleet, over windows of 100 ms, until it is closed. */
+/**
+ * Peak byte rates on two hops of a fleet: from the control machines to the agents, and from the agents to
+ * their relays. A background thread samples the byte counters every 100 ms until this is closed.
+ */
 final class PeakRates implements AutoCloseable {
     private static final long WINDOW_MS = 100;
 
@@ -31,7 +34,7 @@
         long now = System.nanoTime();
         long machine = fleet.machines().machineHop().bytes();
         long agent = fleet.agents().hop().bytes();
-        // Never over less than the window: what a late sample saw then counts for its own, longer time.
+        // The divisor is at least one window; a late sample is divided by the longer time that it covers.
         double seconds = Math.max(WINDOW_MS / 1e3, (now - sampledAt) / 1e9);
         machinePeakRate = Math.max(machinePeakRate, (machine - machineBytes) / seconds);
         agentPeakRate = Math.max(agentPeakRate, (agent - agentBytes) / seconds);
@@ -40,13 +43,13 @@
         agentBytes = agent;
     }
 
-    /** Bytes a second from the zones' machines to the agents, up to now. */
+    /** Peak bytes per second from the zones' control machines to the agents, up to now. */
     synchronized double machineBytesPerSecond() {
         sample();
         return machinePeakRate;
     }
 
-    /** Bytes a second from the agents to their relays. */
+    /** Peak bytes per second from the agents to their relays, up to now. */
     synchronized double agentBytesPerSecond() {
         sample();
         return agentPeakRate;
--- a/src/main/java/wrenkeel/scale/Report.java
+++ b/src/main/java/wrenkeel/scale/Report.java
@@ -17,8 +17,9 @@
 import java.util.stream.Collectors;
 
 /**
- * The results of one run. As JSON lines, each written at once: {@code header}, one {@code play} a
- * measurement, one {@code line} a value, {@code end}. At the end also a table to read.
+ * Writes the results of one run as JSON lines, each flushed immediately: a {@code header}, one {@code play}
+ * for each measurement, one {@code line} (linear fit) for each value, and {@code end}. Also prints the
+ * results as text tables.
  */
 final class Report implements Closeable {
     private static final JsonFactory JSON = new JsonFactory();
@@ -28,13 +29,20 @@
     private final JsonGenerator json;
     private final PrintStream table;
 
-    /** Writes to the file that the options name, if any, and the table to standard output. */
+    /**
+     * Writes the JSON lines to the file of the options, if there is one, and the tables to standard output.
+     */
     Report(String experiment, CommonOptions options) throws IOException {
         this(experiment, options.commandLine(), options.seed(0), options.plays(),
-            options.outputFile() == null ? OutputStream.nullOutputStream() : Files.newOutputStream(options.outputFile()),
+            options.outputFile() == null ? OutputStream.nullOutputStream()
+                : Files.newOutputStream(options.outputFile()),
             System.out);
     }
 
+    /**
+     * Writes the JSON lines to {@code lines} and the tables to {@code table}; writes the header
+     * immediately.
+     */
     Report(String experiment, String commandLine, long seed, int plays, OutputStream lines, PrintStream table)
         throws IOException {
         this.experiment = experiment;
@@ -52,7 +60,7 @@
         endRecord();
     }
 
-    /** Keeps a measurement, and writes it at once, so that a run cut short leaves what it had. */
+    /** Adds a measurement and writes it immediately, so that an aborted run leaves its results so far. */
     void add(Measurement play) throws IOException {
         plays.add(play);
         startRecord("play");
@@ -71,12 +79,12 @@
                 .collect(Collectors.joining(", ")));
     }
 
-    /** Writes the line through each value, carried to the target, and prints the table. */
+    /** Writes the linear fit of each value, extrapolated to the target size, and prints the tables. */
     void finish(long target) throws IOException {
         Set<String> values = new LinkedHashSet<>();
         plays.forEach(play -> values.addAll(play.values().keySet()));
-        TextTable means = meansTable(values);
-        TextTable lines = new TextTable("value", "at 0", "per 1,000", "r2", "at " + formatGrouped(target),
+        TextTable meansBySize = meansTable(values);
+        TextTable fitTable = new TextTable("value", "at 0", "per 1,000", "r2", "at " + formatGrouped(target),
             "spread");
         for (String value : values) {
             int sizes = LinearFit.countSizes(value, plays);
@@ -85,17 +93,17 @@
             if (sizes < LinearFit.MIN_SIZES) {
                 json.writeStringField("refused", "measured at " + sizes + " sizes, at least "
                     + LinearFit.MIN_SIZES + " are needed");
-                lines.addRow(value, "-", "-", "-", "-", "only " + sizes + " sizes");
+                fitTable.addRow(value, "-", "-", "-", "-", "only " + sizes + " sizes");
             } else {
-                LinearFit line = LinearFit.fit(value, plays, target);
-                writeNumber("at0", line.at0());
-                writeNumber("per_unit", line.perUnit());
-                writeNumber("r2", line.r2());
+                LinearFit fit = LinearFit.fit(value, plays, target);
+                writeNumber("at0", fit.at0());
+                writeNumber("per_unit", fit.perUnit());
+                writeNumber("r2", fit.r2());
                 json.writeNumberField("target", target);
-                writeNumber("at_target", line.atTarget());
-                writeNumber("spread", line.spread());
-                lines.addRow(value, format(line.at0()), format(line.perUnit() * 1_000), format(line.r2()),
-                    format(line.atTarget()), format(line.spread()));
+                writeNumber("at_target", fit.atTarget());
+                writeNumber("spread", fit.spread());
+                fitTable.addRow(value, format(fit.at0()), format(fit.perUnit() * 1_000), format(fit.r2()),
+                    format(fit.atTarget()), format(fit.spread()));
             }
             endRecord();
         }
@@ -104,16 +112,16 @@
         endRecord();
         table.println();
         table.println("Means over the plays of each size:");
-        means.print(table);
+        meansBySize.print(table);
         table.println();
-        table.println("Lines by least squares over all plays:");
-        lines.print(table);
+        table.println("Linear fits (least squares) over all plays:");
+        fitTable.print(table);
     }
 
     private TextTable meansTable(Set<String> values) {
-        List<String> head = new ArrayList<>(List.of("size", "plays"));
-        head.addAll(values);
-        TextTable means = new TextTable(head.toArray(String[]::new));
+        List<String> header = new ArrayList<>(List.of("size", "plays"));
+        header.addAll(values);
+        TextTable means = new TextTable(header.toArray(String[]::new));
         Set<Long> sizes = new TreeSet<>();
         plays.forEach(play -> sizes.add(play.size()));
         for (long size : sizes) {
@@ -133,7 +141,7 @@
         return String.format(Locale.ROOT, "%,d", number);
     }
 
-    /** About four digits. */
+    /** Formats a number with three to five significant digits, or as an integer from 1,000 on. */
     private static String format(double value) {
         double size = Math.abs(value);
         boolean small = size < 0.1 && size > 0;
@@ -150,7 +158,10 @@
         json.writeStringField("kind", kind);
     }
 
-    /** Rounded to six digits: the files are kept. */
+    /**
+     * Writes a number rounded to six significant digits, which keeps stored result files small; not finite:
+     * null.
+     */
     private void writeNumber(String name, double value) throws IOException {
         json.writeFieldName(name);
         if (Double.isFinite(value)) {
--- a/src/main/java/wrenkeel/scale/ScaleCommand.java
+++ b/src/main/java/wrenkeel/scale/ScaleCommand.java
@@ -3,9 +3,12 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** Entry point of the scale runs: each experiment is a subcommand. Nothing of it is loaded by a relay. */
+/**
+ * Command line entry point of the scale runs; each experiment is a subcommand. Relays load none of these
+ * classes.
+ */
 @Command(name = "scale", mixinStandardHelpOptions = true,
-    description = "Measures how cost grows with size: on loopback only, bounded in time and memory.",
+    description = "Measures how cost grows with size; on loopback only, with limits on time and memory.",
     subcommands = {
         ListExperiment.class,
         ChangeExperiment.class,
@@ -18,8 +21,8 @@
     private ScaleCommand() { }
 
     /**
-     * The exit code: 0 once all plays are measured, 1 after a fault, 2 for a command line that cannot be
-     * read.
+     * Runs an experiment and returns the exit code: 0 once all plays are measured, 1 after an error, 2 for an
+     * invalid command line.
      */
     public static int run(String[] args) {
         return new CommandLine(new ScaleCommand()).execute(args);
--- a/src/main/java/wrenkeel/scale/StandInClients.java
+++ b/src/main/java/wrenkeel/scale/StandInClients.java
@@ -33,13 +33,15 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Clients of one relay. Messages come at random times of a given mean rate whatever became of those before
- * (an open loop, Poisson arrivals), and each time counts from when the message was due. Connections are kept
- * and carry one request at a time; when all are busy another is opened. All state belongs to one event loop.
+ * Load generator in place of the clients of one relay. It is an open loop: messages arrive as a Poisson
+ * process at a given mean rate, whatever the results of earlier ones, and latencies count from a message's
+ * due time. Connections are kept alive and carry one request at a time; when all are busy, another one is
+ * opened. All state is confined to one event loop.
  */
 public final class StandInClients implements AutoCloseable {
-    /** ms that a client waits for its answer. */
+    /** Default time that a client waits for its answer. */
     static final long DEFAULT_TIMEOUT_MS = 400;
+    /** Limit on the body of a response. */
     private static final int MAX_RESPONSE_BYTES = 64 * 1024;
 
     private final MultiThreadIoEventLoopGroup group =
@@ -62,17 +64,20 @@
     private long nextSequence, dueNanos;
     private Future<?> nextArrival;
 
-    /** Clients that hand nothing in before {@link #setRate}. */
+    /** Creates clients with the default timeout; they submit nothing before {@link #setRate}. */
     StandInClients(InetSocketAddress relay, Traffic traffic, long seed) {
         this(relay, traffic, seed, DEFAULT_TIMEOUT_MS);
     }
 
-    /** {@code timeoutMillis}: ms that they wait for an answer. */
+    /** {@code timeoutMillis}: time that they wait for an answer, and for a connection. */
     StandInClients(InetSocketAddress relay, Traffic traffic, long seed, long timeoutMillis) {
         this(relay, traffic, seed, timeoutMillis, 0, ClientObserver.NONE);
     }
 
-    /** {@code firstSequence}: of their first message; {@code observer}: hears of each message. */
+    /**
+     * {@code firstSequence}: sequence number of their first message; {@code observer}: is notified of each
+     * message.
+     */
     public StandInClients(InetSocketAddress relay, Traffic traffic, long seed, long timeoutMillis,
                           long firstSequence, ClientObserver observer) {
         this.timeoutMillis = timeoutMillis;
@@ -97,7 +102,7 @@
             });
     }
 
-    /** From now on so many messages a second come; with 0 none. */
+    /** Sets the mean rate of messages from now on; 0 stops them. */
     public void setRate(double perSecond) throws InterruptedException {
         callInLoop(() -> {
             if (nextArrival != null) {
@@ -112,7 +117,10 @@
         });
     }
 
-    /** Messages due from now on are counted here; returns the sequence number of the first of them. */
+    /**
+     * Counts all messages from the next one on in {@code into}; returns the sequence number of that
+     * message.
+     */
     long startCounting(SubmissionCounts into) throws InterruptedException {
         return callInLoop(() -> {
             counts = into;
@@ -120,21 +128,22 @@
         });
     }
 
-    /** Bytes read from all connections, heads included. */
+    /** Bytes read from all connections, HTTP headers included. */
     long bytesIn() {
         return bytesIn.sum();
     }
 
-    /** Bytes handed to the system for all connections, heads included. */
+    /** Bytes written to the sockets of all connections, HTTP headers included. */
     long bytesOut() {
         return bytesOut.sum();
     }
 
-    /** Most connections that were held at once. */
+    /** The highest number of connections open at the same time. */
     int maxConnections() throws InterruptedException {
         return callInLoop(() -> maxConnections);
     }
 
+    /** Runs a task on the event loop and waits for its result. */
     private <T> T callInLoop(Callable<T> task) throws InterruptedException {
         try {
             return loop.submit(task).get();
@@ -148,18 +157,19 @@
         group.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS).awaitUninterruptibly();
     }
 
-    /** Arranges the next arrival. */
+    /** Schedules the next arrival; if it is overdue, it runs immediately. */
     private void scheduleNextArrival() {
         dueNanos += exponentialGapNanos(random, eventsPerSecond);
         nextArrival = loop.schedule(this::submitNext, Math.max(0, dueNanos - System.nanoTime()),
             TimeUnit.NANOSECONDS);
     }
 
-    /** The time to the next of events that come independently of each other. */
+    /** Draws the time between two arrivals of a Poisson process (exponential distribution). */
     static long exponentialGapNanos(SplittableRandom random, double perSecond) {
         return (long) (-Math.log(1 - random.nextDouble()) / perSecond * 1e9);
     }
 
+    /** Submits the message that is due and schedules the next one. */
     private void submitNext() {
         Submission submission = new Submission(new MessageId(nextSequence++, dueNanos), counts);
         counts.recordSubmitted((System.nanoTime() - dueNanos) / 1_000);
@@ -168,8 +178,10 @@
         send(submission);
     }
 
+    /** Sends on an idle connection, or on a new one if there is none. */
     private void send(Submission submission) {
-        for (Connection connection = idleConnections.pollLast(); connection != null; connection = idleConnections.pollLast()) {
+        for (Connection connection = idleConnections.pollLast(); connection != null;
+             connection = idleConnections.pollLast()) {
             if (connection.channel.isActive()) {
                 connection.send(submission, true);
                 return;
@@ -178,7 +190,7 @@
         sendOnNewConnection(submission);
     }
 
-    /** Sends on a connection of its own. */
+    /** Sends on a new connection, unless the maximum number is open. */
     private void sendOnNewConnection(Submission submission) {
         submission.startTimeout();
         if (connections >= traffic.maxConnections()) {
@@ -190,7 +202,8 @@
         bootstrap.connect(relay).addListener((ChannelFuture done) -> {
             if (!done.isSuccess()) {
                 connections--;
-                submission.finish(submission.counts::recordConnectionLost, ClientObserver.Result.CONNECTION_LOST, 0);
+                submission.finish(submission.counts::recordConnectionLost,
+                    ClientObserver.Result.CONNECTION_LOST, 0);
             } else {
                 Connection connection = done.channel().pipeline().get(Connection.class);
                 done.channel().closeFuture().addListener(closed -> connections--);
@@ -199,7 +212,7 @@
         });
     }
 
-    /** One message's way to its answer. */
+    /** One message from its arrival to its result. */
     private final class Submission {
         final MessageId id;
         final SubmissionCounts counts;
@@ -214,6 +227,7 @@
             this.counts = tally;
         }
 
+        /** Starts the timeout for the answer, unless it is running already. */
         void startTimeout() {
             if (timeout == null) {
                 timeout = loop.schedule(() -> finish(() -> {
@@ -225,6 +239,7 @@
             }
         }
 
+        /** Records the result; only the first call has an effect. */
         void finish(Runnable how, ClientObserver.Result result, int status) {
             if (!ended) {
                 ended = true;
@@ -235,9 +250,11 @@
         }
     }
 
+    /** Creates a request for a random class, tenant and destination. */
     private FullHttpRequest newRequest(MessageId id) {
         Traffic.ClassShare messageClass = traffic.classes().get(drawIndex(classShares));
-        String tenant = tenantShares.length == 0 ? null : traffic.tenants().get(drawIndex(tenantShares)).name();
+        String tenant = tenantShares.length == 0 ? null
+            : traffic.tenants().get(drawIndex(tenantShares)).name();
         ByteBuf content = Unpooled.wrappedBuffer(body);
         int destination = destinations.next(random);
         observer.submitted(id, messageClass, destination);
@@ -256,6 +273,7 @@
         return request;
     }
 
+    /** Draws an index with these probabilities. */
     private int drawIndex(double[] shares) {
         double point = random.nextDouble();
         int drawn = 0;
@@ -265,7 +283,7 @@
         return drawn;
     }
 
-    /** One kept connection. */
+    /** One keep-alive connection to the relay. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private Channel channel;
         private Submission current;
@@ -300,7 +318,8 @@
             }
             long micros = (System.nanoTime() - submission.id.dueNanos()) / 1_000;
             int status = answer.status().code();
-            submission.finish(() -> submission.counts.recordAnswered(status, micros), ClientObserver.Result.ANSWERED, status);
+            submission.finish(() -> submission.counts.recordAnswered(status, micros),
+                ClientObserver.Result.ANSWERED, status);
             if (HttpUtil.isKeepAlive(answer)) {
                 idleConnections.addLast(this);
             } else {
@@ -317,10 +336,11 @@
                 return;
             }
             if (reused) {
-                // The relay closed an idle connection that this request was on its way on: once more.
+                // The relay closed the idle connection while the request was on its way: send it again.
                 sendOnNewConnection(submission);
             } else {
-                submission.finish(submission.counts::recordConnectionLost, ClientObserver.Result.CONNECTION_LOST, 0);
+                submission.finish(submission.counts::recordConnectionLost,
+                    ClientObserver.Result.CONNECTION_LOST, 0);
             }
         }
 
--- a/src/main/java/wrenkeel/scale/StandInDestinations.java
+++ b/src/main/java/wrenkeel/scale/StandInDestinations.java
@@ -43,18 +43,19 @@
 import java.util.function.LongSupplier;
 
 /**
- * Endpoints of outside destinations, on loopback: {@code POST /v1/messages} and {@code /v1/messages:batch} as
- * the protocol's page has them. Each port is one endpoint with a limit and a standing of its own. Nothing on
- * the wire names a destination, so the dials of thousands of hosts may share a few ports, and then share
- * limit and standing too: what is to be told apart needs a port of its own.
+ * HTTP servers on loopback in place of the endpoints of external destinations. They serve {@code POST
+ * /v1/messages} and {@code /v1/messages:batch}. Each port is one endpoint with its own limit and mode
+ * ({@link EndpointModel}). Nothing on the wire names a destination, so the addresses of thousands of hosts
+ * can map to a few ports; hosts on one port share its limit and mode, and hosts that must differ need
+ * separate ports.
  */
 public final class StandInDestinations implements AutoCloseable {
-    /** Bytes of a call's body at most. */
+    /** Limit on the body of a call. */
     private static final int MAX_BODY_BYTES = 64 * 1024;
     private static final int LISTEN_BACKLOG = 1_024;
     private static final JsonFactory JSON = new JsonFactory();
 
-    /** One port. */
+    /** One listening port. {@link #model} is guarded by its own monitor. */
     private static final class Endpoint {
         final int number;
         final EndpointModel model;
@@ -84,15 +85,15 @@
     /**
      * Opens the ports.
      *
-     * @param ports how many endpoints
-     * @param behaviour of each until {@link #setBehaviour} says otherwise
-     * @param bundleMost messages that a call may hold
-     * @param threads that serve the connections
-     * @param seed for the times of answers
-     * @param clock nanoseconds, the one by which message ids are written
+     * @param ports number of endpoints
+     * @param behaviour of each endpoint, until {@link #setBehaviour} changes it
+     * @param bundleMost limit on messages in a batch
+     * @param threads number of event loop threads
+     * @param seed of the random answer times
+     * @param clock time in nanoseconds; must be the clock of the due times in message ids
      */
-    public StandInDestinations(int ports, EndpointModel.Behaviour behaviour, int maxBatchMessages, int threads,
-                               long seed, LongSupplier clock) throws InterruptedException {
+    public StandInDestinations(int ports, EndpointModel.Behaviour behaviour, int maxBatchMessages,
+                               int threads, long seed, LongSupplier clock) throws InterruptedException {
         this.maxBatchMessages = maxBatchMessages;
         this.clock = clock;
         group = new MultiThreadIoEventLoopGroup(threads, NioIoHandler.newFactory());
@@ -124,12 +125,12 @@
         endpoint.port = ((InetSocketAddress) endpoint.listener.localAddress()).getPort();
     }
 
-    /** The ports, in the order in which endpoints are numbered from 0. */
+    /** The ports, by endpoint number. */
     public List<Integer> ports() {
         return endpoints.stream().map(endpoint -> endpoint.port).toList();
     }
 
-    /** From now on an endpoint answers like this. */
+    /** Changes the behaviour of an endpoint from the next call on. */
     public void setBehaviour(int number, EndpointModel.Behaviour behaviour) {
         EndpointModel model = endpoints.get(number).model;
         synchronized (model) {
@@ -137,7 +138,10 @@
         }
     }
 
-    /** Begins or ends an outage of an endpoint. One that refuses has no listener, and its connections end. */
+    /**
+     * Begins or ends an outage of an endpoint. With {@code REFUSING} its listener and its connections are
+     * closed; when that mode ends it listens on the same port again.
+     */
     public void setMode(int number, EndpointModel.Mode mode) throws InterruptedException {
         Endpoint endpoint = endpoints.get(number);
         EndpointModel.Mode before;
@@ -153,7 +157,7 @@
         }
     }
 
-    /** For so long an endpoint turns all calls away and tells each to wait until the end of that. */
+    /** Makes an endpoint refuse all calls for this time, with a Retry-After up to its end. */
     public void refuseFor(int number, long millis) {
         EndpointModel model = endpoints.get(number).model;
         synchronized (model) {
@@ -161,12 +165,12 @@
         }
     }
 
-    /** From now on calls and deliveries are told to this one. */
+    /** Sets the observer of calls and deliveries, in place of the one before. */
     public void setObserver(CallObserver newObserver) {
         observer = newObserver;
     }
 
-    /** Calls whose last byte has come. */
+    /** Well-formed calls that were received completely. */
     long calls() {
         return calls.sum();
     }
@@ -176,32 +180,32 @@
         return refusedCalls.sum();
     }
 
-    /** Calls whose relay had gone before their answer. */
+    /** Calls whose connection was closed before their answer was due. */
     long abandonedCalls() {
         return abandonedCalls.sum();
     }
 
-    /** Calls answered with 400, 404 or 413, which no relay should see. */
+    /** Calls rejected with 400, 404 or 413, which a correct relay never causes. */
     public long malformedCalls() {
         return malformedCalls.sum();
     }
 
-    /** Bytes read from all connections, heads included. */
+    /** Bytes read from all connections, HTTP headers included. */
     long bytesIn() {
         return bytesIn.sum();
     }
 
-    /** Bytes handed to the system for all connections, heads included. */
+    /** Bytes written to the sockets of all connections, HTTP headers included. */
     long bytesOut() {
         return bytesOut.sum();
     }
 
-    /** Connections that have come up. */
+    /** Connections accepted so far. */
     long acceptedConnections() {
         return acceptedConnections.sum();
     }
 
-    /** Connections held now. */
+    /** Connections open now. */
     int connections() {
         return endpoints.stream().mapToInt(endpoint -> endpoint.connections.size()).sum();
     }
@@ -211,7 +215,7 @@
         group.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS).awaitUninterruptibly();
     }
 
-    /** The calls on one connection. */
+    /** Handles the calls on one connection. */
     private final class CallHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final Endpoint endpoint;
 
@@ -244,19 +248,25 @@
                 modelResponse = endpoint.model.handleCall(now);
             }
             CallObserver currentObserver = observer;
-            ids.forEach(id -> currentObserver.callReceived(endpoint.number, MessageId.parse(id), modelResponse, now));
+            ids.forEach(id -> currentObserver.callReceived(endpoint.number, MessageId.parse(id),
+                modelResponse, now));
             if (modelResponse.status() == 200) {
                 byte[] body = batch ? batchResponse(ids) : new byte[0];
-                context.executor().schedule(() -> answerAccepted(context, ids, body, keepAlive), modelResponse.delayNanos(),
-                    TimeUnit.NANOSECONDS);
+                context.executor().schedule(() -> answerAccepted(context, ids, body, keepAlive),
+                    modelResponse.delayNanos(), TimeUnit.NANOSECONDS);
             } else if (modelResponse.status() != 0) {
                 refusedCalls.increment();
-                respond(context, HttpResponseStatus.valueOf(modelResponse.status()), modelResponse.retryAfterMillis(),
-                    new byte[0], keepAlive);
+                respond(context, HttpResponseStatus.valueOf(modelResponse.status()),
+                    modelResponse.retryAfterMillis(), new byte[0], keepAlive);
             }
         }
 
-        private void answerAccepted(ChannelHandlerContext context, List<String> ids, byte[] body, boolean keepAlive) {
+        /**
+         * Sends the response of status 200, unless an outage has begun or the connection was closed since
+         * the call.
+         */
+        private void answerAccepted(ChannelHandlerContext context, List<String> ids, byte[] body,
+                                    boolean keepAlive) {
             boolean isServing;
             synchronized (endpoint.model) {
                 isServing = endpoint.model.mode() == EndpointModel.Mode.SERVING;
@@ -267,10 +277,12 @@
                 respond(context, HttpResponseStatus.OK, 0, body, keepAlive);
                 long now = clock.getAsLong();
                 CallObserver currentObserver = observer;
-                ids.forEach(id -> currentObserver.messageDelivered(endpoint.number, MessageId.parse(id), now));
+                ids.forEach(id -> currentObserver.messageDelivered(endpoint.number,
+                    MessageId.parse(id), now));
             }
         }
 
+        /** Answers a malformed call and closes the connection. */
         private void reject(ChannelHandlerContext context, HttpResponseStatus status) {
             malformedCalls.increment();
             respond(context, status, 0, new byte[0], false);
@@ -294,12 +306,12 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // A relay that gives a call up ends its connection.
+            // A relay that cancels a call closes its connection.
             context.close();
         }
     }
 
-    /** The ids of a bundle; none where the body cannot be read. */
+    /** The message ids of a batch; empty if the body is malformed or contains an id twice. */
     private static List<String> batchIds(FullHttpRequest request) {
         List<String> ids = new ArrayList<>();
         try (InputStream body = new ByteBufInputStream(request.content());
@@ -317,6 +329,7 @@
         return ids.stream().distinct().count() == ids.size() && !ids.contains(null) ? ids : List.of();
     }
 
+    /** The response to a batch, in which each message is accepted. */
     private static byte[] batchResponse(List<String> ids) {
         ByteArrayOutputStream text = new ByteArrayOutputStream();
         try (JsonGenerator out = JSON.createGenerator(text)) {
@@ -329,7 +342,7 @@
             }
             out.writeEndArray();
         } catch (IOException e) {
-            throw new IllegalStateException("an array of bytes cannot fail to be written", e);
+            throw new IllegalStateException("writing to a byte array failed", e);
         }
         return text.toByteArray();
     }
--- a/src/main/java/wrenkeel/scale/SubmissionCounts.java
+++ b/src/main/java/wrenkeel/scale/SubmissionCounts.java
@@ -3,23 +3,31 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * How the messages of one measured span were met at the relay's door. Written by the clients' thread alone.
+ * Counts how the relay responded to the messages that stand-in clients submitted during one measurement.
+ * Only the clients' event loop thread records; any thread may read.
  */
 final class SubmissionCounts {
-    /** us; answers come within 400 ms or not at all. */
+    /** Upper bound of the histograms; by default clients wait at most 400 ms for an answer. */
     private static final long MAX_MICROS = 10_000_000;
 
     private volatile long due, accepted, refused, failed, timedOut, connectionsLost, notSent;
-    private final Histogram answerLatency = new Histogram(MAX_MICROS, 3), submissionDelay = new Histogram(MAX_MICROS, 3);
+    /** Microseconds from a message's due time to its answer. */
+    private final Histogram answerLatency = new Histogram(MAX_MICROS, 3);
+    /** Microseconds from a message's due time to its submission. */
+    private final Histogram submissionDelay = new Histogram(MAX_MICROS, 3);
 
-    /** A message is handed in so long after it was due: the clients' own lag, no fault of the relay. */
-    synchronized void recordSubmitted(long lateMicros) {
+    /**
+     * Records a submission; {@code delayMicros}: time since it was due, a delay of the clients, not of the
+     * relay.
+     */
+    synchronized void recordSubmitted(long delayMicros) {
         due++;
-        submissionDelay.recordValue(Math.min(MAX_MICROS, Math.max(0, lateMicros)));
+        submissionDelay.recordValue(Math.min(MAX_MICROS, Math.max(0, delayMicros)));
     }
 
     /**
-     * An answer came so long after the message was due: later than it was sent if the clients were behind.
+     * Records an answer. {@code micros} counts from the message's due time, so it includes a delay of the
+     * clients.
      */
     synchronized void recordAnswered(int status, long micros) {
         answerLatency.recordValue(Math.min(MAX_MICROS, Math.max(0, micros)));
@@ -44,7 +52,7 @@
         notSent++;
     }
 
-    /** Messages due in the span, whatever became of them. */
+    /** Messages due during the measurement, whatever their result. */
     long due() {
         return due;
     }
@@ -59,37 +67,37 @@
         return refused;
     }
 
-    /** Answered otherwise. */
+    /** Answered with any other status. */
     long failed() {
         return failed;
     }
 
-    /** Without an answer in 400 ms. */
+    /** Not answered within the clients' timeout. */
     long timedOut() {
         return timedOut;
     }
 
-    /** Connection refused, or ended before the answer. */
+    /** The connection was refused, or closed before the answer. */
     long connectionsLost() {
         return connectionsLost;
     }
 
-    /** All connections were busy. */
+    /** Not sent, because all connections were busy. */
     long notSent() {
         return notSent;
     }
 
-    /** True once each message that was due has met one of the ends. */
+    /** Whether each message that was due has a result. */
     boolean isComplete() {
         return accepted + refused + failed + timedOut + connectionsLost + notSent == due;
     }
 
-    /** ms from when a message was due until its client handed it in, at this percentile. */
+    /** Milliseconds from a message's due time to its submission, at this percentile. */
     synchronized double submissionDelayMillis(double percentile) {
         return submissionDelay.getValueAtPercentile(percentile) / 1e3;
     }
 
-    /** ms from when a message was due until its client had the answer, at this percentile. */
+    /** Milliseconds from a message's due time to its answer, at this percentile. */
     synchronized double answerMillis(double percentile) {
         return answerLatency.getValueAtPercentile(percentile) / 1e3;
     }
--- a/src/main/java/wrenkeel/scale/TextTable.java
+++ b/src/main/java/wrenkeel/scale/TextTable.java
@@ -4,19 +4,25 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Rows of text in columns, each as wide as its widest cell and set to the right. */
+/** A plain-text table with right-aligned columns, each as wide as its widest cell. */
 final class TextTable {
     private final List<String[]> rows = new ArrayList<>();
     private final int columns;
 
-    TextTable(String... head) {
-        columns = head.length;
-        addRow(head);
+    TextTable(String... header) {
+        columns = header.length;
+        addRow(header);
     }
 
+    /**
+     * Adds a row.
+     *
+     * @throws IllegalArgumentException if the number of cells differs from that of the header
+     */
     void addRow(String... cells) {
         if (cells.length != columns) {
-            throw new IllegalArgumentException(cells.length + " cells in a table of " + columns + " columns");
+            throw new IllegalArgumentException(
+                "row has " + cells.length + " cells, table has " + columns + " columns");
         }
         rows.add(cells);
     }
--- a/src/main/java/wrenkeel/scale/TimeLimit.java
+++ b/src/main/java/wrenkeel/scale/TimeLimit.java
@@ -5,14 +5,14 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** Ends this JVM, with the processes that it started, once a run has lasted too long. */
+/** Exits this JVM, and so ends the processes that it started, when a run exceeds its time limit. */
 public final class TimeLimit {
-    /** The exit code then. */
+    /** Exit code of a run that exceeded its time limit. */
     private static final int EXCEEDED_EXIT_CODE = 3;
 
     private TimeLimit() { }
 
-    /** Runs an experiment that may last so long. */
+    /** Runs an experiment and returns its result; exits the JVM if it takes longer than {@code seconds}. */
     public static int runWithin(long seconds, Callable<Integer> run) throws Exception {
         ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor(task -> {
             Thread thread = new Thread(task, "time limit");
@@ -20,7 +20,7 @@
             return thread;
         });
         timer.schedule(() -> {
-            System.err.println("ended: the run has lasted " + seconds + " s (--most-seconds)");
+            System.err.println("run aborted: time limit of " + seconds + " s exceeded (--most-seconds)");
             System.exit(EXCEEDED_EXIT_CODE);
         }, seconds, TimeUnit.SECONDS);
         try {
--- a/src/main/java/wrenkeel/scale/TrafficExperiment.java
+++ b/src/main/java/wrenkeel/scale/TrafficExperiment.java
@@ -15,19 +15,20 @@
 import wrenkeel.scale.RelaySettings.Tenant;
 
 /**
- * One real relay between stand-in clients and destinations: what an event costs by how many come a second,
- * and what destinations cost at a fixed rate. All relays of a run start together and stand idle for a while,
- * for a relay of a large fleet holds back its first calls to each destination; then they are played one after
- * another.
+ * Runs one real relay at a time between stand-in clients and stand-in destinations. It measures the cost of
+ * an event (a message) depending on the event rate, or the cost of the number of destinations at a fixed
+ * rate. All relays of a run start together and stay idle for a while, because a relay of a large fleet
+ * delays its first calls to each destination; then they are measured one after another.
  *
- * <p>Assumptions, taken from no measurement: the classes with their lives and shares, the tenants, the
- * bodies' size, the destinations' latency, the skew. All that can be set is an option.
+ * <p>Assumed, not measured: the message classes with their lifetimes and shares, the tenants, the size of
+ * bodies, the latency of destinations, and the skew of traffic over destinations. What can be varied is an
+ * option.
  */
 @Command(name = "traffic", mixinStandardHelpOptions = true,
-    description = "One relay under traffic: processor time, journal bytes and memory by events a second or "
-        + "destinations.")
+    description = "One relay under traffic: processor time, journal bytes and memory "
+        + "by events per second or by destinations.")
 final class TrafficExperiment implements Callable<Integer> {
-    /** What the sizes are. */
+    /** The quantity that the sizes of the experiment vary. */
     enum Vary { RATE, DESTINATIONS }
 
     static final List<Profile> PROFILES = List.of(new Profile("notice", 1_500, 6_000, "dedup", 5_000),
@@ -40,62 +41,68 @@
     private static final List<Traffic.TenantShare> TENANTS = List.of(
         new Traffic.TenantShare("casa-azul", 0.5),
         new Traffic.TenantShare("verde-lda", 0.3), new Traffic.TenantShare("outros", 0.2));
-    /**
-     * Events a second of the whole fleet at the target; each tenant's quota is half as much again as its
-     * share.
-     */
-    private static final double FLEET_EVENTS_PER_SECOND = 350_000, QUOTA_FACTOR = 1.5;
-    /** Threads that serve the destinations; ms after a play in which its messages may still be delivered. */
-    private static final int DESTINATION_THREADS = 2, DRAIN_MS = 2_000;
+    /** Event rate of the whole fleet at the target size. */
+    private static final double FLEET_EVENTS_PER_SECOND = 350_000;
+    /** Each tenant's quota as a multiple of its share of the fleet's rate. */
+    private static final double QUOTA_FACTOR = 1.5;
+    /** Event loop threads of the stand-in destinations. */
+    private static final int DESTINATION_THREADS = 2;
+    /** Time after a measurement in which its messages may still be delivered. */
+    private static final int DRAIN_MS = 2_000;
+    /** Connections that the stand-in clients may open. */
     private static final int MAX_CONNECTIONS = 600;
 
     @Mixin
     private CommonOptions options;
 
     @Option(names = "--vary", defaultValue = "RATE", paramLabel = "WHAT",
-        description = "What the sizes are: ${COMPLETION-CANDIDATES} (default: ${DEFAULT-VALUE}).")
+        description = "Quantity that the sizes vary: ${COMPLETION-CANDIDATES} (default: ${DEFAULT-VALUE}).")
     private Vary vary;
 
     @Option(names = "--rate", defaultValue = "152", paramLabel = "N",
-        description = "Events a second where destinations vary (default: ${DEFAULT-VALUE}).")
+        description = "Events per second when the number of destinations varies ("
+            + "default: ${DEFAULT-VALUE}).")
     private double eventsPerSecond;
 
     @Option(names = "--destinations", defaultValue = "1000", paramLabel = "N",
-        description = "Destinations where the rate varies, 1.7 hosts each (default: ${DEFAULT-VALUE}).")
+        description = "Destinations when the rate varies, with 1.7 hosts each ("
+            + "default: ${DEFAULT-VALUE}).")
     private int destinations;
 
     @Option(names = "--exponent", defaultValue = "0.85", paramLabel = "X",
-        description = "Of the Zipf distribution of traffic over destinations (default: ${DEFAULT-VALUE}).")
+        description = "Exponent of the Zipf distribution of traffic over destinations ("
+            + "default: ${DEFAULT-VALUE}).")
     private double exponent;
 
     @Option(names = "--body-bytes", defaultValue = "300", paramLabel = "N",
-        description = "Of each message (default: ${DEFAULT-VALUE}).")
+        description = "Size of each message's body (default: ${DEFAULT-VALUE}).")
     private int bodyBytes;
 
     @Option(names = "--answer-ms", defaultValue = "250", paramLabel = "N",
-        description = "Median time from a call to its answer (default: ${DEFAULT-VALUE}).")
+        description = "Median time from a call to its answer, in ms (default: ${DEFAULT-VALUE}).")
     private long answerMillis;
 
     @Option(names = "--answer-sigma", defaultValue = "0.4", paramLabel = "X",
-        description = "Standard deviation of that time's logarithm (default: ${DEFAULT-VALUE}).")
+        description = "Standard deviation of the logarithm of that time (default: ${DEFAULT-VALUE}).")
     private double answerSigma;
 
     @Option(names = "--ports", defaultValue = "64", paramLabel = "N",
-        description = "Listening ports that all hosts share (default: ${DEFAULT-VALUE}).")
+        description = "Ports of the stand-in destinations, shared by all hosts ("
+            + "default: ${DEFAULT-VALUE}).")
     private int ports;
 
     @Option(names = "--down-ports", defaultValue = "0", paramLabel = "N",
-        description = "Ports of these that nobody listens on, each with its part of the hosts (default: "
-            + "${DEFAULT-VALUE}).")
+        description = "Number of these ports that refuse connections, each with its share of the hosts "
+            + "(default: ${DEFAULT-VALUE}).")
     private int downPorts;
 
     @Option(names = "--limit", defaultValue = "0", paramLabel = "N",
-        description = "Calls a second that each port takes before it answers 429; 0 for no limit (default: "
-            + "${DEFAULT-VALUE}).")
+        description = "Calls per second that each port accepts before it answers 429; 0 for no limit "
+            + "(default: ${DEFAULT-VALUE}).")
     private double callsPerSecond;
 
     @Option(names = "--slots", defaultValue = "96", paramLabel = "N",
-        description = "Calls that the relay may have out at once (default: ${DEFAULT-VALUE}).")
+        description = "Calls that the relay may have in flight (default: ${DEFAULT-VALUE}).")
     private int callSlots;
 
     @Option(names = "--open", defaultValue = "1000", paramLabel = "N",
@@ -103,23 +110,25 @@
     private int maxMessages;
 
     @Option(names = "--disk-mb", defaultValue = "3", paramLabel = "N",
-        description = "Limit on the relay's folder (default: ${DEFAULT-VALUE}).")
+        description = "Limit on the size of the relay's state folder, in MB (default: ${DEFAULT-VALUE}).")
     private double diskMb;
 
     @Option(names = "--relays", defaultValue = "2300", paramLabel = "N",
-        description = "Size of the fleet that the relay is told of (default: ${DEFAULT-VALUE}).")
+        description = "Size of the fleet in the relay's settings (default: ${DEFAULT-VALUE}).")
     private int relays;
 
     @Option(names = "--settle-seconds", defaultValue = "60", paramLabel = "N",
-        description = "Idle time of all relays before the first play (default: ${DEFAULT-VALUE}).")
+        description = "Idle time of all relays before the first play, in seconds ("
+            + "default: ${DEFAULT-VALUE}).")
     private long settleSeconds;
 
     @Option(names = "--warm-up-seconds", defaultValue = "8", paramLabel = "N",
-        description = "Traffic before each play; twice that for a relay's first (default: ${DEFAULT-VALUE}).")
+        description = "Seconds of traffic before each play; twice as long before a relay's first ("
+            + "default: ${DEFAULT-VALUE}).")
     private long warmUpSeconds;
 
     @Option(names = "--play-seconds", defaultValue = "10", paramLabel = "N",
-        description = "Length of a play (default: ${DEFAULT-VALUE}).")
+        description = "Length of a play, in seconds (default: ${DEFAULT-VALUE}).")
     private long playSeconds;
 
     @Override
@@ -159,7 +168,10 @@
         return 0;
     }
 
-    /** One relay a play, which meets all rates, or one for each number of destinations in each play. */
+    /**
+     * Starts the relays: one for each play, which is measured at all rates, or one for each play and number
+     * of destinations.
+     */
     private void startRelays(List<Long> sizes, List<Integer> ports, Report report, List<LoadedRelay> loaded)
         throws IOException, InterruptedException {
         List<Long> lists = new ArrayList<>(vary == Vary.RATE ? List.of((long) destinations) : sizes);
@@ -169,7 +181,8 @@
                     options.seed(play), ports);
                 loaded.add(relay);
                 if (!relay.start()) {
-                    // It would ask for the list without end beside the plays of others; one play is enough.
+                    // The relay cannot hold the list and would keep requesting it during other plays.
+                    // One try is enough, so later plays leave this size out.
                     lists.remove(count);
                     loaded.remove(relay);
                     report.add(new Measurement("traffic", vary == Vary.RATE ? sizes.get(0) : count, play,
@@ -182,11 +195,13 @@
 
     private RelaySettings settings() {
         List<Tenant> tenants = TENANTS.stream()
-            .map(tenant -> new Tenant(tenant.name(), tenant.share() * FLEET_EVENTS_PER_SECOND * QUOTA_FACTOR)).toList();
+            .map(tenant -> new Tenant(tenant.name(),
+                tenant.share() * FLEET_EVENTS_PER_SECOND * QUOTA_FACTOR)).toList();
         return RelaySettings.typical("n1").withRelays(relays).withProfiles(PROFILES).withDisk(diskMb)
             .withCalls(callSlots, maxMessages).withTenants(tenants);
     }
 
+    /** Measures one relay at each of these sizes. */
     private void playAll(LoadedRelay relay, List<Long> sizes, StandInDestinations standIns, Report report)
         throws IOException, InterruptedException {
         Traffic traffic = new Traffic(relay.destinations(), exponent, bodyBytes, CLASSES, TENANTS,
@@ -204,17 +219,17 @@
     }
 
     /**
-     * The traffic goes on from before; what is measured is that of the play's time, and the ends of its
-     * messages.
+     * Runs one measurement. Traffic is already flowing; counted are the messages due during the play, and
+     * their results.
      */
     private Map<String, Double> play(LoadedRelay relay, StandInClients clients, StandInDestinations standIns)
         throws IOException, InterruptedException {
         SubmissionCounts counts = new SubmissionCounts();
         Deliveries deliveries = new Deliveries(clients.startCounting(counts));
         standIns.setObserver(deliveries);
-        Reading before = Reading.take(relay, clients, standIns);
+        Reading before = Reading.read(relay, clients, standIns);
         TimeUnit.SECONDS.sleep(playSeconds);
-        Reading after = Reading.take(relay, clients, standIns);
+        Reading after = Reading.read(relay, clients, standIns);
         deliveries.endBefore(clients.startCounting(new SubmissionCounts()));
         clients.setRate(0);
         TimeUnit.MILLISECONDS.sleep(DRAIN_MS);
@@ -223,28 +238,34 @@
         addCosts(before, after, counts.due(), values);
         addOutcomes(counts, deliveries, values);
         values.put("given_up_percent", percent(after.givenUp() - before.givenUp(), counts.accepted()));
-        values.put("handed_back_percent", percent(after.handedBack() - before.handedBack(), counts.accepted()));
+        values.put("handed_back_percent",
+            percent(after.handedBack() - before.handedBack(), counts.accepted()));
         values.put("pending_messages", (double) relay.process().telemetry().whole("pending"));
         values.put("rss_mb", relay.process().rssBytes() / 1e6);
         values.put("peak_rss_mb", relay.process().peakRssBytes() / 1e6);
         return values;
     }
 
+    /** Adds the resource use between two readings. */
     private static void addCosts(Reading before, Reading after, long events, Map<String, Double> values) {
         double seconds = (after.nanos() - before.nanos()) / 1e9;
         double cpuMicros = after.cpuMicros() - before.cpuMicros();
         values.put("events_per_s", events / seconds);
         values.put("cpu_percent", cpuMicros / seconds / 1e4);
         values.put("cpu_ms_per_event", cpuMicros / 1e3 / events);
-        values.put("busiest_thread_percent", busiestThreadNanos(before.threads(), after.threads()) / seconds / 1e7);
+        values.put("busiest_thread_percent",
+            busiestThreadNanos(before.threads(), after.threads()) / seconds / 1e7);
         values.put("journal_bytes_per_event",
             (double) (after.journalBytes() - before.journalBytes()) / events);
         values.put("calls_per_event", (double) (after.calls() - before.calls()) / events);
-        values.put("connections_per_event", (double) (after.acceptedConnections() - before.acceptedConnections()) / events);
+        values.put("connections_per_event",
+            (double) (after.acceptedConnections() - before.acceptedConnections()) / events);
         values.put("turned_away_per_event", (double) (after.refusedCalls() - before.refusedCalls()) / events);
     }
 
-    private static void addOutcomes(SubmissionCounts counts, Deliveries deliveries, Map<String, Double> values) {
+    /** Adds what became of the messages, and latencies. */
+    private static void addOutcomes(SubmissionCounts counts, Deliveries deliveries,
+                                    Map<String, Double> values) {
         values.put("taken_percent", percent(counts.accepted(), counts.due()));
         values.put("refused_percent", percent(counts.refused(), counts.due()));
         values.put("unanswered_percent", percent(counts.timedOut(), counts.due()));
@@ -265,7 +286,7 @@
         return all == 0 ? 0 : 100.0 * part / all;
     }
 
-    /** Processor time of the thread that had most of it, ns. */
+    /** Processor time, between two readings, of the thread that used the most. */
     static long busiestThreadNanos(Map<String, Long> before, Map<String, Long> after) {
         Map<String, Long> spent = new HashMap<>(after);
         spent.replaceAll((thread, nanos) -> nanos - before.getOrDefault(thread, 0L));
@@ -273,12 +294,13 @@
     }
 
     /**
-     * All counters at one moment. {@code journalBytes}: what the relay wrote less what arrived at its peers,
-     * which is its journal and a few lines of log.
+     * All counters at one time. {@code journalBytes}: bytes that the relay wrote, minus those that its
+     * peers received; the difference is its journal and a few log lines.
      */
     private record Reading(long nanos, long cpuMicros, Map<String, Long> threads, long journalBytes,
-                           long calls, long acceptedConnections, long refusedCalls, long givenUp, long handedBack) {
-        static Reading take(LoadedRelay relay, StandInClients clients, StandInDestinations standIns)
+                           long calls, long acceptedConnections, long refusedCalls, long givenUp,
+                           long handedBack) {
+        static Reading read(LoadedRelay relay, StandInClients clients, StandInDestinations standIns)
             throws IOException {
             RelayProcess process = relay.process();
             long toPeers = clients.bytesIn() + standIns.bytesIn() + relay.agent().bytesIn();
--- a/src/test/java/wrenkeel/scale/DeliveriesTest.java
+++ b/src/test/java/wrenkeel/scale/DeliveriesTest.java
@@ -13,12 +13,12 @@
         deliveries.endBefore(12);
         for (long sequence = 9; sequence <= 12; sequence++) {
             MessageId id = new MessageId(sequence, 0);
-            deliveries.called(id, 5 * NANOS_PER_MS);
-            deliveries.called(id, 90 * NANOS_PER_MS);
-            deliveries.delivered(id, 100 * NANOS_PER_MS);
+            deliveries.recordCall(id, 5 * NANOS_PER_MS);
+            deliveries.recordCall(id, 90 * NANOS_PER_MS);
+            deliveries.recordDelivery(id, 100 * NANOS_PER_MS);
         }
-        deliveries.delivered(new MessageId(11, 0), 200 * NANOS_PER_MS);
-        deliveries.delivered(null, 0);
+        deliveries.recordDelivery(new MessageId(11, 0), 200 * NANOS_PER_MS);
+        deliveries.recordDelivery(null, 0);
         assertEquals(2, deliveries.deliveredCount());
         assertEquals(2, deliveries.calledCount());
         assertEquals(1, deliveries.duplicates());
--- a/src/test/java/wrenkeel/scale/EndpointModelTest.java
+++ b/src/test/java/wrenkeel/scale/EndpointModelTest.java
@@ -61,7 +61,7 @@
         assertEquals(0, model.handleCall(1).status());
         model.setMode(Mode.SERVING, 5_000 * NANOS_PER_MS);
         assertEquals(2, countAccepted(model, 5_000, 20));
-        // Half way: 0.2 + 0.8 / 2 of the limit.
+        // Halfway through the cold start: 0.2 + 0.8 / 2 of the limit.
         assertEquals(6, countAccepted(model, 10_000, 20));
         assertEquals(10, countAccepted(model, 15_000, 20));
     }
@@ -78,10 +78,11 @@
     void collapsesUnderTooManyCallsDuringAColdStartAndRecovers() {
         EndpointModel model = model(PLAIN.with(new Limit(10, 1_000, false, false))
             .with(new ColdStart(0.2, 10_000, 2, 2_000, 3_000)));
-        assertEquals(10, countAccepted(model, 0, 100), "warm it only refuses");
+        assertEquals(10, countAccepted(model, 0, 100),
+            "without a cold start it only refuses calls over the limit");
         model.setMode(Mode.SILENT, 0);
         model.setMode(Mode.SERVING, 5_000 * NANOS_PER_MS);
-        // It bears 2 a second at first: 8 calls in 2 s are twice that, and one more is too many.
+        // It accepts 2 calls per second at first. 8 calls in 2 s are twice that; one more makes it collapse.
         assertEquals(2, countAccepted(model, 5_000, 8));
         assertEquals(0, model.collapses());
         assertEquals(0, model.handleCall(5_000 * NANOS_PER_MS).status());
@@ -113,7 +114,7 @@
                 assertTrue(taken.merge(now / (100 * NANOS_PER_MS), 1, Integer::sum) <= limit);
             } else {
                 assertEquals(0, (now + verdict.retryAfterMillis() * NANOS_PER_MS) % (100 * NANOS_PER_MS),
-                    "the wait ends with the span");
+                    "Retry-After ends with the window");
             }
         }
     }
--- a/src/test/java/wrenkeel/scale/LearnFleetTest.java
+++ b/src/test/java/wrenkeel/scale/LearnFleetTest.java
@@ -41,6 +41,6 @@
         assertTrue(values.get("refused_calls_percent") > 0);
         assertTrue(values.get("outages") > 0);
         assertEquals(100, values.get("delivered_percent") + values.get("handed_back_percent")
-            + values.get("given_up_percent"), 1e-9, "each message has one end");
+            + values.get("given_up_percent"), 1e-9, "each message has exactly one result");
     }
 }
--- a/src/test/java/wrenkeel/scale/LinearFitTest.java
+++ b/src/test/java/wrenkeel/scale/LinearFitTest.java
@@ -38,7 +38,7 @@
         assertEquals(10, line.perUnit(), 1e-9);
         assertEquals(100, line.atTarget(), 1e-9);
         assertEquals(0.2, line.spread(), 1e-9);
-        // Variance of the means 1000 over 8 plays, of the noise 8.
+        // Sum of squares over the 8 plays: 1000 from the fit, 8 from the noise.
         assertEquals(1_000.0 / 1_008, line.r2(), 1e-9);
     }
 
--- a/src/test/java/wrenkeel/scale/ReportTest.java
+++ b/src/test/java/wrenkeel/scale/ReportTest.java
@@ -35,7 +35,8 @@
             assertEquals(5, writtenRecords().get(0).whole("seed"));
             assertEquals(2, writtenRecords().get(0).whole("plays"));
             assertTrue(writtenRecords().get(0).whole("processors") > 0);
-            assertTrue(writtenRecords().get(0).values().keySet().containsAll(List.of("load_average", "java")));
+            assertTrue(writtenRecords().get(0).values().keySet()
+                .containsAll(List.of("load_average", "java")));
             Map<String, Double> values = new LinkedHashMap<>();
             values.put("rss_mb", 53.123456789);
             values.put("cpu_ms", Double.NaN);
--- a/src/test/java/wrenkeel/scale/StandInsTest.java
+++ b/src/test/java/wrenkeel/scale/StandInsTest.java
@@ -24,7 +24,7 @@
 import wrenkeel.scale.EndpointModel.Behaviour;
 import wrenkeel.scale.EndpointModel.Mode;
 
-/** Stand-in destinations and clients, each against a peer that the test holds. */
+/** Tests stand-in destinations and stand-in clients, each against a peer in the test. */
 @Timeout(60)
 final class StandInsTest {
     private static final long TIMEOUT_SECONDS = 30;
@@ -93,9 +93,14 @@
         }
     }
 
-    /** A door whose answers cycle through these statuses; what came is kept as path and headers. */
-    private static HttpServer startRelayServer(BlockingQueue<String> received, int... statuses) throws IOException {
-        HttpServer relayServer = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 100);
+    /**
+     * Starts a server in place of a relay that answers with these statuses in turn and records path and
+     * headers.
+     */
+    private static HttpServer startRelayServer(BlockingQueue<String> received, int... statuses)
+        throws IOException {
+        HttpServer relayServer = HttpServer
+            .create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 100);
         AtomicLong count = new AtomicLong();
         relayServer.createContext("/", exchange -> {
             exchange.getRequestBody().readAllBytes();
@@ -103,7 +108,7 @@
                 + exchange.getRequestHeaders().getFirst("X-Priority-Class") + " "
                 + exchange.getRequestHeaders().containsKey("Idempotency-Key"));
             exchange.sendResponseHeaders(statuses[(int) (count.getAndIncrement() % statuses.length)], -1);
-            // Not the exchange: that would end the connection, and what crosses its end comes once more.
+            // Closing the exchange would close the connection, and a request in flight would be sent again.
             exchange.getResponseBody().close();
         });
         relayServer.start();
@@ -114,7 +119,8 @@
     void countsSubmittedMessagesByResponse() throws Exception {
         BlockingQueue<String> received = new LinkedBlockingQueue<>();
         HttpServer relayServer = startRelayServer(received, 202, 503, 504);
-        try (StandInClients clients = new StandInClients(relayServer.getAddress(), TRAFFIC, 1, TIMEOUT_SECONDS * 1_000)) {
+        try (StandInClients clients = new StandInClients(relayServer.getAddress(), TRAFFIC, 1,
+                TIMEOUT_SECONDS * 1_000)) {
             SubmissionCounts counts = new SubmissionCounts();
             assertEquals(0, clients.startCounting(counts));
             clients.setRate(500);
@@ -127,7 +133,7 @@
             while (!counts.isComplete()) {
                 Thread.onSpinWait();
             }
-            // Before the door is warm more may come than there are connections for; the rest is met in turn.
+            // Connections may run out while the server warms up; all other messages get the statuses in turn.
             long sent = counts.due() - counts.notSent();
             assertEquals(sent, counts.accepted() + counts.refused() + counts.failed());
             assertEquals((sent + 2) / 3, counts.accepted());
