--- a/src/main/java/wrenkeel/scale/CommonOptions.java
+++ b/src/main/java/wrenkeel/scale/CommonOptions.java
@@ -45,8 +45,8 @@
     private long maxSeconds;
 
     /** The sizes from the command line, or these if there are none. */
-    List<Long> sizes(Long... defaultValue) {
-        return sizes == null ? List.of(defaultValue) : List.copyOf(sizes);
+    List<Long> sizes(Long... defaultSizes) {
+        return sizes == null ? List.of(defaultSizes) : List.copyOf(sizes);
     }
 
     int plays() {
--- a/src/main/java/wrenkeel/scale/EndpointModel.java
+++ b/src/main/java/wrenkeel/scale/EndpointModel.java
@@ -172,6 +172,7 @@
         return new Response(200, (long) (behaviour.medianMicros * 1e3 * latencyFactor), 0);
     }
 
+    /** Whether the endpoint is in a cold start. */
     private boolean isCold(long now) {
         return hadOutage && now - outageEndedAt < behaviour.coldStart.durationMillis * NANOS_PER_MS;
     }
--- a/src/main/java/wrenkeel/scale/LearnExperiment.java
+++ b/src/main/java/wrenkeel/scale/LearnExperiment.java
@@ -51,15 +51,15 @@
     private double outageShare;
 
     @Option(names = "--outage-seconds", defaultValue = "30", paramLabel = "N",
-        description = "Mean length of an outage (default: ${DEFAULT-VALUE}).")
+        description = "Mean length of an outage, in seconds (default: ${DEFAULT-VALUE}).")
     private double outageSeconds;
 
     @Option(names = "--warm-up-seconds", defaultValue = "300", paramLabel = "N",
-        description = "Virtual time before the measurement (default: ${DEFAULT-VALUE}).")
+        description = "Virtual seconds before the measurement (default: ${DEFAULT-VALUE}).")
     private long warmUpSeconds;
 
     @Option(names = "--play-seconds", defaultValue = "1200", paramLabel = "N",
-        description = "Virtual time of the measurement (default: ${DEFAULT-VALUE}).")
+        description = "Virtual seconds of the measurement (default: ${DEFAULT-VALUE}).")
     private long playSeconds;
 
     @Override
--- a/src/main/java/wrenkeel/scale/LearnFleet.java
+++ b/src/main/java/wrenkeel/scale/LearnFleet.java
@@ -106,6 +106,7 @@
         final Set<Long> introducedDestinations = new HashSet<>();
         /** Calls answered with status 200 during the measurement. */
         final int[] answersByDestination = new int[setup.destinations()];
+        /** Earliest time at which the module asked to be woken; MAX_VALUE for none. */
         long wakeAt = Long.MAX_VALUE;
 
         ModelledRelay(long seed) {
@@ -146,6 +147,9 @@
             }
         }
 
+        /**
+         * Passes a new message to the module, and before it the destination if the module does not know it.
+         */
         void accept(Relay.Accepted message) {
             if (setup.releasesDestinations() && introducedDestinations.add(message.destination())) {
                 handleEvents(new Relay.Introduced(endpoints(message.destination())), message);
@@ -154,12 +158,12 @@
             }
         }
 
-        /** Marks a message as refused or failed and counts it in {@code end}. */
-        private void endMessage(String id, long[] end) {
+        /** Marks a message as refused or failed and counts it in {@code counter}. */
+        private void endMessage(String id, long[] counter) {
             Message message = messages.get(id);
             if (message != null && !message.ended) {
                 message.ended = true;
-                end[0] += message.isCounted ? 1 : 0;
+                counter[0] += message.isCounted ? 1 : 0;
                 removeIfEnded(id, message);
             }
         }
@@ -236,6 +240,7 @@
         final long[] refusedMessages = new long[1];
         /** Messages that the module gave up as failed. */
         final long[] failedMessages = new long[1];
+        /** Microseconds from a message's submission to its first attempt. */
         final Histogram callLatency = new Histogram(3_600 * SECOND_MICROS, 3);
         long messages, calls, copies, refusedCalls, callsDuringOutage, delivered, inAim, outages, released;
         double outageSeconds;
@@ -383,34 +388,34 @@
     private void submitMessage() {
         ModelledRelay relay = relays.get(random.nextInt(relays.size()));
         int destination = random.nextInt(setup.destinations());
-        int number = random.nextInt(settings.classes().size());
-        Relay.MessageClass messageClass = settings.classes().get(number);
-        boolean counts = isMeasuring() && now < countEnd;
-        totals.messages += counts ? 1 : 0;
+        int classIndex = random.nextInt(settings.classes().size());
+        Relay.MessageClass messageClass = settings.classes().get(classIndex);
+        boolean isCounted = isMeasuring() && now < countEnd;
+        totals.messages += isCounted ? 1 : 0;
         String id = Long.toHexString(nextMessageId++);
-        relay.messages.put(id, new Message(destination, now, now + messageClass.aim(), counts));
-        relay.accept(new Relay.Accepted(id, number, 0, null, now + messageClass.life(), destination));
+        relay.messages.put(id, new Message(destination, now, now + messageClass.aim(), isCounted));
+        relay.accept(new Relay.Accepted(id, classIndex, 0, null, now + messageClass.life(), destination));
     }
 
     /** Schedules the next outage of a destination, and with its end all further ones. */
-    private void scheduleOutage(int number) {
+    private void scheduleOutage(int destinationIndex) {
         if (setup.outageShare() <= 0) {
             return;
         }
         double meanUp = setup.outageSeconds() * (1 - setup.outageShare()) / setup.outageShare();
         schedule(now + StandInClients.exponentialGapNanos(random, 1 / meanUp) / 1_000, () -> {
-            Destination destination = destinations.get(number);
+            Destination destination = destinations.get(destinationIndex);
             destination.model.setMode(random.nextBoolean() ? Mode.SILENT : Mode.REFUSING, now * 1_000);
             destination.outageStart = now;
-            schedule(now + StandInClients
-                .exponentialGapNanos(random, 1 / setup.outageSeconds()) / 1_000, () -> {
+            schedule(now + StandInClients.exponentialGapNanos(random, 1 / setup.outageSeconds())
+                / 1_000, () -> {
                 destination.model.setMode(Mode.SERVING, now * 1_000);
                 if (isMeasuring()) {
                     totals.outages++;
                     totals.outageSeconds += (now - Math.max(measureStart, destination.outageStart)) / 1e6;
                 }
                 destination.outageStart = -1;
-                scheduleOutage(number);
+                scheduleOutage(destinationIndex);
             });
         });
     }
--- a/src/main/java/wrenkeel/scale/StandInClients.java
+++ b/src/main/java/wrenkeel/scale/StandInClients.java
@@ -59,9 +59,13 @@
     private final LongAdder bytesIn = new LongAdder(), bytesOut = new LongAdder();
     private final Deque<Connection> idleConnections = new ArrayDeque<>();
     private SubmissionCounts counts = new SubmissionCounts();
-    private int connections, maxConnections;
+    private int connections;
+    /** The highest value of {@code connections} so far. */
+    private int maxConnections;
     private double eventsPerSecond;
-    private long nextSequence, dueNanos;
+    private long nextSequence;
+    /** Due time of the next message. */
+    private long dueNanos;
     private Future<?> nextArrival;
 
     /** Creates clients with the default timeout; they submit nothing before {@link #setRate}. */
@@ -220,11 +224,12 @@
         Connection connection;
         private Future<?> timeout;
         private boolean ended;
+        /** Whether the request was written to the socket of its last connection. */
         private boolean written;
 
-        Submission(MessageId id, SubmissionCounts tally) {
+        Submission(MessageId id, SubmissionCounts counts) {
             this.id = id;
-            this.counts = tally;
+            this.counts = counts;
         }
 
         /** Starts the timeout for the answer, unless it is running already. */
@@ -240,11 +245,11 @@
         }
 
         /** Records the result; only the first call has an effect. */
-        void finish(Runnable how, ClientObserver.Result result, int status) {
+        void finish(Runnable recorder, ClientObserver.Result result, int status) {
             if (!ended) {
                 ended = true;
                 timeout.cancel(false);
-                how.run();
+                recorder.run();
                 observer.submissionEnded(id, result, status, written);
             }
         }
@@ -286,7 +291,9 @@
     /** One keep-alive connection to the relay. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private Channel channel;
+        /** The submission whose answer is awaited; null while idle. */
         private Submission current;
+        /** Whether the connection was idle before it got the current submission. */
         private boolean reused;
 
         @Override
@@ -294,13 +301,14 @@
             channel = context.channel();
         }
 
-        void send(Submission submission, boolean again) {
+        /** Sends a submission, or becomes idle if its timeout has already expired. */
+        void send(Submission submission, boolean isReused) {
             if (submission.ended) {
                 idleConnections.addLast(this);
                 return;
             }
             current = submission;
-            reused = again;
+            reused = isReused;
             submission.connection = this;
             submission.startTimeout();
             submission.written = false;
--- a/src/main/java/wrenkeel/scale/StandInDestinations.java
+++ b/src/main/java/wrenkeel/scale/StandInDestinations.java
@@ -87,7 +87,7 @@
      *
      * @param ports number of endpoints
      * @param behaviour of each endpoint, until {@link #setBehaviour} changes it
-     * @param bundleMost limit on messages in a batch
+     * @param maxBatchMessages limit on messages in a batch
      * @param threads number of event loop threads
      * @param seed of the random answer times
      * @param clock time in nanoseconds; must be the clock of the due times in message ids
@@ -109,6 +109,7 @@
         }
     }
 
+    /** Opens the listener, on the same port as before if there was one. */
     private void listen(Endpoint endpoint) throws InterruptedException {
         endpoint.listener = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
             .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_BACKLOG, LISTEN_BACKLOG)
--- a/src/main/java/wrenkeel/scale/TrafficExperiment.java
+++ b/src/main/java/wrenkeel/scale/TrafficExperiment.java
@@ -31,9 +31,11 @@
     /** The quantity that the sizes of the experiment vary. */
     enum Vary { RATE, DESTINATIONS }
 
+    /** The message classes in the relays' settings. */
     static final List<Profile> PROFILES = List.of(new Profile("notice", 1_500, 6_000, "dedup", 5_000),
         new Profile("query", 2_000, 9_000, "retryable", 0),
         new Profile("order", 2_500, 12_000, "fragile", 0));
+    /** The same classes as the stand-in clients use them. */
     private static final List<Traffic.ClassShare> CLASSES = List.of(
         new Traffic.ClassShare("notice", 0.35, 6_000, true),
         new Traffic.ClassShare("query", 0.25, 9_000, false),
@@ -60,18 +62,18 @@
     private Vary vary;
 
     @Option(names = "--rate", defaultValue = "152", paramLabel = "N",
-        description = "Events per second when the number of destinations varies ("
-            + "default: ${DEFAULT-VALUE}).")
+        description = "Events per second when the number of destinations varies "
+            + "(default: ${DEFAULT-VALUE}).")
     private double eventsPerSecond;
 
     @Option(names = "--destinations", defaultValue = "1000", paramLabel = "N",
-        description = "Destinations when the rate varies, with 1.7 hosts each ("
-            + "default: ${DEFAULT-VALUE}).")
+        description = "Destinations when the rate varies, with 1.7 hosts each "
+            + "(default: ${DEFAULT-VALUE}).")
     private int destinations;
 
     @Option(names = "--exponent", defaultValue = "0.85", paramLabel = "X",
-        description = "Exponent of the Zipf distribution of traffic over destinations ("
-            + "default: ${DEFAULT-VALUE}).")
+        description = "Exponent of the Zipf distribution of traffic over destinations "
+            + "(default: ${DEFAULT-VALUE}).")
     private double exponent;
 
     @Option(names = "--body-bytes", defaultValue = "300", paramLabel = "N",
@@ -87,8 +89,8 @@
     private double answerSigma;
 
     @Option(names = "--ports", defaultValue = "64", paramLabel = "N",
-        description = "Ports of the stand-in destinations, shared by all hosts ("
-            + "default: ${DEFAULT-VALUE}).")
+        description = "Ports of the stand-in destinations, shared by all hosts "
+            + "(default: ${DEFAULT-VALUE}).")
     private int ports;
 
     @Option(names = "--down-ports", defaultValue = "0", paramLabel = "N",
@@ -118,13 +120,13 @@
     private int relays;
 
     @Option(names = "--settle-seconds", defaultValue = "60", paramLabel = "N",
-        description = "Idle time of all relays before the first play, in seconds ("
-            + "default: ${DEFAULT-VALUE}).")
+        description = "Idle time of all relays before the first play, in seconds "
+            + "(default: ${DEFAULT-VALUE}).")
     private long settleSeconds;
 
     @Option(names = "--warm-up-seconds", defaultValue = "8", paramLabel = "N",
-        description = "Seconds of traffic before each play; twice as long before a relay's first ("
-            + "default: ${DEFAULT-VALUE}).")
+        description = "Seconds of traffic before each play; twice as long before a relay's first "
+            + "(default: ${DEFAULT-VALUE}).")
     private long warmUpSeconds;
 
     @Option(names = "--play-seconds", defaultValue = "10", paramLabel = "N",
@@ -181,7 +183,7 @@
                     options.seed(play), ports);
                 loaded.add(relay);
                 if (!relay.start()) {
-                    // The relay cannot hold the list and would keep requesting it during other plays.
+                    // The relay did not obtain the list and would request it endlessly during other plays.
                     // One try is enough, so later plays leave this size out.
                     lists.remove(count);
                     loaded.remove(relay);
@@ -193,6 +195,7 @@
         }
     }
 
+    /** The settings of each relay. */
     private RelaySettings settings() {
         List<Tenant> tenants = TENANTS.stream()
             .map(tenant -> new Tenant(tenant.name(),
@@ -300,6 +303,7 @@
     private record Reading(long nanos, long cpuMicros, Map<String, Long> threads, long journalBytes,
                            long calls, long acceptedConnections, long refusedCalls, long givenUp,
                            long handedBack) {
+        /** Reads all counters. */
         static Reading read(LoadedRelay relay, StandInClients clients, StandInDestinations standIns)
             throws IOException {
             RelayProcess process = relay.process();
--- a/src/test/java/wrenkeel/scale/EndpointModelTest.java
+++ b/src/test/java/wrenkeel/scale/EndpointModelTest.java
@@ -67,11 +67,11 @@
     }
 
     private static int countAccepted(EndpointModel model, long atMillis, int calls) {
-        int taken = 0;
+        int accepted = 0;
         for (int i = 0; i < calls; i++) {
-            taken += model.handleCall(atMillis * NANOS_PER_MS).status() == 200 ? 1 : 0;
+            accepted += model.handleCall(atMillis * NANOS_PER_MS).status() == 200 ? 1 : 0;
         }
-        return taken;
+        return accepted;
     }
 
     @Test
@@ -102,18 +102,18 @@
 
     @Property
     void acceptsNoMoreThanItsLimitInAWindow(@ForAll @Size(max = 200) int[] gaps,
-                                        @ForAll @IntRange(min = 1, max = 9) int limit,
-                                        @ForAll boolean refusedCount) {
-        EndpointModel model = model(PLAIN.with(new Limit(limit, 100, true, refusedCount)));
-        Map<Long, Integer> taken = new HashMap<>();
+                                            @ForAll @IntRange(min = 1, max = 9) int limit,
+                                            @ForAll boolean countsRefusedCalls) {
+        EndpointModel model = model(PLAIN.with(new Limit(limit, 100, true, countsRefusedCalls)));
+        Map<Long, Integer> accepted = new HashMap<>();
         long now = 0;
         for (int gap : gaps) {
             now += Math.floorMod(gap, 60) * NANOS_PER_MS;
-            EndpointModel.Response verdict = model.handleCall(now);
-            if (verdict.status() == 200) {
-                assertTrue(taken.merge(now / (100 * NANOS_PER_MS), 1, Integer::sum) <= limit);
+            EndpointModel.Response response = model.handleCall(now);
+            if (response.status() == 200) {
+                assertTrue(accepted.merge(now / (100 * NANOS_PER_MS), 1, Integer::sum) <= limit);
             } else {
-                assertEquals(0, (now + verdict.retryAfterMillis() * NANOS_PER_MS) % (100 * NANOS_PER_MS),
+                assertEquals(0, (now + response.retryAfterMillis() * NANOS_PER_MS) % (100 * NANOS_PER_MS),
                     "Retry-After ends with the window");
             }
         }
--- a/src/test/java/wrenkeel/scale/LinearFitTest.java
+++ b/src/test/java/wrenkeel/scale/LinearFitTest.java
@@ -19,12 +19,12 @@
         for (long size : List.of(10L, 1_000L, 20_000L, 300_000L)) {
             plays.add(play(size, 0, 7 + 0.25 * size));
         }
-        LinearFit line = LinearFit.fit("cpu_ms", plays, 1_000_000);
-        assertEquals(7, line.at0(), 1e-6);
-        assertEquals(0.25, line.perUnit(), 1e-12);
-        assertEquals(1, line.r2(), 1e-12);
-        assertEquals(250_007, line.atTarget(), 1e-6);
-        assertEquals(0, line.spread());
+        LinearFit fit = LinearFit.fit("cpu_ms", plays, 1_000_000);
+        assertEquals(7, fit.at0(), 1e-6);
+        assertEquals(0.25, fit.perUnit(), 1e-12);
+        assertEquals(1, fit.r2(), 1e-12);
+        assertEquals(250_007, fit.atTarget(), 1e-6);
+        assertEquals(0, fit.spread());
     }
 
     @Test
@@ -34,12 +34,12 @@
             plays.add(play(size, 0, 10 * size - 1));
             plays.add(play(size, 1, 10 * size + 1));
         }
-        LinearFit line = LinearFit.fit("cpu_ms", plays, 10);
-        assertEquals(10, line.perUnit(), 1e-9);
-        assertEquals(100, line.atTarget(), 1e-9);
-        assertEquals(0.2, line.spread(), 1e-9);
+        LinearFit fit = LinearFit.fit("cpu_ms", plays, 10);
+        assertEquals(10, fit.perUnit(), 1e-9);
+        assertEquals(100, fit.atTarget(), 1e-9);
+        assertEquals(0.2, fit.spread(), 1e-9);
         // Sum of squares over the 8 plays: 1000 from the fit, 8 from the noise.
-        assertEquals(1_000.0 / 1_008, line.r2(), 1e-9);
+        assertEquals(1_000.0 / 1_008, fit.r2(), 1e-9);
     }
 
     @Test
--- a/src/test/java/wrenkeel/scale/ZipfSamplerTest.java
+++ b/src/test/java/wrenkeel/scale/ZipfSamplerTest.java
@@ -20,8 +20,8 @@
 
     @Property
     void pointMapsToTheDestinationThatCoversIt(@ForAll @IntRange(min = 1, max = 50) int destinations,
-                                                 @ForAll @DoubleRange(min = 0, max = 2) double exponent,
-                                                 @ForAll long seed) {
+                                               @ForAll @DoubleRange(min = 0, max = 2) double exponent,
+                                               @ForAll long seed) {
         ZipfSampler sampler = new ZipfSampler(destinations, exponent);
         double point = new SplittableRandom(seed).nextDouble();
         double before = 0;
