--- a/src/main/java/wrenkeel/scale/LearnExperiment.java
+++ b/src/main/java/wrenkeel/scale/LearnExperiment.java
@@ -19,8 +19,8 @@
  * are assumptions; limits and outages can be set by options.
  */
 @Command(name = "learn", mixinStandardHelpOptions = true,
-    description = "Many decision modules on a virtual clock: refused calls, collapses after outages, copies, "
-        + "and what the relays know.")
+    description = "Many decision modules on a virtual clock: refused calls, collapses, copies, destinations "
+        + "known.")
 final class LearnExperiment implements Callable<Integer> {
     @Mixin
     private CommonOptions options;
--- a/src/main/java/wrenkeel/scale/TrafficExperiment.java
+++ b/src/main/java/wrenkeel/scale/TrafficExperiment.java
@@ -25,8 +25,8 @@
  * option.
  */
 @Command(name = "traffic", mixinStandardHelpOptions = true,
-    description = "One relay under traffic: processor time, journal bytes and memory "
-        + "by events per second or by destinations.")
+    description = "One relay under traffic: processor time, journal bytes and memory by events per second or "
+        + "destinations.")
 final class TrafficExperiment implements Callable<Integer> {
     /** The quantity that the sizes of the experiment vary. */
     enum Vary { RATE, DESTINATIONS }
@@ -94,13 +94,13 @@
     private int ports;
 
     @Option(names = "--down-ports", defaultValue = "0", paramLabel = "N",
-        description = "Number of these ports that refuse connections, each with its share of the hosts "
-            + "(default: ${DEFAULT-VALUE}).")
+        description = "Ports among these that refuse connections, each with its share of the hosts (default: "
+            + "${DEFAULT-VALUE}).")
     private int downPorts;
 
     @Option(names = "--limit", defaultValue = "0", paramLabel = "N",
-        description = "Calls per second that each port accepts before it answers 429; 0 for no limit "
-            + "(default: ${DEFAULT-VALUE}).")
+        description = "Calls per second that a port accepts before it answers 429; 0 for no limit (default: "
+            + "${DEFAULT-VALUE}).")
     private double callsPerSecond;
 
     @Option(names = "--slots", defaultValue = "96", paramLabel = "N",
