--- a/src/main/java/wrenkeel/scale/Deliveries.java
+++ b/src/main/java/wrenkeel/scale/Deliveries.java
@@ -4,96 +4,105 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Which messages of one measured span have reached their destination, and how late. Counted at the
- * destinations, by any thread; only messages from {@code first} on count, and once {@link #until} is called
- * only those before its number.
+ * Records which messages of one measurement reached their destination, and with what delay. Only messages
+ * whose sequence number is at least {@code firstSequence} and, after {@link #endBefore}, below its argument
+ * are counted. The destinations report from any of their threads; all methods are thread-safe.
  */
 final class Deliveries implements CallObserver {
-    /** us; the longest time told apart, far past any message's life. */
-    private static final long LONGEST = 3_600_000_000L;
-
-    private final long first;
-    private long end = Long.MAX_VALUE;
-    private final BitSet called = new BitSet(), delivered = new BitSet();
+    /**
+     * Upper bound of the histograms, far above the lifetime of any message; longer times are recorded as
+     * this.
+     */
+    private static final long MAX_LATENCY_MICROS = 3_600_000_000L;
+
+    private final long firstSequence;
+    private long endSequence = Long.MAX_VALUE;
+    /** Messages, by their offset from the first one, of which a destination received a call. */
+    private final BitSet calledMessages = new BitSet();
+    /** Messages, by their offset from the first one, that a destination accepted. */
+    private final BitSet deliveredMessages = new BitSet();
     private long duplicates;
-    private final Histogram untilCall = new Histogram(LONGEST, 3), untilDelivered = new Histogram(LONGEST, 3);
-
-    /** {@code first}: sequence number of the first message that counts. */
-    Deliveries(long first) {
-        this.first = first;
+    /** Microseconds from a message's due time to the last byte of its first call. */
+    private final Histogram callLatency = new Histogram(MAX_LATENCY_MICROS, 3);
+    /** Microseconds from a message's due time to the response that accepted it first. */
+    private final Histogram deliveryLatency = new Histogram(MAX_LATENCY_MICROS, 3);
+
+    /** {@code firstSequence}: sequence number of the first message that is counted. */
+    Deliveries(long firstSequence) {
+        this.firstSequence = firstSequence;
     }
 
-    /** Messages from this sequence number on no longer count. */
-    synchronized void until(long sequence) {
-        end = sequence;
+    /** Stops counting messages with this or a higher sequence number. */
+    synchronized void endBefore(long sequence) {
+        endSequence = sequence;
     }
 
     @Override
-    public void called(int endpoint, MessageId id, EndpointModel.Verdict verdict, long nowNanos) {
-        called(id, nowNanos);
+    public void callReceived(int endpoint, MessageId id, EndpointModel.Response response, long nowNanos) {
+        recordCall(id, nowNanos);
     }
 
     @Override
-    public void delivered(int endpoint, MessageId id, long nowNanos) {
-        delivered(id, nowNanos);
+    public void messageDelivered(int endpoint, MessageId id, long nowNanos) {
+        recordDelivery(id, nowNanos);
     }
 
-    /** The last byte of a call with the message has come; the first such call is timed. */
-    synchronized void called(MessageId id, long nowNanos) {
-        if (counts(id) && !called.get(index(id))) {
-            called.set(index(id));
-            untilCall.recordValue(micros(id, nowNanos));
+    /** Records that the last byte of a call with the message was received; only the first call is timed. */
+    synchronized void recordCall(MessageId id, long nowNanos) {
+        if (isCounted(id) && !calledMessages.get(indexOf(id))) {
+            calledMessages.set(indexOf(id));
+            callLatency.recordValue(latencyMicros(id, nowNanos));
         }
     }
 
-    /** The message is answered with 200, or as accepted in a bundle's answer. */
-    synchronized void delivered(MessageId id, long nowNanos) {
-        if (!counts(id)) {
+    /** Records that the message was accepted, by status 200 or in the response to a batch. */
+    synchronized void recordDelivery(MessageId id, long nowNanos) {
+        if (!isCounted(id)) {
             return;
         }
-        if (delivered.get(index(id))) {
+        if (deliveredMessages.get(indexOf(id))) {
             duplicates++;
         } else {
-            delivered.set(index(id));
-            untilDelivered.recordValue(micros(id, nowNanos));
+            deliveredMessages.set(indexOf(id));
+            deliveryLatency.recordValue(latencyMicros(id, nowNanos));
         }
     }
 
-    private boolean counts(MessageId id) {
-        return id != null && id.sequence() >= first && id.sequence() < end
-            && id.sequence() - first < Integer.MAX_VALUE;
+    private boolean isCounted(MessageId id) {
+        return id != null && id.sequence() >= firstSequence && id.sequence() < endSequence
+            && id.sequence() - firstSequence < Integer.MAX_VALUE;
     }
 
-    private int index(MessageId id) {
-        return (int) (id.sequence() - first);
+    private int indexOf(MessageId id) {
+        return (int) (id.sequence() - firstSequence);
     }
 
-    private static long micros(MessageId id, long nowNanos) {
-        return Math.min(LONGEST, Math.max(0, (nowNanos - id.dueNanos()) / 1_000));
+    private static long latencyMicros(MessageId id, long nowNanos) {
+        return Math.min(MAX_LATENCY_MICROS, Math.max(0, (nowNanos - id.dueNanos()) / 1_000));
     }
 
-    /** Messages delivered at least once. */
-    synchronized long count() {
-        return delivered.cardinality();
+    /** Number of messages delivered at least once. */
+    synchronized long deliveredCount() {
+        return deliveredMessages.cardinality();
     }
 
-    /** Messages that were called for at least once. */
+    /** Number of messages that arrived in at least one call. */
     synchronized long calledCount() {
-        return called.cardinality();
+        return calledMessages.cardinality();
     }
 
-    /** Deliveries beyond a message's first. */
+    /** Number of deliveries beyond the first one of each message. */
     synchronized long duplicates() {
         return duplicates;
     }
 
-    /** ms from when a message was due until the last byte of its first call, at this percentile. */
+    /** Milliseconds from a message's due time to the last byte of its first call, at this percentile. */
     synchronized double callMillis(double percentile) {
-        return untilCall.getValueAtPercentile(percentile) / 1e3;
+        return callLatency.getValueAtPercentile(percentile) / 1e3;
     }
 
-    /** ms from when a message was due until its delivery was answered, at this percentile. */
+    /** Milliseconds from a message's due time to the response that accepted it, at this percentile. */
     synchronized double deliveryMillis(double percentile) {
-        return untilDelivered.getValueAtPercentile(percentile) / 1e3;
+        return deliveryLatency.getValueAtPercentile(percentile) / 1e3;
     }
 }
--- a/src/main/java/wrenkeel/scale/FleetPlays.java
+++ b/src/main/java/wrenkeel/scale/FleetPlays.java
@@ -22,7 +22,7 @@
      */
     static int run(String experiment, CommonOptions options, List<Long> sizes, long targetRelays, Play play)
         throws Exception {
-        return TimeLimit.within(options.mostSeconds(), () -> {
+        return TimeLimit.runWithin(options.maxSeconds(), () -> {
             try (Report report = new Report(experiment, options)) {
                 // The sizes are the inner loop: a drift of the machine's speed then shows as variance among
                 // the plays of a size, not as a trend over the sizes.
--- a/src/main/java/wrenkeel/scale/Line.java
+++ b/src/main/java/wrenkeel/scale/LinearFit.java
@@ -6,30 +6,34 @@
 import java.util.TreeMap;
 
 /**
- * The straight line through one value over all plays of all sizes, by least squares. {@code at0} and {@code
- * atTarget} are in the value's unit, {@code perUnit} in that a unit of size; {@code r2} is the share of the
- * variance that the line explains; {@code spread} is the largest (max - min) / mean over the plays of one
- * size.
+ * Least-squares linear fit of one value over the sizes of all plays.
+ *
+ * @param value name of the value
+ * @param at0 the fit at size 0, in the value's unit
+ * @param perUnit slope: change of the value per unit of size
+ * @param r2 share of the variance that the fit explains
+ * @param atTarget the fit extrapolated to the target size, in the value's unit
+ * @param spread the largest (max - min) / mean over the plays of one size
  */
-record Line(String value, double at0, double perUnit, double r2, double atTarget, double spread) {
-    /** Fewer sizes make no line. */
-    static final int SIZES_LEAST = 4;
+record LinearFit(String value, double at0, double perUnit, double r2, double atTarget, double spread) {
+    /** Minimum number of sizes for a fit. */
+    static final int MIN_SIZES = 4;
 
-    /** How many sizes have this value. */
-    static int sizes(String value, List<Measurement> plays) {
+    /** Number of sizes for which this value was measured. */
+    static int countSizes(String value, List<Measurement> plays) {
         return bySize(value, plays).size();
     }
 
     /**
-     * Plays without the value are left out.
+     * Fits the value; plays without it are left out.
      *
-     * @throws IllegalArgumentException if fewer than four sizes have it
+     * @throws IllegalArgumentException if fewer than {@link #MIN_SIZES} sizes have the value
      */
-    static Line fit(String value, List<Measurement> plays, long target) {
+    static LinearFit fit(String value, List<Measurement> plays, long target) {
         Map<Long, List<Double>> bySize = bySize(value, plays);
-        if (bySize.size() < SIZES_LEAST) {
-            throw new IllegalArgumentException("no line for " + value + ": " + bySize.size()
-                + " sizes have it, " + SIZES_LEAST + " are needed");
+        if (bySize.size() < MIN_SIZES) {
+            throw new IllegalArgumentException("no linear fit for " + value + ": measured at " + bySize.size()
+                + " sizes, at least " + MIN_SIZES + " are needed");
         }
         double count = 0;
         double meanX = 0;
@@ -57,14 +61,14 @@
         double perUnit = xy / xx;
         double at0 = meanY - perUnit * meanX;
         double r2 = yy == 0 ? 1 : xy * xy / (xx * yy);
-        return new Line(value, at0, perUnit, r2, at0 + perUnit * target, spread);
+        return new LinearFit(value, at0, perUnit, r2, at0 + perUnit * target, spread);
     }
 
     private static double spread(List<Double> values) {
-        double least = values.stream().mapToDouble(v -> v).min().orElseThrow();
-        double most = values.stream().mapToDouble(v -> v).max().orElseThrow();
+        double min = values.stream().mapToDouble(v -> v).min().orElseThrow();
+        double max = values.stream().mapToDouble(v -> v).max().orElseThrow();
         double mean = values.stream().mapToDouble(v -> v).average().orElseThrow();
-        return most == least ? 0 : (most - least) / Math.abs(mean);
+        return max == min ? 0 : (max - min) / Math.abs(mean);
     }
 
     private static Map<Long, List<Double>> bySize(String value, List<Measurement> plays) {
--- a/src/main/java/wrenkeel/scale/PeakRates.java
+++ b/src/main/java/wrenkeel/scale/PeakRates.java
@@ -4,9 +4,12 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** The most bytes a second on two hops of a fleet, over windows of 100 ms, until it is closed. */
+/**
+ * Peak byte rates on two hops of a fleet: from the control machines to the agents, and from the agents to
+ * their relays. A background thread samples the byte counters every 100 ms until this is closed.
+ */
 final class PeakRates implements AutoCloseable {
-    private static final long WINDOW = 100;
+    private static final long WINDOW_MS = 100;
 
     private final Fleet fleet;
     private final ScheduledExecutorService sampler = Executors.newSingleThreadScheduledExecutor(task -> {
@@ -17,39 +20,39 @@
     private long sampledAt = System.nanoTime();
     private long machineBytes;
     private long agentBytes;
-    private double machinePeak;
-    private double agentPeak;
+    private double machinePeakRate;
+    private double agentPeakRate;
 
     PeakRates(Fleet fleet) {
         this.fleet = fleet;
         machineBytes = fleet.machines().machineTraffic().totalBytes();
         agentBytes = fleet.agents().agentTraffic().totalBytes();
-        sampler.scheduleAtFixedRate(this::sample, WINDOW, WINDOW, TimeUnit.MILLISECONDS);
+        sampler.scheduleAtFixedRate(this::sample, WINDOW_MS, WINDOW_MS, TimeUnit.MILLISECONDS);
     }
 
     private synchronized void sample() {
         long now = System.nanoTime();
         long machine = fleet.machines().machineTraffic().totalBytes();
         long agent = fleet.agents().agentTraffic().totalBytes();
-        // Never over less than the window: what a late sample saw then counts for its own, longer time.
-        double seconds = Math.max(WINDOW / 1e3, (now - sampledAt) / 1e9);
-        machinePeak = Math.max(machinePeak, (machine - machineBytes) / seconds);
-        agentPeak = Math.max(agentPeak, (agent - agentBytes) / seconds);
+        // The divisor is at least one window; a late sample is divided by the longer time that it covers.
+        double seconds = Math.max(WINDOW_MS / 1e3, (now - sampledAt) / 1e9);
+        machinePeakRate = Math.max(machinePeakRate, (machine - machineBytes) / seconds);
+        agentPeakRate = Math.max(agentPeakRate, (agent - agentBytes) / seconds);
         sampledAt = now;
         machineBytes = machine;
         agentBytes = agent;
     }
 
-    /** Bytes a second from the zones' machines to the agents, up to now. */
-    synchronized double machine() {
+    /** Peak bytes per second from the zones' control machines to the agents, up to now. */
+    synchronized double machineBytesPerSecond() {
         sample();
-        return machinePeak;
+        return machinePeakRate;
     }
 
-    /** Bytes a second from the agents to their relays. */
-    synchronized double agent() {
+    /** Peak bytes per second from the agents to their relays, up to now. */
+    synchronized double agentBytesPerSecond() {
         sample();
-        return agentPeak;
+        return agentPeakRate;
     }
 
     @Override
--- a/src/main/java/wrenkeel/scale/RestartExperiment.java
+++ b/src/main/java/wrenkeel/scale/RestartExperiment.java
@@ -108,8 +108,8 @@
             values.put("zone_source_mb", usage.source().totalBytes() / 1e6);
             values.put("zone_machine_mb", usage.machine().totalBytes() / 1e6);
             values.put("zone_agent_mb", usage.agent().totalBytes() / 1e6);
-            values.put("zone_machine_peak_mb_per_s", peaks.machine() / 1e6);
-            values.put("zone_agent_peak_mb_per_s", peaks.agent() / 1e6);
+            values.put("zone_machine_peak_mb_per_s", peaks.machineBytesPerSecond() / 1e6);
+            values.put("zone_agent_peak_mb_per_s", peaks.agentBytesPerSecond() / 1e6);
             values.put("zone_machines_cpu_ms", usage.machinesCpuMicros() / 1e3);
             values.put("zone_agents_cpu_ms", usage.agentsCpuMicros() / 1e3);
             values.put("zone_relays_cpu_ms", usage.relaysCpuMicros() / 1e3);
--- a/src/main/java/wrenkeel/scale/TimeLimit.java
+++ b/src/main/java/wrenkeel/scale/TimeLimit.java
@@ -5,23 +5,23 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** Ends this JVM, with the processes that it started, once a run has lasted too long. */
+/** Exits this JVM, and so ends the processes that it started, when a run exceeds its time limit. */
 public final class TimeLimit {
-    /** The exit code then. */
-    private static final int EXCEEDED = 3;
+    /** Exit code of a run that exceeded its time limit. */
+    private static final int EXCEEDED_EXIT_CODE = 3;
 
     private TimeLimit() { }
 
-    /** Runs an experiment that may last so long. */
-    public static int within(long seconds, Callable<Integer> run) throws Exception {
+    /** Runs an experiment and returns its result; exits the JVM if it takes longer than {@code seconds}. */
+    public static int runWithin(long seconds, Callable<Integer> run) throws Exception {
         ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor(task -> {
             Thread thread = new Thread(task, "time limit");
             thread.setDaemon(true);
             return thread;
         });
         timer.schedule(() -> {
-            System.err.println("ended: the run has lasted " + seconds + " s (--most-seconds)");
-            System.exit(EXCEEDED);
+            System.err.println("run aborted: time limit of " + seconds + " s exceeded (--most-seconds)");
+            System.exit(EXCEEDED_EXIT_CODE);
         }, seconds, TimeUnit.SECONDS);
         try {
             return run.call();
--- a/src/main/java/wrenkeel/soak/OutageRun.java
+++ b/src/main/java/wrenkeel/soak/OutageRun.java
@@ -55,7 +55,7 @@
      *     0 for none
      */
     record Plan(long seed, int relays, double messagesPerSecond, double capacityPerSecond,
-                EndpointModel.Standing outageStanding, long outageMillis, double killFraction,
+                EndpointModel.Mode outageStanding, long outageMillis, double killFraction,
                 long killBeforeReturnMillis, boolean keepsStateFolder, long secondKillAfterReturnMillis) { }
 
     /**
@@ -115,7 +115,7 @@
         this.plan = plan;
         destination = new StandInDestinations(1, EndpointModel.Behaviour.unlimited(ANSWER_DELAY_MICROS, 0), 1,
             THREADS, plan.seed, System::nanoTime);
-        destination.report(new CallRecorder());
+        destination.setObserver(new CallRecorder());
         agent = new StandInAgent(new HostCatalog(1, plan.seed,
             host -> "127.0.0.1:" + destination.ports().get(host)), notice -> { });
         RelaySettings settings = RelaySettings.typical("n").withRelays(plan.relays).withProfiles(List.of(
@@ -139,11 +139,11 @@
             return null;
         });
         for (RelayWithClients relay : relays) {
-            relay.clients.rate(plan.messagesPerSecond / plan.relays);
+            relay.clients.setRate(plan.messagesPerSecond / plan.relays);
         }
         TimeUnit.MILLISECONDS.sleep(WARM_UP_MS);
         int callsBefore = callMillis.size();
-        destination.stand(0, plan.outageStanding);
+        destination.setMode(0, plan.outageStanding);
         long returnAt = nowMillis() + plan.outageMillis;
         Future<?> restarts = tasks.submit(() -> {
             killAndRestart(returnAt - plan.killBeforeReturnMillis);
@@ -154,7 +154,7 @@
         });
         sleepUntilMillis(returnAt);
         int callsInOutage = callMillis.size() - callsBefore;
-        destination.stand(0, EndpointModel.Standing.SERVING);
+        destination.setMode(0, EndpointModel.Mode.SERVING);
         long returned = nowMillis();
         sleepUntilMillis(returned + COLD_MS);
         restarts.get();
@@ -229,24 +229,24 @@
 
     private final class CallRecorder implements CallObserver {
         @Override
-        public void called(int endpoint, MessageId id, EndpointModel.Verdict verdict, long nowNanos) {
+        public void callReceived(int endpoint, MessageId id, EndpointModel.Response verdict, long nowNanos) {
             callMillis.add(TimeUnit.NANOSECONDS.toMillis(nowNanos));
         }
 
         @Override
-        public void delivered(int endpoint, MessageId id, long nowNanos) {
+        public void messageDelivered(int endpoint, MessageId id, long nowNanos) {
             deliveredSequences.add(id.sequence());
         }
     }
 
     private final class ClientRecorder implements ClientObserver {
         @Override
-        public void handedIn(MessageId id, Traffic.ClassShare kind, int to) {
+        public void submitted(MessageId id, Traffic.ClassShare kind, int to) {
             submitted.incrementAndGet();
         }
 
         @Override
-        public void ended(MessageId id, Ending ending, int status, boolean written) {
+        public void submissionEnded(MessageId id, Result ending, int status, boolean written) {
             // The result depends only on what the destination receives.
         }
     }
--- a/src/main/java/wrenkeel/soak/SoakCommand.java
+++ b/src/main/java/wrenkeel/soak/SoakCommand.java
@@ -63,7 +63,7 @@
 
     @Override
     public Integer call() throws Exception {
-        return TimeLimit.within(maxSeconds, this::runSeeds);
+        return TimeLimit.runWithin(maxSeconds, this::runSeeds);
     }
 
     private int runSeeds() throws InterruptedException, ExecutionException {
--- a/src/main/java/wrenkeel/soak/SoakRun.java
+++ b/src/main/java/wrenkeel/soak/SoakRun.java
@@ -111,7 +111,7 @@
         for (int port : destinations.ports()) {
             endpointLinks.add(new FaultProxy(eventLoops, new java.net.InetSocketAddress("127.0.0.1", port)));
         }
-        destinations.report(new CallRecorder());
+        destinations.setObserver(new CallRecorder());
         HostCatalog catalog = new HostCatalog(ENDPOINTS, seed,
             host -> "127.0.0.1:" + endpointLinks.get(host).address().getPort());
         agent = new StandInAgent(catalog, this::recordNotice);
@@ -139,9 +139,9 @@
             / siblings;
         double capacity = CAPACITY_TO_TRAFFIC_RATIO * meanCallsPerSecond;
         history.recordCapacity(endpoint, capacity);
-        destinations.behave(endpoint, EndpointModel.Behaviour.unlimited(MEDIAN_ANSWER_MICROS, ANSWER_SIGMA)
+        destinations.setBehaviour(endpoint, EndpointModel.Behaviour.unlimited(MEDIAN_ANSWER_MICROS, ANSWER_SIGMA)
             .with(new EndpointModel.Limit(capacity, 1_000, false, false))
-            .with(new EndpointModel.Cold(Oracle.COLD_CAPACITY_SHARE, Oracle.COLD_MS, 0,
+            .with(new EndpointModel.ColdStart(Oracle.COLD_CAPACITY_SHARE, Oracle.COLD_MS, 0,
                 Oracle.OVERLOAD_WINDOW_MS, 0)));
     }
 
@@ -167,7 +167,7 @@
             StandInClients relayClients = new StandInClients(relay.address, traffic, seed + relay.number,
                 CLIENT_TIMEOUT_MS, (long) relay.number << SEQUENCE_BITS, new ClientRecorder());
             clients.add(relayClients);
-            relayClients.rate(MESSAGES_PER_SECOND_PER_RELAY);
+            relayClients.setRate(MESSAGES_PER_SECOND_PER_RELAY);
         }
         Future<?> watcher = tasks.submit(this::watchRelays);
         List<Future<?>> injections = new ArrayList<>();
@@ -180,7 +180,7 @@
         }
         TimeUnit.MILLISECONDS.sleep(Math.max(0, TRAFFIC_MS - nowMillis()));
         for (StandInClients relayClients : clients) {
-            relayClients.rate(0);
+            relayClients.setRate(0);
         }
         awaitAll(injections);
         TimeUnit.MILLISECONDS.sleep(TAIL_MS);
@@ -381,11 +381,11 @@
         FaultProxy link = endpointLinks.get(endpoint);
         long start = nowMillis();
         switch (fault.kind()) {
-            case ENDPOINT_SILENT -> holdStanding(endpoint, EndpointModel.Standing.SILENT, fault);
-            case ENDPOINT_DOWN -> holdStanding(endpoint, EndpointModel.Standing.REFUSING, fault);
-            case ENDPOINT_FAILS -> holdStanding(endpoint, EndpointModel.Standing.FAILING, fault);
+            case ENDPOINT_SILENT -> holdStanding(endpoint, EndpointModel.Mode.SILENT, fault);
+            case ENDPOINT_DOWN -> holdStanding(endpoint, EndpointModel.Mode.REFUSING, fault);
+            case ENDPOINT_FAILS -> holdStanding(endpoint, EndpointModel.Mode.FAILING, fault);
             case ENDPOINT_SHUT -> {
-                destinations.shut(endpoint, fault.durationMillis());
+                destinations.refuseFor(endpoint, fault.durationMillis());
                 return;
             }
             case ENDPOINT_DRAINS -> {
@@ -408,15 +408,15 @@
     }
 
     /** Puts an endpoint into an outage for as long as the fault lasts; skipped if it is in an outage. */
-    private void holdStanding(int endpoint, EndpointModel.Standing standing, Fault fault)
+    private void holdStanding(int endpoint, EndpointModel.Mode standing, Fault fault)
         throws InterruptedException {
         if (!endpointsInOutage.add(endpoint)) {
             return;
         }
         long start = nowMillis();
-        destinations.stand(endpoint, standing);
+        destinations.setMode(endpoint, standing);
         TimeUnit.MILLISECONDS.sleep(fault.durationMillis());
-        destinations.stand(endpoint, EndpointModel.Standing.SERVING);
+        destinations.setMode(endpoint, EndpointModel.Mode.SERVING);
         history.recordOutage(endpoint, new History.Interval(start, nowMillis()));
         endpointsInOutage.remove(endpoint);
     }
@@ -437,7 +437,7 @@
 
     private final class ClientRecorder implements ClientObserver {
         @Override
-        public void handedIn(MessageId id, Traffic.ClassShare kind, int destination) {
+        public void submitted(MessageId id, Traffic.ClassShare kind, int destination) {
             History.Effect effect = switch (kind.name()) {
                 case "notice" -> History.Effect.KEYED;
                 case "query" -> History.Effect.SAFE;
@@ -449,14 +449,14 @@
         }
 
         @Override
-        public void ended(MessageId id, Ending ending, int status, boolean written) {
-            history.recordRequestEnd(id.text(), status, ending == Ending.BROKEN_OFF && written, nowMillis());
+        public void submissionEnded(MessageId id, Result ending, int status, boolean written) {
+            history.recordRequestEnd(id.text(), status, ending == Result.CONNECTION_LOST && written, nowMillis());
         }
     }
 
     private final class CallRecorder implements CallObserver {
         @Override
-        public void called(int endpoint, MessageId id, EndpointModel.Verdict verdict, long nowNanos) {
+        public void callReceived(int endpoint, MessageId id, EndpointModel.Response verdict, long nowNanos) {
             if (id == null) {
                 history.addFinding(new Finding("made up", toMillis(nowNanos),
                     "a call with an id that no client wrote"));
@@ -465,7 +465,7 @@
             // Status 0 is silence: the endpoint may have executed the message.
             boolean mayExecute = verdict.status() == 200 || verdict.status() == 0;
             history.recordCall(new History.Call(relayOf(id), endpoint, HostCatalog.destinationOf(endpoint),
-                id.text(), toMillis(nowNanos), verdict.waitMillis()), mayExecute);
+                id.text(), toMillis(nowNanos), verdict.retryAfterMillis()), mayExecute);
             History.Message message = history.message(id.text());
             if (message == null || message.destination != HostCatalog.destinationOf(endpoint)) {
                 history.addFinding(new Finding("made up", toMillis(nowNanos), "message " + id.text()
@@ -474,7 +474,7 @@
         }
 
         @Override
-        public void delivered(int endpoint, MessageId id, long nowNanos) {
+        public void messageDelivered(int endpoint, MessageId id, long nowNanos) {
             history.recordDelivery(id.text(), toMillis(nowNanos));
         }
     }
--- a/src/test/java/wrenkeel/soak/OutageRunTest.java
+++ b/src/test/java/wrenkeel/soak/OutageRunTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.extension.ExtendWith;
 import org.junit.jupiter.api.io.TempDir;
 import wrenkeel.KnownRed;
-import wrenkeel.scale.EndpointModel.Standing;
+import wrenkeel.scale.EndpointModel.Mode;
 
 /** Runs real relays against one destination that has an outage and returns cold. */
 @ExtendWith(KnownRed.class)
@@ -45,7 +45,7 @@
     @Test
     void relaysKilledDuringAnOutageStayWithinTheColdStartBudget() throws Exception {
         try (OutageRun run = new OutageRun(createRepository(),
-                new OutageRun.Plan(1, 24, 16, 20, Standing.SILENT, 6_000, 1, 1_500, true, 0))) {
+                new OutageRun.Plan(1, 24, 16, 20, Mode.SILENT, 6_000, 1, 1_500, true, 0))) {
             OutageRun.Result result = run.run();
             System.out.println("outage run: " + result);
             assertTrue(result.worstWindow().ratio() <= 1, result.toString());
