--- a/src/main/java/wrenkeel/Control.java
+++ b/src/main/java/wrenkeel/Control.java
@@ -29,7 +29,7 @@
     // Copies (hedged requests).
     /** Copy delay until enough response times of a destination are known. */
     private static final long INITIAL_COPY_DELAY_MICROS = 200 * MS;
-    /** Share of recent response times below the copy delay; speculative execution asks for about 0.9. */
+    /** Share of recent response times, 0 to 1, below the copy delay; hedging asks for about 0.9. */
     private static final double COPY_DELAY_PERCENTILE = 0.95;
     /** Response times kept for the copy delay: enough to have a tail, few enough to follow changes. */
     private static final int LATENCY_SAMPLES = 48;
@@ -71,7 +71,7 @@
     private static final double URGENCY_WEIGHT = 2;
     /** Endpoint choice: cost of opening a connection. */
     private static final long CONNECT_COST_MICROS = 100 * MS;
-    /** Endpoint choice: cost of one point of the deductions in {@link Relay.Costs}. */
+    /** Endpoint choice: cost of each 0.01 of the deductions in {@link Relay.Costs}. */
     private static final long POINT_COST_MICROS = 50 * MS;
     /** Endpoint choice: cost of each failure in a row, overdue attempt and earlier attempt of the message. */
     private static final long FAILURE_COST_MICROS = 2 * SECOND;
@@ -108,8 +108,9 @@
     /** Upper bound of that time. */
     private static final long MAX_REGAIN_MICROS = 6 * SECOND;
     /**
-     * In a fleet of up to this size, each relay may send at the rate at which it accepts messages. The relays
-     * of a larger fleet share the rate of this many, and begin with partly filled token buckets.
+     * Relays that may each insist on a send rate as high as the rate of the messages that they accept, though
+     * that rate met a limit. In a larger fleet, each relay insists on this number divided by the number of
+     * relays, as a share of that rate, and begins with partly filled token buckets.
      */
     private static final double SMALL_FLEET_RELAYS = 3;
     /** Share by which the send rate drops below the limit when the limit is met. */
@@ -197,11 +198,15 @@
     private static final long PROBE_GAP_MICROS = 400 * MS;
     /** A suspicion that is cleared within this leaves no slow start. */
     private static final long SUSPICION_MICROS = 2 * SECOND;
-    /** An endpoint that had not answered for this long before a probe or refusal may have been out since. */
+    /**
+     * When the latest answered call was sent longer than this before an answered probe or a repeated refusal,
+     * the endpoint may have been out all that time.
+     */
     private static final long LONG_SILENCE_MICROS = 5 * SECOND;
     /**
-     * While a destination is out, a relay that delivered less to it before takes this share of the rate at
-     * which it accepts messages as its own rate in the slow start.
+     * The slow start of an endpoint that is out assumes that this relay delivered at least this share of the
+     * rate at which it accepts messages, though it delivered less before the outage. Once the endpoint has
+     * returned, the share is 1.
      */
     private static final double OUTAGE_RATE_SHARE = 0.5;
 
@@ -324,7 +329,7 @@
         if (releaseRequested) {
             // After dispatch: a destination may have its first message in a long time in this very turn.
             releaseRequested = false;
-            releaseUnused();
+            releaseUnusedDestinations();
         }
         setTimer();
         return actions;
@@ -357,7 +362,7 @@
             handingOver = true;
             messages.values().stream().filter(message -> message.queued).toList().forEach(this::handOver);
         } else if (event instanceof EndpointSnapshot e) {
-            carryOver(e);
+            applySnapshot(e);
         } else if (event instanceof ExternalCalls e) {
             Destination destination = destination(e.destination());
             externalCalls += e.calls() - destination.externalCalls;
@@ -607,7 +612,7 @@
             if (!attempt.failedLocally) {
                 endpoint.idleSince.addLast(now);
             }
-            releaseUnused(endpoint);
+            closeRarelyUsedConnections(endpoint);
         }
         endpoint.openProbes -= attempt.isProbe ? 1 : 0;
         endpoint.overdueAttempts -= attempt.overdue ? 1 : 0;
@@ -619,7 +624,7 @@
      * Closes the idle connections of an endpoint that is used too rarely to keep them. Endpoints may accept
      * few connections, idle ones included, and every relay of a fleet would otherwise keep its own.
      */
-    private void releaseUnused(EndpointState endpoint) {
+    private void closeRarelyUsedConnections(EndpointState endpoint) {
         double heldFor = Math.min(idleHoldMicros[endpoint.kind], idleTrustMicros[endpoint.kind]);
         double expectedUses = endpoint.destination.acceptedPerSecond
             / Math.max(1, endpoint.destination.endpoints.size()) * heldFor / SECOND;
@@ -757,17 +762,17 @@
     private double cost(Message message, EndpointState endpoint) {
         double latency = endpoint.latency > 0 ? endpoint.latency
             : Math.max(endpoint.destination.recentLatency, INITIAL_COPY_DELAY_MICROS);
-        double points = endpoint.zone == settings.zone() ? 0 : settings.costs().crossZone();
+        double deductions = endpoint.zone == settings.zone() ? 0 : settings.costs().crossZone();
         if (settings.kinds().get(endpoint.kind).independentEndpoints()
             && endpoint.zone < settings.costs().zoneFees().size()) {
-            points += settings.costs().zoneFees().get(endpoint.zone);
+            deductions += settings.costs().zoneFees().get(endpoint.zone);
         }
         int maxStreams = Math.max(1, settings.limits().maxStreams());
         boolean connected = endpoint.hasIdleConnection(now - settings.limits().keepAlive())
             || endpoint.inFlight % maxStreams != 0;
         return latency * (1 + endpoint.inFlight) * (1 + 0.1 * random.nextDouble())
             + (connected ? 0 : CONNECT_COST_MICROS)
-            + points * 100 * POINT_COST_MICROS
+            + deductions * 100 * POINT_COST_MICROS
             + (double) (endpoint.consecutiveFailures + endpoint.overdueAttempts
                 + message.attemptCount(endpoint)) * FAILURE_COST_MICROS;
     }
@@ -949,7 +954,7 @@
         int kind = attempt.endpoint.kind;
         // The answer to a call may carry a Retry-After whatever the outcome of this message.
         scope.retryAfterUntil = Math.max(scope.retryAfterUntil, now + event.retryAfter());
-        // Messages of one call mostly end the same way, which tells no more than a single message.
+        // Messages of one call mostly end the same way, which shows no more than the end of a single one.
         if (attempt.call.lastOutcome == event.outcome()) {
             return;
         }
@@ -1102,13 +1107,14 @@
             scope.sendRate = Math.max(minSendRate(scope), scope.sendRate * REFUSAL_RATE_FACTOR);
         } else if (attempt.sentAt >= scope.limitMetAt && attempt.endpoint.health == Health.GOOD) {
             // The recent rate exceeds the limit. Refusals of calls that were in flight when the limit was met
-            // tell nothing new, and what an endpoint in slow start can serve is not its limit.
+            // show nothing new, and what an endpoint in slow start can serve is not its limit.
             double recentRate = Math.min(scope.sendRate,
                 scope.callRate.perSecond(now, CALL_RATE_SPAN_MICROS));
             double limitRate = recentRate * (destination.consecutiveRefusals > 1 ? REPEATED_LIMIT_FACTOR : 1);
             // The limit is assumed to be no lower than the rate of accepted messages, in full calls, since
-            // the send rate itself would make messages late otherwise. In a large fleet only a part of that
-            // rate counts: relays that all kept to it would exceed a lower limit all the time.
+            // the send rate itself would make messages late otherwise. In a large fleet with single-message
+            // calls only a part of that rate counts: many relays that all kept to it would exceed a lower
+            // limit all the time.
             int maxMessagesPerCall = settings.kinds().get(attempt.endpoint.kind).maxMessagesPerCall();
             double acceptedCallRate = destination.acceptedPerSecond / maxMessagesPerCall
                 * (maxMessagesPerCall > 1 ? 1 : Math.min(1, SMALL_FLEET_RELAYS / settings.relayCount()));
@@ -1355,11 +1361,11 @@
         Comparator<EndpointState> byImportance = Comparator.comparingInt(endpoint ->
             endpoint.limitScope.retryAfterUntil > now ? 0
                 : endpoint.health != Health.GOOD || endpoint.unavailableUntil() > now ? 1 : 2);
-        return endpoints.values().stream().sorted(byImportance).map(this::carryOver).toList();
+        return endpoints.values().stream().sorted(byImportance).map(this::snapshotOf).toList();
     }
 
     /** The snapshot of an endpoint for the next process. */
-    private EndpointSnapshot carryOver(EndpointState endpoint) {
+    private EndpointSnapshot snapshotOf(EndpointState endpoint) {
         long since = endpoint.health == Health.OUT ? endpoint.outSince : endpoint.returnedAt;
         double deliveredPerSecond = endpoint.health == Health.GOOD ? 0
             : endpoint.limitScope.slowStart.rateBeforeOutage();
@@ -1369,8 +1375,8 @@
             endpoint.destination.congestionWindow, endpoint.latency);
     }
 
-    /** Applies a snapshot of the previous process: its waits bind, and its findings need no second trial. */
-    private void carryOver(EndpointSnapshot snapshot) {
+    /** Applies a snapshot of the previous process: its waits bind, its findings are not tried out again. */
+    private void applySnapshot(EndpointSnapshot snapshot) {
         EndpointState endpoint = endpoints.get(snapshot.endpoint());
         if (endpoint == null) {
             return;
@@ -1513,8 +1519,7 @@
                     introduced ? initialTokens(listed, randomTokens) : randomTokens, now);
             }
         }
-        // A new endpoint is cold, and all messages that wait for a failing destination would go there at
-        // once.
+        // A new endpoint is cold: all messages that wait for a failing destination would go there at once.
         if (!endpoint.destination.endpoints.isEmpty() && !endpoint.destination.hasHealthyEndpoint()) {
             eject(endpoint, true, HealthReason.NEW_AMONG_OUT);
             endpoint.limitScope.slowStart.restartSpacing(now);
@@ -1576,7 +1581,7 @@
      * each of them once in many minutes: what it learned then is outdated by the next time, and the data of
      * all destinations together would not fit into memory.
      */
-    private void releaseUnused() {
+    private void releaseUnusedDestinations() {
         releasedBucketFullAt.values().removeIf(fullAt -> fullAt <= now);
         long minUnused = Math.max(settings.rules().warmUpTime() + settings.rules().overloadWindow(),
             settings.rules().keyPause());
--- a/src/main/java/wrenkeel/Relay.java
+++ b/src/main/java/wrenkeel/Relay.java
@@ -118,7 +118,8 @@
      *
      * @param drainGrace time within which sending to an endpoint must stop once the list calls it draining
      * @param overloadFactor a destination back from an outage fails again if, within one
-     *     {@code overloadWindow}, it gets more than this multiple of the calls that it can serve by then
+     *     {@code overloadWindow}, it gets more than this multiple of the calls that it can serve in that
+     *     time with its capacity at that stage of the warm-up
      * @param overloadWindow span over which those calls are counted
      * @param coldCapacity share of its capacity that a destination has when it returns from an outage
      * @param warmUpTime time that it takes from there to its full capacity
@@ -130,12 +131,15 @@
                         long warmUpTime, long keyPause, long answerSlack) { }
 
     /**
-     * Deductions for calls, where 0.01 is one point. The module uses {@code crossZone} and {@code zoneFees}.
+     * Points that are taken off the result, on a scale that runs to 1: 0.01 is one hundredth of it. Each
+     * figure is multiplied by the share or rate of what it is for. The module uses {@code crossZone} and
+     * {@code zoneFees}.
      *
-     * @param refusal for a refused call
-     * @param handshake for a new connection
-     * @param crossZone for a call to another zone
-     * @param zoneFees for a call to an independent endpoint, by the endpoint's zone
+     * @param refusal for refused calls
+     * @param handshake for new connections
+     * @param crossZone for calls to another zone
+     * @param waste for work that endpoints did in vain
+     * @param zoneFees for calls to independent endpoints, by the endpoint's zone
      */
     public record Costs(double refusal, double handshake, double crossZone, double waste,
                         List<Double> zoneFees) { }
@@ -319,7 +323,7 @@
     public record Send(String id, long endpoint, long timeout) implements Action { }
 
     /**
-     * Final answer: the message is handed back, and its sender may safely hand it in again.
+     * Final answer: the message is refused, and its sender may safely hand it in again.
      *
      * @param retryAfter time that it should wait before that; 0 for no advice
      */
--- a/src/main/java/wrenkeel/SlowStart.java
+++ b/src/main/java/wrenkeel/SlowStart.java
@@ -103,7 +103,7 @@
 
     /**
      * Share of its capacity, 0 to 1, that a destination has the given time after its return, taken in the
-     * middle of the window that ends then, since the budget applies to the whole window.
+     * middle of the window that ends then, since the budget applies to the entire window.
      */
     static double capacityShare(Rules rules, long timeSinceReturn) {
         double age = Math.max(0, timeSinceReturn - rules.overloadWindow() / 2);
--- a/src/main/java/wrenkeel/State.java
+++ b/src/main/java/wrenkeel/State.java
@@ -96,20 +96,20 @@
 
         /** Attempts that count towards the maximum of the message's class. */
         int attemptCount() {
-            int n = 0;
+            int count = 0;
             for (Attempt attempt : attempts) {
-                n += attempt.failedLocally ? 0 : 1;
+                count += attempt.failedLocally ? 0 : 1;
             }
-            return n;
+            return count;
         }
 
         /** Attempts to one endpoint, including those that failed locally. */
         int attemptCount(EndpointState endpoint) {
-            int n = 0;
+            int count = 0;
             for (Attempt attempt : attempts) {
-                n += attempt.endpoint == endpoint ? 1 : 0;
+                count += attempt.endpoint == endpoint ? 1 : 0;
             }
-            return n;
+            return count;
         }
     }
 
@@ -153,8 +153,8 @@
     }
 
     /**
-     * Messages that wait for the same destination with the same class and rank. Messages that are no longer
-     * queued stay in it until they come to an end of it, where they are skipped.
+     * Messages that wait for the same destination with the same index in {@link Destination#queues}. Messages
+     * that are no longer queued stay in it until they come to an end of it, where they are skipped.
      */
     static final class MessageQueue {
         /** Messages that could still be delivered within their target time when last looked at. */
--- a/src/main/java/wrenkeel/Wire.java
+++ b/src/main/java/wrenkeel/Wire.java
@@ -274,13 +274,13 @@
             tenants.add(new Relay.Tenant(t.text("name", ""), t.doubleValue("quota-per-s", 0)));
         }
         List<Relay.Kind> kinds = new ArrayList<>();
-        List<?> separate = info.list("kind-apart");
+        List<?> independent = info.list("kind-apart");
         List<?> maxBatchSizes = info.list("bundle-max");
         for (int i = 0; i < s.list("kinds").size(); i++) {
-            boolean isSeparate = i < separate.size() && Boolean.TRUE.equals(separate.get(i));
+            boolean isIndependent = i < independent.size() && Boolean.TRUE.equals(independent.get(i));
             int maxBatchSize = i < maxBatchSizes.size() && maxBatchSizes.get(i) instanceof Number n
                 ? n.intValue() : 1;
-            kinds.add(new Relay.Kind(isSeparate, Math.max(1, maxBatchSize)));
+            kinds.add(new Relay.Kind(isIndependent, Math.max(1, maxBatchSize)));
         }
         List<Double> zoneFees = new ArrayList<>();
         for (Object fee : info.list("carriage")) {
@@ -362,8 +362,8 @@
                 Relay.Outcome outcome = outcome(f.text("rc"));
                 Fields report = f.object("report");
                 long wait = outcome == Relay.Outcome.FULL ? Math.max(0, f.micros("detail", 0)) : 0;
-                return new Relay.AttemptEnded(f.text("ref"), (int) f.longValue("attempt", 0), f.longValue("host"),
-                    outcome, f.booleanValue("finished"), wait, f.micros("spent", 0),
+                return new Relay.AttemptEnded(f.text("ref"), (int) f.longValue("attempt", 0),
+                    f.longValue("host"), outcome, f.booleanValue("finished"), wait, f.micros("spent", 0),
                     report.doubleValue("x0", -1), report.doubleValue("x1", -1));
             }
             case "TickDue": return new Relay.TimerDue();
--- a/src/main/java/wrenkeel/net/HandoverSnapshot.java
+++ b/src/main/java/wrenkeel/net/HandoverSnapshot.java
@@ -28,15 +28,15 @@
      *
      * @param toUnix converts the module's times to Unix time in ms
      */
-    static String write(List<Relay.EndpointSnapshot> all, HostList hosts, LongUnaryOperator toUnix, long maxChars)
-        throws IOException {
+    static String write(List<Relay.EndpointSnapshot> all, HostList hosts, LongUnaryOperator toUnix,
+                        long maxChars) throws IOException {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = JSON.createGenerator(text)) {
             out.writeStartObject();
             out.writeNumberField("seq", hosts.version());
             out.writeArrayFieldStart("known");
-            for (Relay.EndpointSnapshot known : all) {
-                HostList.Host host = hosts.hostById(known.endpoint());
+            for (Relay.EndpointSnapshot snapshot : all) {
+                HostList.Host host = hosts.hostById(snapshot.endpoint());
                 out.flush();
                 if (text.getBuffer().length() >= maxChars) {
                     break;
@@ -47,14 +47,14 @@
                 out.writeStartObject();
                 out.writeStringField("host", host.name);
                 out.writeBooleanField("ready", host.ready);
-                out.writeNumberField("wait", toUnix.applyAsLong(known.waitUntil()));
-                out.writeNumberField("closed", toUnix.applyAsLong(known.unavailableUntil()));
-                out.writeStringField("health", known.health().name());
-                out.writeNumberField("since", toUnix.applyAsLong(known.since()));
-                out.writeNumberField("carried", known.carriedPerSecond());
-                out.writeNumberField("pace", known.sendRate());
-                out.writeNumberField("window", known.congestionWindow());
-                out.writeNumberField("latency", known.latency());
+                out.writeNumberField("wait", toUnix.applyAsLong(snapshot.waitUntil()));
+                out.writeNumberField("closed", toUnix.applyAsLong(snapshot.unavailableUntil()));
+                out.writeStringField("health", snapshot.health().name());
+                out.writeNumberField("since", toUnix.applyAsLong(snapshot.since()));
+                out.writeNumberField("carried", snapshot.carriedPerSecond());
+                out.writeNumberField("pace", snapshot.sendRate());
+                out.writeNumberField("window", snapshot.congestionWindow());
+                out.writeNumberField("latency", snapshot.latency());
                 out.writeEndObject();
             }
             out.writeEndArray();
--- a/src/main/java/wrenkeel/net/Journal.java
+++ b/src/main/java/wrenkeel/net/Journal.java
@@ -32,9 +32,9 @@
  *
  * <p>A record consists of the content's length (4 bytes), the CRC-32 of the content (4 bytes) and the
  * content: the record's type (1 byte), the number of the message (8 bytes) and further fields that depend on
- * the type. Records whose checksum does not match are skipped on reading. The file is rewritten with the open
- * messages only when it has grown. Old and new file together stay within the limit, because each accepted
- * message reserves the bytes that all its records may need.
+ * the type. Records whose checksum does not match are skipped on reading. When the file has grown, it is
+ * rewritten with the current state alone. Old and new file together stay within the limit, because each
+ * accepted message reserves the bytes that all its records may need.
  *
  * <p>Not thread-safe. A failed write throws {@link IOException}; the whole file is then rewritten before
  * anything is appended, from what this object holds in memory.
@@ -171,8 +171,8 @@
         private void markIncomplete() {
             if (!incomplete) {
                 incomplete = true;
-                long life = messageClass == null ? 0 : messageClass.lifetime() / 1_000;
-                attempts.add(new Attempt(message.deadline() - life, UNKNOWN_ZONE));
+                long lifetimeMillis = messageClass == null ? 0 : messageClass.lifetime() / 1_000;
+                attempts.add(new Attempt(message.deadline() - lifetimeMillis, UNKNOWN_ZONE));
             }
         }
     }
@@ -514,7 +514,7 @@
     void recordSent(Entry entry, long sentMillis, int zone) throws IOException {
         Attempt attempt = new Attempt(sentMillis, zone);
         try {
-            append(recordSent(entry, attempt));
+            append(sentRecord(entry, attempt));
         } catch (IOException e) {
             // The attempt is not sent then. It keeps its number, so that later attempts keep theirs.
             attempt.mayHaveRun = false;
@@ -553,7 +553,7 @@
     /** Records the end that was decided for a message; its notice is due from now on. */
     void recordEnd(Entry entry, End end) throws IOException {
         entry.end = end;
-        append(recordEnd(entry.number, end));
+        append(endRecord(entry.number, end));
     }
 
     /** Closes a message that was delivered or withdrawn, or whose notice was acknowledged. */
@@ -638,14 +638,14 @@
         to.accept(acceptedRecord(entry));
         for (int i = 0; i < entry.attempts.size(); i++) {
             int attempt = i;
-            to.accept(recordSent(entry, entry.attempts.get(i)));
+            to.accept(sentRecord(entry, entry.attempts.get(i)));
             if (!entry.attempts.get(i).mayHaveRun) {
                 byte type = entry.attempts.get(i).notMade ? NOT_MADE : NOT_RUN;
                 to.accept(record(type, entry.number, o -> o.writeShort(attempt)));
             }
         }
         if (entry.end != null) {
-            to.accept(recordEnd(entry.number, entry.end));
+            to.accept(endRecord(entry.number, entry.end));
         }
     }
 
@@ -833,11 +833,11 @@
             try {
                 replay(new DataInputStream(new ByteArrayInputStream(content)));
             } catch (IOException | RuntimeException e) {
-                long message = ByteBuffer.wrap(content).getLong(1);
-                LOG.warn("journal {}: cannot decode a record of message {}: {}", number(), message,
-                    e.toString());
-                if (entries.containsKey(message)) {
-                    entries.get(message).markIncomplete();
+                long messageNumber = ByteBuffer.wrap(content).getLong(1);
+                LOG.warn("journal {}: cannot decode a record of message {}: {}", number(),
+                    messageNumber, e.toString());
+                if (entries.containsKey(messageNumber)) {
+                    entries.get(messageNumber).markIncomplete();
                 }
             }
         }
@@ -918,9 +918,9 @@
         out.writeLong(number);
         fields.write(out);
         byte[] bytes = content.toByteArray();
-        int check = crc(ByteBuffer.wrap(bytes));
-        return ByteBuffer.allocate(HEADER_BYTES + bytes.length).putInt(bytes.length).putInt(check).put(bytes)
-            .array();
+        int checksum = crc(ByteBuffer.wrap(bytes));
+        return ByteBuffer.allocate(HEADER_BYTES + bytes.length)
+            .putInt(bytes.length).putInt(checksum).put(bytes).array();
     }
 
     private static byte[] healthRecord(EndpointHealth health) {
@@ -997,7 +997,7 @@
     }
 
     /** Encodes the record of an attempt. */
-    private static byte[] recordSent(Entry entry, Attempt attempt) throws IOException {
+    private static byte[] sentRecord(Entry entry, Attempt attempt) throws IOException {
         return record(SENT, entry.number, o -> {
             o.writeLong(attempt.sentMillis);
             o.writeInt(attempt.zone);
@@ -1005,7 +1005,7 @@
     }
 
     /** Encodes the record of a message's end. */
-    private static byte[] recordEnd(long number, End end) throws IOException {
+    private static byte[] endRecord(long number, End end) throws IOException {
         return record(ENDED, number, o -> {
             o.writeBoolean(end.refused());
             o.writeLong(end.retryAfterMicros());
--- a/src/main/java/wrenkeel/net/ProcessLease.java
+++ b/src/main/java/wrenkeel/net/ProcessLease.java
@@ -27,7 +27,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(ProcessLease.class);
     private static final String LOCK_FILE = "relay";
     private static final String JOURNAL_FILE = "journal";
-    /** The handover snapshot; it exists from when its process hands over until the successor serves. */
+    /** The handover snapshot; it exists from when its process hands over until the next one serves. */
     private static final String SNAPSHOT_FILE = "leaving";
     /** The highest number that is recognized in a file's name: 18 digits. */
     private static final long MAX_NUMBER = 999_999_999_999_999_999L;
@@ -156,7 +156,7 @@
         files.replace(draft, file(SNAPSHOT_FILE));
     }
 
-    /** Whether the successor has taken over, after {@link #publishSnapshot}. */
+    /** Whether the next process has taken over, after {@link #publishSnapshot}. */
     boolean isTakenOver() {
         return !Files.exists(file(SNAPSHOT_FILE));
     }
@@ -239,7 +239,7 @@
             }
         }
 
-        /** Signals to the process that its successor serves now, by deleting its snapshot. */
+        /** Signals to the process that the next one serves now, by deleting its snapshot. */
         void confirmTakeover() {
             deleteOrWarn(SNAPSHOT_FILE);
         }
--- a/src/main/java/wrenkeel/net/RecordedTimes.java
+++ b/src/main/java/wrenkeel/net/RecordedTimes.java
@@ -13,7 +13,7 @@
  * latest of them becomes the present.
  */
 final class RecordedTimes {
-    /** Longer than any window in which receivers drop a repeated message. */
+    /** Longer than any window in which hosts drop a repeated message. */
     private static final long LONG_AGO_MS = TimeUnit.DAYS.toMillis(1);
 
     private final ProcessClock clock;
--- a/src/main/java/wrenkeel/net/SavedHostList.java
+++ b/src/main/java/wrenkeel/net/SavedHostList.java
@@ -7,8 +7,8 @@
 import java.nio.file.Path;
 
 /**
- * The position in the configuration file of the host list that was last received from discovery. A large
- * fleet's list is read from there when it is needed and is never held in memory as text.
+ * The position in the configuration file of the last known host list. A large fleet's list is read from there
+ * when it is needed and is never held in memory as text.
  *
  * @param offset of the list's first byte in the file
  * @param length of the list in bytes; 0 if the file holds no list
