--- a/src/main/java/wrenkeel/Control.java
+++ b/src/main/java/wrenkeel/Control.java
@@ -72,7 +72,7 @@
     /** Endpoint choice: cost of opening a connection. */
     private static final long CONNECT_COST_MICROS = 100 * MS;
     /** Endpoint choice: cost of each 0.01 of the deductions in {@link Relay.Costs}. */
-    private static final long POINT_COST_MICROS = 50 * MS;
+    private static final long COST_PER_PERCENT_MICROS = 50 * MS;
     /** Endpoint choice: cost of each failure in a row, overdue attempt and earlier attempt of the message. */
     private static final long FAILURE_COST_MICROS = 2 * SECOND;
 
@@ -108,9 +108,9 @@
     /** Upper bound of that time. */
     private static final long MAX_REGAIN_MICROS = 6 * SECOND;
     /**
-     * Relays that may each insist on a send rate as high as the rate of the messages that they accept, though
-     * that rate met a limit. In a larger fleet, each relay insists on this number divided by the number of
-     * relays, as a share of that rate, and begins with partly filled token buckets.
+     * In a fleet of up to this many relays, each relay takes a limit to be no lower than the rate at which it
+     * accepts messages, even after refusals. In a larger fleet it does so only for a part of that rate: this
+     * number divided by the number of relays. It then also begins with partly filled token buckets.
      */
     private static final double SMALL_FLEET_RELAYS = 3;
     /** Share by which the send rate drops below the limit when the limit is met. */
@@ -772,7 +772,7 @@
             || endpoint.inFlight % maxStreams != 0;
         return latency * (1 + endpoint.inFlight) * (1 + 0.1 * random.nextDouble())
             + (connected ? 0 : CONNECT_COST_MICROS)
-            + deductions * 100 * POINT_COST_MICROS
+            + deductions * 100 * COST_PER_PERCENT_MICROS
             + (double) (endpoint.consecutiveFailures + endpoint.overdueAttempts
                 + message.attemptCount(endpoint)) * FAILURE_COST_MICROS;
     }
--- a/src/main/java/wrenkeel/SlowStart.java
+++ b/src/main/java/wrenkeel/SlowStart.java
@@ -159,8 +159,8 @@
     }
 
     /**
-     * Calls per window that are allowed beyond the budget. With N calls per window from all relays, the rule
-     * allows 2 * sqrt(N) more and a constant that depends on N; this is one relay's share.
+     * Calls per window that this relay may send beyond its budget. With budgets of N calls per window in all,
+     * the slack of all relays adds up to at most 2 * sqrt(N) and the constant that the rule allows for N.
      */
     private static double slack(Settings settings, double callBudget) {
         if (settings.weights() != Weights.NONE) {
--- a/src/main/java/wrenkeel/Wire.java
+++ b/src/main/java/wrenkeel/Wire.java
@@ -256,27 +256,28 @@
     }
 
     /** Reads the settings of the decision module; a field that is missing has the default given here. */
-    public static Relay.Settings settings(Fields s) throws MalformedException {
-        Fields info = s.object("family-info");
-        Fields allowed = s.object("allowed");
-        Fields rules = s.object("rules");
-        Fields prices = s.object("deductions");
+    public static Relay.Settings settings(Fields fields) throws MalformedException {
+        Fields info = fields.object("family-info");
+        Fields allowed = fields.object("allowed");
+        Fields rules = fields.object("rules");
+        Fields prices = fields.object("deductions");
         int maxAttempts = (int) allowed.longValue("most-tries", 1);
         List<Relay.MessageClass> classes = new ArrayList<>();
-        for (Fields c : s.objects("profiles")) {
-            classes.add(new Relay.MessageClass(c.text("name", ""), c.micros("aim"), c.micros("hard-limit"),
-                c.doubleValue("worth", 1), c.doubleValue("late-worth", 0), effect(c.text("semantics")),
-                c.text("group", "all").equals("zone"), c.micros("window", 0), c.booleanValue("sequential"),
-                maxAttempts));
+        for (Fields profile : fields.objects("profiles")) {
+            classes.add(new Relay.MessageClass(profile.text("name", ""), profile.micros("aim"),
+                profile.micros("hard-limit"), profile.doubleValue("worth", 1),
+                profile.doubleValue("late-worth", 0), effect(profile.text("semantics")),
+                profile.text("group", "all").equals("zone"), profile.micros("window", 0),
+                profile.booleanValue("sequential"), maxAttempts));
         }
         List<Relay.Tenant> tenants = new ArrayList<>();
-        for (Fields t : s.objects("tenants")) {
-            tenants.add(new Relay.Tenant(t.text("name", ""), t.doubleValue("quota-per-s", 0)));
+        for (Fields tenant : fields.objects("tenants")) {
+            tenants.add(new Relay.Tenant(tenant.text("name", ""), tenant.doubleValue("quota-per-s", 0)));
         }
         List<Relay.Kind> kinds = new ArrayList<>();
         List<?> independent = info.list("kind-apart");
         List<?> maxBatchSizes = info.list("bundle-max");
-        for (int i = 0; i < s.list("kinds").size(); i++) {
+        for (int i = 0; i < fields.list("kinds").size(); i++) {
             boolean isIndependent = i < independent.size() && Boolean.TRUE.equals(independent.get(i));
             int maxBatchSize = i < maxBatchSizes.size() && maxBatchSizes.get(i) instanceof Number n
                 ? n.intValue() : 1;
@@ -286,10 +287,10 @@
         for (Object fee : info.list("carriage")) {
             zoneFees.add(fee instanceof Number n ? n.doubleValue() : 0.0);
         }
-        return new Relay.Settings((int) s.longValue("rank", 0), (int) s.longValue("balancers", 1),
-            (int) s.longValue("zone", 0),
-            info.text("late", "linear").equals("halving"), s.doubleValue("over-share-worth", 1),
-            weights(s.text("weights", "none")), classes, tenants, kinds,
+        return new Relay.Settings((int) fields.longValue("rank", 0), (int) fields.longValue("balancers", 1),
+            (int) fields.longValue("zone", 0),
+            info.text("late", "linear").equals("halving"), fields.doubleValue("over-share-worth", 1),
+            weights(fields.text("weights", "none")), classes, tenants, kinds,
             new Relay.Limits((int) info.longValue("call-slots", 1),
                 (int) allowed.longValue("open-cap", 1000),
                 allowed.booleanValue("second-copies"), allowed.booleanValue("cancel"),
@@ -337,37 +338,37 @@
     /** Reads the endpoints of a list of hosts. */
     static List<Relay.Endpoint> endpoints(List<Fields> items) throws MalformedException {
         List<Relay.Endpoint> all = new ArrayList<>();
-        for (Fields e : items) {
-            Relay.Listing listing = switch (e.text("state")) {
+        for (Fields host : items) {
+            Relay.Listing listing = switch (host.text("state")) {
                 case "SERVING" -> Relay.Listing.READY;
                 case "DRAINING" -> Relay.Listing.DRAINING;
                 case "DELETED" -> Relay.Listing.GONE;
-                default -> throw new MalformedException("unknown state '" + e.text("state") + "'");
+                default -> throw new MalformedException("unknown state '" + host.text("state") + "'");
             };
-            all.add(new Relay.Endpoint(e.longValue("host"), (int) e.longValue("region-part", 0),
-                (int) e.longValue("family-type", 0), e.longValue("owner-no", 0), listing,
-                e.doubleValue("size", 1)));
+            all.add(new Relay.Endpoint(host.longValue("host"), (int) host.longValue("region-part", 0),
+                (int) host.longValue("family-type", 0), host.longValue("owner-no", 0), listing,
+                host.doubleValue("size", 1)));
         }
         return all;
     }
 
     /** Decodes an event for one instance; returns null for a verb that does not concern the module. */
-    static Relay.Event event(String verb, Fields f) throws MalformedException {
+    static Relay.Event event(String verb, Fields fields) throws MalformedException {
         switch (verb) {
             case "Accept":
-                return new Relay.MessageAccepted(f.text("ref"), (int) f.longValue("cls", 0),
-                    (int) f.longValue("realm", 0), f.text("route-key", null), f.micros("deadline"),
-                    f.longValue("to-exchange", 0));
+                return new Relay.MessageAccepted(fields.text("ref"), (int) fields.longValue("cls", 0),
+                    (int) fields.longValue("realm", 0), fields.text("route-key", null),
+                    fields.micros("deadline"), fields.longValue("to-exchange", 0));
             case "Verdict": {
-                Relay.Outcome outcome = outcome(f.text("rc"));
-                Fields report = f.object("report");
-                long wait = outcome == Relay.Outcome.FULL ? Math.max(0, f.micros("detail", 0)) : 0;
-                return new Relay.AttemptEnded(f.text("ref"), (int) f.longValue("attempt", 0),
-                    f.longValue("host"), outcome, f.booleanValue("finished"), wait, f.micros("spent", 0),
-                    report.doubleValue("x0", -1), report.doubleValue("x1", -1));
+                Relay.Outcome outcome = outcome(fields.text("rc"));
+                Fields report = fields.object("report");
+                long wait = outcome == Relay.Outcome.FULL ? Math.max(0, fields.micros("detail", 0)) : 0;
+                return new Relay.AttemptEnded(fields.text("ref"), (int) fields.longValue("attempt", 0),
+                    fields.longValue("host"), outcome, fields.booleanValue("finished"), wait,
+                    fields.micros("spent", 0), report.doubleValue("x0", -1), report.doubleValue("x1", -1));
             }
             case "TickDue": return new Relay.TimerDue();
-            case "Dropped": return new Relay.MessageWithdrawn(f.text("ref"));
+            case "Dropped": return new Relay.MessageWithdrawn(fields.text("ref"));
             case "Pong", "Heard", "Started": return null;
             default: throw new MalformedException("unknown verb '" + verb + "'");
         }
--- a/src/main/java/wrenkeel/net/Config.java
+++ b/src/main/java/wrenkeel/net/Config.java
@@ -177,14 +177,15 @@
      * is shorter by the connect timeout and a margin. A repeat that it allows then still arrives inside the
      * real window.
      */
-    private static Relay.Settings validated(Relay.Settings s) throws InvalidConfigException {
-        if (s.classes().isEmpty() || s.kinds().isEmpty() || s.relayCount() < 1 || s.limits().callSlots() < 1
-            || s.limits().connectTimeout() <= 0 || s.limits().keepAlive() <= 0) {
+    private static Relay.Settings validated(Relay.Settings settings) throws InvalidConfigException {
+        if (settings.classes().isEmpty() || settings.kinds().isEmpty() || settings.relayCount() < 1
+            || settings.limits().callSlots() < 1
+            || settings.limits().connectTimeout() <= 0 || settings.limits().keepAlive() <= 0) {
             throw new InvalidConfigException(
                 "settings must have classes, kinds, and positive relays, slots and connection times");
         }
         Set<String> names = new HashSet<>();
-        for (Relay.MessageClass c : s.classes()) {
+        for (Relay.MessageClass c : settings.classes()) {
             if (c.name().isEmpty() || !names.add(c.name()) || c.aim() <= 0 || c.lifetime() <= 0
                 || c.maxAttempts() < 1) {
                 throw new InvalidConfigException("class '" + c.name() + "' must have a unique name, and a"
@@ -195,11 +196,11 @@
                     "class '" + c.name() + "' must have a window in which a repeat is dropped");
             }
         }
-        List<Relay.MessageClass> classes = s.classes().stream().map(c -> new Relay.MessageClass(c.name(),
-            c.aim(), c.lifetime(), c.worth(), c.lateWorth(), c.effect(), c.dedupPerZone(),
-            Math.max(0, c.dedupWindow() - s.limits().connectTimeout() - WINDOW_MARGIN_MICROS), c.inOrder(),
-            c.maxAttempts())).toList();
-        return s.withClasses(classes);
+        List<Relay.MessageClass> classes = settings.classes().stream().map(c -> new Relay.MessageClass(
+            c.name(), c.aim(), c.lifetime(), c.worth(), c.lateWorth(), c.effect(), c.dedupPerZone(),
+            Math.max(0, c.dedupWindow() - settings.limits().connectTimeout() - WINDOW_MARGIN_MICROS),
+            c.inOrder(), c.maxAttempts())).toList();
+        return settings.withClasses(classes);
     }
 
     private static List<String> names(Wire.Fields settings, String field) throws Wire.MalformedException {
--- a/src/main/java/wrenkeel/net/HandoverSnapshot.java
+++ b/src/main/java/wrenkeel/net/HandoverSnapshot.java
@@ -78,18 +78,18 @@
         try {
             Wire.Fields all = Wire.decode(text);
             boolean newer = all.longValue("seq") > hosts.version();
-            for (Wire.Fields f : all.objects("known")) {
-                HostList.Host host = hostByName.apply(f.text("host"));
+            for (Wire.Fields fields : all.objects("known")) {
+                HostList.Host host = hostByName.apply(fields.text("host"));
                 if (host == null) {
                     continue;
                 }
-                if (newer && host.ready && !f.booleanValue("ready")) {
+                if (newer && host.ready && !fields.booleanValue("ready")) {
                     events.add(hosts.markDraining(host));
                 }
-                events.add(new Relay.EndpointSnapshot(host.id, toModule.applyAsLong(f.longValue("wait")),
-                    toModule.applyAsLong(f.longValue("closed")), health(f), toModule.applyAsLong(since(f)),
-                    f.doubleValue("carried", 0), f.doubleValue("pace"), f.doubleValue("window"),
-                    f.doubleValue("latency")));
+                events.add(new Relay.EndpointSnapshot(host.id, toModule.applyAsLong(fields.longValue("wait")),
+                    toModule.applyAsLong(fields.longValue("closed")), health(fields),
+                    toModule.applyAsLong(since(fields)), fields.doubleValue("carried", 0),
+                    fields.doubleValue("pace"), fields.doubleValue("window"), fields.doubleValue("latency")));
             }
         } catch (Wire.MalformedException e) {
             LOG.warn("the previous process's handover snapshot is malformed: {}", e.getMessage());
@@ -101,11 +101,11 @@
      * Reads the health of an endpoint. The previous release has no field for it: it wrote whether the
      * endpoint was out, and when it returned.
      */
-    private static Relay.Health health(Wire.Fields f) throws Wire.MalformedException {
-        String name = f.text("health", null);
+    private static Relay.Health health(Wire.Fields fields) throws Wire.MalformedException {
+        String name = fields.text("health", null);
         if (name == null) {
-            return f.booleanValue("out") ? Relay.Health.OUT
-                : f.longValue("returned") != 0 ? Relay.Health.RETURNING : Relay.Health.GOOD;
+            return fields.booleanValue("out") ? Relay.Health.OUT
+                : fields.longValue("returned") != 0 ? Relay.Health.RETURNING : Relay.Health.GOOD;
         }
         try {
             return Relay.Health.valueOf(name);
@@ -114,7 +114,7 @@
         }
     }
 
-    private static long since(Wire.Fields f) throws Wire.MalformedException {
-        return f.longValue("since", f.longValue("returned", 0));
+    private static long since(Wire.Fields fields) throws Wire.MalformedException {
+        return fields.longValue("since", fields.longValue("returned", 0));
     }
 }
