--- a/src/main/java/wrenkeel/net/ConnectionLimiter.java
+++ b/src/main/java/wrenkeel/net/ConnectionLimiter.java
@@ -12,7 +12,7 @@
  * only lingers after its last response, then one that has sent nothing since it connected or was last
  * answered, then one whose first request is incomplete. A connection of the latter two kinds is evicted only
  * if its socket holds no unread bytes, and one that has sent a whole request is never evicted while it sends
- * the next. One thread.
+ * the next. Not thread-safe.
  */
 final class ConnectionLimiter {
     private int maxConnections;
@@ -34,10 +34,10 @@
     /** Changes the limit and closes connections above it, as far as they may be evicted. */
     void setMaxConnections(int max) {
         maxConnections = max;
-        Channel evicted = all.size() > maxConnections ? nextToClose() : null;
+        Channel evicted = all.size() > maxConnections ? nextToEvict() : null;
         while (evicted != null) {
             evict(evicted);
-            evicted = all.size() > maxConnections ? nextToClose() : null;
+            evicted = all.size() > maxConnections ? nextToEvict() : null;
         }
     }
 
@@ -48,7 +48,7 @@
      */
     void connected(Channel channel) {
         if (all.size() >= maxConnections) {
-            Channel evicted = nextToClose();
+            Channel evicted = nextToEvict();
             evict(evicted == null ? channel : evicted);
         }
         if (channel.isActive()) {
@@ -57,7 +57,7 @@
     }
 
     /** Returns the connection to evict next; null if none may be evicted. */
-    private Channel nextToClose() {
+    private Channel nextToEvict() {
         if (!lingering.isEmpty()) {
             return lingering.iterator().next();
         }
--- a/src/main/java/wrenkeel/net/ControlDriver.java
+++ b/src/main/java/wrenkeel/net/ControlDriver.java
@@ -68,7 +68,7 @@
         final Message message;
         final Relay.MessageClass messageClass;
         /** By number of attempt; null for an attempt by an earlier process, or one that was not sent. */
-        final List<HostPool.Attempt> callParts = new ArrayList<>();
+        final List<HostPool.Attempt> attempts = new ArrayList<>();
         /** Null until the message is in the journal. */
         Journal.Entry journalEntry;
         /** The end is decided; attempts may still be in flight. */
@@ -78,7 +78,7 @@
         /** Attempts whose outcome is outstanding. */
         int outstandingAttempts;
         /** Responses "accepted" sent to clients, less those that are known not to have arrived. */
-        int acceptedAnswers;
+        int acceptedResponses;
 
         TrackedMessage(Message message, Relay.MessageClass messageClass, Journal.Entry journalEntry) {
             this.message = message;
@@ -101,7 +101,7 @@
      */
     private final List<Relay.MessageClass> knownClasses = new ArrayList<>();
     /** The message classes of the current settings, by name. */
-    private Map<String, Relay.MessageClass> classesInForce = Map.of();
+    private Map<String, Relay.MessageClass> currentClasses = Map.of();
     /** By message id. */
     private final Map<String, TrackedMessage> messages = new HashMap<>();
     /** Events that the next turn passes to the module. */
@@ -148,17 +148,18 @@
         this.hosts = hosts;
         this.pool = pool;
         this.journal = journal;
-        this.journalHealth = new JournalHealth(eventLoop, journal, ok -> enqueue(new Relay.StorageChanged(ok)));
+        this.journalHealth = new JournalHealth(eventLoop, journal,
+            ok -> enqueue(new Relay.StorageChanged(ok)));
         this.metrics = metrics;
         this.discovery = discoveryFactory.create(this::listUpdated, this::endAcknowledged);
         knownClasses.addAll(settings.classes());
-        updateClassesInForce();
+        updateCurrentClasses();
     }
 
-    private void updateClassesInForce() {
-        classesInForce = settings.classes().stream()
+    private void updateCurrentClasses() {
+        currentClasses = settings.classes().stream()
             .collect(Collectors.toMap(Relay.MessageClass::name, c -> c));
-        metrics.addClasses(classesInForce.keySet());
+        metrics.addClasses(currentClasses.keySet());
     }
 
     /** Applies new settings, and perhaps a new discovery address, from the next request on. */
@@ -168,7 +169,7 @@
         settings = next.settings();
         settings.classes().stream().filter(c -> !knownClasses.contains(c)).forEach(knownClasses::add);
         enqueue(new Relay.SettingsChanged(settings.withClasses(List.copyOf(knownClasses))));
-        updateClassesInForce();
+        updateCurrentClasses();
         discovery.moveTo(next.discoveryAddress());
         pool.setLimits(settings.limits().connectTimeout(), settings.limits().keepAlive(),
             next.descriptorBudget().hostConnections());
@@ -188,19 +189,19 @@
 
     /** Creates the connection to discovery, given the callbacks for list updates and acknowledged ends. */
     interface DiscoveryFactory {
-        Discovery create(Discovery.Listener whenListed, Consumer<Journal.Entry> whenNoticed);
+        Discovery create(Discovery.Listener listener, Consumer<Journal.Entry> onAcknowledged);
     }
 
     /**
-     * Loads the last known host list and starts watching discovery. If that list cannot be read, logs so and
+     * Loads the saved host list and starts watching discovery. If that list cannot be read, logs so and
      * starts without it.
      */
-    void start(SavedHostList known) {
-        if (!known.isEmpty()) {
-            try (InputStream text = known.open()) {
+    void start(SavedHostList savedList) {
+        if (!savedList.isEmpty()) {
+            try (InputStream text = savedList.open()) {
                 hosts.load(text);
             } catch (IOException e) {
-                LOG.warn("last known host list not loaded, starting without it: {}", e.getMessage());
+                LOG.warn("saved host list not loaded, starting without it: {}", e.getMessage());
             }
         }
         enqueue(new Relay.ListRequested());
@@ -295,8 +296,8 @@
         if (host == null) {
             unlistedHealth.put(recorded.host(), recorded);
         } else {
-            enqueue(Relay.EndpointSnapshot.health(host.id, recorded.health(), moduleTime(recorded.sinceMillis()),
-                recorded.callsPerSecond()));
+            enqueue(Relay.EndpointSnapshot.health(host.id, recorded.health(),
+                moduleTime(recorded.sinceMillis()), recorded.callsPerSecond()));
         }
     }
 
@@ -306,7 +307,7 @@
     private void resume(Journal.Entry entry) {
         if (entry.end != null) {
             discovery.postNotice(entry);
-        } else if (entry.messageClass == null && !classesInForce.containsKey(entry.message.messageClass())) {
+        } else if (entry.messageClass == null && !currentClasses.containsKey(entry.message.messageClass())) {
             LOG.warn("message {} failed: its class {} is no longer configured", entry.message.id(),
                 entry.message.messageClass());
             endMessage(entry, new Journal.End(false, 0));
@@ -324,14 +325,15 @@
         handingOver = true;
         enqueue(new Relay.HandoverStarted());
         runTurn();
-        journal.publishSnapshot(HandoverSnapshot.write(control.endpointSnapshots(), hosts, this::unixMillis, maxSnapshotBytes));
+        journal.publishSnapshot(HandoverSnapshot.write(control.endpointSnapshots(), hosts, this::unixMillis,
+            maxSnapshotBytes));
         pool.closeAllIdle();
     }
 
     /** Passes the snapshot that the previous process has left to the module. */
-    void restoreSnapshot(Journal.InheritedSnapshot left) {
-        HandoverSnapshot.read(left.text(), hosts, this::introducedHost,
-            unixMillis -> moduleTime(unixMillis + left.shiftMillis())).forEach(this::enqueue);
+    void restoreSnapshot(Journal.InheritedSnapshot inherited) {
+        HandoverSnapshot.read(inherited.text(), hosts, this::introducedHost,
+            unixMillis -> moduleTime(unixMillis + inherited.shiftMillis())).forEach(this::enqueue);
     }
 
     /**
@@ -341,14 +343,15 @@
     private void recover(Journal.Entry entry) {
         String name = entry.message.messageClass();
         TrackedMessage tracked = new TrackedMessage(entry.message,
-            entry.messageClass == null ? classesInForce.get(name) : entry.messageClass, entry);
-        tracked.acceptedAnswers = 1;
+            entry.messageClass == null ? currentClasses.get(name) : entry.messageClass, entry);
+        tracked.acceptedResponses = 1;
         messages.put(tracked.message.id(), tracked);
         openMessages++;
         List<Relay.EarlierAttempt> earlier = new ArrayList<>();
         for (Journal.Attempt attempt : entry.attempts) {
-            tracked.callParts.add(null);
-            earlier.add(new Relay.EarlierAttempt(moduleTime(attempt.sentMillis), attempt.zone, attempt.mayHaveRun));
+            tracked.attempts.add(null);
+            earlier.add(new Relay.EarlierAttempt(moduleTime(attempt.sentMillis), attempt.zone,
+                attempt.mayHaveRun));
         }
         if (earlier.isEmpty()) {
             tracked.untried = true;
@@ -365,7 +368,7 @@
      * time that the notice of its end may need.
      */
     private Relay.MessageAccepted acceptedEvent(TrackedMessage tracked, boolean recovered,
-                                         List<Relay.EarlierAttempt> earlier) {
+                                                List<Relay.EarlierAttempt> earlier) {
         Message message = tracked.message;
         long reserve = EndReserve.millis(message.deadline() - clock.millis());
         return new Relay.MessageAccepted(message.id(), classIndex(tracked.messageClass), message.tenant(),
@@ -375,12 +378,12 @@
 
     /** True if the message class is configured and some list has named the destination. */
     boolean isKnown(String messageClass, long destination) {
-        return classesInForce.containsKey(messageClass) && hosts.isKnown(destination);
+        return currentClasses.containsKey(messageClass) && hosts.isKnown(destination);
     }
 
     /** Returns the configured message class of this name; null if there is none. */
     Relay.MessageClass messageClass(String name) {
-        return classesInForce.get(name);
+        return currentClasses.get(name);
     }
 
     /**
@@ -425,7 +428,7 @@
         TrackedMessage known = messages.get(message.id());
         if (known != null && !known.ended) {
             // A client repeats its request if the connection closed while it wrote: the message is known.
-            known.acceptedAnswers++;
+            known.acceptedResponses++;
             callback.accepted();
             return;
         }
@@ -437,7 +440,7 @@
             callback.refused(RETRY_AFTER_MICROS);
             return;
         }
-        TrackedMessage tracked = new TrackedMessage(message, classesInForce.get(message.messageClass()),
+        TrackedMessage tracked = new TrackedMessage(message, currentClasses.get(message.messageClass()),
             null);
         messages.put(message.id(), tracked);
         openMessages++;
@@ -466,7 +469,7 @@
      */
     void withdraw(String id) {
         TrackedMessage tracked = messages.get(id);
-        if (tracked != null && !tracked.ended && --tracked.acceptedAnswers == 0) {
+        if (tracked != null && !tracked.ended && --tracked.acceptedResponses == 0) {
             LOG.info("message {} withdrawn: its client disconnected before the response was written", id);
             TRACE.debug("{} withdrawn", id);
             markEnded(tracked);
@@ -569,7 +572,7 @@
                 refuse(id, unansweredClients.get(id),
                     journalHealth.isWritable() ? Refusal.FOLDER_FULL : Refusal.FOLDER_FAILS);
             } else {
-                tracked.acceptedAnswers++;
+                tracked.acceptedResponses++;
                 TRACE.debug("{} accepted, {} ms left", id, tracked.message.deadline() - clock.millis());
                 unansweredClients.remove(id).accepted();
             }
@@ -616,15 +619,16 @@
             endMessage(refuse.id(), new Journal.End(true, refuse.retryAfter()));
         } else if (action instanceof Relay.Fail fail) {
             endMessage(fail.id(), new Journal.End(false, 0));
-        } else if (action instanceof Relay.HandOver pass) {
-            passToNextProcess(pass.id());
+        } else if (action instanceof Relay.HandOver handOver) {
+            passToNextProcess(handOver.id());
         } else if (action instanceof Relay.CancelAttempt cancel) {
             TrackedMessage tracked = messages.get(cancel.id());
-            HostPool.Attempt part = tracked == null ? null : tracked.callParts.get(cancel.attempt());
-            if (part != null) {
-                part.cancel();
+            HostPool.Attempt hostAttempt = tracked == null ? null : tracked.attempts.get(cancel.attempt());
+            if (hostAttempt != null) {
+                hostAttempt.cancel();
             }
-        } else if (action instanceof Relay.CloseIdleConnections close && hosts.hostById(close.endpoint()) != null) {
+        } else if (action instanceof Relay.CloseIdleConnections close
+                && hosts.hostById(close.endpoint()) != null) {
             pool.closeIdle(hosts.hostById(close.endpoint()));
         } else if (action instanceof Relay.EndpointForgotten forgotten) {
             hosts.releaseHost(forgotten.endpoint());
@@ -632,8 +636,8 @@
             hosts.hostsOf(released.destination()).forEach(pool::closeIdle);
             hosts.deactivate(released.destination());
             introducedDestinations--;
-        } else if (action instanceof Relay.SetTimer wake) {
-            eventLoop.schedule(() -> enqueue(new Relay.TimerDue()), wake.delay(), TimeUnit.MICROSECONDS);
+        } else if (action instanceof Relay.SetTimer setTimer) {
+            eventLoop.schedule(() -> enqueue(new Relay.TimerDue()), setTimer.delay(), TimeUnit.MICROSECONDS);
         } else if (action instanceof Relay.HealthChanged change) {
             healthChanged(change);
         }
@@ -651,8 +655,8 @@
             return;
         }
         try {
-            journal.endpointHealth(new Journal.EndpointHealth(host.name, change.health(), unixMillis(change.since()),
-                change.carriedPerSecond()));
+            journal.endpointHealth(new Journal.EndpointHealth(host.name, change.health(),
+                unixMillis(change.since()), change.carriedPerSecond()));
         } catch (IOException e) {
             journalHealth.writeFailed("health of " + host.name + " not recorded", e);
         }
@@ -670,8 +674,8 @@
         if (tracked == null) {
             return;
         }
-        int attempt = tracked.callParts.size();
-        tracked.callParts.add(null);
+        int attempt = tracked.attempts.size();
+        tracked.attempts.add(null);
         tracked.outstandingAttempts++;
         if (tracked.untried) {
             tracked.untried = false;
@@ -694,14 +698,14 @@
             return;
         }
         TRACE.debug("{} attempt {} to {}", send.id(), attempt, host.name);
-        HostPool.Attempt part = new HostPool.Attempt(tracked.message, send.timeout(),
+        HostPool.Attempt hostAttempt = new HostPool.Attempt(tracked.message, send.timeout(),
             reply -> attemptEnded(tracked, attempt, host, reply));
-        tracked.callParts.set(attempt, part);
+        tracked.attempts.set(attempt, hostAttempt);
         if (!batches.computeIfAbsent(host, key -> new CallBatch())
                 .hasRoomFor(tracked.message, settings.kinds().get(host.kind).maxMessagesPerCall())) {
             startCall(host);
         }
-        batches.computeIfAbsent(host, key -> new CallBatch()).add(part);
+        batches.computeIfAbsent(host, key -> new CallBatch()).add(hostAttempt);
     }
 
     /**
@@ -789,22 +793,25 @@
                     // The message's deadline passed before it reached the host.
                     metrics.countFailed(tracked.message.messageClass());
                 }
-            } else if (reply.outcome().provesNotExecuted() && reply.outcome() != Relay.Outcome.NOT_JOURNALED) {
+            } else if (reply.outcome().provesNotExecuted()
+                    && reply.outcome() != Relay.Outcome.NOT_JOURNALED) {
                 journalNotRun(tracked, attempt, reply.outcome() == Relay.Outcome.NO_SOCKET);
             }
         }
         enqueue(new Relay.AttemptEnded(tracked.message.id(), attempt, host.id, reply.outcome(), ended,
-            reply.retryAfterMicros(), reply.latencyMicros(), reply.remainingShare(), reply.rateLimitPerSecond()));
+            reply.retryAfterMicros(), reply.latencyMicros(), reply.remainingShare(),
+            reply.rateLimitPerSecond()));
         removeWhenDone(tracked);
     }
 
     /** Records a wait that a host asks for during the handover: it binds the next process too. */
-    private void persistWait(HostList.Host host, long span) {
+    private void persistWait(HostList.Host host, long waitMicros) {
         if (handingOver) {
             try {
-                journal.waits(host.name, clock.millis() + span / 1_000 + 1);
+                journal.waits(host.name, clock.millis() + waitMicros / 1_000 + 1);
             } catch (IOException e) {
-                journalHealth.writeFailed("Retry-After of " + host.name + " not passed on to the next process", e);
+                journalHealth.writeFailed(
+                    "Retry-After of " + host.name + " not passed on to the next process", e);
             }
         }
     }
@@ -866,8 +873,8 @@
         try {
             journal.recordEnd(entry, end);
         } catch (IOException e) {
-            journalHealth.writeFailed("end of message " + entry.message.id() + " not recorded, notice sent anyway",
-                e);
+            journalHealth.writeFailed(
+                "end of message " + entry.message.id() + " not recorded, notice sent anyway", e);
         }
         discovery.postNotice(entry);
     }
@@ -922,8 +929,8 @@
     // ---- List -----------------------------------------------------------------------------------
     /**
      * Passes a list update to the module, and the recorded health of hosts that the list names only now. For
-     * hosts that are not ready any more, takes back the calls still waiting for a connection and closes the
-     * idle connections.
+     * hosts that are not ready any more, cancels the calls still waiting for a connection and closes the idle
+     * connections.
      */
     private void listUpdated(HostList.Change change) {
         enqueue(change.event());
--- a/src/main/java/wrenkeel/net/Discovery.java
+++ b/src/main/java/wrenkeel/net/Discovery.java
@@ -38,7 +38,7 @@
     }
 
     private final Listener listener;
-    private final AgentConnection watch;
+    private final AgentConnection listConnection;
     private final NoticeSender notices;
     private InetSocketAddress agent;
     /** The latest scheduled call for the list; null before the first. */
@@ -46,7 +46,7 @@
     /** A fault has been logged since the last success. */
     private boolean faultLogged;
     /** The latest call for the list returned one: only then may the next call wait for a change. */
-    private boolean lastCallAnswered;
+    private boolean lastCallReturnedList;
     /** Number of lists rejected since the start. */
     private long faultCount;
     /** Number of calls in a row whose list was rejected. */
@@ -65,7 +65,8 @@
         this.loop = loop;
         this.hostList = hostList;
         this.listener = listener;
-        this.watch = new AgentConnection(loop, bootstrap, agent, (int) ListTiming.CONNECT_TIMEOUT_MS);
+        this.listConnection =
+            new AgentConnection(loop, bootstrap, agent, (int) ListTiming.CONNECT_TIMEOUT_MS);
         this.agent = agent;
         this.notices = new NoticeSender(loop, () -> new AgentNoticeConnection(bootstrap), onAcknowledged);
     }
@@ -76,21 +77,21 @@
      * bound by what the agent has.
      */
     void watch() {
-        long waitMs = lastCallAnswered ? WATCH_WAIT_MS : SHORTEST_WAIT_MS;
+        long waitMs = lastCallReturnedList ? WATCH_WAIT_MS : SHORTEST_WAIT_MS;
         String query = hostList.version() < 0 ? "" : "?after=" + hostList.version() + "&wait_ms=" + waitMs;
-        long timeoutMs = lastCallAnswered ? WATCH_WAIT_MS + WATCH_SLACK_MS : responseTimeoutMs;
-        watch.send(HttpMethod.GET, "/v1/servers" + query, "", timeoutMs, hostList::beginUpdate,
+        long timeoutMs = lastCallReturnedList ? WATCH_WAIT_MS + WATCH_SLACK_MS : responseTimeoutMs;
+        listConnection.send(HttpMethod.GET, "/v1/servers" + query, "", timeoutMs, hostList::beginUpdate,
             this::handleResponse);
     }
 
     private void handleResponse(AgentConnection.Response response) {
-        lastCallAnswered = false;
+        lastCallReturnedList = false;
         long gapMs = ListTiming.RETRY_GAP_MS;
         try {
             if (response.listChange != null) {
                 listener.onListChanged(response.listChange);
                 faultLogged = false;
-                lastCallAnswered = true;
+                lastCallReturnedList = true;
                 consecutiveFaults = 0;
                 watch();
                 return;
@@ -130,7 +131,7 @@
 
     /** Reads and applies what the agent has already sent. */
     void readAvailable() {
-        watch.readAvailable();
+        listConnection.readAvailable();
     }
 
     /** Changes the agent's address. Calls and posts in progress are repeated at the new address. */
@@ -139,7 +140,7 @@
             return;
         }
         this.agent = agent;
-        watch.moveTo(agent);
+        listConnection.moveTo(agent);
         // The backoff after faults at the old address doesn't apply to the new one.
         consecutiveFaults = 0;
         if (nextCall != null && nextCall.cancel(false)) {
@@ -163,7 +164,7 @@
 
     /** True while a call for the list is in progress, false during the gap before the next one. */
     boolean isCallPending() {
-        return watch.isBusy();
+        return listConnection.isBusy();
     }
 
     /** True while a notice has not been acknowledged. */
--- a/src/main/java/wrenkeel/net/EndpointHealthLog.java
+++ b/src/main/java/wrenkeel/net/EndpointHealthLog.java
@@ -11,7 +11,8 @@
 /**
  * Logs one line for each change of an endpoint's health, with its name, the reason, and the usage and limit
  * of its slow start. A token bucket limits the rate of lines, so that many changes do not fill the log, and
- * an early burst does not suppress a later incident; the next line says how many were suppressed. One thread.
+ * an early burst does not suppress a later incident; the next line says how many were suppressed. Not
+ * thread-safe.
  */
 final class EndpointHealthLog {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointHealthLog.class);
--- a/src/main/java/wrenkeel/net/EventLoopLag.java
+++ b/src/main/java/wrenkeel/net/EventLoopLag.java
@@ -7,7 +7,7 @@
 
 /**
  * Measures the recent lag of an event loop by a task that the loop runs at a fixed period. Bytes read from a
- * socket now may have waited there for that long. One thread.
+ * socket now may have waited there for that long. Not thread-safe.
  */
 final class EventLoopLag {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoopLag.class);
--- a/src/main/java/wrenkeel/net/HostPool.java
+++ b/src/main/java/wrenkeel/net/HostPool.java
@@ -228,7 +228,7 @@
     private final EventLoop loop;
     private final Bootstrap bootstrap;
     private long idleLimitNanos;
-    private final Metrics figures;
+    private final Metrics metrics;
     /** Limit of {@link #connectionCount}. */
     private int maxConnections;
     /** Connections to all hosts, including those that are being established. */
@@ -244,18 +244,18 @@
      * closed to make room for new ones; if none is idle, further calls wait until their timeout.
      */
     HostPool(EventLoop loop, Bootstrap bootstrap, long connectTimeoutMicros, long keepAliveMicros,
-             int maxConnections, Metrics figures) {
+             int maxConnections, Metrics metrics) {
         this(loop, bootstrap, NioSocketChannel::new, connectTimeoutMicros, keepAliveMicros, maxConnections,
-            figures);
+            metrics);
     }
 
     /**
      * {@code channelFactory} creates the connections' channels; an exception that it throws fails the call.
      */
     HostPool(EventLoop loop, Bootstrap bootstrap, ChannelFactory<Channel> channelFactory,
-             long connectTimeoutMicros, long keepAliveMicros, int maxConnections, Metrics figures) {
+             long connectTimeoutMicros, long keepAliveMicros, int maxConnections, Metrics metrics) {
         this.loop = loop;
-        this.figures = figures;
+        this.metrics = metrics;
         this.bootstrap = bootstrap.clone(loop).channelFactory(channelFactory)
             .option(ChannelOption.TCP_NODELAY, true)
             .handler(new ChannelInitializer<Channel>() {
@@ -569,7 +569,7 @@
             batchBody = null;
             connections.unsent.remove(next);
             if (!next.host.ready) {
-                figures.countViolation(Violation.SENT_WHILE_DRAINING);
+                metrics.countViolation(Violation.SENT_WHILE_DRAINING);
                 LOG.error("{}: call sent to host {}, which is draining or gone",
                     Violation.SENT_WHILE_DRAINING, next.host.name);
             }
@@ -579,7 +579,7 @@
             channel.writeAndFlush(next.request()).addListener(done -> {
                 next.written = done.isSuccess();
                 if (done.isSuccess()) {
-                    figures.countUpstreamRequests(messages);
+                    metrics.countUpstreamRequests(messages);
                 } else {
                     channel.close();
                 }
--- a/src/main/java/wrenkeel/net/HostTable.java
+++ b/src/main/java/wrenkeel/net/HostTable.java
@@ -179,7 +179,7 @@
         Character index = zoneIndexes.get(zone);
         if (index == null) {
             if (zoneIndexes.size() == MAX_ZONES) {
-                throw new Wire.MalformedException("hosts are in more than " + MAX_ZONES + " sites");
+                throw new Wire.MalformedException("hosts are in more than " + MAX_ZONES + " zones");
             }
             index = (char) zoneIndexes.size();
             zones = index == zones.length ? Arrays.copyOf(zones, 2 * index) : zones;
@@ -211,17 +211,17 @@
 
     InetSocketAddress address(int row) {
         Page page = page(row);
-        int at = row & PAGE_ROWS - 1;
+        int index = row & PAGE_ROWS - 1;
         byte[] bytes;
         if (hasFlag(row, ADDRESS_IN_ARENA)) {
             bytes = new byte[IPV6_BYTES];
-            arena.read(page.address[at], bytes);
+            arena.read(page.address[index], bytes);
         } else {
-            int bits = page.address[at];
+            int bits = page.address[index];
             bytes = new byte[] {(byte) (bits >> 24), (byte) (bits >> 16), (byte) (bits >> 8), (byte) bits};
         }
         try {
-            return new InetSocketAddress(InetAddress.getByAddress(bytes), page.port[at]);
+            return new InetSocketAddress(InetAddress.getByAddress(bytes), page.port[index]);
         } catch (UnknownHostException e) {
             throw new IllegalStateException("an address of 4 or 16 bytes was not accepted", e);
         }
@@ -241,24 +241,25 @@
             throw new Wire.MalformedException("hosts and changes take more than " + maxRows + " rows");
         }
         if (arena.allocatedBytes() > Math.max(MIN_ARENA_LIMIT_BYTES, (long) maxRows * MEAN_NAME_BYTES)) {
-            throw new Wire.MalformedException("host names take more than " + arena.allocatedBytes() + " bytes in all");
+            throw new Wire.MalformedException(
+                "host names take more than " + arena.allocatedBytes() + " bytes in all");
         }
         char zoneIndex = zoneIndex(entry.zone);
         int row = allocate();
         Page page = page(row);
-        int at = row & PAGE_ROWS - 1;
+        int index = row & PAGE_ROWS - 1;
         boolean isIpv6 = entry.ipv6Address != null;
         boolean needsDouble = (float) entry.share != entry.share;
-        page.id[at] = hostRow == NONE ? crc(entry.name, entry.nameLength) : (int) id(hostRow);
-        page.name[at] = hostRow == NONE ? arena.add(entry.name, entry.nameLength) : NONE;
-        page.zoneIndex[at] = zoneIndex;
-        page.kind[at] = (byte) entry.kind;
-        page.destination[at] = entry.destination;
-        page.share[at] = encodeShare(entry.share, needsDouble);
-        page.address[at] = isIpv6 ? arena.add(entry.ipv6Address, IPV6_BYTES) : entry.ipv4Address;
-        page.port[at] = (char) entry.port;
-        page.next[at] = NONE;
-        page.flags[at] = (short) ((isIpv6 ? ADDRESS_IN_ARENA : 0) | (needsDouble ? SHARE_IN_ARENA : 0)
+        page.id[index] = hostRow == NONE ? crc(entry.name, entry.nameLength) : (int) id(hostRow);
+        page.name[index] = hostRow == NONE ? arena.add(entry.name, entry.nameLength) : NONE;
+        page.zoneIndex[index] = zoneIndex;
+        page.kind[index] = (byte) entry.kind;
+        page.destination[index] = entry.destination;
+        page.share[index] = encodeShare(entry.share, needsDouble);
+        page.address[index] = isIpv6 ? arena.add(entry.ipv6Address, IPV6_BYTES) : entry.ipv4Address;
+        page.port[index] = (char) entry.port;
+        page.next[index] = NONE;
+        page.flags[index] = (short) ((isIpv6 ? ADDRESS_IN_ARENA : 0) | (needsDouble ? SHARE_IN_ARENA : 0)
             | (entry.listing == Relay.Listing.READY ? READY : 0)
             | (entry.listing == Relay.Listing.GONE ? GONE : 0)
             | (entry.unusableAddress ? UNUSABLE_ADDRESS : 0));
@@ -278,11 +279,11 @@
     /** True if an entry changes nothing of the linked row of its host. */
     boolean matches(int row, ListReader.Entry entry) {
         Page page = page(row);
-        int at = row & PAGE_ROWS - 1;
+        int index = row & PAGE_ROWS - 1;
         boolean sameAddress = hasFlag(row, ADDRESS_IN_ARENA)
-            ? entry.ipv6Address != null && arena.contains(page.address[at], entry.ipv6Address, IPV6_BYTES)
-            : entry.ipv6Address == null && page.address[at] == entry.ipv4Address;
-        return sameAddress && page.port[at] == entry.port && page.destination[at] == entry.destination
+            ? entry.ipv6Address != null && arena.contains(page.address[index], entry.ipv6Address, IPV6_BYTES)
+            : entry.ipv6Address == null && page.address[index] == entry.ipv4Address;
+        return sameAddress && page.port[index] == entry.port && page.destination[index] == entry.destination
             && zone(row) == entry.zone && kind(row) == entry.kind && share(row) == entry.share
             && entry.listing == (hasFlag(row, READY) ? Relay.Listing.READY : Relay.Listing.DRAINING);
     }
@@ -293,20 +294,20 @@
      */
     void update(int row, int entry) {
         Page to = page(row);
-        int at = row & PAGE_ROWS - 1;
+        int index = row & PAGE_ROWS - 1;
         Page from = page(entry);
-        int source = entry & PAGE_ROWS - 1;
+        int entryIndex = entry & PAGE_ROWS - 1;
         if (hasFlag(row, ADDRESS_IN_ARENA)) {
-            arena.free(to.address[at]);
+            arena.free(to.address[index]);
         }
         if (hasFlag(row, SHARE_IN_ARENA)) {
-            arena.free(to.share[at]);
+            arena.free(to.share[index]);
         }
-        to.zoneIndex[at] = from.zoneIndex[source];
-        to.kind[at] = from.kind[source];
-        to.share[at] = from.share[source];
-        to.address[at] = from.address[source];
-        to.port[at] = from.port[source];
+        to.zoneIndex[index] = from.zoneIndex[entryIndex];
+        to.kind[index] = from.kind[entryIndex];
+        to.share[index] = from.share[entryIndex];
+        to.address[index] = from.address[entryIndex];
+        to.port[index] = from.port[entryIndex];
         setFlag(row, ADDRESS_IN_ARENA, hasFlag(entry, ADDRESS_IN_ARENA));
         setFlag(row, SHARE_IN_ARENA, hasFlag(entry, SHARE_IN_ARENA));
         setFlag(entry, ADDRESS_IN_ARENA | SHARE_IN_ARENA, false);
@@ -505,15 +506,15 @@
             arena = new ByteArena();
             for (int row = 0; row < end; row++) {
                 Page page = page(row);
-                int at = row & PAGE_ROWS - 1;
-                if (page.flags[at] != 0 && page.name[at] != NONE) {
-                    page.name[at] = arena.add(scratch, oldArena.read(page.name[at], scratch));
+                int index = row & PAGE_ROWS - 1;
+                if (page.flags[index] != 0 && page.name[index] != NONE) {
+                    page.name[index] = arena.add(scratch, oldArena.read(page.name[index], scratch));
                 }
                 if (hasFlag(row, ADDRESS_IN_ARENA)) {
-                    page.address[at] = arena.add(scratch, oldArena.read(page.address[at], scratch));
+                    page.address[index] = arena.add(scratch, oldArena.read(page.address[index], scratch));
                 }
                 if (hasFlag(row, SHARE_IN_ARENA)) {
-                    page.share[at] = arena.add(scratch, oldArena.read(page.share[at], scratch));
+                    page.share[index] = arena.add(scratch, oldArena.read(page.share[index], scratch));
                 }
             }
         }
--- a/src/main/java/wrenkeel/net/ListOnlyRelay.java
+++ b/src/main/java/wrenkeel/net/ListOnlyRelay.java
@@ -58,12 +58,12 @@
             config.settings().limits().keepAlive(), config.descriptorBudget().hostConnections(), metrics);
         journal = new Journal(config.stateFolder(), config.diskLimitBytes(), clock, FileOperations.SYSTEM);
         driver = new ControlDriver(eventLoop, clock, config, hosts, pool, journal, metrics,
-            (whenListed, whenNoticed) ->
+            (listener, onAcknowledged) ->
                 new Discovery(eventLoop, calls, config.discoveryAddress(), hosts, change -> {
-                    whenListed.onListChanged(change);
+                    listener.onListChanged(change);
                     // Runs after the module's turn, which is in the event loop's queue already.
                     eventLoop.execute(() -> versionApplied(hosts.version()));
-                }, whenNoticed));
+                }, onAcknowledged));
         driver.start(config.savedList());
         // No other process shares the state folder: what it holds was left by one that has ended.
         driver.adopt();
--- a/src/main/java/wrenkeel/net/ListTiming.java
+++ b/src/main/java/wrenkeel/net/ListTiming.java
@@ -11,7 +11,7 @@
     static final long CHANGE_DEADLINE_MS = 6_000;
     /** The same after a reload has changed the agent's address. */
     static final long CHANGE_DEADLINE_AFTER_RELOAD_MS = 4_000;
-    /** Time that the relay takes to stop sending once it has received the change. */
+    /** Time allowed for the relay to stop sending once it has received the change. */
     static final long STOP_SENDING_WITHIN_MS = 250;
     /** Reserve for stalls of the process: 150 ms when it reads, and again when it writes. */
     static final long STALL_ALLOWANCE_MS = 300;
--- a/src/main/java/wrenkeel/net/Node.java
+++ b/src/main/java/wrenkeel/net/Node.java
@@ -81,7 +81,8 @@
         connections = new ConnectionLimiter(config.descriptorBudget().clientConnections());
         server = new Server(connections);
         clock = new ProcessClock(machine.clock());
-        console = config.consoleAddress() == null ? null : new Console(config.consoleAddress(), () -> ready, metrics);
+        console = config.consoleAddress() == null ? null
+            : new Console(config.consoleAddress(), () -> ready, metrics);
         if (console != null) {
             LOG.info("operators at {}", consoleAddress());
         }
@@ -188,9 +189,9 @@
 
     /** Takes over the work of earlier processes, and listens for clients. */
     private void serve() throws IOException {
-        Journal.InheritedSnapshot left = journal.predecessorSnapshot();
-        if (left != null) {
-            driver.restoreSnapshot(left);
+        Journal.InheritedSnapshot inherited = journal.predecessorSnapshot();
+        if (inherited != null) {
+            driver.restoreSnapshot(inherited);
         }
         driver.adopt();
         if (clientListener == null || !clientListener.isListening()) {
@@ -294,8 +295,8 @@
         HostPool pool = new HostPool(eventLoop, calls, config.settings().limits().connectTimeout(),
             config.settings().limits().keepAlive(), config.descriptorBudget().hostConnections(), metrics);
         driver = new ControlDriver(eventLoop, clock, config, hosts, pool, journal, metrics,
-            (whenListed, whenNoticed) -> new Discovery(eventLoop, calls, config.discoveryAddress(), hosts,
-                whenListed, whenNoticed));
+            (listener, onAcknowledged) -> new Discovery(eventLoop, calls, config.discoveryAddress(), hosts,
+                listener, onAcknowledged));
         driver.start(config.savedList());
     }
 
--- a/src/main/java/wrenkeel/net/NoticeSender.java
+++ b/src/main/java/wrenkeel/net/NoticeSender.java
@@ -270,7 +270,7 @@
         }
     }
 
-    /** The platform has accepted the notices of a post. */
+    /** The platform has acknowledged the notices of a post. */
     private void handleAcknowledged(Post post) {
         settle(post);
         failures = 0;
@@ -294,13 +294,13 @@
         }
         settle(post);
         logFailure(post, "refused");
-        List<Notice> left = unacknowledged(post);
+        List<Notice> remaining = unacknowledged(post);
         if (post.notices.size() > 1) {
-            left.forEach(notice -> notice.alone = true);
-            ready.addAll(left);
+            remaining.forEach(notice -> notice.alone = true);
+            ready.addAll(remaining);
             return;
         }
-        for (Notice notice : left) {
+        for (Notice notice : remaining) {
             long gapMs = backoffMs(FIRST_REFUSAL_GAP_MS, notice.refusals++, MAX_REFUSAL_GAP_MS);
             notice.alone = true;
             loop.schedule(() -> makeReadyAgain(notice), gapMs, TimeUnit.MILLISECONDS);
@@ -333,12 +333,12 @@
     /** Repeats a post that was not acknowledged in time. */
     private void retry(Post post) {
         settle(post);
-        List<Notice> left = unacknowledged(post);
-        if (!left.isEmpty()) {
+        List<Notice> remaining = unacknowledged(post);
+        if (!remaining.isEmpty()) {
             logFailure(post, "no response");
             // Posts that fail at the same time count as one failure.
             failures = Math.max(failures, Math.min(post.failuresBefore + 1, MAX_DOUBLINGS));
-            ready.addAll(left);
+            ready.addAll(remaining);
         }
         closeOverdueLinks();
         sendReady();
--- a/src/main/java/wrenkeel/net/ResponseOutcomes.java
+++ b/src/main/java/wrenkeel/net/ResponseOutcomes.java
@@ -93,7 +93,10 @@
         return value > 0 && value < 1e9 ? (long) Math.ceil(value * 1e6) : 0;
     }
 
-    /** A value of the header X-Server-Load, which has the form {@code x0=0.4,x1=25}; -1 if it is absent. */
+    /**
+     * A value of the header X-Server-Load, which has the form {@code x0=0.4,x1=25}; -1 if it is absent. The
+     * host reports in x0 the share of its rate limit that is left, and in x1 that limit per second.
+     */
     private static double loadField(String load, String name) {
         for (String pair : load == null ? new String[0] : load.split(",")) {
             if (pair.strip().startsWith(name + "=")) {
--- a/src/main/java/wrenkeel/net/RowIndex.java
+++ b/src/main/java/wrenkeel/net/RowIndex.java
@@ -18,7 +18,10 @@
         this.hash = hash;
     }
 
-    /** The slot at which the search for a key with this hash begins. */
+    /**
+     * The slot at which the search for a key with this hash begins: the upper bits of the hash's product with
+     * a constant near 2^32 divided by the golden ratio (Fibonacci hashing).
+     */
     int firstSlot(int keyHash) {
         return keyHash * 0x9E3779B9 >>> Integer.numberOfLeadingZeros(slots.length) + 1;
     }
--- a/src/main/java/wrenkeel/net/SendGuard.java
+++ b/src/main/java/wrenkeel/net/SendGuard.java
@@ -7,7 +7,7 @@
 /**
  * Checks each attempt against the rules just before it is recorded and sent, independently of the decision
  * module. It uses the journal's record of earlier attempts and the waits as hosts sent them, not the module's
- * state. One event loop.
+ * state. All methods run on one event loop.
  */
 final class SendGuard {
     /** Tolerance for rounding: the module's clock is finer than the journal's times of attempts. */
@@ -35,12 +35,12 @@
      * Records that a host has asked to wait.
      *
      * @param separate the destination's endpoints are limited separately
-     * @param now in microseconds
-     * @param span length of the wait from now, in microseconds
+     * @param nowMicros by the clock of the waits
+     * @param waitMicros length of the wait from now
      */
-    void recordWait(HostList.Host host, boolean separate, long now, long span) {
-        waits.values().removeIf(wait -> wait.until <= now);
-        waits.merge(scopeOf(host, separate), new Wait(now, now + span),
+    void recordWait(HostList.Host host, boolean separate, long nowMicros, long waitMicros) {
+        waits.values().removeIf(wait -> wait.until <= nowMicros);
+        waits.merge(scopeOf(host, separate), new Wait(nowMicros, nowMicros + waitMicros),
             (one, other) -> one.until > other.until ? one : other);
     }
 
@@ -62,8 +62,9 @@
             }
         }
         Wait wait = waits.get(scopeOf(host, separate));
-        boolean waits = wait != null && nowMicros < wait.until && nowMicros > wait.start + WAIT_SLACK_MICROS;
-        return waits ? Violation.SENT_WITHIN_WAIT : null;
+        boolean isWithinWait =
+            wait != null && nowMicros < wait.until && nowMicros > wait.start + WAIT_SLACK_MICROS;
+        return isWithinWait ? Violation.SENT_WITHIN_WAIT : null;
     }
 
     /** True while a recorded wait applies to the host. */
@@ -77,8 +78,9 @@
                                      HostList.Host host, long nowMillis) {
         return switch (messageClass.effect()) {
             case SAFE -> true;
-            case KEYED -> nowMillis - earlier.sentMillis <= messageClass.dedupWindow() / 1_000 + CLOCK_ROUNDING_MS
-                && (!messageClass.dedupPerZone() || earlier.zone == host.zone);
+            case KEYED ->
+                nowMillis - earlier.sentMillis <= messageClass.dedupWindow() / 1_000 + CLOCK_ROUNDING_MS
+                    && (!messageClass.dedupPerZone() || earlier.zone == host.zone);
             case UNSAFE -> false;
         };
     }
--- a/src/main/java/wrenkeel/net/Server.java
+++ b/src/main/java/wrenkeel/net/Server.java
@@ -31,7 +31,8 @@
 
 /**
  * The HTTP server for clients. It accepts messages by POST, answers each one at once (202 accepted, 503
- * refused, 504 failed), and answers the health check. One event loop.
+ * refused, 504 failed), and answers the health check. All methods run on one event
+ * loop.
  */
 final class Server extends ChannelInitializer<Channel> {
     private static final Logger LOG = LoggerFactory.getLogger(Server.class);
