--- a/src/main/java/wrenkeel/net/ControlDriver.java
+++ b/src/main/java/wrenkeel/net/ControlDriver.java
@@ -711,7 +711,7 @@
     /**
      * True if a wait that one host of the destination asks for does not bind the destination's other hosts.
      */
-    private boolean hasSeparateEndpoints(HostList.Host host) {
+    private boolean hasIndependentEndpoints(HostList.Host host) {
         return settings.kinds().get(host.kind).independentEndpoints();
     }
 
@@ -720,16 +720,16 @@
      * attempt that the module should not have decided is reported as a violation.
      */
     private boolean checkPermitted(TrackedMessage tracked, HostList.Host host) {
-        boolean separate = hasSeparateEndpoints(host);
+        boolean independentEndpoints = hasIndependentEndpoints(host);
         Violation violation = sendGuard.findViolation(tracked.journalEntry, tracked.messageClass, host,
-            separate, turnMillis, turnMicros);
+            independentEndpoints, turnMillis, turnMicros);
         if (violation != null) {
             reportViolation(violation, tracked.message.id());
         }
         // A pause of the process since the decision may have made the attempt inadmissible. It is then not
         // sent either, but the module is not at fault: that is no violation.
-        boolean permitted = violation == null && !sendGuard.mustWait(host, separate, moduleNow())
-            && sendGuard.findViolation(tracked.journalEntry, tracked.messageClass, host, separate,
+        boolean permitted = violation == null && !sendGuard.mustWait(host, independentEndpoints, moduleNow())
+            && sendGuard.findViolation(tracked.journalEntry, tracked.messageClass, host, independentEndpoints,
                 clock.millis(), moduleNow()) == null;
         if (!permitted) {
             // The attempt keeps its number.
@@ -777,9 +777,9 @@
             reply.outcome(), reply.latencyMicros());
         if (reply.retryAfterMicros() > 0) {
             persistWait(host, reply.retryAfterMicros());
-            sendGuard.recordWait(host, hasSeparateEndpoints(host), moduleNow(), reply.retryAfterMicros());
+            sendGuard.recordWait(host, hasIndependentEndpoints(host), moduleNow(), reply.retryAfterMicros());
             // Calls that still wait for a connection to where the wait applies must not be sent.
-            (hasSeparateEndpoints(host) ? List.of(host) : hosts.hostsOf(host.destination))
+            (hasIndependentEndpoints(host) ? List.of(host) : hosts.hostsOf(host.destination))
                 .forEach(pool::cancelUnsent);
         }
         boolean ended = tracked.ended || reply.messageOver();
--- a/src/main/java/wrenkeel/net/SendGuard.java
+++ b/src/main/java/wrenkeel/net/SendGuard.java
@@ -17,7 +17,7 @@
 
     /**
      * What a wait applies to: a whole destination, or one host (else -1) if the destination's endpoints are
-     * limited separately.
+     * independent, so that each has a Retry-After of its own.
      */
     private record WaitScope(long destination, long host) { }
 
@@ -27,32 +27,32 @@
     private final Map<WaitScope, Wait> waits = new HashMap<>();
 
     /** Returns the scope of a wait that this host asks for. */
-    private static WaitScope scopeOf(HostList.Host host, boolean separate) {
-        return new WaitScope(host.destination, separate ? host.id : -1);
+    private static WaitScope scopeOf(HostList.Host host, boolean independentEndpoints) {
+        return new WaitScope(host.destination, independentEndpoints ? host.id : -1);
     }
 
     /**
      * Records that a host has asked to wait.
      *
-     * @param separate the destination's endpoints are limited separately
+     * @param independentEndpoints each endpoint of the destination has a Retry-After of its own
      * @param nowMicros by the clock of the waits
      * @param waitMicros length of the wait from now
      */
-    void recordWait(HostList.Host host, boolean separate, long nowMicros, long waitMicros) {
+    void recordWait(HostList.Host host, boolean independentEndpoints, long nowMicros, long waitMicros) {
         waits.values().removeIf(wait -> wait.until <= nowMicros);
-        waits.merge(scopeOf(host, separate), new Wait(nowMicros, nowMicros + waitMicros),
+        waits.merge(scopeOf(host, independentEndpoints), new Wait(nowMicros, nowMicros + waitMicros),
             (one, other) -> one.until > other.until ? one : other);
     }
 
     /**
      * Returns the rule that an attempt of this message at this host would break; null if it may be sent.
      *
-     * @param separate the destination's endpoints are limited separately
+     * @param independentEndpoints each endpoint of the destination has a Retry-After of its own
      * @param nowMillis by the clock of the journal's entry
      * @param nowMicros by the clock of the waits
      */
     Violation findViolation(Journal.Entry entry, Relay.MessageClass messageClass, HostList.Host host,
-                            boolean separate, long nowMillis, long nowMicros) {
+                            boolean independentEndpoints, long nowMillis, long nowMicros) {
         if (nowMillis > entry.message.deadline()) {
             return Violation.SENT_AFTER_DEADLINE;
         }
@@ -61,15 +61,15 @@
                 return Violation.REPEATED_OUTSIDE_ALLOWANCE;
             }
         }
-        Wait wait = waits.get(scopeOf(host, separate));
+        Wait wait = waits.get(scopeOf(host, independentEndpoints));
         boolean isWithinWait =
             wait != null && nowMicros < wait.until && nowMicros > wait.start + WAIT_SLACK_MICROS;
         return isWithinWait ? Violation.SENT_WITHIN_WAIT : null;
     }
 
     /** True while a recorded wait applies to the host. */
-    boolean mustWait(HostList.Host host, boolean separate, long nowMicros) {
-        Wait wait = waits.get(scopeOf(host, separate));
+    boolean mustWait(HostList.Host host, boolean independentEndpoints, long nowMicros) {
+        Wait wait = waits.get(scopeOf(host, independentEndpoints));
         return wait != null && nowMicros < wait.until;
     }
 
