--- a/src/test/java/wrenkeel/net/AgentConnectionTest.java
+++ b/src/test/java/wrenkeel/net/AgentConnectionTest.java
@@ -21,7 +21,7 @@
 
     private final MultiThreadIoEventLoopGroup group =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final EventLoop loop = group.next();
+    private final EventLoop eventLoop = group.next();
 
     @AfterEach
     void stopEventLoop() throws Exception {
@@ -35,16 +35,16 @@
      */
     @Test
     void requestWithoutAFreeDescriptorEndsAtOnceOnTheEventLoop() throws Exception {
-        AgentConnection connection = new AgentConnection(loop, new Bootstrap().group(group), () -> {
+        AgentConnection connection = new AgentConnection(eventLoop, new Bootstrap().group(group), () -> {
             throw new ChannelException("too many open files");
         }, new InetSocketAddress(Platform.LOOPBACK, 9), CONNECT_TIMEOUT_MS);
         BlockingQueue<Integer> statuses = new LinkedBlockingQueue<>();
         BlockingQueue<Boolean> onEventLoop = new LinkedBlockingQueue<>();
         long longTimeoutMs = TimeUnit.HOURS.toMillis(1);
         for (int i = 0; i < 2; i++) {
-            loop.submit(() -> connection.send(HttpMethod.GET, "/v1/servers", "", longTimeoutMs, null,
+            eventLoop.submit(() -> connection.send(HttpMethod.GET, "/v1/servers", "", longTimeoutMs, null,
                 response -> {
-                    onEventLoop.add(loop.inEventLoop());
+                    onEventLoop.add(eventLoop.inEventLoop());
                     statuses.add(response.status);
                 })).get();
             assertEquals(0, statuses.poll(Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS));
--- a/src/test/java/wrenkeel/net/ClockStepTest.java
+++ b/src/test/java/wrenkeel/net/ClockStepTest.java
@@ -22,25 +22,25 @@
     private StubHost host;
 
     @BeforeEach
-    void begin() throws Exception {
+    void setUp() throws Exception {
         platform = new Platform(folder);
         host = new StubHost();
     }
 
     @AfterEach
-    void end() throws Exception {
+    void tearDown() throws Exception {
         host.close();
         platform.close();
     }
 
-    private Node relay(long stepMillis) throws Exception {
+    private Node startRelay(long stepMillis) throws Exception {
         return new Node(platform.writeConfig(Platform.hostJson("s-1", host.port(), 7, "ready")),
             new Machine(SteppedClock.stepped(stepMillis), FileOperations.SYSTEM, ListeningSockets.SYSTEM));
     }
 
     /** Accepts a message and stops abruptly, as with SIGKILL, while its first call is unanswered. */
     private void acceptBeforeTheStep(String id, String messageClass, long lifetimeMillis) throws Exception {
-        try (Node relay = relay(0); var client = new Platform.Client(relay)) {
+        try (Node relay = startRelay(0); var client = new Platform.Client(relay)) {
             assertEquals(ACCEPTED, client.post(id, messageClass, 7, lifetimeMillis).get(0));
             assertEquals(id, host.nextCall().header("X-Request-ID"));
         }
@@ -49,7 +49,7 @@
     @Test
     void aForwardClockStepDoesNotExpireAMessage() throws Exception {
         acceptBeforeTheStep("a", "bill", 16_000);
-        try (Node relay = relay(HOUR_MS)) {
+        try (Node relay = startRelay(HOUR_MS)) {
             StubHost.Call repeat = host.nextCall();
             assertNotNull(repeat, "notices: " + platform.notices);
             assertEquals("a", repeat.header("X-Request-ID"));
@@ -62,7 +62,7 @@
     @Test
     void aBackwardClockStepDoesNotExtendAMessagesDeadline() throws Exception {
         acceptBeforeTheStep("a", "bill", 4_000);
-        try (Node relay = relay(-HOUR_MS)) {
+        try (Node relay = startRelay(-HOUR_MS)) {
             String notice = platform.nextNotice();
             assertNotNull(notice, "no notice was posted");
             assertTrue(notice.contains("\"a\""), notice);
--- a/src/test/java/wrenkeel/net/ConfigTest.java
+++ b/src/test/java/wrenkeel/net/ConfigTest.java
@@ -32,14 +32,14 @@
     private Path file;
 
     @BeforeEach
-    void begin() throws Exception {
+    void setUp() throws Exception {
         platform = new Platform(folder);
         platform.writeConfig();
         file = Path.of(platform.environment().get("EDGE_CONFIG"));
     }
 
     @AfterEach
-    void end() {
+    void tearDown() {
         platform.close();
     }
 
@@ -50,8 +50,8 @@
     }
 
     private void assertRejectedInOneLine() {
-        String message = assertThrows(Config.InvalidConfigException.class, () -> Config.read(platform.environment()))
-            .getMessage();
+        String message = assertThrows(Config.InvalidConfigException.class,
+            () -> Config.read(platform.environment())).getMessage();
         assertEquals(1, message.lines().count(), message);
     }
 
@@ -70,7 +70,10 @@
         assertTrue(shares.clientConnections() > 0 && shares.hostConnections() > 0, shares.toString());
     }
 
-    /** Replaces the value at a path of the configuration, or removes it if the replacement is {@code REMOVED}. */
+    /**
+     * Replaces the value at a path of the configuration, or removes it if the replacement is
+     * {@code REMOVED}.
+     */
     private record Change(String path, Object replacement) { }
 
     private static final Object REMOVED = new Object();
@@ -80,7 +83,8 @@
         Object written = path.equals(change.path) ? change.replacement : value;
         if (written instanceof Map<?, ?> map) {
             return map.entrySet().stream()
-                .filter(entry -> !(path + "/" + entry.getKey()).equals(change.path) || change.replacement != REMOVED)
+                .filter(entry -> !(path + "/" + entry.getKey()).equals(change.path)
+                    || change.replacement != REMOVED)
                 .map(entry -> "\"" + entry.getKey() + "\":"
                     + json(entry.getValue(), path + "/" + entry.getKey(), change))
                 .collect(Collectors.joining(",", "{", "}"));
@@ -110,15 +114,16 @@
         collectPaths(configuration, "", paths);
         List<String> failures = new ArrayList<>();
         for (String path : paths) {
-            for (Object replacement : Arrays.asList(REMOVED, null, "x", "", -1, 0, 1.5, 1e300, 99_999_999_999L, true,
-                    List.of(), List.of(1), Map.of(), List.of(List.of()))) {
+            for (Object replacement : Arrays.asList(REMOVED, null, "x", "", -1, 0, 1.5, 1e300,
+                    99_999_999_999L, true, List.of(), List.of(1), Map.of(), List.of(List.of()))) {
                 if (path.isEmpty() && replacement == REMOVED) {
                     continue;
                 }
                 Files.writeString(file, json(configuration, "", new Change(path, replacement)));
                 String failure = unexpectedStartFailure();
                 if (failure != null) {
-                    failures.add(path + " = " + (replacement == REMOVED ? "removed" : replacement) + ": " + failure);
+                    failures.add(path + " = " + (replacement == REMOVED ? "removed" : replacement) + ": "
+                        + failure);
                 }
             }
         }
@@ -159,8 +164,8 @@
     @Test
     void aStartThatCannotReadOrWritePrintsOneLineAndReturnsTwo() throws IOException {
         Map<String, String> env = new HashMap<>(platform.environment());
-        Path file = Files.createFile(folder.resolve("a-file"));
-        for (Map<String, String> override : List.of(Map.of("EDGE_STATE", file.toString()),
+        Path plainFile = Files.createFile(folder.resolve("a-file"));
+        for (Map<String, String> override : List.of(Map.of("EDGE_STATE", plainFile.toString()),
                 Map.of("EDGE_STATE", folder.resolve("absent").toString()), Map.of("EDGE_STATE", ""),
                 Map.of("EDGE_CONFIG", folder.toString()), Map.of("EDGE_CONFIG", ""),
                 Map.of("EDGE_CONFIG", folder.resolve("absent").toString()),
--- a/src/test/java/wrenkeel/net/ControlDriverTest.java
+++ b/src/test/java/wrenkeel/net/ControlDriverTest.java
@@ -163,7 +163,8 @@
         awaitQueuedTasks();
         assertEquals(1, journal.openEntries().size());
         inOneIteration(() -> driver.withdraw("a"));
-        assertEquals(0, journal.openEntries().size(), "must be withdrawn: no client has received the response");
+        assertEquals(0, journal.openEntries().size(),
+            "must be withdrawn: no client has received the response");
     }
 
     /**
@@ -202,7 +203,8 @@
      * sent.
      */
     private boolean isRecordedAsSent(String id) throws Exception {
-        return eventLoop.submit(() -> journal.openEntries().stream().filter(entry -> entry.message.id().equals(id))
+        return eventLoop.submit(() -> journal.openEntries().stream()
+            .filter(entry -> entry.message.id().equals(id))
             .anyMatch(entry -> entry.attempts.stream().anyMatch(attempt -> attempt.mayHaveRun))).get();
     }
 
@@ -219,9 +221,9 @@
             driver.accept(message("x"), callback("x"));
             driver.accept(message("y"), callback("y"));
         });
-        StubHost.Call x = host.nextCall(), y = host.nextCall();
-        x.respond(StubHost.OK);
-        y.respond(StubHost.OK);
+        StubHost.Call callX = host.nextCall(), callY = host.nextCall();
+        callX.respond(StubHost.OK);
+        callY.respond(StubHost.OK);
         while (journal.openCount() > 0) {
             awaitQueuedTasks();
         }
--- a/src/test/java/wrenkeel/net/DiscoveryTest.java
+++ b/src/test/java/wrenkeel/net/DiscoveryTest.java
@@ -32,7 +32,7 @@
 
     private final MultiThreadIoEventLoopGroup group =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final EventLoop loop = group.next();
+    private final EventLoop eventLoop = group.next();
     private final HostList hosts = new HostList(List.of("a"), List.of("m1", "m2"));
     /** The changes that the listener has received. */
     private final BlockingQueue<Relay.ListUpdated> events = new LinkedBlockingQueue<>();
@@ -45,11 +45,11 @@
     void startWatch() throws Exception {
         agent = new ServerSocket(0, 8, Platform.LOOPBACK);
         agent.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Platform.TIMEOUT_SECONDS));
-        discovery = new Discovery(loop, new Bootstrap().group(group),
+        discovery = new Discovery(eventLoop, new Bootstrap().group(group),
             new InetSocketAddress(Platform.LOOPBACK, agent.getLocalPort()), hosts,
             change -> events.add(change.event()), entry -> { },
             TimeUnit.SECONDS.toMillis(Platform.TIMEOUT_SECONDS));
-        loop.submit(() -> {
+        eventLoop.submit(() -> {
             hosts.activate(7);
             discovery.watch();
         }).get();
@@ -95,7 +95,7 @@
     }
 
     private long faultCount() throws Exception {
-        return loop.submit(discovery::faultCount).get();
+        return eventLoop.submit(discovery::faultCount).get();
     }
 
     @Test
@@ -105,7 +105,7 @@
         String half = FIRST_LIST.substring(0, FIRST_LIST.length() - 5);
         write(Integer.toHexString(half.length()) + "\r\n" + half + "\r\n");
         // By the time this task runs, the event loop has had its turn to read the first part.
-        assertEquals(0, loop.submit(hosts::listedCount).get());
+        assertEquals(0, eventLoop.submit(hosts::listedCount).get());
         write("5\r\n" + FIRST_LIST.substring(FIRST_LIST.length() - 5) + "\r\n0\r\n\r\n");
         assertEquals(1, awaitEvent().endpoints().size());
         assertEquals("GET /v1/servers?after=1&wait_ms=" + Discovery.WATCH_WAIT_MS + " HTTP/1.1",
@@ -126,8 +126,8 @@
         acceptReconnect();
         assertEquals("GET /v1/servers?after=1&wait_ms=1 HTTP/1.1", readRequestLine());
         assertEquals(1, faultCount());
-        assertEquals(1, loop.submit(hosts::listedCount).get());
-        assertNotNull(loop.submit(() -> hosts.hostByName("s-1")).get());
+        assertEquals(1, eventLoop.submit(hosts::listedCount).get());
+        assertNotNull(eventLoop.submit(() -> hosts.hostByName("s-1")).get());
         write(okResponse(SECOND_LIST));
         assertEquals(Relay.Listing.DRAINING, awaitEvent().endpoints().get(0).listing());
         assertTrue(events.isEmpty());
@@ -155,7 +155,7 @@
         acceptReconnect();
         readRequestLine();
         assertEquals(2, faultCount());
-        assertEquals(-1, loop.submit(hosts::version).get());
+        assertEquals(-1, eventLoop.submit(hosts::version).get());
         write(okResponse(FIRST_LIST));
         assertEquals(1, awaitEvent().endpoints().size());
     }
@@ -175,8 +175,8 @@
     }
 
     /**
-     * Faulty lists must not make the relay call the agent without gaps, but no gap may be so long that a
-     * change takes effect later than 6 s after it.
+     * Faulty lists must not make the relay call the agent without gaps. The relay is bound by a change of the
+     * list 6 s after it, so the gaps must stay shorter than that.
      */
     @Test
     void gapsAfterConsecutiveFaultsGrowUpToTheirLimit() {
@@ -212,7 +212,7 @@
                 return true;
             };
             long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(Platform.TIMEOUT_SECONDS);
-            while (!loop.submit(movedInGap).get()) {
+            while (!eventLoop.submit(movedInGap).get()) {
                 assertTrue(System.nanoTime() < deadlineNanos, "no gap after the rejected list");
             }
             connection.close();
--- a/src/test/java/wrenkeel/net/EndReserveTest.java
+++ b/src/test/java/wrenkeel/net/EndReserveTest.java
@@ -6,7 +6,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The reserve leaves time for the notice of a message's end without taking too much of the message's lifetime. */
+/**
+ * The reserve leaves time for the notice of a message's end without taking too much of the message's
+ * lifetime.
+ */
 class EndReserveTest {
     /** A message counts as lost if the platform has no notice of its end this long after its lifetime. */
     private static final long END_SLACK_MS = 300;
@@ -29,7 +32,8 @@
     void aMessageKeepsThreeQuartersOfItsLifetime(long lifetimeMillis) {
         long sentMillis = 1_000_000;
         long deadline = Server.deadline(sentMillis, lifetimeMillis);
-        assertTrue(deadline - EndReserve.millis(deadline - sentMillis) >= sentMillis + lifetimeMillis * 3 / 4);
+        assertTrue(
+            deadline - EndReserve.millis(deadline - sentMillis) >= sentMillis + lifetimeMillis * 3 / 4);
     }
 
     @Test
--- a/src/test/java/wrenkeel/net/EndpointHealthLogTest.java
+++ b/src/test/java/wrenkeel/net/EndpointHealthLogTest.java
@@ -16,7 +16,7 @@
     private long nowNanos;
     private final EndpointHealthLog log = new EndpointHealthLog(() -> nowNanos, lines::add);
 
-    /** Logs that the endpoint's health has become OUT after a failed trial. */
+    /** Logs that the endpoint's health has become OUT after a failed probe. */
     private void logOut(long endpoint) {
         HostList.Host host = new HostList.Host(endpoint, "s-" + endpoint);
         log.logChange(new Relay.HealthChanged(endpoint, Relay.Health.OUT, 0, 1.5,
--- a/src/test/java/wrenkeel/net/FailingFiles.java
+++ b/src/test/java/wrenkeel/net/FailingFiles.java
@@ -31,7 +31,7 @@
     }
 
     /** Throws the failure that is in force. */
-    private void check() throws IOException {
+    private void throwIfFailing() throws IOException {
         if (failure != null && successfulWrites.getAndDecrement() <= 0) {
             failedWrites.release();
             throw new IOException(failure);
@@ -69,19 +69,19 @@
                 ByteBuffer part = bytes.slice().limit(Math.min(bytesBeforeFailure, bytes.remaining()));
                 file.write(part);
             }
-            check();
+            throwIfFailing();
             return file.write(bytes);
         }
 
         @Override
         public long write(ByteBuffer[] bytes, int offset, int length) throws IOException {
-            check();
+            throwIfFailing();
             return file.write(bytes, offset, length);
         }
 
         @Override
         public int write(ByteBuffer bytes, long position) throws IOException {
-            check();
+            throwIfFailing();
             return file.write(bytes, position);
         }
 
--- a/src/test/java/wrenkeel/net/HandoverSnapshotTest.java
+++ b/src/test/java/wrenkeel/net/HandoverSnapshotTest.java
@@ -17,8 +17,8 @@
     private static final long SECOND_MICROS = 1_000_000;
 
     /**
-     * A snapshot of very many destinations must stay within the folder's limit: exceeding it has crashed the relay.
-     * What is left out must not be a wait that a host asked for.
+     * A snapshot of very many destinations must stay within the folder's limit: a relay that exceeds it
+     * counts as crashed. What is left out must not be a wait that a host asked for.
      */
     @Test
     void waitsComeFirstAndTheTextStaysSmallForManyDestinations(@TempDir Path folder) throws Exception {
--- a/src/test/java/wrenkeel/net/HostListTest.java
+++ b/src/test/java/wrenkeel/net/HostListTest.java
@@ -132,7 +132,8 @@
     void wholeListRemovesUnnamedHostsAndSkipsUnusableEntries() throws IOException {
         HostList list = newList(7);
         long goneId = loadEvent(list, Platform.listJson(1, true, HOST_1)).endpoints().get(0).id();
-        Relay.ListUpdated event = loadEvent(list, Platform.listJson(2, true, Platform.hostJson("s-2", 80, 7, "ready"),
+        Relay.ListUpdated event = loadEvent(list, Platform.listJson(2, true,
+            Platform.hostJson("s-2", 80, 7, "ready"),
             Platform.hostJson("s-3", 80, 7, "ready").replace("\"m2\"", "\"m9\""),
             Platform.hostJson("s-4", 80, 7, "ready").replace("\"ready\"", "\"well\""),
             Platform.hostJson("s-5", 80, 8, "ready").replace("127.0.0.1", "here")));
@@ -156,8 +157,8 @@
         String far = Platform.hostJson("s-2", 80, 7, "ready").replace("\"site\":\"a\"", "\"site\":\"far\"");
         String farther = Platform.hostJson("s-3", 80, 7, "ready")
             .replace("\"site\":\"a\"", "\"site\":\"farther\"");
-        List<Integer> zones = loadEvent(newList(7), Platform.listJson(1, true, HOST_1, far, farther)).endpoints()
-            .stream().map(Relay.Endpoint::zone).toList();
+        List<Integer> zones = loadEvent(newList(7), Platform.listJson(1, true, HOST_1, far, farther))
+            .endpoints().stream().map(Relay.Endpoint::zone).toList();
         assertEquals(3, zones.stream().distinct().count());
         assertEquals(0, zones.get(0));
         assertEquals(zones.get(1),
@@ -274,7 +275,8 @@
         assertEquals(List.of(host), moveToInactive.unavailable());
         assertFalse(host.ready);
         assertEquals(9, list.destinationOf("s-1"));
-        assertEquals(List.of(), loadChanges(list, Platform.hostJson("s-1", 80, 9, "gone")).event().endpoints());
+        assertEquals(List.of(),
+            loadChanges(list, Platform.hostJson("s-1", 80, 9, "gone")).event().endpoints());
         assertEquals(List.of("s-1@7 READY"), describe(list, loadChanges(list, HOST_1).event()));
         assertSame(host, list.hostByName("s-1"));
         loadChanges(list, Platform.hostJson("s-1", 80, 9, "ready"));
@@ -374,7 +376,8 @@
         String last = "";
         for (int i = 0; i < 5_000; i++) {
             String next = i + "-" + "n".repeat(990);
-            loadChanges(list, Platform.hostJson(last, 80, i - 1, "gone"), Platform.hostJson(next, 80, i, "ready"));
+            loadChanges(list, Platform.hostJson(last, 80, i - 1, "gone"),
+                Platform.hostJson(next, 80, i, "ready"));
             last = next;
         }
         assertEquals(List.of(1, 1, 3),
--- a/src/test/java/wrenkeel/net/HostPoolTest.java
+++ b/src/test/java/wrenkeel/net/HostPoolTest.java
@@ -29,8 +29,9 @@
 import wrenkeel.Relay.Outcome;
 
 /**
- * The calls of {@link HostPool} to hosts that the test plays: how each call can end, which reply each attempt
- * gets, and when connections are reused, closed or waited for.
+ * The calls of {@link HostPool} to hosts that the test plays: each way in which a call can end, which reply
+ * each attempt then gets by the protocol's table of responses, and when connections are reused, closed or
+ * waited for.
  */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class HostPoolTest {
@@ -150,7 +151,8 @@
      */
     @Test
     void callOverTheLimitWaitsForAFreeConnection() throws Exception {
-        try (StubHost first = new StubHost(); StubHost second = new StubHost(); StubHost third = new StubHost()) {
+        try (StubHost first = new StubHost(); StubHost second = new StubHost();
+                StubHost third = new StubHost()) {
             HostPool pool = newPoolWithLimit(2);
             startCallToOther(pool, 1, first, attempt("a", null, LONG_MICROS, 10));
             startCallToOther(pool, 2, second, attempt("b", null, LONG_MICROS, 10));
@@ -235,6 +237,7 @@
         assertTrue(replies.isEmpty());
     }
 
+    /** The attempt was not executed, which CONNECT_FAILED reports. */
     @Test
     void refusedConnectIsReportedAsConnectFailed() throws Exception {
         int port;
@@ -245,6 +248,7 @@
         assertEquals(Outcome.CONNECT_FAILED, awaitReply().outcome());
     }
 
+    /** The attempt may have been executed, so the outcome is RESET and not CONNECT_FAILED. */
     @Test
     void connectionClosedAfterTheLastByteIsReportedAsReset() throws Exception {
         try (StubHost host = new StubHost()) {
@@ -444,7 +448,8 @@
         try (StubHost host = new StubHost()) {
             startCall(newPool(KEEP_ALIVE_MICROS), host.port(),
                 attempt("a", null, LONG_MICROS, 1), attempt("b", null, LONG_MICROS, 1));
-            host.nextCall().respond("HTTP/1.1 200 OK\r\nContent-Length: " + states.length() + "\r\n\r\n" + states);
+            host.nextCall()
+                .respond("HTTP/1.1 200 OK\r\nContent-Length: " + states.length() + "\r\n\r\n" + states);
             assertEquals(Outcome.ERROR, awaitReply().outcome());
             assertEquals(Outcome.ERROR, awaitReply().outcome());
         }
--- a/src/test/java/wrenkeel/net/JournalTest.java
+++ b/src/test/java/wrenkeel/net/JournalTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.api.io.TempDir;
 import wrenkeel.Relay;
 
-/** The journal keeps open messages and the health of endpoints across processes, within the folder's limit. */
+/**
+ * The journal keeps open messages and the health of endpoints across processes, within the folder's
+ * limit.
+ */
 class JournalTest {
     private static final long LIMIT_BYTES = 3_000_000;
 
@@ -36,18 +39,20 @@
         }
     };
 
-    private static final Relay.MessageClass MESSAGE_CLASS = new Relay.MessageClass("bill-post", 2_000_000, 16_000_000,
-        1.5, 0.25, Relay.Effect.KEYED, true, 3_000_000, true, 12);
+    private static final Relay.MessageClass MESSAGE_CLASS = new Relay.MessageClass("bill-post", 2_000_000,
+        16_000_000, 1.5, 0.25, Relay.Effect.KEYED, true, 3_000_000, true, 12);
 
     /** Opens a journal and adopts what earlier processes left. */
     private Journal open() throws IOException {
-        Journal journal = new Journal(folder, LIMIT_BYTES, new ProcessClock(STOPPED_CLOCK), FileOperations.SYSTEM);
+        Journal journal = new Journal(folder, LIMIT_BYTES, new ProcessClock(STOPPED_CLOCK),
+            FileOperations.SYSTEM);
         journal.adopt(entry -> { });
         return journal;
     }
 
     private static Message message(String id, int bytes) {
-        return new Message(id, "bill-post", 0, "house-3", "key-" + id, 7, 1_900_000_000_000L, new byte[bytes]);
+        return new Message(id, "bill-post", 0, "house-3", "key-" + id, 7, 1_900_000_000_000L,
+            new byte[bytes]);
     }
 
     private static Journal.Entry onlyOpenEntry(Journal journal) {
@@ -71,7 +76,7 @@
             journal.recordNotRun(entry, 0);
             journal.recordEnd(entry, new Journal.End(true, 500_000));
         }
-        // Twice, because the first start rewrites the file.
+        // Twice: the file that the first start rewrites must read the same.
         for (int start = 0; start < 2; start++) {
             try (Journal journal = open()) {
                 Journal.Entry entry = onlyOpenEntry(journal);
@@ -83,7 +88,8 @@
                 assertEquals(7, entry.message.destination());
                 assertEquals(1_900_000_000_000L, entry.message.deadline());
                 assertArrayEquals(new byte[300], entry.message.body());
-                assertEquals(List.of(1_000L, 2_000L), entry.attempts.stream().map(a -> a.sentMillis).toList());
+                assertEquals(List.of(1_000L, 2_000L),
+                    entry.attempts.stream().map(a -> a.sentMillis).toList());
                 assertEquals(List.of(2, 1), entry.attempts.stream().map(a -> a.zone).toList());
                 assertEquals(List.of(false, true), entry.attempts.stream().map(a -> a.mayHaveRun).toList());
                 assertEquals(new Journal.End(true, 500_000), entry.end);
@@ -91,7 +97,10 @@
         }
     }
 
-    /** A notice has a retry time only if the message was refused and the time is not 0; in whole milliseconds. */
+    /**
+     * A notice has a retry time only if the message was refused and the time is not 0; in whole
+     * milliseconds.
+     */
     @Test
     void recoveredEndsProduceTheNoticesThatWerePending() throws IOException {
         try (Journal journal = open()) {
@@ -119,7 +128,10 @@
         }
     }
 
-    /** A kill in the middle of a write leaves a partial record; the records before it must remain readable. */
+    /**
+     * A kill in the middle of a write leaves a partial record. The records before it must remain
+     * readable, and new ones must follow them.
+     */
     @Test
     void anUnfinishedRecordAtTheEndIsDropped() throws IOException {
         try (Journal journal = open()) {
@@ -144,7 +156,10 @@
         }
     }
 
-    /** An attempt whose record could not be written was not sent, but must not shift the numbers of later ones. */
+    /**
+     * An attempt whose record could not be written was not sent. It keeps its number, so that later
+     * records are not taken for it.
+     */
     @Test
     void attemptNumbersSurviveAFailedWrite() throws IOException {
         Journal before = open();
@@ -161,7 +176,8 @@
 
     /** Returns the open message with this id, or null. */
     private Journal.Entry openEntry(Journal journal, String id) {
-        return journal.openEntries().stream().filter(entry -> entry.message.id().equals(id)).findFirst().orElse(null);
+        return journal.openEntries().stream().filter(entry -> entry.message.id().equals(id)).findFirst()
+            .orElse(null);
     }
 
     private static boolean mayHaveRun(Journal.Entry entry) {
@@ -169,8 +185,8 @@
     }
 
     /**
-     * A damaged record may have been the send of any message before it, so those may have been processed. Messages
-     * after it are read as usual.
+     * A damaged record may have been the send of any message before it, so those may have been processed: an
+     * unsafe one must not be sent again. Messages after it are read as usual.
      */
     @Test
     void aDamagedRecordIsSkippedAndEarlierMessagesMayHaveRun() throws IOException {
@@ -193,7 +209,8 @@
                 assertNull(openEntry(journal, "b"));
                 assertFalse(mayHaveRun(openEntry(journal, "c")));
             }
-            // The start wrote a file of its own and deleted the damaged one; restore the original for the next round.
+            // The start wrote a file of its own and deleted the damaged one; restore the original for the
+            // next round.
             try (var files = Files.list(folder)) {
                 for (Path file : files.toList()) {
                     Files.delete(file);
@@ -205,15 +222,18 @@
 
     /** Encodes a record as {@link Journal} does. */
     private static byte[] record(int type, long number, byte[] rest) {
-        byte[] content = java.nio.ByteBuffer.allocate(9 + rest.length).put((byte) type).putLong(number).put(rest)
-            .array();
+        byte[] content = java.nio.ByteBuffer.allocate(9 + rest.length).put((byte) type).putLong(number)
+            .put(rest).array();
         java.util.zip.CRC32 crc = new java.util.zip.CRC32();
         crc.update(content);
-        return java.nio.ByteBuffer.allocate(8 + content.length).putInt(content.length).putInt((int) crc.getValue())
-            .put(content).array();
+        return java.nio.ByteBuffer.allocate(8 + content.length).putInt(content.length)
+            .putInt((int) crc.getValue()).put(content).array();
     }
 
-    /** Records of a later release or of a faulty one must not prevent the recovery of the others. */
+    /**
+     * Records that a later release or a fault has written must prevent neither the start nor the recovery
+     * of the other records.
+     */
     @Test
     void recordsThatCannotBeDecodedAreSkippedAndTheirMessageMayHaveRun() throws IOException {
         try (Journal journal = open()) {
@@ -248,7 +268,10 @@
         }
     }
 
-    /** Bodies of 64 KiB times the cap on open messages would exceed the disk limit, so each reserves its space. */
+    /**
+     * Bodies of 64 KiB times the cap on open messages would exceed the disk limit, so each reserves its
+     * space.
+     */
     @Test
     void acceptedMessagesReserveSpaceAndTheLimitIsNeverExceeded() throws IOException {
         try (Journal journal = open()) {
@@ -289,11 +312,15 @@
         }
     }
 
-    /** Messages that a live process has not passed on must have only one owner: they and its file stay untouched. */
+    /**
+     * Messages that a live process has not passed on must have only one owner: they and its file stay
+     * untouched.
+     */
     @Test
     void onlyPassedOnMessagesAreAdoptedFromALiveProcess() throws IOException {
         Journal old = open();
-        try (Journal next = new Journal(folder, LIMIT_BYTES, new ProcessClock(STOPPED_CLOCK), FileOperations.SYSTEM)) {
+        try (Journal next = new Journal(folder, LIMIT_BYTES, new ProcessClock(STOPPED_CLOCK),
+                FileOperations.SYSTEM)) {
             Journal.Entry inFlight = old.accept(message("out", 10), MESSAGE_CLASS);
             Journal.Entry waiting = old.accept(message("waits", 10), MESSAGE_CLASS);
             assertTrue(next.isPredecessorServing());
@@ -323,13 +350,17 @@
         }
     }
 
-    /** A message must not be processed twice: a process that starts after both were killed finds each message once. */
+    /**
+     * A message must not be processed twice: a process that starts after both were killed finds each
+     * message once.
+     */
     @Test
     void adoptedMessagesAreNotAdoptedAgainAfterTheAdoptingProcessWasKilled() throws IOException {
         Journal old = open();
         Journal.Entry first = old.accept(message("first", 10), MESSAGE_CLASS);
         old.accept(message("second", 10), MESSAGE_CLASS);
-        Journal next = new Journal(folder, LIMIT_BYTES, new ProcessClock(STOPPED_CLOCK), FileOperations.SYSTEM);
+        Journal next = new Journal(folder, LIMIT_BYTES, new ProcessClock(STOPPED_CLOCK),
+            FileOperations.SYSTEM);
         old.beginHandover();
         old.passOn(first);
         old.publishSnapshot("{}");
@@ -364,7 +395,10 @@
         return new Journal(folder, LIMIT_BYTES, new ProcessClock(STOPPED_CLOCK), files);
     }
 
-    /** A partial record between two messages must not make either of them count as possibly processed. */
+    /**
+     * A partial record between two messages must not make either of them count as possibly processed, or
+     * an unsafe message would fail needlessly.
+     */
     @Test
     void anAdoptionThatFailsHalfwayLeavesNoGapInTheFile() throws IOException {
         try (Journal before = open()) {
@@ -384,7 +418,8 @@
         }
         try (Journal journal = open()) {
             assertEquals(List.of("a", "b"), journal.openEntries().stream().map(e -> e.message.id()).toList());
-            assertTrue(journal.openEntries().stream().allMatch(e -> e.attempts.isEmpty()), "neither was ever sent");
+            assertTrue(journal.openEntries().stream().allMatch(e -> e.attempts.isEmpty()),
+                "neither was ever sent");
         }
     }
 
@@ -416,10 +451,11 @@
             journal.recordSent(entry, 4_000, 4);
             journal.recordNotRun(entry, 3);
         }
-        // Twice, because the first start rewrites the file.
+        // Twice: the file that the first start rewrites must read the same.
         for (int start = 0; start < 2; start++) {
             try (Journal journal = open()) {
-                assertEquals(List.of(2, 4), onlyOpenEntry(journal).attempts.stream().map(a -> a.zone).toList());
+                assertEquals(List.of(2, 4),
+                    onlyOpenEntry(journal).attempts.stream().map(a -> a.zone).toList());
                 assertEquals(List.of(true, false),
                     onlyOpenEntry(journal).attempts.stream().map(a -> a.mayHaveRun).toList());
             }
--- a/src/test/java/wrenkeel/net/ListTimingTest.java
+++ b/src/test/java/wrenkeel/net/ListTimingTest.java
@@ -5,7 +5,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Even after the worst sequences of failed calls, the relay has the list before its deadline to act on it.
+ * Even after the worst sequences of failed calls, the relay has received a change of the list before it is
+ * bound by the change.
  */
 class ListTimingTest {
     /** A connect that times out, and the gap after it. */
--- a/src/test/java/wrenkeel/net/NodeTest.java
+++ b/src/test/java/wrenkeel/net/NodeTest.java
@@ -159,7 +159,8 @@
     }
 
     /**
-     * Guards the limit of open messages: the client above it is refused at once, not left without a response.
+     * Guards the limit of open messages: the client above it is refused at once, so that it submits its
+     * message again later. It must not be left without a response.
      */
     @Test
     void aMessageAboveTheLimitOfOpenMessagesIsRefused() throws Exception {
@@ -211,7 +212,8 @@
             }
         }
         try (Journal journal = platform.openJournal()) {
-            assertEquals(List.of("bad"), journal.openEntries().stream().map(entry -> entry.message.id()).toList());
+            assertEquals(List.of("bad"),
+                journal.openEntries().stream().map(entry -> entry.message.id()).toList());
         }
     }
 
@@ -252,7 +254,7 @@
 
     /**
      * Guards against a message that fails needlessly: its only attempt was answered 429, so it was not
-     * executed.
+     * executed, and although it is unsafe it must be sent again after a restart.
      */
     @Test
     void anUnsafeMessageThatNeverRanIsSentAgainAfterARestart() throws Exception {
@@ -308,8 +310,8 @@
     }
 
     /**
-     * Guards the rule on draining hosts at a restart: a list that the agent already has applies to the first
-     * call.
+     * Guards the rule on draining hosts at a restart: the relay is bound by a list that the agent already
+     * has, even before it has requested the list.
      */
     @Test
     void aStartingProcessAwaitsTheCurrentListBeforeItSends() throws Exception {
@@ -646,8 +648,8 @@
 
     /** Start of the entry of class pay in the configuration file. */
     private static final String PAY_CLASS_START = "{\"name\":\"pay\"";
-    /** The setting of the maximum number of attempts in the configuration file. */
-    private static final String MOST_TRIES = "\"most-tries\":12";
+    /** The maximum number of attempts in the configuration file. */
+    private static final String MAX_ATTEMPTS_SETTING = "\"most-tries\":12";
 
     /**
      * Guards the rules of a class: a message keeps the class that it was accepted under; new messages get the
@@ -707,9 +709,9 @@
                 changedText.replace("\"hard-limit\":16000", "\"hard-limit\":-5"),
                 changedText.replace("\"hard-limit\":16000", "\"hard-limit\":\"soon\""),
                 changedText.replace("\"hard-limit\":16000,", ""),
-                changedText.replace(MOST_TRIES, "\"most-tries\":0"),
-                changedText.replace(MOST_TRIES, "\"most-tries\":\"many\""),
-                changedText.replace(MOST_TRIES, "\"most-tries\":null"),
+                changedText.replace(MAX_ATTEMPTS_SETTING, "\"most-tries\":0"),
+                changedText.replace(MAX_ATTEMPTS_SETTING, "\"most-tries\":\"many\""),
+                changedText.replace(MAX_ATTEMPTS_SETTING, "\"most-tries\":null"),
                 changedText.replace("fragile", "wobbly"),
                 changedText.replace("\"window\":15000", "\"window\":0"),
                 changedText.replace("[\"m1\",\"m2\",\"m3\"]", "[\"m1\"]"));
--- a/src/test/java/wrenkeel/net/RecordedTimesTest.java
+++ b/src/test/java/wrenkeel/net/RecordedTimesTest.java
@@ -5,20 +5,24 @@
 import org.junit.jupiter.api.Test;
 import wrenkeel.Relay;
 
-/** Conversion of an earlier process's times to this process's clock, with steps of the wall clock in between. */
+/**
+ * Conversion of an earlier process's times to this process's clock, with steps of the wall clock in
+ * between.
+ */
 class RecordedTimesTest {
     private static final long SECOND_MS = 1_000, HOUR_MS = 3_600 * SECOND_MS, NOW_MS = 1_800_000_000_000L;
-    private static final Relay.MessageClass MESSAGE_CLASS = new Relay.MessageClass("bill", 2_000_000, 16_000_000, 1, 0,
-        Relay.Effect.KEYED, false, 3_000_000, false, 12);
+    private static final Relay.MessageClass MESSAGE_CLASS = new Relay.MessageClass("bill", 2_000_000,
+        16_000_000, 1, 0, Relay.Effect.KEYED, false, 3_000_000, false, 12);
 
     /** A machine whose clocks are stopped. */
-    private record StoppedClock(long wallMillis, long monotonicNanos, String bootId) implements MachineClock { }
+    private record StoppedClock(long wallMillis, long monotonicNanos, String bootId)
+        implements MachineClock { }
 
     private static ProcessClock clock(long wallMillis, long upSeconds, String boot) {
         return new ProcessClock(new StoppedClock(wallMillis, upSeconds * 1_000_000_000, boot));
     }
 
-    /** The earlier process recorded its clocks at NOW, 100 s after the boot. */
+    /** The earlier process recorded its clocks at {@link #NOW_MS}, 100 s after the boot. */
     private static final ProcessClock.Reading WRITTEN = clock(NOW_MS, 100, "one").reading();
 
     @Test
@@ -46,7 +50,10 @@
         assertEquals(NOW_MS + 8 * SECOND_MS, times.deadline(NOW_MS + 8 * SECOND_MS, MESSAGE_CLASS));
     }
 
-    /** Otherwise a message would stay open for an hour too long, and could be repeated after its window. */
+    /**
+     * Guards against a message that stays open an hour too long, and against a repeat after the deduplication
+     * window.
+     */
     @Test
     void aWallClockThatWentBackExtendsNoDeadlineAndAllowsNoRepeat() {
         ProcessClock now = clock(NOW_MS - HOUR_MS, 2, "two");
@@ -55,11 +62,15 @@
         assertTrue(times.sendTime(NOW_MS - SECOND_MS) < now.millis() - HOUR_MS);
     }
 
-    /** A journal of the previous release has no clock reading: its messages live no longer than their class allows. */
+    /**
+     * A journal of the previous release has no clock reading: its messages live no longer than their
+     * class allows.
+     */
     @Test
     void withoutAClockReadingNoMessageOutlivesItsClass() {
         ProcessClock now = clock(NOW_MS - HOUR_MS, 2, "two");
-        assertEquals(now.millis() + 16 * SECOND_MS, RecordedTimes.of(now, null, 0).deadline(NOW_MS, MESSAGE_CLASS));
+        assertEquals(now.millis() + 16 * SECOND_MS,
+            RecordedTimes.of(now, null, 0).deadline(NOW_MS, MESSAGE_CLASS));
         RecordedTimes ahead = RecordedTimes.of(clock(NOW_MS, 2, "two"), null, NOW_MS - SECOND_MS);
         assertEquals(NOW_MS + SECOND_MS, ahead.deadline(NOW_MS + SECOND_MS, MESSAGE_CLASS));
     }
--- a/src/test/java/wrenkeel/net/ServerConnectionTest.java
+++ b/src/test/java/wrenkeel/net/ServerConnectionTest.java
@@ -56,7 +56,8 @@
             HostPool pool = new HostPool(eventLoop, calls, 1_000_000, 15_000_000, 100, metrics);
             driver = new ControlDriver(eventLoop, ProcessClock.system(), config, hosts, pool, journal,
                 metrics, (whenListed, whenNoticed) ->
-                    new Discovery(eventLoop, calls, config.discoveryAddress(), hosts, whenListed, whenNoticed));
+                    new Discovery(eventLoop, calls, config.discoveryAddress(), hosts, whenListed,
+                        whenNoticed));
             driver.start(config.savedList());
             server = new Server(new ConnectionLimiter(10));
             server.serve(driver, metrics);
--- a/src/test/java/wrenkeel/net/ServerTest.java
+++ b/src/test/java/wrenkeel/net/ServerTest.java
@@ -25,11 +25,11 @@
     @ParameterizedTest
     @ValueSource(longs = {1_000, 2_000, 12_000, 28_000})
     void theDeadlineKeepsTheClientsTimeoutEvenIfTheRequestWasReadLate(long timeoutMillis) {
-        long sent = 1_000_000;
-        long deadline = Server.deadline(sent + CLIENT_WAIT_MS, timeoutMillis);
-        assertTrue(deadline <= sent + timeoutMillis + END_SLACK_MS / 2,
+        long sentMillis = 1_000_000;
+        long deadline = Server.deadline(sentMillis + CLIENT_WAIT_MS, timeoutMillis);
+        assertTrue(deadline <= sentMillis + timeoutMillis + END_SLACK_MS / 2,
             "half of the slack must be left for the notice");
-        assertTrue(deadline >= sent + timeoutMillis / 2,
+        assertTrue(deadline >= sentMillis + timeoutMillis / 2,
             "at least half of the time must be left for the message");
     }
 
--- a/src/test/java/wrenkeel/net/StateFolderTest.java
+++ b/src/test/java/wrenkeel/net/StateFolderTest.java
@@ -22,8 +22,8 @@
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class StateFolderTest {
     private static final long LIMIT_BYTES = 3_000_000;
-    private static final Relay.MessageClass MESSAGE_CLASS = new Relay.MessageClass("bill", 2_000_000, 16_000_000, 1, 0,
-        Relay.Effect.UNSAFE, false, 0, false, 12);
+    private static final Relay.MessageClass MESSAGE_CLASS = new Relay.MessageClass("bill", 2_000_000,
+        16_000_000, 1, 0, Relay.Effect.UNSAFE, false, 0, false, 12);
 
     @TempDir
     Path folder;
@@ -31,14 +31,14 @@
     private Path state;
 
     @BeforeEach
-    void begin() throws Exception {
+    void setUp() throws Exception {
         platform = new Platform(folder);
         platform.writeConfig();
         state = folder.resolve("state");
     }
 
     @AfterEach
-    void end() {
+    void tearDown() {
         platform.close();
     }
 
@@ -92,7 +92,10 @@
         assertStartFailsNaming("journal.new.1");
     }
 
-    /** The messages in the journal must be adopted even if the snapshot of the same process cannot be read. */
+    /**
+     * The messages in the journal must be adopted even if the snapshot of the same process cannot be
+     * read.
+     */
     @Test
     void anUnreadableHandoverSnapshotIsIgnored() throws Exception {
         try (Journal journal = new Journal(state, LIMIT_BYTES)) {
@@ -106,8 +109,8 @@
     }
 
     /**
-     * A file that cannot be deleted is read again at each start. The process that adopted its messages must still know
-     * that, also after a rewrite of its own file; otherwise they would be sent twice.
+     * A file that cannot be deleted is read again at each start. The process that adopted its messages
+     * must still know that, also after a rewrite of its own file; otherwise they would be sent twice.
      */
     @Test
     void messagesOfAFileThatCannotBeDeletedAreAdoptedOnce() throws Exception {
@@ -140,6 +143,7 @@
             garbage[i] = 0x0f;
         }
         Files.write(state.resolve("journal.1"), garbage);
-        assertTimeoutPreemptively(java.time.Duration.ofSeconds(60), () -> assertEquals(List.of(), openMessageIds()));
+        assertTimeoutPreemptively(java.time.Duration.ofSeconds(60),
+            () -> assertEquals(List.of(), openMessageIds()));
     }
 }
--- a/src/test/java/wrenkeel/net/UnwritableStateFolderTest.java
+++ b/src/test/java/wrenkeel/net/UnwritableStateFolderTest.java
@@ -16,7 +16,8 @@
 /** While the state folder cannot be written, the relay loses no message that it has accepted. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class UnwritableStateFolderTest {
-    private static final String ACCEPTED = "HTTP/1.1 202 Accepted", REFUSED = "HTTP/1.1 503 Service Unavailable";
+    private static final String ACCEPTED = "HTTP/1.1 202 Accepted";
+    private static final String REFUSED = "HTTP/1.1 503 Service Unavailable";
     private static final String NO_SPACE = "No space left on device";
 
     @TempDir
@@ -25,18 +26,18 @@
     private StubHost host;
 
     @BeforeEach
-    void begin() throws Exception {
+    void setUp() throws Exception {
         platform = new Platform(folder);
         host = new StubHost();
     }
 
     @AfterEach
-    void end() throws Exception {
+    void tearDown() throws Exception {
         host.close();
         platform.close();
     }
 
-    private Node relay(FileOperations files) throws Exception {
+    private Node startRelay(FileOperations files) throws Exception {
         return new Node(platform.writeConfig(Platform.hostJson("s-1", host.port(), 7, "ready")),
             new Machine(MachineClock.SYSTEM, files, ListeningSockets.SYSTEM));
     }
@@ -51,17 +52,20 @@
     private void leaveOpenMessage(String id) throws Exception {
         platform.writeConfig();
         try (Journal journal = platform.openJournal()) {
-            journal.accept(new Message(id, "bill", 0, null, "key-" + id, 7, System.currentTimeMillis() + 60_000,
-                new byte[3]), null);
+            journal.accept(new Message(id, "bill", 0, null, "key-" + id, 7,
+                System.currentTimeMillis() + 60_000, new byte[3]), null);
         }
     }
 
-    /** The start must not fail: until it can write, the relay reports that it does not serve and accepts nothing. */
+    /**
+     * The start must not fail: until it can write, the relay reports that it does not serve and accepts
+     * nothing.
+     */
     @Test
     void aStartWaitsUntilTheStateFolderIsWritable() throws Exception {
         leaveOpenMessage("a");
         FailingFiles files = new FailingFiles(NO_SPACE);
-        try (Node relay = relay(files)) {
+        try (Node relay = startRelay(files)) {
             assertEquals(REFUSED, health(relay));
             try (var client = new Platform.Client(relay)) {
                 assertEquals(REFUSED, client.post("b", "bill", 7, 16_000).get(0));
@@ -80,12 +84,13 @@
     @Test
     void aFullStateFolderUsesUpNoAttempts() throws Exception {
         FailingFiles files = new FailingFiles(null);
-        try (Node relay = relay(files); var client = new Platform.Client(relay)) {
+        try (Node relay = startRelay(files); var client = new Platform.Client(relay)) {
             assertEquals(ACCEPTED, client.post("a", "bill", 7, 60_000).get(0));
             StubHost.Call first = host.nextCall();
             files.failure = NO_SPACE;
             first.respond("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
-            // As many failed writes as its eleven further attempts with their outcomes, and its end, would make.
+            // As many failed writes as its eleven further attempts with their outcomes, and its end,
+            // would make.
             files.failedWrites.acquire(2 * 11 + 1);
             files.failure = null;
             StubHost.Call second = host.nextCall();
@@ -99,15 +104,15 @@
     /** A relay that is told to stop while its start waits must stop at once. */
     @Test
     void aWaitingStartCanBeStopped() throws Exception {
-        Node relay = relay(new FailingFiles(NO_SPACE));
+        Node relay = startRelay(new FailingFiles(NO_SPACE));
         InetSocketAddress address = relay.address();
         relay.shutDown();
         assertThrows(IOException.class, () -> new Platform.Client(address).close());
     }
 
     /**
-     * A process that hands over must not disconnect a client in the middle of a request because the handover cannot be
-     * recorded.
+     * A process that hands over must not disconnect a client in the middle of a request because the
+     * handover cannot be recorded.
      */
     @Test
     void aHandoverThatCannotBeRecordedDisconnectsNoClient() throws Exception {
@@ -122,15 +127,16 @@
                     + "\r\nContent-Length: 4\r\n\r\n";
                 client.write(head + "ha");
                 files.failure = NO_SPACE;
-                Thread end = new Thread(old::shutDown);
-                end.start();
+                Thread shutdown = new Thread(old::shutDown);
+                shutdown.start();
                 while (!REFUSED.equals(health(old))) {
                     Thread.onSpinWait();
                 }
-                assertTrue(files.failedWrites.tryAcquire(3, Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS), "retried");
+                assertTrue(files.failedWrites.tryAcquire(3, Platform.TIMEOUT_SECONDS, TimeUnit.SECONDS),
+                    "retried");
                 client.write("lf");
                 assertEquals(REFUSED, client.readResponseHead().get(0));
-                end.join();
+                shutdown.join();
                 assertNotNull(next.consoleAddress());
             }
         }
