--- a/deploy/Training.java
+++ b/deploy/Training.java
@@ -20,9 +20,9 @@
 import java.util.stream.Stream;
 
 /**
- * Runs a relay through what it does in service, so that the archive it leaves holds the classes that its first messages
- * need: a relay that still has to load and link them has no time for its clients. Plays the agent and one endpoint, on
- * free ports of loopback.
+ * Writes the class archive of the relay (class data sharing). It runs a relay through its usual work, so that the archive
+ * holds the classes that the first messages need: a relay that still has to load and link them answers its first clients
+ * too late. Stands in for the agent and one endpoint, on free ports of loopback.
  */
 final class Training {
     private static final int MESSAGES = 120;
@@ -41,7 +41,7 @@
     private static final Pattern SERVING = Pattern.compile("serving on \\S*:(\\d+)"),
         CONSOLE = Pattern.compile("operators at \\S*:(\\d+)"),
         ID = Pattern.compile("\"id\":\"([^\"]*)\"");
-    private static final AtomicInteger CALLS = new AtomicInteger();
+    private static final AtomicInteger CALL_COUNT = new AtomicInteger();
 
     private Training() { }
 
@@ -53,9 +53,9 @@
             thread.setDaemon(true);
             return thread;
         }));
-        peers.createContext("/v1/servers", exchange -> answer(exchange, 200, watch(exchange), 300));
-        peers.createContext("/reports", exchange -> answer(exchange, 204, "", 0));
-        peers.createContext("/v1/messages", Training::call);
+        peers.createContext("/v1/servers", exchange -> respond(exchange, 200, listChanges(exchange), 300));
+        peers.createContext("/reports", exchange -> respond(exchange, 204, "", 0));
+        peers.createContext("/v1/messages", Training::handleCall);
         peers.start();
         Process relay = null;
         try {
@@ -72,8 +72,8 @@
             if (relay != null && !relay.waitFor(20, TimeUnit.SECONDS)) {
                 relay.destroyForcibly();
             }
-            try (Stream<Path> left = Files.walk(work)) {
-                for (Path path : left.sorted(Comparator.reverseOrder()).toList()) {
+            try (Stream<Path> paths = Files.walk(work)) {
+                for (Path path : paths.sorted(Comparator.reverseOrder()).toList()) {
                     Files.delete(path);
                 }
             }
@@ -88,13 +88,13 @@
         for (String line = log.readLine(); line != null; line = log.readLine()) {
             Matcher console = CONSOLE.matcher(line);
             if (console.find()) {
-                ask(Integer.parseInt(console.group(1)), "ready");
-                ask(Integer.parseInt(console.group(1)), "telemetry");
+                requestConsole(Integer.parseInt(console.group(1)), "ready");
+                requestConsole(Integer.parseInt(console.group(1)), "telemetry");
             }
             Matcher serving = SERVING.matcher(line);
             if (serving.find()) {
                 for (int i = 0; i < MESSAGES; i++) {
-                    handIn(Integer.parseInt(serving.group(1)), i);
+                    submit(Integer.parseInt(serving.group(1)), i);
                 }
                 Thread.sleep(3_000);
                 relay.toHandle().destroy();
@@ -102,15 +102,15 @@
         }
     }
 
-    private static void ask(int port, String call) throws IOException {
-        URI uri = URI.create("http://127.0.0.1:" + port + "/api/" + call);
+    private static void requestConsole(int port, String path) throws IOException {
+        URI uri = URI.create("http://127.0.0.1:" + port + "/api/" + path);
         HttpURLConnection operator = (HttpURLConnection) uri.toURL().openConnection();
         operator.getResponseCode();
         operator.disconnect();
     }
 
-    /** Most messages are well formed and are delivered at once, in bundles, after a refusal, or not at all. */
-    private static void handIn(int port, int i) throws IOException {
+    /** Submits a message. Most are valid, and are delivered at once, in batches, after a refusal, or not at all. */
+    private static void submit(int port, int i) throws IOException {
         URI uri = URI.create("http://127.0.0.1:" + port + (i % 10 == 9 ? "/other" : "/c"));
         HttpURLConnection client = (HttpURLConnection) uri.toURL().openConnection();
         client.setRequestMethod("POST");
@@ -125,36 +125,38 @@
         client.disconnect();
     }
 
-    private static String watch(HttpExchange exchange) {
-        boolean asked = exchange.getRequestURI().toString().contains("after=1&");
+    /** Returns the answer to a watch: one changed host for a relay that holds the configured list, else no change. */
+    private static String listChanges(HttpExchange exchange) {
+        boolean hasFirstList = exchange.getRequestURI().toString().contains("after=1&");
         return "{\"seq\":2,\"whole\":false,\"hosts\":["
-            + (asked ? "{\"host\":\"b\",\"dial\":\"127.0.0.1:1\",\"site\":\"z\",\"class\":\"k\",\"block\":0,\"health\":\"draining\"}" : "")
+            + (hasFirstList ? "{\"host\":\"b\",\"dial\":\"127.0.0.1:1\",\"site\":\"z\",\"class\":\"k\",\"block\":0,\"health\":\"draining\"}" : "")
             + "]}";
     }
 
-    private static void call(HttpExchange exchange) throws IOException {
+    private static void handleCall(HttpExchange exchange) throws IOException {
         String body = new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.ISO_8859_1);
-        switch (CALLS.incrementAndGet() % 12) {
-            case 5 -> answer(exchange, 500, "", 20);
+        switch (CALL_COUNT.incrementAndGet() % 12) {
+            case 5 -> respond(exchange, 500, "", 20);
             case 7 -> {
                 exchange.getResponseHeaders().set("Retry-After", "0.050");
-                answer(exchange, 429, "", 0);
+                respond(exchange, 429, "", 0);
             }
-            case 9 -> answer(exchange, 200, "", 1_200);
-            default -> answer(exchange, 200, exchange.getRequestURI().getPath().endsWith(":batch") ? states(body) : "", 20);
+            case 9 -> respond(exchange, 200, "", 1_200);
+            default -> respond(exchange, 200,
+                exchange.getRequestURI().getPath().endsWith(":batch") ? acceptedStates(body) : "", 20);
         }
     }
 
-    private static String states(String body) {
+    private static String acceptedStates(String body) {
         List<String> states = ID.matcher(body).results()
             .map(id -> "{\"id\":\"" + id.group(1) + "\",\"state\":\"accepted\"}").toList();
         return "[" + String.join(",", states) + "]";
     }
 
-    private static void answer(HttpExchange exchange, int status, String text, long after) throws IOException {
+    private static void respond(HttpExchange exchange, int status, String text, long delayMillis) throws IOException {
         exchange.getRequestBody().readAllBytes();
         try {
-            Thread.sleep(after);
+            Thread.sleep(delayMillis);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
