--- a/src/main/java/wrenkeel/scale/LearnFleet.java
+++ b/src/main/java/wrenkeel/scale/LearnFleet.java
@@ -319,7 +319,8 @@
         measureStart = now;
         measureEnd = now + seconds * SECOND_MICROS;
         // Messages submitted later may not have ended when the measurement ends.
-        long longest = settings.classes().stream().mapToLong(Relay.MessageClass::lifetime).max().orElseThrow();
+        long longest =
+            settings.classes().stream().mapToLong(Relay.MessageClass::lifetime).max().orElseThrow();
         countEnd = measureEnd - longest;
         collapsesBefore = countCollapses();
         advance(seconds * SECOND_MICROS);
@@ -394,7 +395,8 @@
         totals.messages += isCounted ? 1 : 0;
         String id = Long.toHexString(nextMessageId++);
         relay.messages.put(id, new Message(destination, now, now + messageClass.aim(), isCounted));
-        relay.accept(new Relay.MessageAccepted(id, classIndex, 0, null, now + messageClass.lifetime(), destination));
+        relay.accept(
+            new Relay.MessageAccepted(id, classIndex, 0, null, now + messageClass.lifetime(), destination));
     }
 
     /** Schedules the next outage of a destination, and with its end all further ones. */
--- a/src/main/java/wrenkeel/scale/TrafficExperiment.java
+++ b/src/main/java/wrenkeel/scale/TrafficExperiment.java
@@ -209,7 +209,8 @@
         throws IOException, InterruptedException {
         Traffic traffic = new Traffic(relay.destinationCount(), exponent, bodyBytes, CLASSES, TENANTS,
             MAX_CONNECTIONS);
-        try (StandInClients clients = new StandInClients(relay.process().clientAddress(), traffic, relay.seed)) {
+        try (StandInClients clients =
+                new StandInClients(relay.process().clientAddress(), traffic, relay.seed)) {
             boolean first = true;
             for (long size : sizes) {
                 clients.setRate(vary == Vary.RATE ? size : eventsPerSecond);
--- a/src/main/java/wrenkeel/soak/SoakRun.java
+++ b/src/main/java/wrenkeel/soak/SoakRun.java
@@ -139,7 +139,8 @@
             / siblings;
         double capacity = CAPACITY_TO_TRAFFIC_RATIO * meanCallsPerSecond;
         history.recordCapacity(endpoint, capacity);
-        destinations.setBehaviour(endpoint, EndpointModel.Behaviour.unlimited(MEDIAN_ANSWER_MICROS, ANSWER_SIGMA)
+        destinations.setBehaviour(endpoint,
+            EndpointModel.Behaviour.unlimited(MEDIAN_ANSWER_MICROS, ANSWER_SIGMA)
             .with(new EndpointModel.Limit(capacity, 1_000, false, false))
             .with(new EndpointModel.ColdStart(Oracle.COLD_CAPACITY_SHARE, Oracle.COLD_MS, 0,
                 Oracle.OVERLOAD_WINDOW_MS, 0)));
@@ -450,7 +451,8 @@
 
         @Override
         public void submissionEnded(MessageId id, Result ending, int status, boolean written) {
-            history.recordRequestEnd(id.text(), status, ending == Result.CONNECTION_LOST && written, nowMillis());
+            history.recordRequestEnd(id.text(), status, ending == Result.CONNECTION_LOST && written,
+                nowMillis());
         }
     }
 
