--- a/src/test/java/wrenkeel/net/LingeringCloseTest.java
+++ b/src/test/java/wrenkeel/net/LingeringCloseTest.java
@@ -116,8 +116,8 @@
     @Test
     void inputAfterTheOutputShutdownIsDiscarded() throws Exception {
         try (SocketPair pair = lingeringPair(LONGER_THAN_TEST_MS)) {
-            pair.register(eventLoop);
             pair.send("a");
+            pair.register(eventLoop);
             assertEquals('o', pair.client.getInputStream().read());
             assertEquals('k', pair.client.getInputStream().read());
             assertTrue(pair.readsEndOfStream());
